--- a/edge/core/src/admission.rs
+++ b/edge/core/src/admission.rs
@@ -49,7 +49,9 @@
     slot: &Slot,
     deadline: Instant,
 ) -> Result<Option<Held>, Turned> {
-    let Some(limiter) = core.limits.get() else { return Ok(None) };
+    let Some(limiter) = core.limits.get() else {
+        return Ok(None);
+    };
     let (tell, told) = bounded(WORDS);
     let waiting = Arc::new(Waiting(tell.clone()));
     let tell = Box::new(move |has: bool| {
@@ -72,7 +74,9 @@
                     Ok(Some(held))
                 }
                 Ok(Word::Left) => Err(Turned::Left),
-                Ok(Word::Refused) | Err(_) => Err(Turned::Away { wait: held.advice(Time::MAX) }),
+                Ok(Word::Refused) | Err(_) => Err(Turned::Away {
+                    wait: held.advice(Time::MAX),
+                }),
             }
         }
     }
--- a/edge/core/src/buffers.rs
+++ b/edge/core/src/buffers.rs
@@ -21,7 +21,10 @@
 
 impl Buffers {
     pub fn new(most: usize) -> Arc<Buffers> {
-        Arc::new(Buffers { state: Mutex::default(), most })
+        Arc::new(Buffers {
+            state: Mutex::default(),
+            most,
+        })
     }
 
     /// A buffer, or none where all are out: the caller sheds.
@@ -49,7 +52,11 @@
             None => return None,
         };
         state.bodies += body as usize;
-        Some(Lease { bytes, body, pool: self.clone() })
+        Some(Lease {
+            bytes,
+            body,
+            pool: self.clone(),
+        })
     }
 
     pub fn out(&self) -> usize {
@@ -79,7 +86,11 @@
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        let mut state = self.pool.state.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut state = self
+            .pool
+            .state
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         state.free.push(std::mem::take(&mut self.bytes));
         state.bodies -= self.body as usize;
     }
--- a/edge/core/src/clock.rs
+++ b/edge/core/src/clock.rs
@@ -12,7 +12,10 @@
 
 impl Default for Clock {
     fn default() -> Clock {
-        Clock { started: Instant::now(), origin: unix_us().max(1) }
+        Clock {
+            started: Instant::now(),
+            origin: unix_us().max(1),
+        }
     }
 }
 
@@ -42,7 +45,9 @@
 
 /// A clock before 1970 counts as 1970.
 fn unix_us() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as u64)
 }
 
 /// A span of the module's as the standard library's.
--- a/edge/core/src/core.rs
+++ b/edge/core/src/core.rs
@@ -118,7 +118,9 @@
     /// Refuses what the program has no room for, before the module hears of it.
     pub(crate) fn shed(&self, inquiry: &Inquiry, reason: Reason, reply: Box<dyn Reply>) {
         self.count_end(inquiry, End::Shed(reason), &History::default());
-        reply.answer(Answer::Shed { wait: self.refusal_wait() });
+        reply.answer(Answer::Shed {
+            wait: self.refusal_wait(),
+        });
     }
 
     /// Counts how a request ended. One that was not served gets a line in the log with its id, why, and what was tried for
@@ -129,7 +131,10 @@
             return;
         }
         let (class, after) = (&inquiry.class_name, inquiry.arrived.elapsed().as_millis());
-        tracing::info!("request {:016x} class {class}: {end}; {history}; after {after} ms", inquiry.via);
+        tracing::info!(
+            "request {:016x} class {class}: {end}; {history}; after {after} ms",
+            inquiry.via
+        );
     }
 
     /// Advised with a refusal of the core's own (us).
@@ -157,7 +162,14 @@
         self.tally.attempt(outcome);
         let elapsed = target.decided.elapsed().as_micros() as Time;
         let (attempt, note) = (target.attempt, Note::Untold);
-        self.desk.tell(Notice::Outcome(Report { id, attempt, outcome, note, elapsed, last }));
+        self.desk.tell(Notice::Outcome(Report {
+            id,
+            attempt,
+            outcome,
+            note,
+            elapsed,
+            last,
+        }));
     }
 
     /// The client left: the module hears, and the attempt's socket is shut.
@@ -172,13 +184,21 @@
 
 impl Claim {
     pub(crate) fn on(core: &Arc<Core>, via: u64) -> Option<Claim> {
-        let free = core.claimed.lock().unwrap_or_else(PoisonError::into_inner).insert(via);
+        let free = core
+            .claimed
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .insert(via);
         free.then(|| Claim(core.clone(), via))
     }
 }
 
 impl Drop for Claim {
     fn drop(&mut self) {
-        self.0.claimed.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.1);
+        self.0
+            .claimed
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .remove(&self.1);
     }
 }
--- a/edge/core/src/cover.rs
+++ b/edge/core/src/cover.rs
@@ -123,7 +123,9 @@
     history: &mut History,
 ) -> Option<Came> {
     let came = run(core, inquiry, slot, Some(hold), history);
-    let Came::Answer(end, answer) = &came else { return Some(came) };
+    let Came::Answer(end, answer) = &came else {
+        return Some(came);
+    };
     let kept = match answer {
         Answer::Served(served) => Final::Served(served.bytes[served.body.clone()].into()),
         Answer::Same => Final::Same,
@@ -157,8 +159,19 @@
         Some(mut buffer) if ROOM + bytes.len() <= buffer.len() => {
             buffer[ROOM..ROOM + bytes.len()].copy_from_slice(&bytes);
             let body = ROOM..ROOM + bytes.len();
-            (End::Served, Answer::Served(Served { bytes: buffer, body }))
+            (
+                End::Served,
+                Answer::Served(Served {
+                    bytes: buffer,
+                    body,
+                }),
+            )
         }
-        _ => (End::Shed(Reason::NoBuffer), Answer::Shed { wait: core.refusal_wait() }),
+        _ => (
+            End::Shed(Reason::NoBuffer),
+            Answer::Shed {
+                wait: core.refusal_wait(),
+            },
+        ),
     }
 }
--- a/edge/core/src/desk.rs
+++ b/edge/core/src/desk.rs
@@ -72,9 +72,12 @@
     /// Runs until every handle is gone.
     pub fn run(mut self) {
         loop {
-            let wait = self.timers.peek().map_or(Duration::from_secs(60), |Reverse((due, _))| {
-                span(due.saturating_sub(self.clock.now()))
-            });
+            let wait = self
+                .timers
+                .peek()
+                .map_or(Duration::from_secs(60), |Reverse((due, _))| {
+                    span(due.saturating_sub(self.clock.now()))
+                });
             match self.notices.recv_timeout(wait) {
                 Ok(notice) => self.take(notice),
                 Err(RecvTimeoutError::Timeout) => {}
@@ -97,13 +100,24 @@
 
     pub fn take(&mut self, notice: Notice) {
         match notice {
-            Notice::Ask { mut ask, slot, orders } => {
+            Notice::Ask {
+                mut ask,
+                slot,
+                orders,
+            } => {
                 if slot.left() {
                     // Guards against a client that left before its ask came here: no one would end it.
                     orders.order(Order::Over);
                     return;
                 }
-                self.open.insert(ask.id, Open { slot, orders, attempts: 0 });
+                self.open.insert(
+                    ask.id,
+                    Open {
+                        slot,
+                        orders,
+                        attempts: 0,
+                    },
+                );
                 ask.budget = ask.budget.min(self.left_to_close());
                 self.handle(Event::Request(ask));
             }
@@ -135,40 +149,57 @@
             Notice::Load { cache, start, load } => {
                 self.hear(cache, start, |b, now| b.heard(now, cache, load))
             }
-            Notice::Probed { cache, start, well, load } => {
+            Notice::Probed {
+                cache,
+                start,
+                well,
+                load,
+            } => {
                 self.hear(cache, start, |b, now| b.probed(now, cache, well, load));
             }
             Notice::Wired { hubs, hub_of } => self.handle(Event::Wired { hubs, hub_of }),
             Notice::Retuned(settings) => self.router.retune(*settings),
-            Notice::Purged { object, group, ago } => self.handle(Event::Purged { object, group, ago }),
+            Notice::Purged { object, group, ago } => {
+                self.handle(Event::Purged { object, group, ago })
+            }
         }
     }
 
     /// For how long a request may be open. Guards against one that was read before the end was decided and comes here after
     /// it: its client's own time may be over only once the process has gone.
     fn left_to_close(&self) -> Time {
-        self.closing.map_or(Time::MAX, |by| by.saturating_sub(self.clock.now()))
+        self.closing
+            .map_or(Time::MAX, |by| by.saturating_sub(self.clock.now()))
     }
 
     /// Guards against word of a process that takes no work any more: it may have crossed a drain or a restart.
     fn hear(&mut self, cache: CacheId, start: Start, hear: impl FnOnce(&mut Beside, Time)) {
         let now = self.clock.now();
-        if let Some((beside, _)) = self.reports.as_mut().filter(|_| self.members.allows(cache, start)) {
+        if let Some((beside, _)) = self
+            .reports
+            .as_mut()
+            .filter(|_| self.members.allows(cache, start))
+        {
             hear(beside, now);
         }
     }
 
     fn handle(&mut self, event: Event) {
         let now = self.clock.now();
-        self.reports.iter_mut().for_each(|(beside, _)| beside.event(now, &event));
+        self.reports
+            .iter_mut()
+            .for_each(|(beside, _)| beside.event(now, &event));
         let looks = matches!(event, Event::Timer { .. });
         self.feed(now, event);
-        let Some((beside, probes)) = self.reports.as_mut().filter(|_| looks) else { return };
+        let Some((beside, probes)) = self.reports.as_mut().filter(|_| looks) else {
+            return;
+        };
         let (mut events, mut asked) = (Vec::new(), Vec::new());
         beside.look(now, &mut events, &mut asked);
         for cache in asked {
             let to = probes.as_ref().zip(self.members.get(cache));
-            to.into_iter().for_each(|(probes, m)| probes.probe(cache, m.start()));
+            to.into_iter()
+                .for_each(|(probes, m)| probes.probe(cache, m.start()));
         }
         events.into_iter().for_each(|event| self.feed(now, event));
     }
@@ -177,7 +208,9 @@
         let mut actions = std::mem::take(&mut self.actions);
         self.router.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.reports.iter_mut().for_each(|(beside, _)| beside.action(now, &action));
+            self.reports
+                .iter_mut()
+                .for_each(|(beside, _)| beside.action(now, &action));
             self.carry_out(now, action);
         }
         self.actions = actions;
@@ -187,7 +220,9 @@
         let start = |cache| self.members.get(cache).map(|m| m.start());
         match action {
             Action::Fetch(fetch) => {
-                let Some(open) = self.open.get_mut(&fetch.id) else { return };
+                let Some(open) = self.open.get_mut(&fetch.id) else {
+                    return;
+                };
                 let target = Target {
                     cache: start(fetch.cache),
                     source: start(fetch.source),
@@ -197,7 +232,9 @@
                 open.attempts += 1;
                 open.orders.order(Order::Fetch(fetch, target));
             }
-            Action::Refuse { id, retry_after } => self.answer(id, Order::Refuse { wait: retry_after }),
+            Action::Refuse { id, retry_after } => {
+                self.answer(id, Order::Refuse { wait: retry_after })
+            }
             Action::Fail { id } => self.answer(id, Order::Fail),
             Action::Cancel { id, attempt } => {
                 if let Some(open) = self.open.get(&id) {
@@ -206,9 +243,13 @@
             }
             Action::Timer { after, token } => self.timers.push(Reverse((now + after, token))),
             Action::Probe { cache } => {
-                let probes = self.reports.as_ref().and_then(|(_, probes)| probes.as_ref());
+                let probes = self
+                    .reports
+                    .as_ref()
+                    .and_then(|(_, probes)| probes.as_ref());
                 let to = probes.zip(start(cache));
-                to.into_iter().for_each(|(probes, start)| probes.probe(cache, start));
+                to.into_iter()
+                    .for_each(|(probes, start)| probes.probe(cache, start));
             }
             // No peers, and the list is pushed: the settings of this platform allow neither.
             Action::TellPeers { .. } | Action::Watch => {}
--- a/edge/core/src/inquiry.rs
+++ b/edge/core/src/inquiry.rs
@@ -63,7 +63,9 @@
 }
 
 pub(crate) fn left(deadline: Instant) -> Time {
-    deadline.saturating_duration_since(Instant::now()).as_micros() as Time
+    deadline
+        .saturating_duration_since(Instant::now())
+        .as_micros() as Time
 }
 
 pub(crate) fn ask(inquiry: &Inquiry, id: RequestId, lease: Time) -> Ask {
--- a/edge/core/src/lent.rs
+++ b/edge/core/src/lent.rs
@@ -64,12 +64,21 @@
         let full = core.lent.fetch_add(1, Ordering::SeqCst) >= most;
         let deadline = inquiry.arrived + span(inquiry.budget);
         // From here its drop gives the place back.
-        let lent = Lent { core: core.clone(), slot: core.slot(), out: None, deadline };
+        let lent = Lent {
+            core: core.clone(),
+            slot: core.slot(),
+            out: None,
+            deadline,
+        };
         if full {
             return None;
         }
         let slot = lent.slot.clone();
-        core.desk.tell(Notice::Ask { ask: ask(inquiry, slot.id, lease), slot, orders });
+        core.desk.tell(Notice::Ask {
+            ask: ask(inquiry, slot.id, lease),
+            slot,
+            orders,
+        });
         Some(lent)
     }
 
@@ -77,17 +86,28 @@
     pub fn take(&mut self, order: Order) -> Told {
         match order {
             Order::Fetch(fetch, target) => {
-                self.out = Some(Out { target, told: false });
+                self.out = Some(Out {
+                    target,
+                    told: false,
+                });
                 let in_time = fetch.may_begin(self.core.clock.now());
                 let allowed = |cache, start| self.core.members.allowed(cache, start);
                 let cache = allowed(fetch.cache, target.cache).filter(|_| in_time);
                 let filled = fetch.source != fetch.cache;
                 let source = filled.then(|| allowed(fetch.source, target.source));
                 match (cache, source) {
-                    (Some(cache), None) => Told::Go(Box::new(Way { cache, source: None, fetch, target })),
-                    (Some(cache), Some(source @ Some(_))) => {
-                        Told::Go(Box::new(Way { cache, source, fetch, target }))
-                    }
+                    (Some(cache), None) => Told::Go(Box::new(Way {
+                        cache,
+                        source: None,
+                        fetch,
+                        target,
+                    })),
+                    (Some(cache), Some(source @ Some(_))) => Told::Go(Box::new(Way {
+                        cache,
+                        source,
+                        fetch,
+                        target,
+                    })),
                     _ => {
                         self.end(Outcome::NeverSent, false);
                         Told::Wait
@@ -105,8 +125,9 @@
         if !way.fetch.may_begin(self.core.clock.now()) {
             return false;
         }
-        let allowed =
-            |cache, start: Option<_>| start.is_some_and(|start| self.core.members.allows(cache, start));
+        let allowed = |cache, start: Option<_>| {
+            start.is_some_and(|start| self.core.members.allows(cache, start))
+        };
         let source = way.source.is_none() || allowed(way.fetch.source, way.target.source);
         source && allowed(way.fetch.cache, way.target.cache)
     }
@@ -119,7 +140,9 @@
     /// How the attempt that is out ended. `last`: no other follows, whatever the module thinks; else its next order
     /// comes.
     pub fn end(&mut self, outcome: Outcome, last: bool) {
-        let Some(Out { target, .. }) = self.out.take() else { return };
+        let Some(Out { target, .. }) = self.out.take() else {
+            return;
+        };
         self.core.report(self.slot.id, &target, outcome, last);
     }
 }
@@ -128,7 +151,14 @@
     fn drop(&mut self) {
         // What is not known may have run.
         let told = self.out.as_ref().is_some_and(|out| out.told);
-        self.end(if told { Outcome::Cancelled } else { Outcome::NeverSent }, true);
+        self.end(
+            if told {
+                Outcome::Cancelled
+            } else {
+                Outcome::NeverSent
+            },
+            true,
+        );
         self.core.desk.tell(Notice::Ended(self.slot.id));
         self.core.lent.fetch_sub(1, Ordering::SeqCst);
     }
@@ -145,16 +175,25 @@
 
 /// The life of a request whose attempt is not heard of again: asked, placed, checked once more, told where to go. The
 /// module learns nothing from it.
-pub fn place<T>(core: &Arc<Core>, inquiry: &Inquiry, lease: Time, tell: impl FnOnce(&Way) -> T) -> Placed<T> {
+pub fn place<T>(
+    core: &Arc<Core>,
+    inquiry: &Inquiry,
+    lease: Time,
+    tell: impl FnOnce(&Way) -> T,
+) -> Placed<T> {
     let _place = match Place::take(core) {
         Some(place) => place,
         None => return Placed::Full,
     };
     let (sender, orders) = bounded(ORDERS);
     let lent = Lent::ask(core, inquiry, lease, Box::new(sender), usize::MAX);
-    let Some(mut lent) = lent else { return Placed::Full };
+    let Some(mut lent) = lent else {
+        return Placed::Full;
+    };
     loop {
-        let Ok(order) = orders.recv_deadline(lent.deadline) else { return Placed::Failed };
+        let Ok(order) = orders.recv_deadline(lent.deadline) else {
+            return Placed::Failed;
+        };
         match lent.take(order) {
             Told::Go(way) => {
                 let told = tell(&way);
--- a/edge/core/src/limits.rs
+++ b/edge/core/src/limits.rs
@@ -65,7 +65,12 @@
             granted: HashSet::new(),
             next: 0,
         };
-        Arc::new(Limiter { state: Mutex::new(state), clock, zone, repeats })
+        Arc::new(Limiter {
+            state: Mutex::new(state),
+            clock,
+            zone,
+            repeats,
+        })
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -80,14 +85,26 @@
         let now = self.clock.now();
         let (gone, admitted) = state.gate.swap(now, &table);
         state.table = standing;
-        let gone: Vec<Tell> = gone.iter().filter_map(|id| state.waiting.remove(id)).collect();
-        let admitted: Vec<Tell> = admitted.into_iter().filter_map(|id| state.grant(id)).collect();
+        let gone: Vec<Tell> = gone
+            .iter()
+            .filter_map(|id| state.waiting.remove(id))
+            .collect();
+        let admitted: Vec<Tell> = admitted
+            .into_iter()
+            .filter_map(|id| state.grant(id))
+            .collect();
         drop(state);
         gone.into_iter().for_each(|tell| tell(false));
         admitted.into_iter().for_each(|tell| tell(true));
     }
 
-    pub fn enter(self: &Arc<Limiter>, class: usize, caller: &str, front: &str, tell: Tell) -> Entered {
+    pub fn enter(
+        self: &Arc<Limiter>,
+        class: usize,
+        caller: &str,
+        front: &str,
+        tell: Tell,
+    ) -> Entered {
         let mut state = self.state();
         let now = self.clock.now();
         let Some(resolved) = state.table.find(class, caller, front).cloned() else {
@@ -117,10 +134,13 @@
         };
         match admitted {
             Admitted::Now => Entered::In(held(true)),
-            Admitted::Waits => {
-                Entered::Waits(held(false), Duration::from_millis(resolved.values.queue_age_ms))
-            }
-            Admitted::Refused => Entered::Refused { wait: resolved.values.wait_ms.saturating_mul(1_000) },
+            Admitted::Waits => Entered::Waits(
+                held(false),
+                Duration::from_millis(resolved.values.queue_age_ms),
+            ),
+            Admitted::Refused => Entered::Refused {
+                wait: resolved.values.wait_ms.saturating_mul(1_000),
+            },
         }
     }
 
@@ -141,7 +161,9 @@
 
     fn expire(&self, state: &mut State, now: Time) -> Vec<Tell> {
         let over = state.gate.expired(now);
-        over.iter().filter_map(|id| state.waiting.remove(id)).collect()
+        over.iter()
+            .filter_map(|id| state.waiting.remove(id))
+            .collect()
     }
 
     /// Open, and waiting.
--- a/edge/core/src/limits/held.rs
+++ b/edge/core/src/limits/held.rs
@@ -41,7 +41,11 @@
     /// The module wants an attempt: whether the limits allow it, and after which pause.
     pub fn attempt(&mut self) -> Allowed {
         let values = &self.resolved.values;
-        let pause = self.limiter.state().gate.attempt(&self.at, values, self.attempts, fastrand::f64());
+        let pause =
+            self.limiter
+                .state()
+                .gate
+                .attempt(&self.at, values, self.attempts, fastrand::f64());
         self.attempts += pause.is_some() as u64;
         match pause {
             None => Allowed::No,
@@ -70,16 +74,28 @@
             fetch.begin_by(by);
         }
         fetch.keep = fetch.keep.min(values.keep.min(3) as u8);
-        if self.resolved.from.get("stale_ms").is_some_and(|at| at != "today") {
+        if self
+            .resolved
+            .from
+            .get("stale_ms")
+            .is_some_and(|at| at != "today")
+        {
             fetch.renew &= values.stale_ms > 0;
         }
     }
 
     /// Before when a repeat of a keyed request must begin, by the window of its limits.
     fn repeat_by(&self) -> Option<Time> {
-        let keyed = matches!(self.limiter.repeats.get(self.resolved.class), Some(Repeat::Keyed(_)));
+        let keyed = matches!(
+            self.limiter.repeats.get(self.resolved.class),
+            Some(Repeat::Keyed(_))
+        );
         let sent = self.sent.filter(|_| keyed)?;
-        Some(self.limiter.clock.at(sent + Duration::from_millis(self.resolved.values.window_ms)))
+        Some(
+            self.limiter
+                .clock
+                .at(sent + Duration::from_millis(self.resolved.values.window_ms)),
+        )
     }
 
     /// A fill at a source, if there is room for one more.
@@ -128,7 +144,10 @@
         if !self.open && !state.granted.remove(&self.id) {
             return;
         }
-        let next = state.gate.ended(now, &self.at).and_then(|id| state.grant(id));
+        let next = state
+            .gate
+            .ended(now, &self.at)
+            .and_then(|id| state.grant(id));
         let over = self.limiter.expire(&mut state, now);
         drop(state);
         next.into_iter().for_each(|tell| tell(true));
--- a/edge/core/src/limits/tests.rs
+++ b/edge/core/src/limits/tests.rs
@@ -18,12 +18,25 @@
         attempt_ms: Some(200),
         ..Layer::default()
     };
-    let said = Said { at: "f:1".into(), value: ("formula-card".to_string(), layer) };
-    Table::new(&Account::default(), &Draft { classes: vec![said], ..Draft::default() })
+    let said = Said {
+        at: "f:1".into(),
+        value: ("formula-card".to_string(), layer),
+    };
+    Table::new(
+        &Account::default(),
+        &Draft {
+            classes: vec![said],
+            ..Draft::default()
+        },
+    )
 }
 
 fn limiter() -> Arc<Limiter> {
-    let repeats = vec![Repeat::Safe, Repeat::Safe, Repeat::Keyed(foldmux::interface::Group::All)];
+    let repeats = vec![
+        Repeat::Safe,
+        Repeat::Safe,
+        Repeat::Keyed(foldmux::interface::Group::All),
+    ];
     Limiter::new(table(1), Clock::default(), "turku".into(), repeats)
 }
 
@@ -49,7 +62,13 @@
             }),
         )
     };
-    assert!(matches!(limiter.enter(0, "", "msgpack", Box::new(|_| ())), Entered::Free), "no limits were set");
+    assert!(
+        matches!(
+            limiter.enter(0, "", "msgpack", Box::new(|_| ())),
+            Entered::Free
+        ),
+        "no limits were set"
+    );
     let first = held(enter());
     let (second, third) = (held(enter()), held(enter()));
     assert_eq!(limiter.sizes(), [1, 2]);
@@ -67,7 +86,10 @@
     let limiter = limiter();
     let mut old = held(limiter.enter(1, "", "dns", Box::new(|_| ())));
     limiter.swap(Table::new(&Account::default(), &Draft::default()));
-    assert!(matches!(limiter.enter(1, "", "dns", Box::new(|_| ())), Entered::Free));
+    assert!(matches!(
+        limiter.enter(1, "", "dns", Box::new(|_| ())),
+        Entered::Free
+    ));
     let mut fetch = Fetch {
         id: foldmux::interface::RequestId(1),
         cache: foldmux::interface::CacheId(1),
@@ -81,8 +103,14 @@
         renew: true,
     };
     old.narrow(&mut fetch);
-    assert_eq!((fetch.time_out, fetch.keep, fetch.renew), (200_000, 1, true));
-    assert_eq!([0, 1, 2].map(|_| old.attempt()), [Allowed::Now, Allowed::Now, Allowed::No]);
+    assert_eq!(
+        (fetch.time_out, fetch.keep, fetch.renew),
+        (200_000, 1, true)
+    );
+    assert_eq!(
+        [0, 1, 2].map(|_| old.attempt()),
+        [Allowed::Now, Allowed::Now, Allowed::No]
+    );
     drop(old);
     assert_eq!(limiter.sizes(), [0, 0]);
 }
@@ -90,7 +118,11 @@
 #[test]
 fn a_repeat_begins_within_the_window_of_its_limits_and_of_the_module() {
     const KEYED: usize = 2;
-    let repeats = vec![Repeat::Safe, Repeat::Safe, Repeat::Keyed(foldmux::interface::Group::All)];
+    let repeats = vec![
+        Repeat::Safe,
+        Repeat::Safe,
+        Repeat::Keyed(foldmux::interface::Group::All),
+    ];
     let clock = Clock::default();
     let layer = |window_ms| Layer {
         attempts: Some(3),
@@ -98,8 +130,17 @@
         concurrency: Some(Concurrency::Fixed { most: 4 }),
         ..Layer::default()
     };
-    let defaults = Some(Said { at: "f:1".into(), value: layer(2_000) });
-    let table = Table::new(&Account::default(), &Draft { defaults, ..Draft::default() });
+    let defaults = Some(Said {
+        at: "f:1".into(),
+        value: layer(2_000),
+    });
+    let table = Table::new(
+        &Account::default(),
+        &Draft {
+            defaults,
+            ..Draft::default()
+        },
+    );
     let limiter = Limiter::new(table, clock.clone(), "turku".into(), repeats);
     let bound = |class, never_ran, by| {
         let mut held = held(limiter.enter(class, "", "msgpack", Box::new(|_| ())));
--- a/edge/core/src/members.rs
+++ b/edge/core/src/members.rs
@@ -23,7 +23,10 @@
 
 impl Listed {
     pub fn start(&self) -> Start {
-        Start { boot: self.member.boot, address: self.address }
+        Start {
+            boot: self.member.boot,
+            address: self.address,
+        }
     }
 }
 
@@ -34,18 +37,28 @@
 
 impl Members {
     pub fn get(&self, cache: CacheId) -> Option<Listed> {
-        self.by_id.read().unwrap_or_else(PoisonError::into_inner).get(&cache).cloned()
+        self.by_id
+            .read()
+            .unwrap_or_else(PoisonError::into_inner)
+            .get(&cache)
+            .cloned()
     }
 
     pub fn named(&self, name: &str) -> Option<Listed> {
         let members = self.by_id.read().unwrap_or_else(PoisonError::into_inner);
-        members.get(&cache_id(name)).filter(|m| *m.name == *name).cloned()
+        members
+            .get(&cache_id(name))
+            .filter(|m| *m.name == *name)
+            .cloned()
     }
 
     /// How many are listed, and how many of them are not ready or are `out` by name.
     pub fn census(&self, out: impl Fn(&str) -> bool) -> (usize, usize) {
         let members = self.by_id.read().unwrap_or_else(PoisonError::into_inner);
-        let avoided = members.values().filter(|m| m.member.state != State::Ready || out(&m.name)).count();
+        let avoided = members
+            .values()
+            .filter(|m| m.member.state != State::Ready || out(&m.name))
+            .count();
         (members.len(), avoided)
     }
 
@@ -53,14 +66,18 @@
     /// Guards against a drain, an end or a restart that was told of while an attempt was dialling.
     pub fn allows(&self, cache: CacheId, start: Start) -> bool {
         let members = self.by_id.read().unwrap_or_else(PoisonError::into_inner);
-        members.get(&cache).is_some_and(|m| m.member.state == State::Ready && m.start() == start)
+        members
+            .get(&cache)
+            .is_some_and(|m| m.member.state == State::Ready && m.start() == start)
     }
 
     /// The member, if new work may still go to the start that was meant; read in one step, so that what is returned is what
     /// was allowed.
     pub fn allowed(&self, cache: CacheId, start: Option<Start>) -> Option<Listed> {
         let members = self.by_id.read().unwrap_or_else(PoisonError::into_inner);
-        let member = members.get(&cache).filter(|m| m.member.state == State::Ready)?;
+        let member = members
+            .get(&cache)
+            .filter(|m| m.member.state == State::Ready)?;
         (Some(member.start()) == start).then(|| member.clone())
     }
 
@@ -71,17 +88,36 @@
         let named: HashSet<CacheId> = listed.iter().map(|l| l.member.cache).collect();
         let other = |l: &&Listed| !full && !named.contains(&l.member.cache);
         let mut latest: HashMap<SocketAddr, Time> = HashMap::new();
-        for line in
-            listed.iter().filter(|l| l.member.state != State::Gone).chain(members.values().filter(other))
+        for line in listed
+            .iter()
+            .filter(|l| l.member.state != State::Gone)
+            .chain(members.values().filter(other))
         {
             let boot = latest.entry(line.address).or_default();
             *boot = line.member.boot.max(*boot);
         }
-        let over = |l: &Listed| latest.get(&l.address).is_some_and(|boot| *boot > l.member.boot);
-        let gone =
-            |l: &Listed| Listed { member: Member { state: State::Gone, ..l.member.clone() }, ..l.clone() };
-        let taken: Vec<Listed> = members.values().filter(other).filter(|l| over(l)).map(gone).collect();
-        listed.iter_mut().filter(|l| over(l)).for_each(|l| l.member.state = State::Gone);
+        let over = |l: &Listed| {
+            latest
+                .get(&l.address)
+                .is_some_and(|boot| *boot > l.member.boot)
+        };
+        let gone = |l: &Listed| Listed {
+            member: Member {
+                state: State::Gone,
+                ..l.member.clone()
+            },
+            ..l.clone()
+        };
+        let taken: Vec<Listed> = members
+            .values()
+            .filter(other)
+            .filter(|l| over(l))
+            .map(gone)
+            .collect();
+        listed
+            .iter_mut()
+            .filter(|l| over(l))
+            .for_each(|l| l.member.state = State::Gone);
         listed.extend(taken);
         listed
     }
@@ -92,7 +128,11 @@
         let mut ended = Vec::new();
         if full {
             let named: Vec<CacheId> = listed.iter().map(|l| l.member.cache).collect();
-            let gone: Vec<CacheId> = members.keys().filter(|c| !named.contains(c)).copied().collect();
+            let gone: Vec<CacheId> = members
+                .keys()
+                .filter(|c| !named.contains(c))
+                .copied()
+                .collect();
             ended.extend(gone.into_iter().filter_map(|cache| members.remove(&cache)));
         }
         for new in listed {
@@ -112,8 +152,14 @@
 /// of the name. Every proxy finds the same id, so that all place an object alike.
 pub fn cache_id(name: &str) -> CacheId {
     let tail = name.rsplit('-').next().unwrap_or(name);
-    let hex = (tail.len() == 8).then(|| u32::from_str_radix(tail, 16).ok()).flatten();
-    let hash = || name.bytes().fold(0x811c_9dc5_u32, |h, b| (h ^ b as u32).wrapping_mul(0x0100_0193));
+    let hex = (tail.len() == 8)
+        .then(|| u32::from_str_radix(tail, 16).ok())
+        .flatten();
+    let hash = || {
+        name.bytes().fold(0x811c_9dc5_u32, |h, b| {
+            (h ^ b as u32).wrapping_mul(0x0100_0193)
+        })
+    };
     CacheId(hex.unwrap_or_else(hash))
 }
 
@@ -122,8 +168,17 @@
     use super::*;
 
     fn listed(state: State, boot: Time, port: u16) -> Listed {
-        let member = Member { cache: CacheId(1), state, boot, ..Member::default() };
-        Listed { member, name: "s-00000001".into(), address: SocketAddr::from(([127, 0, 0, 1], port)) }
+        let member = Member {
+            cache: CacheId(1),
+            state,
+            boot,
+            ..Member::default()
+        };
+        Listed {
+            member,
+            name: "s-00000001".into(),
+            address: SocketAddr::from(([127, 0, 0, 1], port)),
+        }
     }
 
     #[test]
@@ -135,14 +190,22 @@
         };
         let take = |members: &Members, full: bool, lines: Vec<Listed>| {
             let lines = members.one_at_an_address(full, lines);
-            let gone: Vec<u32> =
-                lines.iter().filter(|l| l.member.state == State::Gone).map(|l| l.member.cache.0).collect();
+            let gone: Vec<u32> = lines
+                .iter()
+                .filter(|l| l.member.state == State::Gone)
+                .map(|l| l.member.cache.0)
+                .collect();
             members.apply(full, lines);
             gone
         };
         let members = Members::default();
         // Several that started long ago may share an address: nothing was taken over.
-        assert!(take(&members, true, vec![line(1, 0, 80), line(2, 0, 80), line(3, 5, 81)]).is_empty());
+        assert!(take(
+            &members,
+            true,
+            vec![line(1, 0, 80), line(2, 0, 80), line(3, 5, 81)]
+        )
+        .is_empty());
         // A new one takes it over, before the former holders are said to be gone.
         let mut gone = take(&members, false, vec![line(4, 9, 80)]);
         gone.sort();
@@ -150,7 +213,14 @@
         assert!(members.get(CacheId(4)).is_some() && members.get(CacheId(1)).is_none());
         // What comes late of a former holder changes nothing; neither does a list that still has both.
         assert_eq!(take(&members, false, vec![line(1, 0, 80)]), [1]);
-        assert_eq!(take(&members, true, vec![line(1, 0, 80), line(4, 9, 80), line(3, 5, 81)]), [1]);
+        assert_eq!(
+            take(
+                &members,
+                true,
+                vec![line(1, 0, 80), line(4, 9, 80), line(3, 5, 81)]
+            ),
+            [1]
+        );
         // It moves on, or starts again where it was: then it holds what it has.
         assert!(take(&members, false, vec![line(1, 12, 82)]).is_empty());
         assert!(take(&members, false, vec![line(4, 20, 80)]).is_empty());
@@ -167,7 +237,9 @@
             vec![],
         ] {
             let members = Members::default();
-            assert!(members.apply(true, vec![listed(State::Ready, 5, 80)]).is_empty());
+            assert!(members
+                .apply(true, vec![listed(State::Ready, 5, 80)])
+                .is_empty());
             let start = members.get(CacheId(1)).unwrap().start();
             assert!(members.allows(CacheId(1), start));
             assert_eq!(members.apply(true, next).len(), 1);
--- a/edge/core/src/request.rs
+++ b/edge/core/src/request.rs
@@ -44,7 +44,12 @@
 
 impl<'a> Out<'a> {
     fn new(core: &'a Core, id: RequestId, target: Target) -> Out<'a> {
-        Out { core, id, target, unless_told: Some(Outcome::NeverSent) }
+        Out {
+            core,
+            id,
+            target,
+            unless_told: Some(Outcome::NeverSent),
+        }
     }
 
     /// From here on it may have run.
@@ -105,18 +110,29 @@
         Err(Turned::Away { wait }) => return shed(Reason::Limits, wait),
         Err(Turned::Left) => return Came::Over,
     };
-    limits.iter().for_each(|held| deadline = deadline.min(held.deadline(inquiry.arrived)));
+    limits
+        .iter()
+        .for_each(|held| deadline = deadline.min(held.deadline(inquiry.arrived)));
     let (sender, orders) = bounded(ORDERS);
     let _ended = Ended(core, slot.id);
-    let asked = Ask { budget: left(deadline), ..ask(inquiry, slot.id, 0) };
-    core.desk.tell(Notice::Ask { ask: asked, slot: slot.clone(), orders: Box::new(sender) });
+    let asked = Ask {
+        budget: left(deadline),
+        ..ask(inquiry, slot.id, 0)
+    };
+    core.desk.tell(Notice::Ask {
+        ask: asked,
+        slot: slot.clone(),
+        orders: Box::new(sender),
+    });
     // Whether an attempt may have run.
     let mut ran = false;
     let (end, answer) = loop {
         match orders.recv_deadline(deadline + span(UNORDERED)) {
             Ok(Order::Fetch(mut fetch, target)) => {
                 let mut out = Out::new(core, slot.id, target);
-                let allowed = limits.as_mut().is_none_or(|held| allow(held, slot, deadline));
+                let allowed = limits
+                    .as_mut()
+                    .is_none_or(|held| allow(held, slot, deadline));
                 let fill = limits.as_ref().map(|held| held.fill(&fetch));
                 if !allowed || matches!(fill, Some(None)) {
                     // The limits end it here: the module hears that nothing was sent, and no more is asked of it.
@@ -126,16 +142,17 @@
                     }
                     break limited(core, limits.as_ref());
                 }
-                let (place, deadline) = match turn::take(core, inquiry, &fetch, &target, slot, deadline) {
-                    Ok(turn) => turn,
-                    Err(wait) => {
-                        out.ended(Outcome::NeverSent, true);
-                        if slot.left() {
-                            return Came::Over;
+                let (place, deadline) =
+                    match turn::take(core, inquiry, &fetch, &target, slot, deadline) {
+                        Ok(turn) => turn,
+                        Err(wait) => {
+                            out.ended(Outcome::NeverSent, true);
+                            if slot.left() {
+                                return Came::Over;
+                            }
+                            break turned_away(limits.as_ref(), ran, wait);
                         }
-                        break turned_away(limits.as_ref(), ran, wait);
-                    }
-                };
+                    };
                 match hold.map_or(Intended::Yes, |hold| intend(core, hold, &fetch)) {
                     Intended::Yes => {}
                     Intended::No => {
@@ -150,18 +167,28 @@
                 limits.iter().for_each(|held| held.narrow(&mut fetch));
                 let began = Instant::now();
                 out.begins();
-                let attempt =
-                    Attempt { inquiry, slot, fetch: &fetch, target: &target, deadline, guard: hold };
+                let attempt = Attempt {
+                    inquiry,
+                    slot,
+                    fetch: &fetch,
+                    target: &target,
+                    deadline,
+                    guard: hold,
+                };
                 let (outcome, got) = core.upstream.attempt(&attempt, &mut bytes);
                 core.tally.sent(&inquiry.class_name, outcome);
                 drop((fill, place));
                 hold.iter().for_each(|hold| hold.ended(outcome));
                 ran |= !outcome.never_ran();
-                limits.iter_mut().for_each(|held| held.heard(began, got.is_some(), outcome.never_ran()));
+                limits
+                    .iter_mut()
+                    .for_each(|held| held.heard(began, got.is_some(), outcome.never_ran()));
                 let last = got.is_some() || slot.left();
                 out.ended(outcome, last);
                 match got {
-                    Some(Got::Body(body)) => break (End::Served, Answer::Served(Served { bytes, body })),
+                    Some(Got::Body(body)) => {
+                        break (End::Served, Answer::Served(Served { bytes, body }))
+                    }
                     Some(Got::Same) => break (End::Same, Answer::Same),
                     None => history.add(fetch.cache, outcome),
                 }
@@ -180,7 +207,9 @@
 
 /// The record says where the attempt goes before a byte of it leaves.
 fn intend(core: &Core, hold: &dyn Hold, fetch: &Fetch) -> Intended {
-    core.members.get(fetch.cache).map_or(Intended::No, |listed| hold.intend(&listed.member))
+    core.members
+        .get(fetch.cache)
+        .map_or(Intended::No, |listed| hold.intend(&listed.member))
 }
 
 /// The final answer where the limits allow no more: refused where trying again is harmless, else failed.
--- a/edge/core/src/slot.rs
+++ b/edge/core/src/slot.rs
@@ -23,7 +23,10 @@
 
 impl Slot {
     pub fn new(id: RequestId) -> Arc<Slot> {
-        Arc::new(Slot { id, state: Mutex::default() })
+        Arc::new(Slot {
+            id,
+            state: Mutex::default(),
+        })
     }
 
     fn state(&self) -> MutexGuard<'_, SlotState> {
--- a/edge/core/src/tally.rs
+++ b/edge/core/src/tally.rs
@@ -68,7 +68,8 @@
 impl fmt::Display for End {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         out.write_str(NAMES[self.places().0])?;
-        self.reason().map_or(Ok(()), |reason| write!(out, ", {reason}"))
+        self.reason()
+            .map_or(Ok(()), |reason| write!(out, ", {reason}"))
     }
 }
 
@@ -101,7 +102,10 @@
 
     /// An attempt of `class` that was written whole to a pop cache.
     pub fn sent(&self, class: &Arc<str>, outcome: Outcome) {
-        if !matches!(outcome, Outcome::ConnectFailed | Outcome::NeverSent | Outcome::Cancelled) {
+        if !matches!(
+            outcome,
+            Outcome::ConnectFailed | Outcome::NeverSent | Outcome::Cancelled
+        ) {
             self.count(class, 3);
         }
     }
@@ -131,7 +135,10 @@
 
     /// The counts by class since the start.
     pub fn classes(&self) -> Vec<ClassCounts> {
-        self.classes.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.classes
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// One line with what has been counted since the last, or none.
@@ -148,7 +155,10 @@
 /// Each count that is not 0, which then begins at 0 again.
 fn told<'a, N: fmt::Display>(counts: impl Iterator<Item = (&'a AtomicU64, N)>) -> Option<String> {
     let counts = counts.map(|(count, name)| (count.swap(0, Ordering::Relaxed), name));
-    let told: Vec<String> = counts.filter(|c| c.0 > 0).map(|(n, name)| format!("{name} {n}")).collect();
+    let told: Vec<String> = counts
+        .filter(|c| c.0 > 0)
+        .map(|(n, name)| format!("{name} {n}"))
+        .collect();
     (!told.is_empty()).then(|| told.join(", "))
 }
 
@@ -169,9 +179,15 @@
         tally.sent(&class, Outcome::NeverSent);
         assert_eq!(tally.line().unwrap(), "ok 1, miss 1, served 1, failed 2");
         assert_eq!(tally.line(), None);
-        assert_eq!(tally.reasons_line().unwrap(), "its id is in use 1, no decision in time 1");
+        assert_eq!(
+            tally.reasons_line().unwrap(),
+            "its id is in use 1, no decision in time 1"
+        );
         assert_eq!(tally.reasons_line(), None);
-        assert!(REASONS.iter().enumerate().all(|(place, reason)| *reason as usize == place));
+        assert!(REASONS
+            .iter()
+            .enumerate()
+            .all(|(place, reason)| *reason as usize == place));
         assert_eq!(tally.classes(), vec![(class, [1, 0, 1, 1])]);
     }
 }
--- a/edge/core/src/threads.rs
+++ b/edge/core/src/threads.rs
@@ -36,7 +36,12 @@
             self.count_end(&inquiry, End::Failed(Reason::IdInUse), &History::default());
             return reply.answer(Answer::Failed);
         };
-        let given = self.give(Job { _claim: claim, inquiry, slot, work: Work::Client(reply) });
+        let given = self.give(Job {
+            _claim: claim,
+            inquiry,
+            slot,
+            work: Work::Client(reply),
+        });
         if let Err(NotGiven { job, reason }) = given {
             if let Work::Client(reply) = job.work {
                 self.shed(&job.inquiry, reason, reply);
@@ -45,23 +50,43 @@
     }
 
     /// Starts a request that was taken over; false where the program is full: then it is let go.
-    pub fn start_taken(self: &Arc<Core>, inquiry: Inquiry, slot: Arc<Slot>, hold: Box<dyn Hold>) -> bool {
-        let Some(claim) = Claim::on(self, inquiry.via) else { return false };
-        self.give(Job { _claim: claim, inquiry, slot, work: Work::Taken(hold) }).is_ok()
+    pub fn start_taken(
+        self: &Arc<Core>,
+        inquiry: Inquiry,
+        slot: Arc<Slot>,
+        hold: Box<dyn Hold>,
+    ) -> bool {
+        let Some(claim) = Claim::on(self, inquiry.via) else {
+            return false;
+        };
+        self.give(Job {
+            _claim: claim,
+            inquiry,
+            slot,
+            work: Work::Taken(hold),
+        })
+        .is_ok()
     }
 
     /// Gives a thread the job, or the job back where there is no room for it.
     fn give(self: &Arc<Core>, job: Job) -> Result<(), NotGiven> {
         let given = if self.open.fetch_add(1, Ordering::SeqCst) >= self.most {
-            Err(NotGiven { job: Box::new(job), reason: Reason::RequestsFull })
+            Err(NotGiven {
+                job: Box::new(job),
+                reason: Reason::RequestsFull,
+            })
         } else {
             let idle = self.idle().pop();
             match idle.map(Ok).unwrap_or_else(|| self.spawn()) {
-                Ok(thread) => {
-                    thread.send(job).map_err(|e| NotGiven { job: Box::new(e.0), reason: Reason::NoThread })
-                }
+                Ok(thread) => thread.send(job).map_err(|e| NotGiven {
+                    job: Box::new(e.0),
+                    reason: Reason::NoThread,
+                }),
                 // The machine gives no more threads; those that there are serve on.
-                Err(_) => Err(NotGiven { job: Box::new(job), reason: Reason::NoThread }),
+                Err(_) => Err(NotGiven {
+                    job: Box::new(job),
+                    reason: Reason::NoThread,
+                }),
             }
         };
         if given.is_err() {
@@ -86,7 +111,9 @@
         let core = self.clone();
         let (sender, jobs) = bounded(1);
         let own = sender.clone();
-        let thread = thread::Builder::new().name("request".into()).stack_size(STACK);
+        let thread = thread::Builder::new()
+            .name("request".into())
+            .stack_size(STACK);
         thread.spawn(move || core.serve_jobs(&jobs, &own))?;
         Ok(sender)
     }
@@ -105,7 +132,12 @@
     }
 
     fn serve_job(&self, job: Job) {
-        let Job { _claim, inquiry, slot, work } = job;
+        let Job {
+            _claim,
+            inquiry,
+            slot,
+            work,
+        } = job;
         // Guards against a fault in one request ending the thread: its drops have given all back.
         let _ = catch_unwind(AssertUnwindSafe(|| match work {
             Work::Client(reply) => serve(self, inquiry, &slot, reply),
--- a/edge/core/src/throttle.rs
+++ b/edge/core/src/throttle.rs
@@ -25,7 +25,13 @@
 impl Throttle {
     /// A full bucket, at this moment.
     pub fn new(now: Instant) -> Throttle {
-        Throttle { state: Mutex::new(State { tokens: BURST, filled: now, withheld: 0 }) }
+        Throttle {
+            state: Mutex::new(State {
+                tokens: BURST,
+                filled: now,
+                withheld: 0,
+            }),
+        }
     }
 
     /// Whether a line is written now; else it is counted as withheld.
@@ -44,7 +50,13 @@
 
     /// How many lines were withheld since this was asked last.
     pub fn take_withheld(&self) -> u64 {
-        std::mem::take(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner).withheld)
+        std::mem::take(
+            &mut self
+                .state
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .withheld,
+        )
     }
 }
 
--- a/edge/core/src/throttle_tests.rs
+++ b/edge/core/src/throttle_tests.rs
@@ -5,11 +5,17 @@
     let start = Instant::now();
     let throttle = Throttle::new(start);
     let written = (0..1_000).filter(|_| throttle.admits(start)).count();
-    assert_eq!((written, throttle.take_withheld()), (BURST as usize, 1_000 - BURST as u64));
+    assert_eq!(
+        (written, throttle.take_withheld()),
+        (BURST as usize, 1_000 - BURST as u64)
+    );
     // Two seconds of the storm, a line each millisecond.
     let at = |ms| start + Duration::from_millis(ms);
     let written = (1..=2_000).filter(|ms| throttle.admits(at(*ms))).count();
-    assert_eq!((written, throttle.take_withheld(), throttle.take_withheld()), (40, 1_960, 0));
+    assert_eq!(
+        (written, throttle.take_withheld(), throttle.take_withheld()),
+        (40, 1_960, 0)
+    );
 }
 
 #[test]
@@ -18,5 +24,8 @@
     let throttle = Throttle::new(start);
     (0..BURST).for_each(|_| assert!(throttle.admits(start)));
     let later = start + Duration::from_secs(3_600);
-    assert_eq!((0..200).filter(|_| throttle.admits(later)).count(), BURST as usize);
+    assert_eq!(
+        (0..200).filter(|_| throttle.admits(later)).count(),
+        BURST as usize
+    );
 }
--- a/edge/core/src/turn.rs
+++ b/edge/core/src/turn.rs
@@ -38,8 +38,18 @@
     slot: &Slot,
     deadline: Instant,
 ) -> Result<(Option<Box<dyn Place>>, Instant), Time> {
-    let Some(turns) = core.turns.get() else { return Ok((None, deadline)) };
-    let place = turns.turn(&Wanted { inquiry, fetch, slot, attempt: target.attempt, deadline })?;
-    let until = place.as_ref().map_or(deadline, |place| place.until().min(deadline));
+    let Some(turns) = core.turns.get() else {
+        return Ok((None, deadline));
+    };
+    let place = turns.turn(&Wanted {
+        inquiry,
+        fetch,
+        slot,
+        attempt: target.attempt,
+        deadline,
+    })?;
+    let until = place
+        .as_ref()
+        .map_or(deadline, |place| place.until().min(deadline));
     Ok((place, until))
 }
--- a/edge/core/tests/closing.rs
+++ b/edge/core/tests/closing.rs
@@ -10,7 +10,9 @@
 fn a_request_that_is_registered_after_the_end_was_decided_is_answered_by_then() {
     let rig = Rig::new();
     // It was read before that, with its client's whole time, which is longer than the test's.
-    rig.core.desk.tell(Notice::Closing { by: rig.core.clock.now() });
+    rig.core.desk.tell(Notice::Closing {
+        by: rig.core.clock.now(),
+    });
     let (_, heard) = rig.ask(1);
     assert_eq!(hears(&heard), Heard::Refused);
     rig.open(0);
@@ -22,7 +24,9 @@
     let rig = Rig::new();
     let (slot, heard) = rig.ask(1);
     assert_eq!(rig.begins(), 1);
-    rig.core.desk.tell(Notice::Closing { by: rig.core.clock.now() });
+    rig.core.desk.tell(Notice::Closing {
+        by: rig.core.clock.now(),
+    });
     until("its attempt is called off", || slot.off(0));
     // It was read whole before the call-off could cut it.
     rig.end(Outcome::Served);
@@ -37,7 +41,9 @@
     let rig = Rig::new();
     let (slot, heard) = rig.ask(1);
     assert_eq!(rig.begins(), 1);
-    rig.core.desk.tell(Notice::Closing { by: rig.core.clock.now() });
+    rig.core.desk.tell(Notice::Closing {
+        by: rig.core.clock.now(),
+    });
     until("its attempt is called off", || slot.off(0));
     rig.end(Outcome::TimedOut);
     assert_eq!(hears(&heard), Heard::Refused);
--- a/edge/core/tests/common/mod.rs
+++ b/edge/core/tests/common/mod.rs
@@ -46,7 +46,12 @@
 impl Tries for Scripted {
     fn attempt(&self, attempt: &Attempt, _: &mut [u8]) -> (Outcome, Option<Got>) {
         self.began.send(attempt.inquiry.via).unwrap();
-        let end = self.ends.lock().unwrap().recv_timeout(PATIENCE).expect("an end");
+        let end = self
+            .ends
+            .lock()
+            .unwrap()
+            .recv_timeout(PATIENCE)
+            .expect("an end");
         match end {
             End::With(outcome) => (outcome, (outcome == Outcome::Served).then_some(Got::Same)),
             End::Panic => panic!("planted in an attempt"),
@@ -96,7 +101,11 @@
     pub fn new() -> Rig {
         let decoded = foldmux_settings::parse(SETTINGS).unwrap();
         let (clock, members) = (Clock::default(), Arc::new(Members::default()));
-        let (desk, handle) = Desk::new(Router::new(decoded.settings, 1), clock.clone(), members.clone());
+        let (desk, handle) = Desk::new(
+            Router::new(decoded.settings, 1),
+            clock.clone(),
+            members.clone(),
+        );
         let listed = |n: u32, zone, kind| Listed {
             member: Member {
                 cache: CacheId(n),
@@ -109,12 +118,36 @@
             name: format!("s-{n:08x}").into(),
             address: ([127, 0, 0, 1], 9).into(),
         };
-        let all = vec![listed(1, 1, 0), listed(2, 1, 0), listed(3, 1, 0), listed(90, 0, 1), listed(91, 0, 2)];
-        handle.tell(Notice::Members { full: true, listed: all });
+        let all = vec![
+            listed(1, 1, 0),
+            listed(2, 1, 0),
+            listed(3, 1, 0),
+            listed(90, 0, 1),
+            listed(91, 0, 2),
+        ];
+        handle.tell(Notice::Members {
+            full: true,
+            listed: all,
+        });
         let ((told, began), (ends, ended)) = (channel(), channel());
-        let tries = Box::new(Scripted { began: told, ends: Mutex::new(ended) });
-        let core = Core::new(handle, clock, Buffers::new(20), members, tries, 50_000, 0, 18);
-        thread::Builder::new().stack_size(512 * 1024).spawn(move || desk.run()).unwrap();
+        let tries = Box::new(Scripted {
+            began: told,
+            ends: Mutex::new(ended),
+        });
+        let core = Core::new(
+            handle,
+            clock,
+            Buffers::new(20),
+            members,
+            tries,
+            50_000,
+            0,
+            18,
+        );
+        thread::Builder::new()
+            .stack_size(512 * 1024)
+            .spawn(move || desk.run())
+            .unwrap();
         Rig { core, began, ends }
     }
 
@@ -136,8 +169,17 @@
             queue_age_ms: Some(60_000),
             ..Layer::default()
         };
-        let defaults = Some(Said { at: "f:1".into(), value: layer });
-        let table = Table::new(&Account::default(), &Draft { defaults, ..Draft::default() });
+        let defaults = Some(Said {
+            at: "f:1".into(),
+            value: layer,
+        });
+        let table = Table::new(
+            &Account::default(),
+            &Draft {
+                defaults,
+                ..Draft::default()
+            },
+        );
         let repeats = vec![foldmux::interface::Repeat::Safe];
         let limiter = Limiter::new(table, self.core.clock.clone(), "edge".into(), repeats);
         assert!(self.core.limits.set(limiter.clone()).is_ok());
@@ -164,7 +206,8 @@
         };
         let (told, heard) = channel();
         let slot = self.core.slot();
-        self.core.start(inquiry, slot.clone(), Box::new(Told(told, false)));
+        self.core
+            .start(inquiry, slot.clone(), Box::new(Told(told, false)));
         (slot, heard)
     }
 
--- a/edge/core/tests/gone.rs
+++ b/edge/core/tests/gone.rs
@@ -28,7 +28,10 @@
     rig.end(Outcome::Served);
     assert_eq!(hears(&third), Heard::Same);
     rig.open(0);
-    assert_eq!((limiter.sizes(), rig.began.try_recv().is_err()), ([0, 0], true));
+    assert_eq!(
+        (limiter.sizes(), rig.began.try_recv().is_err()),
+        ([0, 0], true)
+    );
 }
 
 #[test]
@@ -49,7 +52,10 @@
     rig.end(Outcome::Served);
     assert_eq!(hears(&other), Heard::Same);
     rig.open(0);
-    assert_eq!((limiter.sizes(), rig.began.try_recv().is_err()), ([0, 0], true));
+    assert_eq!(
+        (limiter.sizes(), rig.began.try_recv().is_err()),
+        ([0, 0], true)
+    );
 }
 
 #[test]
@@ -61,7 +67,10 @@
     rig.end(Outcome::Miss);
     assert_eq!(hears(&heard), Heard::Refused);
     rig.open(0);
-    assert_eq!((limiter.sizes(), rig.began.try_recv().is_err()), ([0, 0], true));
+    assert_eq!(
+        (limiter.sizes(), rig.began.try_recv().is_err()),
+        ([0, 0], true)
+    );
 }
 
 /// Holds an attempt before its turn until the client left.
--- a/edge/core/tests/limits.rs
+++ b/edge/core/tests/limits.rs
@@ -47,11 +47,18 @@
             let mut running = boxes.running.lock().unwrap();
             let now = running.entry(id).or_default();
             *now += 1;
-            boxes.together.fetch_add((*now > 1) as u64, Ordering::SeqCst);
+            boxes
+                .together
+                .fetch_add((*now > 1) as u64, Ordering::SeqCst);
         }
         let turn = boxes.turn.fetch_add(1, Ordering::SeqCst);
         thread::sleep(Duration::from_micros(200 + turn % 5 * 300));
-        boxes.running.lock().unwrap().entry(id).and_modify(|now| *now -= 1);
+        boxes
+            .running
+            .lock()
+            .unwrap()
+            .entry(id)
+            .and_modify(|now| *now -= 1);
         match turn % 7 {
             0 | 1 => (Outcome::Error, None),
             2 => (Outcome::ConnectFailed, None),
@@ -66,7 +73,9 @@
 
 impl Reply for Counted {
     fn answer(self: Box<Self>, answer: Answer) {
-        self.0.send((self.1, matches!(answer, Answer::Same))).unwrap();
+        self.0
+            .send((self.1, matches!(answer, Answer::Same)))
+            .unwrap();
     }
 }
 
@@ -82,32 +91,88 @@
         budget: Some("b".into()),
         ..Layer::default()
     };
-    let budget = Budget { name: "b".into(), percent: 50.0, burst: 20, parent: None };
-    let defaults = Some(Said { at: "f:1".into(), value: layer });
-    let budgets = vec![Said { at: "f:2".into(), value: budget }];
-    Table::new(&Account::default(), &Draft { defaults, budgets, ..Draft::default() })
+    let budget = Budget {
+        name: "b".into(),
+        percent: 50.0,
+        burst: 20,
+        parent: None,
+    };
+    let defaults = Some(Said {
+        at: "f:1".into(),
+        value: layer,
+    });
+    let budgets = vec![Said {
+        at: "f:2".into(),
+        value: budget,
+    }];
+    Table::new(
+        &Account::default(),
+        &Draft {
+            defaults,
+            budgets,
+            ..Draft::default()
+        },
+    )
 }
 
 #[test]
 fn a_reload_in_the_middle_of_a_storm_loses_nothing_and_doubles_nothing() {
     const REQUESTS: u64 = 3_000;
     let decoded = foldmux_settings::parse(SETTINGS).unwrap();
-    let repeats = decoded.settings.classes.iter().map(|class| class.repeat).collect();
+    let repeats = decoded
+        .settings
+        .classes
+        .iter()
+        .map(|class| class.repeat)
+        .collect();
     let (clock, members) = (Clock::default(), Arc::new(Members::default()));
-    let (desk, handle) = Desk::new(Router::new(decoded.settings, 1), clock.clone(), members.clone());
+    let (desk, handle) = Desk::new(
+        Router::new(decoded.settings, 1),
+        clock.clone(),
+        members.clone(),
+    );
     let listed = |n: u32, zone, kind| Listed {
-        member: Member { cache: CacheId(n), zone, kind, cell: 0, state: State::Ready, weight: 1.0, boot: 0 },
+        member: Member {
+            cache: CacheId(n),
+            zone,
+            kind,
+            cell: 0,
+            state: State::Ready,
+            weight: 1.0,
+            boot: 0,
+        },
         name: format!("s-{n:08x}").into(),
         address: ([127, 0, 0, 1], 9).into(),
     };
-    let all = vec![listed(1, 1, 0), listed(2, 1, 0), listed(3, 1, 0), listed(90, 0, 1), listed(91, 0, 2)];
-    handle.tell(Notice::Members { full: true, listed: all });
+    let all = vec![
+        listed(1, 1, 0),
+        listed(2, 1, 0),
+        listed(3, 1, 0),
+        listed(90, 0, 1),
+        listed(91, 0, 2),
+    ];
+    handle.tell(Notice::Members {
+        full: true,
+        listed: all,
+    });
     let boxes = Arc::new(Boxes::default());
     let tries = Box::new(Shared(boxes.clone()));
-    let core = Core::new(handle, clock.clone(), Buffers::new(200), members, tries, 50_000, 0, 180);
+    let core = Core::new(
+        handle,
+        clock.clone(),
+        Buffers::new(200),
+        members,
+        tries,
+        50_000,
+        0,
+        180,
+    );
     let limiter = Limiter::new(table(8, 3, 60), clock, "edge".into(), repeats);
     assert!(core.limits.set(limiter.clone()).is_ok());
-    thread::Builder::new().stack_size(512 * 1024).spawn(move || desk.run()).unwrap();
+    thread::Builder::new()
+        .stack_size(512 * 1024)
+        .spawn(move || desk.run())
+        .unwrap();
     let (told, answers) = channel();
     let asking = {
         let core = core.clone();
@@ -140,7 +205,9 @@
     // Wider, narrower, none at all, and back, as the answers come.
     let (mut seen, mut served, mut turn) = (HashMap::<u64, u64>::new(), 0, 0u64);
     while seen.len() < REQUESTS as usize {
-        let (id, was_served) = answers.recv_timeout(Duration::from_secs(30)).expect("an answer");
+        let (id, was_served) = answers
+            .recv_timeout(Duration::from_secs(30))
+            .expect("an answer");
         *seen.entry(id).or_default() += 1;
         served += was_served as u64;
         turn += 1;
@@ -155,11 +222,20 @@
     }
     asking.join().unwrap();
     assert!(seen.values().all(|count| *count == 1), "one answer each");
-    assert_eq!(boxes.together.load(Ordering::SeqCst), 0, "two attempts at once");
+    assert_eq!(
+        boxes.together.load(Ordering::SeqCst),
+        0,
+        "two attempts at once"
+    );
     assert!(served > REQUESTS / 10, "{served}");
     let end = Instant::now() + Duration::from_secs(30);
     while limiter.sizes() != [0, 0] || core.open() > 0 {
-        assert!(Instant::now() < end, "{:?} {}", limiter.sizes(), core.open());
+        assert!(
+            Instant::now() < end,
+            "{:?} {}",
+            limiter.sizes(),
+            core.open()
+        );
         thread::sleep(Duration::from_millis(2));
     }
 }
--- a/edge/core/tests/members.rs
+++ b/edge/core/tests/members.rs
@@ -11,9 +11,18 @@
 
 /// A start of the member, each at an address of its own.
 fn started(boot: Time) -> Listed {
-    let member = Member { cache: CACHE, state: State::Ready, boot, ..Member::default() };
+    let member = Member {
+        cache: CACHE,
+        state: State::Ready,
+        boot,
+        ..Member::default()
+    };
     let address = SocketAddr::from(([127, 0, 0, 1], 7_000 + boot as u16 % 2));
-    Listed { member, name: "s-00000001".into(), address }
+    Listed {
+        member,
+        name: "s-00000001".into(),
+        address,
+    }
 }
 
 #[test]
--- a/edge/core/tests/reports.rs
+++ b/edge/core/tests/reports.rs
@@ -28,8 +28,19 @@
 }
 
 fn listed(cache: u32, kind: usize, state: State, boot: Time) -> Listed {
-    let member = Member { cache: CacheId(cache), kind, state, boot, weight: 1.0, ..Member::default() };
-    Listed { member, name: "s".into(), address: SocketAddr::from(([127, 0, 0, 1], 9)) }
+    let member = Member {
+        cache: CacheId(cache),
+        kind,
+        state,
+        boot,
+        weight: 1.0,
+        ..Member::default()
+    };
+    Listed {
+        member,
+        name: "s".into(),
+        address: SocketAddr::from(([127, 0, 0, 1], 9)),
+    }
 }
 
 struct Rig {
@@ -47,10 +58,19 @@
     let (sender, probes) = unbounded();
     desk.report_to(beside, Some(Box::new(Prober(sender))));
     std::thread::spawn(move || desk.run());
-    let mut list: Vec<Listed> = (1..4).map(|cache| listed(cache, 0, State::Ready, 0)).collect();
+    let mut list: Vec<Listed> = (1..4)
+        .map(|cache| listed(cache, 0, State::Ready, 0))
+        .collect();
     list.push(listed(9, 1, State::Ready, 0));
-    handle.tell(Notice::Members { full: true, listed: list });
-    Rig { desk: handle, probes, next: 0 }
+    handle.tell(Notice::Members {
+        full: true,
+        listed: list,
+    });
+    Rig {
+        desk: handle,
+        probes,
+        next: 0,
+    }
 }
 
 impl Rig {
@@ -71,10 +91,21 @@
             lease: 0,
             within: None,
         };
-        self.desk.tell(Notice::Ask { ask, slot: Slot::new(id), orders: Box::new(sender) });
+        self.desk.tell(Notice::Ask {
+            ask,
+            slot: Slot::new(id),
+            orders: Box::new(sender),
+        });
         if let Ok(Order::Fetch(_, target)) = orders.recv_timeout(PATIENCE) {
             let (attempt, outcome, note) = (target.attempt, Outcome::Full, Note::Untold);
-            let report = Report { id, attempt, outcome, note, elapsed: 1_000, last: true };
+            let report = Report {
+                id,
+                attempt,
+                outcome,
+                note,
+                elapsed: 1_000,
+                last: true,
+            };
             self.desk.tell(Notice::Outcome(report));
         }
         self.desk.tell(Notice::Ended(id));
@@ -100,16 +131,37 @@
     assert!((1..4).contains(&first.0 .0), "never the origin: {first:?}");
     // What it found is told of a start that is over by then: it is as if it never came.
     let old = first.1;
-    rig.desk.tell(Notice::Members { full: false, listed: vec![listed(first.0 .0, 0, State::Draining, 0)] });
-    rig.desk.tell(Notice::Load { cache: first.0, start: old, load: Load::default() });
-    rig.desk.tell(Notice::Probed { cache: first.0, start: old, well: true, load: Load::default() });
+    rig.desk.tell(Notice::Members {
+        full: false,
+        listed: vec![listed(first.0 .0, 0, State::Draining, 0)],
+    });
+    rig.desk.tell(Notice::Load {
+        cache: first.0,
+        start: old,
+        load: Load::default(),
+    });
+    rig.desk.tell(Notice::Probed {
+        cache: first.0,
+        start: old,
+        well: true,
+        load: Load::default(),
+    });
     // One order may have been under way as the drain was told.
     rig.refused();
     while rig.probes.try_recv().is_ok() {}
     for _ in 0..3 {
         let next = rig.probe();
         assert_ne!(next.0, first.0, "it drains");
-        let load = Load { util: Some(0.5), inflight: None, ..Load::default() };
-        rig.desk.tell(Notice::Probed { cache: next.0, start: next.1, well: true, load });
+        let load = Load {
+            util: Some(0.5),
+            inflight: None,
+            ..Load::default()
+        };
+        rig.desk.tell(Notice::Probed {
+            cache: next.0,
+            start: next.1,
+            well: true,
+            load,
+        });
     }
 }
--- a/edge/core/tests/threads.rs
+++ b/edge/core/tests/threads.rs
@@ -10,7 +10,8 @@
 /// Threads of requests in this process.
 fn threads() -> u64 {
     let tasks = std::fs::read_dir("/proc/self/task").unwrap();
-    let names = tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("comm")).ok());
+    let names =
+        tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("comm")).ok());
     names.filter(|name| name.trim() == "request").count() as u64
 }
 
@@ -26,6 +27,8 @@
         assert_eq!(threads(), BURST, "one for each request that is open");
         (0..BURST).for_each(|_| rig.end(Outcome::Served));
         assert!(replies.iter().all(|reply| hears(reply) == Heard::Same));
-        until("all threads are given back", || threads() == 0 && rig.core.open() == 0);
+        until("all threads are given back", || {
+            threads() == 0 && rig.core.open() == 0
+        });
     }
 }
--- a/edge/fronts/extproc/benches/decide.rs
+++ b/edge/fronts/extproc/benches/decide.rs
@@ -10,7 +10,9 @@
 use foldmux_core::Inquiry;
 use foldmux_extproc::check::asks;
 use foldmux_extproc::pb::external_processor_client::ExternalProcessorClient;
-use foldmux_extproc::pb::{HeaderMap, HeaderValue, HttpHeaders, ProcessingRequest, Request, Response};
+use foldmux_extproc::pb::{
+    HeaderMap, HeaderValue, HttpHeaders, ProcessingRequest, Request, Response,
+};
 use foldmux_fronts::dns::{server::Bound as Dns, Routed};
 use foldmux_operator::Dns as Setup;
 use foldmux_standins::caller::hold;
@@ -52,7 +54,10 @@
 
 /// Each worker makes its share of an offered rate, at times that are set before it begins.
 fn open_loop<W: FnMut() -> bool + Send>(workers: Vec<W>, rate: f64) -> Run {
-    let (all, failed) = (Mutex::new(Histogram::<u64>::new(3).unwrap()), AtomicU64::new(0));
+    let (all, failed) = (
+        Mutex::new(Histogram::<u64>::new(3).unwrap()),
+        AtomicU64::new(0),
+    );
     let (began, n) = (Instant::now() + Duration::from_millis(50), workers.len());
     thread::scope(|scope| {
         for (number, mut work) in workers.into_iter().enumerate() {
@@ -71,10 +76,16 @@
                 }
                 all.lock().unwrap().add(own).unwrap();
             };
-            thread::Builder::new().stack_size(256 * 1024).spawn_scoped(scope, body).unwrap();
+            thread::Builder::new()
+                .stack_size(256 * 1024)
+                .spawn_scoped(scope, body)
+                .unwrap();
         }
     });
-    Run { histogram: all.into_inner().unwrap(), failed: failed.into_inner() }
+    Run {
+        histogram: all.into_inner().unwrap(),
+        failed: failed.into_inner(),
+    }
 }
 
 fn inquiry() -> Inquiry {
@@ -118,7 +129,9 @@
 fn dns(at: SocketAddr, streams: usize, rate: f64) -> Run {
     let work = || {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        socket.set_read_timeout(Some(Duration::from_secs(2))).unwrap();
+        socket
+            .set_read_timeout(Some(Duration::from_secs(2)))
+            .unwrap();
         let mut id = 0u16;
         move || {
             let mut answer = [0; 512];
@@ -132,19 +145,40 @@
 }
 
 fn response() -> ProcessingRequest {
-    let status = HeaderValue { key: ":status".into(), value: "200".into(), ..HeaderValue::default() };
-    let headers = Some(HeaderMap { headers: vec![status] });
-    let headers = HttpHeaders { headers, end_of_stream: true, ..HttpHeaders::default() };
-    ProcessingRequest { request: Some(Request::ResponseHeaders(headers)), ..ProcessingRequest::default() }
+    let status = HeaderValue {
+        key: ":status".into(),
+        value: "200".into(),
+        ..HeaderValue::default()
+    };
+    let headers = Some(HeaderMap {
+        headers: vec![status],
+    });
+    let headers = HttpHeaders {
+        headers,
+        end_of_stream: true,
+        ..HttpHeaders::default()
+    };
+    ProcessingRequest {
+        request: Some(Request::ResponseHeaders(headers)),
+        ..ProcessingRequest::default()
+    }
 }
 
 /// Over gRPC, each decision on a stream of its own, as callers open them; `streams` at once, from threads as the others
 /// have them (an async timer is a millisecond late). What is measured is the decision; its outcome is told after it.
 fn grpc(at: SocketAddr, streams: usize, rate: f64, keyed: Option<&AtomicU64>) -> Run {
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()
+        .unwrap();
     let connections = streams.clamp(1, 4);
     let clients: Vec<_> = (0..connections)
-        .map(|_| runtime.block_on(ExternalProcessorClient::connect(format!("http://{at}"))).unwrap())
+        .map(|_| {
+            runtime
+                .block_on(ExternalProcessorClient::connect(format!("http://{at}")))
+                .unwrap()
+        })
         .collect();
     let handle = runtime.handle();
     let work = |number: usize| {
@@ -154,13 +188,21 @@
                 None => asks("GET", PATH, &[]),
                 Some(keys) => {
                     let key = format!("k{}", keys.fetch_add(1, Ordering::Relaxed));
-                    asks("POST", "/records/1", &[("idempotency-key".to_string(), key)])
+                    asks(
+                        "POST",
+                        "/records/1",
+                        &[("idempotency-key".to_string(), key)],
+                    )
                 }
             };
             let decided = handle.block_on(async {
                 let (sender, messages) = mpsc::channel(2);
                 sender.send(ask).await.ok()?;
-                let mut answers = client.process(ReceiverStream::new(messages)).await.ok()?.into_inner();
+                let mut answers = client
+                    .process(ReceiverStream::new(messages))
+                    .await
+                    .ok()?
+                    .into_inner();
                 let answer = answers.message().await.ok()??.response?;
                 matches!(answer, Response::RequestHeaders(_)).then_some((sender, answers))
             });
@@ -181,8 +223,14 @@
 fn instance(commit: Commit) -> (Instance, tempfile::TempDir) {
     let folder = tempfile::tempdir().unwrap();
     let at = SocketAddr::from(([127, 0, 0, 1], 9));
-    let wide = script(", streams = 4096, good_for_ms = 200", "ledger(\"unused\", entries = 1000000)");
-    (Instance::with(&wide, common::store(folder.path()), commit, &[at; 4], at), folder)
+    let wide = script(
+        ", streams = 4096, good_for_ms = 200",
+        "ledger(\"unused\", entries = 1000000)",
+    );
+    (
+        Instance::with(&wide, common::store(folder.path()), commit, &[at; 4], at),
+        folder,
+    )
 }
 
 fn main() {
@@ -205,39 +253,78 @@
     };
     let bound = Dns::new(setup).unwrap();
     let names = bound.addresses()[0].unwrap();
-    let routed =
-        |place: usize, name: &str| Routed { name: name.into(), place: place.into(), writes: place == 1 };
+    let routed = |place: usize, name: &str| Routed {
+        name: name.into(),
+        place: place.into(),
+        writes: place == 1,
+    };
     let classes = vec![routed(0, "sheet"), routed(1, "record")];
-    bound.serve(front.core.clone(), classes, Arc::default(), 64).unwrap();
+    bound
+        .serve(front.core.clone(), classes, Arc::default(), 64)
+        .unwrap();
     for (streams, rate) in [(1, 500.0), (8, 2_000.0), (64, 4_000.0), (512, 4_000.0)] {
         print("bare desk", streams, rate, &bare(&front, streams, rate));
         print("DNS, UDP", streams, rate, &dns(names, streams, rate));
-        print("gRPC", streams, rate, &grpc(front.address, streams, rate, None));
+        print(
+            "gRPC",
+            streams,
+            rate,
+            &grpc(front.address, streams, rate, None),
+        );
     }
     println!("\nothers on the same front: 2,000 streams held open, and one that is flooded with messages");
-    print("alone", 64, 2_000.0, &grpc(front.address, 64, 2_000.0, None));
+    print(
+        "alone",
+        64,
+        2_000.0,
+        &grpc(front.address, 64, 2_000.0, None),
+    );
     let held = hold(front.address, 2_000, "sheet").unwrap();
-    print("2000 held", 64, 2_000.0, &grpc(front.address, 64, 2_000.0, None));
+    print(
+        "2000 held",
+        64,
+        2_000.0,
+        &grpc(front.address, 64, 2_000.0, None),
+    );
     let flood = Flood::start(front.address);
-    print("and a flood", 64, 2_000.0, &grpc(front.address, 64, 2_000.0, None));
-    println!("             {} messages of the flood were taken", flood.end());
+    print(
+        "and a flood",
+        64,
+        2_000.0,
+        &grpc(front.address, 64, 2_000.0, None),
+    );
+    println!(
+        "             {} messages of the flood were taken",
+        flood.end()
+    );
     drop(held);
     println!("\nas many as it takes: offered far over what is made");
     for streams in [1, 8, 64, 512] {
         let made = |run: Run| run.histogram.len() as f64 / TIME.as_secs_f64();
-        let (bare, grpc) = (made(bare(&front, streams, 1e6)), made(grpc(front.address, streams, 1e6, None)));
-        println!("{streams:>5} streams: bare desk {bare:>8.0} decisions a second, gRPC {grpc:>8.0}");
+        let (bare, grpc) = (
+            made(bare(&front, streams, 1e6)),
+            made(grpc(front.address, streams, 1e6, None)),
+        );
+        println!(
+            "{streams:>5} streams: bare desk {bare:>8.0} decisions a second, gRPC {grpc:>8.0}"
+        );
     }
     println!("\nkeyed requests, by when the ledger's entry is told to be written; 64 streams");
-    for (what, commit) in [("behind", Commit::Behind), ("each", Commit::Each), ("group", Commit::Group)] {
+    for (what, commit) in [
+        ("behind", Commit::Behind),
+        ("each", Commit::Each),
+        ("group", Commit::Group),
+    ] {
         let (front, _folder) = instance(commit);
         let keys = AtomicU64::new(0);
         for rate in [500.0, 2_000.0] {
             print(what, 64, rate, &grpc(front.address, 64, rate, Some(&keys)));
         }
         let written = front.serving.front.keeper.written().unwrap();
-        let (entries, commits) =
-            (written.written.load(Ordering::SeqCst), written.commits.load(Ordering::SeqCst));
+        let (entries, commits) = (
+            written.written.load(Ordering::SeqCst),
+            written.commits.load(Ordering::SeqCst),
+        );
         println!("             {entries} entries in {commits} commits");
     }
 }
--- a/edge/fronts/extproc/benches/decide/flood.rs
+++ b/edge/fronts/extproc/benches/decide/flood.rs
@@ -19,22 +19,37 @@
         let (sent, over) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
         let (counted, told) = (sent.clone(), over.clone());
         let thread = thread::spawn(move || {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+                .unwrap();
             runtime.block_on(async {
-                let mut client = ExternalProcessorClient::connect(format!("http://{at}")).await.unwrap();
+                let mut client = ExternalProcessorClient::connect(format!("http://{at}"))
+                    .await
+                    .unwrap();
                 let (sender, messages) = mpsc::channel(16);
                 let mut ask = asks("GET", PATH, &[]);
                 if let Some(Request::RequestHeaders(headers)) = &mut ask.request {
                     headers.end_of_stream = false;
                 }
                 let _ = sender.send(ask).await;
-                let mut answers = client.process(ReceiverStream::new(messages)).await.unwrap().into_inner();
-                let body = HttpBody { body: vec![0; 1_000], ..HttpBody::default() };
+                let mut answers = client
+                    .process(ReceiverStream::new(messages))
+                    .await
+                    .unwrap()
+                    .into_inner();
+                let body = HttpBody {
+                    body: vec![0; 1_000],
+                    ..HttpBody::default()
+                };
                 let flood = async {
                     while told.load(Ordering::Relaxed) == 0 {
                         let request = Some(Request::RequestBody(body.clone()));
                         if sender
-                            .send(ProcessingRequest { request, ..ProcessingRequest::default() })
+                            .send(ProcessingRequest {
+                                request,
+                                ..ProcessingRequest::default()
+                            })
                             .await
                             .is_err()
                         {
--- a/edge/fronts/extproc/src/answers.rs
+++ b/edge/fronts/extproc/src/answers.rs
@@ -42,7 +42,13 @@
 
 impl Final {
     fn of(status: u16, error: &'static str, why: &str, ran: Ran, wait: Option<Time>) -> Final {
-        Final { status, error, why: why.to_string(), ran, wait }
+        Final {
+            status,
+            error,
+            why: why.to_string(),
+            ran,
+            wait,
+        }
     }
 
     /// Turned away: trying again later is harmless, or said not to be.
@@ -52,7 +58,13 @@
 
     /// The caller, and not the fleet, has too much out.
     pub fn too_many(why: &str, wait: Time) -> Final {
-        Final::of(429, "connection_limit_reached", why, Ran::Nothing, Some(wait))
+        Final::of(
+            429,
+            "connection_limit_reached",
+            why,
+            Ran::Nothing,
+            Some(wait),
+        )
     }
 
     pub fn given_up(why: &str, ran: Ran) -> Final {
@@ -64,7 +76,13 @@
     }
 
     pub fn unmatched() -> Final {
-        Final::of(404, "destination_not_found", "no ask matches the request", Ran::Nothing, None)
+        Final::of(
+            404,
+            "destination_not_found",
+            "no ask matches the request",
+            Ran::Nothing,
+            None,
+        )
     }
 
     /// As an immediate response. `name`: this proxy's in `Proxy-Status`.
@@ -74,23 +92,41 @@
             Ran::Maybe => "may have run",
         };
         // A string of structured fields (RFC 8941): printable ASCII, with \ before " and \.
-        let plain = self.why.bytes().map(|b| if (0x20..0x7f).contains(&b) { b as char } else { '?' });
-        let why: String =
-            plain.flat_map(|c| [matches!(c, '"' | '\\').then_some('\\'), Some(c)]).flatten().collect();
+        let plain = self.why.bytes().map(|b| {
+            if (0x20..0x7f).contains(&b) {
+                b as char
+            } else {
+                '?'
+            }
+        });
+        let why: String = plain
+            .flat_map(|c| [matches!(c, '"' | '\\').then_some('\\'), Some(c)])
+            .flatten()
+            .collect();
         let status = format!("{name}; error={}; details=\"{why}; {ran}\"", self.error);
-        let mut set =
-            vec![field("proxy-status", status), field("content-type", "text/plain; charset=utf-8".into())];
+        let mut set = vec![
+            field("proxy-status", status),
+            field("content-type", "text/plain; charset=utf-8".into()),
+        ];
         if let Some(wait) = self.wait {
-            set.push(field("retry-after", wait.div_ceil(1_000_000).max(1).to_string()));
+            set.push(field(
+                "retry-after",
+                wait.div_ceil(1_000_000).max(1).to_string(),
+            ));
             if wait > 0 {
                 set.push(field(names::WAIT, wait.div_ceil(1_000).to_string()));
             }
         }
-        let headers = Some(HeaderMutation { set_headers: set, remove_headers: Vec::new() });
+        let headers = Some(HeaderMutation {
+            set_headers: set,
+            remove_headers: Vec::new(),
+        });
         let body = format!("{} ({ran})\n", self.why).into_bytes();
         let details = format!("foldmux_{}", self.error);
         let immediate = ImmediateResponse {
-            status: Some(HttpStatus { code: self.status as i32 }),
+            status: Some(HttpStatus {
+                code: self.status as i32,
+            }),
             headers,
             body,
             grpc_status: None,
@@ -113,21 +149,35 @@
 }
 
 fn answer(response: Response) -> ProcessingResponse {
-    ProcessingResponse { response: Some(response), ..ProcessingResponse::default() }
+    ProcessingResponse {
+        response: Some(response),
+        ..ProcessingResponse::default()
+    }
 }
 
 fn common(set_headers: Vec<HeaderValueOption>, remove: &[&str]) -> CommonResponse {
     let remove_headers = remove.iter().map(|name| name.to_string()).collect();
     CommonResponse {
         status: ResponseStatus::Continue as i32,
-        header_mutation: Some(HeaderMutation { set_headers, remove_headers }),
+        header_mutation: Some(HeaderMutation {
+            set_headers,
+            remove_headers,
+        }),
         ..CommonResponse::default()
     }
 }
 
 /// Where the request goes: as fields for the caches and the caller's cluster, and as dynamic metadata.
 pub fn placed(placement: &Placement) -> ProcessingResponse {
-    let Placement { way, token, via, wait_ms, key, good_until, path } = placement;
+    let Placement {
+        way,
+        token,
+        via,
+        wait_ms,
+        key,
+        good_until,
+        path,
+    } = placement;
     let fetch = &way.fetch;
     let mut told: Vec<(&str, String)> = vec![
         (names::CACHE, way.cache.address.to_string()),
@@ -137,26 +187,46 @@
         (names::VIA_WAIT, wait_ms.to_string()),
     ];
     told.extend(key.map(|key| (names::VIA_TOKEN, key.to_string())));
-    told.extend(way.source.as_ref().map(|source| (names::FILL_FROM, source.name.to_string())));
+    told.extend(
+        way.source
+            .as_ref()
+            .map(|source| (names::FILL_FROM, source.name.to_string())),
+    );
     told.extend((fetch.keep > 0).then(|| (names::KEEP, fetch.keep.to_string())));
     told.extend(bound_ms(fetch.max_age).map(|age| (names::MAX_AGE, age.to_string())));
     told.extend(bound_ms(fetch.time_out).map(|time| (names::TIME_OUT, time.to_string())));
-    told.extend(Some(fetch.flags()).filter(|flags| !flags.is_empty()).map(|flags| (names::FLAGS, flags)));
-    let remove: Vec<&str> =
-        names::OURS.into_iter().filter(|name| !told.iter().any(|(n, _)| n == name)).collect();
+    told.extend(
+        Some(fetch.flags())
+            .filter(|flags| !flags.is_empty())
+            .map(|flags| (names::FLAGS, flags)),
+    );
+    let remove: Vec<&str> = names::OURS
+        .into_iter()
+        .filter(|name| !told.iter().any(|(n, _)| n == name))
+        .collect();
     let mut metadata: HashMap<String, Value> = told
         .iter()
         .filter(|(name, _)| *name != names::VIA_TOKEN)
         .map(|(n, v)| (n.to_string(), string(v)))
         .collect();
     metadata.insert("cache".into(), string(&way.cache.name));
-    let mut set: Vec<HeaderValueOption> = told.into_iter().map(|(name, value)| field(name, value)).collect();
+    let mut set: Vec<HeaderValueOption> = told
+        .into_iter()
+        .map(|(name, value)| field(name, value))
+        .collect();
     set.extend(path.map(|path| field(":path", path.to_string())));
     // A route that was chosen by the former path is chosen anew.
-    let common = CommonResponse { clear_route_cache: path.is_some(), ..common(set, &remove) };
-    let own = Value { kind: Some(Kind::StructValue(Struct { fields: metadata })) };
+    let common = CommonResponse {
+        clear_route_cache: path.is_some(),
+        ..common(set, &remove)
+    };
+    let own = Value {
+        kind: Some(Kind::StructValue(Struct { fields: metadata })),
+    };
     ProcessingResponse {
-        dynamic_metadata: Some(Struct { fields: HashMap::from([(names::METADATA.to_string(), own)]) }),
+        dynamic_metadata: Some(Struct {
+            fields: HashMap::from([(names::METADATA.to_string(), own)]),
+        }),
         // The response's head is what is learned from; its body is nobody's business here.
         mode_override: Some(ProcessingMode {
             response_header_mode: HeaderSendMode::Send as i32,
@@ -164,18 +234,24 @@
             response_body_mode: BodySendMode::None as i32,
             ..ProcessingMode::default()
         }),
-        ..answer(Response::RequestHeaders(HeadersResponse { response: Some(common) }))
+        ..answer(Response::RequestHeaders(HeadersResponse {
+            response: Some(common),
+        }))
     }
 }
 
 fn string(text: &str) -> Value {
-    Value { kind: Some(Kind::StringValue(text.to_string())) }
+    Value {
+        kind: Some(Kind::StringValue(text.to_string())),
+    }
 }
 
 /// A request that no ask matches goes on as it is, without fields that only this front may set.
 pub fn unplaced() -> ProcessingResponse {
     let common = common(Vec::new(), &names::OURS[..4]);
-    answer(Response::RequestHeaders(HeadersResponse { response: Some(common) }))
+    answer(Response::RequestHeaders(HeadersResponse {
+        response: Some(common),
+    }))
 }
 
 /// The answer goes on to its client; with word of another try where the module would make one.
@@ -184,12 +260,17 @@
         Some(token) => common(vec![field(names::AGAIN, token.to_string())], &[]),
         None => common(Vec::new(), &[names::AGAIN]),
     };
-    answer(Response::ResponseHeaders(HeadersResponse { response: Some(common) }))
+    answer(Response::ResponseHeaders(HeadersResponse {
+        response: Some(common),
+    }))
 }
 
 /// A decision takes longer: asks for so long from now on.
 pub fn longer(patience_ms: u64) -> ProcessingResponse {
-    let (seconds, nanos) = ((patience_ms / 1_000) as i64, (patience_ms % 1_000) as i32 * 1_000_000);
+    let (seconds, nanos) = (
+        (patience_ms / 1_000) as i64,
+        (patience_ms % 1_000) as i32 * 1_000_000,
+    );
     ProcessingResponse {
         override_message_timeout: Some(Duration { seconds, nanos }),
         ..ProcessingResponse::default()
--- a/edge/fronts/extproc/src/attempt.rs
+++ b/edge/fronts/extproc/src/attempt.rs
@@ -51,10 +51,16 @@
         self.lent.end(ended.outcome, last);
         self.fill = None;
         let (served, never_ran) = (ended.outcome == Outcome::Served, ended.outcome.never_ran());
-        self.limits.iter_mut().for_each(|held| held.heard(self.sent, served, never_ran));
+        self.limits
+            .iter_mut()
+            .for_each(|held| held.heard(self.sent, served, never_ran));
         if let Some(mut grip) = self.grip.take() {
             if ended.over {
-                grip.end(if ended.outcome.never_ran() { Word::NeverRan } else { Word::MayHaveRun });
+                grip.end(if ended.outcome.never_ran() {
+                    Word::NeverRan
+                } else {
+                    Word::MayHaveRun
+                });
             }
         }
     }
--- a/edge/fronts/extproc/src/check.rs
+++ b/edge/fronts/extproc/src/check.rs
@@ -18,16 +18,35 @@
         raw_value: value.as_bytes().to_vec(),
         ..HeaderValue::default()
     };
-    let mut headers =
-        vec![one(":method", method), one(":path", path), one(":scheme", "http"), one(":authority", "check")];
-    headers.extend(fields.iter().map(|(key, value)| one(&key.to_ascii_lowercase(), value)));
-    let headers =
-        HttpHeaders { headers: Some(HeaderMap { headers }), end_of_stream: true, ..HttpHeaders::default() };
-    ProcessingRequest { request: Some(Request::RequestHeaders(headers)), ..ProcessingRequest::default() }
+    let mut headers = vec![
+        one(":method", method),
+        one(":path", path),
+        one(":scheme", "http"),
+        one(":authority", "check"),
+    ];
+    headers.extend(
+        fields
+            .iter()
+            .map(|(key, value)| one(&key.to_ascii_lowercase(), value)),
+    );
+    let headers = HttpHeaders {
+        headers: Some(HeaderMap { headers }),
+        end_of_stream: true,
+        ..HttpHeaders::default()
+    };
+    ProcessingRequest {
+        request: Some(Request::RequestHeaders(headers)),
+        ..ProcessingRequest::default()
+    }
 }
 
 /// One decision, as lines; an error is one plain line.
-pub fn check(address: &str, method: &str, path: &str, fields: &[(String, String)]) -> Result<String, String> {
+pub fn check(
+    address: &str,
+    method: &str,
+    path: &str,
+    fields: &[(String, String)],
+) -> Result<String, String> {
     let first = asks(method, path, fields);
     let decision = async {
         let client = ExternalProcessorClient::connect(format!("http://{address}")).await;
@@ -44,7 +63,8 @@
         }
     };
     let decision = block_on(async { timeout(PATIENCE, decision).await });
-    let response = decision?.map_err(|_| format!("{address}: no decision within {PATIENCE:?}"))??;
+    let response =
+        decision?.map_err(|_| format!("{address}: no decision within {PATIENCE:?}"))??;
     Ok(lines(&response))
 }
 
@@ -56,8 +76,17 @@
     let mut out = String::new();
     let fields = |mutation: Option<&crate::pb::HeaderMutation>| {
         let mut lines = String::new();
-        for header in mutation.iter().flat_map(|m| &m.set_headers).filter_map(|f| f.header.as_ref()) {
-            let _ = writeln!(lines, "  {}: {}", header.key, String::from_utf8_lossy(&header.raw_value));
+        for header in mutation
+            .iter()
+            .flat_map(|m| &m.set_headers)
+            .filter_map(|f| f.header.as_ref())
+        {
+            let _ = writeln!(
+                lines,
+                "  {}: {}",
+                header.key,
+                String::from_utf8_lossy(&header.raw_value)
+            );
         }
         lines
     };
@@ -65,14 +94,22 @@
         Some(Response::RequestHeaders(headers)) => {
             let common = headers.response.as_ref();
             let set = fields(common.and_then(|c| c.header_mutation.as_ref()));
-            out += if set.is_empty() { "passed on unplaced\n" } else { "placed\n" };
+            out += if set.is_empty() {
+                "passed on unplaced\n"
+            } else {
+                "placed\n"
+            };
             out += &set;
             if common.is_some_and(|c| c.clear_route_cache) {
                 out += "  (its route is chosen anew)\n";
             }
         }
         Some(Response::ImmediateResponse(now)) => {
-            let _ = writeln!(out, "answered {}", now.status.as_ref().map_or(0, |s| s.code));
+            let _ = writeln!(
+                out,
+                "answered {}",
+                now.status.as_ref().map_or(0, |s| s.code)
+            );
             out += &fields(now.headers.as_ref());
         }
         other => {
--- a/edge/fronts/extproc/src/exchange.rs
+++ b/edge/fronts/extproc/src/exchange.rs
@@ -99,40 +99,55 @@
             };
             if streamed(config.request_body_mode) || streamed(config.response_body_mode) {
                 // Guards against a body that would be lost: in these modes the caller sends on only what it is sent.
-                return Err(Fault::Unsupported("a body mode in which the body comes from the processor"));
+                return Err(Fault::Unsupported(
+                    "a body mode in which the body comes from the processor",
+                ));
             }
         }
         let observed = message.observability_mode;
         if *self.observed.get_or_insert(observed) != observed {
-            return Err(Fault::OutOfOrder("observability_mode changed within a stream"));
+            return Err(Fault::OutOfOrder(
+                "observability_mode changed within a stream",
+            ));
         }
         match message.request.ok_or(Fault::Unknown)? {
             Request::RequestHeaders(headers) => {
                 if self.response != Side::Nothing {
                     return Err(Fault::OutOfOrder("request headers after the response"));
                 }
-                self.request.headers(headers.end_of_stream, "request headers twice")?;
+                self.request
+                    .headers(headers.end_of_stream, "request headers twice")?;
                 Ok(Heard::RequestHeaders(headers))
             }
             Request::RequestBody(body) => {
-                self.request.body(body.end_of_stream, "a request body without headers, or after its end")?;
+                self.request.body(
+                    body.end_of_stream,
+                    "a request body without headers, or after its end",
+                )?;
                 Ok(Heard::RequestBody)
             }
             Request::RequestTrailers(_) => {
-                self.request.trailers("request trailers without headers, or after the end")?;
+                self.request
+                    .trailers("request trailers without headers, or after the end")?;
                 Ok(Heard::RequestTrailers)
             }
             Request::ResponseHeaders(headers) => {
-                self.response.headers(headers.end_of_stream, "response headers twice")?;
+                self.response
+                    .headers(headers.end_of_stream, "response headers twice")?;
                 Ok(Heard::ResponseHeaders(headers))
             }
             Request::ResponseBody(body) => {
-                self.response
-                    .body(body.end_of_stream, "a response body without headers, or after its end")?;
-                Ok(Heard::ResponseBody { whole: body.end_of_stream })
+                self.response.body(
+                    body.end_of_stream,
+                    "a response body without headers, or after its end",
+                )?;
+                Ok(Heard::ResponseBody {
+                    whole: body.end_of_stream,
+                })
             }
             Request::ResponseTrailers(_) => {
-                self.response.trailers("response trailers without headers, or after the end")?;
+                self.response
+                    .trailers("response trailers without headers, or after the end")?;
                 Ok(Heard::ResponseTrailers)
             }
         }
@@ -146,8 +161,14 @@
     use proptest::prelude::*;
 
     fn message(kind: usize, whole: bool) -> ProcessingRequest {
-        let headers = HttpHeaders { end_of_stream: whole, ..HttpHeaders::default() };
-        let body = HttpBody { end_of_stream: whole, ..HttpBody::default() };
+        let headers = HttpHeaders {
+            end_of_stream: whole,
+            ..HttpHeaders::default()
+        };
+        let body = HttpBody {
+            end_of_stream: whole,
+            ..HttpBody::default()
+        };
         let request = match kind {
             0 => Some(Request::RequestHeaders(headers)),
             1 => Some(Request::RequestBody(body)),
@@ -157,19 +178,32 @@
             5 => Some(Request::ResponseTrailers(HttpTrailers::default())),
             _ => None,
         };
-        ProcessingRequest { request, ..ProcessingRequest::default() }
+        ProcessingRequest {
+            request,
+            ..ProcessingRequest::default()
+        }
     }
 
     fn play(kinds: &[(usize, bool)]) -> Result<(), Fault> {
         let mut exchange = Exchange::default();
-        kinds.iter().try_for_each(|(kind, whole)| exchange.hear(message(*kind, *whole)).map(drop))
+        kinds
+            .iter()
+            .try_for_each(|(kind, whole)| exchange.hear(message(*kind, *whole)).map(drop))
     }
 
     #[test]
     fn messages_in_their_order_are_taken_and_all_others_are_one_fault() {
         for fine in [
             &[(0, true), (3, false)][..],
-            &[(0, false), (1, false), (1, true), (2, false), (3, false), (4, true), (5, false)],
+            &[
+                (0, false),
+                (1, false),
+                (1, true),
+                (2, false),
+                (3, false),
+                (4, true),
+                (5, false),
+            ],
             // An answer that comes before the request is whole; a caller that sends no request headers here.
             &[(0, false), (3, false), (1, true), (4, true)],
             &[(3, true)],
@@ -189,7 +223,10 @@
             &[(3, true), (4, true)],
             &[(0, false), (2, false), (2, false)],
         ] {
-            assert!(matches!(play(wrong), Err(Fault::OutOfOrder(_))), "{wrong:?}");
+            assert!(
+                matches!(play(wrong), Err(Fault::OutOfOrder(_))),
+                "{wrong:?}"
+            );
         }
         assert_eq!(play(&[(9, false)]), Err(Fault::Unknown));
     }
@@ -197,11 +234,25 @@
     #[test]
     fn what_is_not_served_is_told_so() {
         let mode = BodySendMode::FullDuplexStreamed as i32;
-        let config = ProtocolConfiguration { request_body_mode: mode, ..ProtocolConfiguration::default() };
-        let first = ProcessingRequest { protocol_config: Some(config), ..message(0, true) };
-        assert!(matches!(Exchange::default().hear(first), Err(Fault::Unsupported(_))));
+        let config = ProtocolConfiguration {
+            request_body_mode: mode,
+            ..ProtocolConfiguration::default()
+        };
+        let first = ProcessingRequest {
+            protocol_config: Some(config),
+            ..message(0, true)
+        };
+        assert!(matches!(
+            Exchange::default().hear(first),
+            Err(Fault::Unsupported(_))
+        ));
         let mut exchange = Exchange::default();
-        exchange.hear(ProcessingRequest { observability_mode: true, ..message(0, true) }).unwrap();
+        exchange
+            .hear(ProcessingRequest {
+                observability_mode: true,
+                ..message(0, true)
+            })
+            .unwrap();
         assert!(exchange.observed());
         assert!(exchange.hear(message(3, true)).is_err());
     }
--- a/edge/fronts/extproc/src/front.rs
+++ b/edge/fronts/extproc/src/front.rs
@@ -113,7 +113,11 @@
         match no {
             No::Token(_) | No::Ledger(Refusal::OtherKey) => Final::unusable(&why, Ran::Maybe),
             No::Ledger(
-                Refusal::WindowOver | Refusal::Unread | Refusal::TooMany | Refusal::Torn | Refusal::Replayed,
+                Refusal::WindowOver
+                | Refusal::Unread
+                | Refusal::TooMany
+                | Refusal::Torn
+                | Refusal::Replayed,
             ) => Final::given_up(&why, Ran::Maybe),
             No::Ledger(Refusal::Running { .. }) => Final::refused(&why, Ran::Maybe, wait),
             No::Ledger(Refusal::Deciding | Refusal::Full) | No::Store(_) | No::NotLoaded => {
--- a/edge/fronts/extproc/src/keyed.rs
+++ b/edge/fronts/extproc/src/keyed.rs
@@ -16,7 +16,9 @@
 mod refused;
 
 pub fn unix_ms() -> Millis {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_millis() as u64)
 }
 
 struct State {
@@ -55,7 +57,11 @@
         let last = keys.last().copied().unwrap_or((0, &drawn));
         let mut held = Keys::new(last.0, last.1);
         held.set(unix_ms(), overlap, keys);
-        let state = Arc::new(Mutex::new(State { ledger: None, keys: held, overlap }));
+        let state = Arc::new(Mutex::new(State {
+            ledger: None,
+            keys: held,
+            overlap,
+        }));
         let own = state.clone();
         let store = opener.map(|(opener, commit)| {
             Store::start(opener, commit, move |stored| {
@@ -85,7 +91,11 @@
                 Ok(())
             })
         });
-        Ok(Keeper { state, store: store.transpose()?, counts: Counts::default() })
+        Ok(Keeper {
+            state,
+            store: store.transpose()?,
+            counts: Counts::default(),
+        })
     }
 
     /// Other keys: the last signs from now on, and all of them are believed; those that are gone for the overlap.
@@ -97,7 +107,10 @@
 
     /// What is held, asked about, and out.
     pub fn sizes(&self) -> [usize; 2] {
-        lock(&self.state).ledger.as_ref().map_or([0; 2], |ledger| [ledger.len(), ledger.asked()])
+        lock(&self.state)
+            .ledger
+            .as_ref()
+            .map_or([0; 2], |ledger| [ledger.len(), ledger.asked()])
     }
 
     pub fn written(&self) -> Option<Arc<foldmux_store::Counts>> {
@@ -130,13 +143,20 @@
     }
 
     /// Whether an attempt of a key may be made now, and where. What is granted is the grip's to end.
-    pub fn ask(self: &Arc<Keeper>, key: Mark, rule: Rule, shown: Option<&Token>) -> Result<Grip, No> {
+    pub fn ask(
+        self: &Arc<Keeper>,
+        key: Mark,
+        rule: Rule,
+        shown: Option<&Token>,
+    ) -> Result<Grip, No> {
         let mut state = lock(&self.state);
         let ledger = state.ledger.as_mut().ok_or(No::NotLoaded)?;
         let asked = ledger.ask(unix_ms(), key, &rule, shown);
         let forgotten = ledger.forgotten();
         drop(state);
-        forgotten.iter().for_each(|mark| self.store.iter().for_each(|store| store.remove(&mark.0)));
+        forgotten
+            .iter()
+            .for_each(|mark| self.store.iter().for_each(|store| store.remove(&mark.0)));
         match asked {
             Ok(grant) => Ok(Grip::granted(self.clone(), key, rule, grant)),
             Err(refusal) => {
@@ -158,7 +178,10 @@
 
     fn ended(&self, key: Mark, attempt: u8, end: End) {
         let mut state = lock(&self.state);
-        let entry = state.ledger.as_mut().and_then(|ledger| ledger.ended(key, attempt, end));
+        let entry = state
+            .ledger
+            .as_mut()
+            .and_then(|ledger| ledger.ended(key, attempt, end));
         // Under the lock, so that the store has entries in the order in which the ledger had them.
         if let (Some(entry), Some(store)) = (entry, &self.store) {
             // Nobody waits for this one: lost, the attempt counts as one that may be running, for its time.
--- a/edge/fronts/extproc/src/keyed/grip.rs
+++ b/edge/fronts/extproc/src/keyed/grip.rs
@@ -33,7 +33,13 @@
 impl Grip {
     /// A key's attempt that the ledger has just granted.
     pub(super) fn granted(keeper: Arc<Keeper>, key: Mark, rule: Rule, grant: Grant) -> Grip {
-        Grip { keeper, key, rule, grant, held: Held::Asked }
+        Grip {
+            keeper,
+            key,
+            rule,
+            grant,
+            held: Held::Asked,
+        }
     }
 
     /// The group that the attempt is bound to, where one may have run.
@@ -49,17 +55,40 @@
     pub async fn hand(&mut self, request: Mark, group: u32) -> Result<(Token, String), No> {
         let (told, written) = oneshot::channel();
         let (attempt, first, expires) = match self.grant {
-            Grant::Anywhere { attempt, first, expires } => (attempt, first, expires),
-            Grant::Within { attempt, first, expires, .. } => (attempt, first, expires),
+            Grant::Anywhere {
+                attempt,
+                first,
+                expires,
+            } => (attempt, first, expires),
+            Grant::Within {
+                attempt,
+                first,
+                expires,
+                ..
+            } => (attempt, first, expires),
+        };
+        let token = Token {
+            request,
+            key: self.key,
+            attempt,
+            group,
+            first,
+            expires,
         };
-        let token = Token { request, key: self.key, attempt, group, first, expires };
         let text = {
             let mut state = lock(&self.keeper.state);
             let ledger = state.ledger.as_mut().ok_or(No::NotLoaded)?;
             let entry = ledger.hand(unix_ms(), self.key, &self.rule, &self.grant, group, request);
-            self.held = Held::Out { attempt, told: false };
+            self.held = Held::Out {
+                attempt,
+                told: false,
+            };
             let store = self.keeper.store.as_ref().ok_or(No::NotLoaded)?;
-            store.put(&self.key.0, &entry.to_bytes(), Box::new(move |result| drop(told.send(result))));
+            store.put(
+                &self.key.0,
+                &entry.to_bytes(),
+                Box::new(move |result| drop(told.send(result))),
+            );
             state.keys.sign(&token)
         };
         match written.await.unwrap_or(Err(Fault::Full)) {
@@ -81,7 +110,10 @@
     /// How long from now the attempt may be running, where nothing is heard of it (ms).
     pub fn quiet_in(&self) -> Millis {
         let state = lock(&self.keeper.state);
-        let entry = state.ledger.as_ref().and_then(|ledger| ledger.get(self.key));
+        let entry = state
+            .ledger
+            .as_ref()
+            .and_then(|ledger| ledger.get(self.key));
         entry.map_or(0, |entry| entry.quiet_at.saturating_sub(unix_ms()))
     }
 
--- a/edge/fronts/extproc/src/lib.rs
+++ b/edge/fronts/extproc/src/lib.rs
@@ -69,8 +69,8 @@
     pub const FLAGS: &str = "x-flags";
     /// Of a request that is placed, those that are not set are removed: a client's own must not reach a cache.
     pub const OURS: [&str; 12] = [
-        CACHE, TOKEN, GOOD_UNTIL, TIME_OUT, VIA_ID, VIA_WAIT, VIA_TOKEN, FILL_FROM, KEEP, MAX_AGE, FLAGS,
-        AGAIN,
+        CACHE, TOKEN, GOOD_UNTIL, TIME_OUT, VIA_ID, VIA_WAIT, VIA_TOKEN, FILL_FROM, KEEP, MAX_AGE,
+        FLAGS, AGAIN,
     ];
     /// The namespace of dynamic metadata.
     pub const METADATA: &str = "foldmux";
--- a/edge/fronts/extproc/src/life.rs
+++ b/edge/fronts/extproc/src/life.rs
@@ -25,10 +25,12 @@
 
 /// The caller's `response.code_details`, where it sends attributes.
 fn details(attributes: &HashMap<String, crate::pb::Struct>) -> Option<&str> {
-    attributes.values().find_map(|all| match &all.fields.get("response.code_details")?.kind {
-        Some(Kind::StringValue(text)) => Some(text.as_str()),
-        _ => None,
-    })
+    attributes
+        .values()
+        .find_map(|all| match &all.fields.get("response.code_details")?.kind {
+            Some(Kind::StringValue(text)) => Some(text.as_str()),
+            _ => None,
+        })
 }
 
 /// What comes in on a stream.
@@ -43,7 +45,10 @@
 }
 
 /// One stream: its messages heard in their order, each answered before the next is read.
-#[expect(clippy::too_many_lines, reason = "one stream from its first message to its end")]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one stream from its first message to its end"
+)]
 pub fn stream(
     front: Arc<Front>,
     mut messages: impl Messages,
@@ -172,6 +177,12 @@
 }
 
 fn served(front: &Front, attempt: &mut Attempt) {
-    attempt.end(Ended { outcome: Outcome::Served, over: true }, true);
+    attempt.end(
+        Ended {
+            outcome: Outcome::Served,
+            over: true,
+        },
+        true,
+    );
     front.core.tally.end(None, End::Served);
 }
--- a/edge/fronts/extproc/src/mapping.rs
+++ b/edge/fronts/extproc/src/mapping.rs
@@ -73,11 +73,16 @@
 /// The first header of a name, in lower case.
 pub fn field<'a>(headers: &'a HttpHeaders, name: &str) -> Option<&'a [u8]> {
     let all = headers.headers.as_ref()?;
-    all.headers.iter().find(|h| h.key.eq_ignore_ascii_case(name)).map(value)
+    all.headers
+        .iter()
+        .find(|h| h.key.eq_ignore_ascii_case(name))
+        .map(value)
 }
 
 fn text<'a>(headers: &'a HttpHeaders, name: &str) -> Option<&'a str> {
-    field(headers, name).and_then(|bytes| std::str::from_utf8(bytes).ok()).filter(|text| !text.is_empty())
+    field(headers, name)
+        .and_then(|bytes| std::str::from_utf8(bytes).ok())
+        .filter(|text| !text.is_empty())
 }
 
 fn number<T: std::str::FromStr>(headers: &HttpHeaders, name: &str) -> Option<T> {
@@ -85,7 +90,11 @@
 }
 
 /// A pseudo header: there once.
-fn pseudo<'a>(headers: &'a HttpHeaders, name: &str, why: &'static str) -> Result<&'a str, Unusable> {
+fn pseudo<'a>(
+    headers: &'a HttpHeaders,
+    name: &str,
+    why: &'static str,
+) -> Result<&'a str, Unusable> {
     let all = headers.headers.as_ref().map_or(&[][..], |all| &all.headers);
     let mut named = all.iter().filter(|h| h.key == name);
     match (named.next(), named.next()) {
@@ -113,8 +122,14 @@
                 }
                 word => Ok(Segment::Word(word.to_string())),
             };
-            let path = rule.path[1..].split('/').map(segment).collect::<Result<Vec<_>, _>>()?;
-            let objects = path.iter().filter(|s| matches!(s, Segment::Object | Segment::Name)).count();
+            let path = rule.path[1..]
+                .split('/')
+                .map(segment)
+                .collect::<Result<Vec<_>, _>>()?;
+            let objects = path
+                .iter()
+                .filter(|s| matches!(s, Segment::Object | Segment::Name))
+                .count();
             if objects != 1 || path.iter().filter(|s| **s == Segment::Part).count() > 1 {
                 return Err(told("it names one object, and one part at most"));
             }
@@ -126,11 +141,17 @@
                 rewrite: rule.rewrite,
             })
         });
-        Ok(Map { rules: rules.collect::<Result<_, _>>()? })
+        Ok(Map {
+            rules: rules.collect::<Result<_, _>>()?,
+        })
     }
 
     /// What a request asks for; `name` gives a class's name for the caches' path.
-    pub fn read(&self, headers: &HttpHeaders, name: impl Fn(usize) -> String) -> Result<Asked, Unusable> {
+    pub fn read(
+        &self,
+        headers: &HttpHeaders,
+        name: impl Fn(usize) -> String,
+    ) -> Result<Asked, Unusable> {
         let method = pseudo(headers, ":method", "no single :method")?;
         let path = pseudo(headers, ":path", "no single :path")?;
         if path.len() > PATH_MOST {
@@ -140,15 +161,21 @@
         let path = path.strip_prefix('/').ok_or(Unusable::Unmatched)?;
         let fits = |rule: &&Rule| {
             let mut words = path.split('/');
-            let met = rule.path.iter().all(|segment| match (segment, words.next()) {
-                (Segment::Word(word), Some(found)) => word == found,
-                (_, Some(found)) => !found.is_empty(),
-                (_, None) => false,
-            });
+            let met = rule
+                .path
+                .iter()
+                .all(|segment| match (segment, words.next()) {
+                    (Segment::Word(word), Some(found)) => word == found,
+                    (_, Some(found)) => !found.is_empty(),
+                    (_, None) => false,
+                });
             met && words.next().is_none() && rule.method.eq_ignore_ascii_case(method)
         };
         let rule = self.rules.iter().find(fits).ok_or(Unusable::Unmatched)?;
-        let mut asked = Asked { class: rule.class, ..Asked::default() };
+        let mut asked = Asked {
+            class: rule.class,
+            ..Asked::default()
+        };
         for (segment, word) in rule.path.iter().zip(path.split('/')) {
             match segment {
                 Segment::Word(_) => {}
@@ -156,8 +183,8 @@
                     // The standard library would take a sign.
                     let hex = word.len() <= 16 && word.bytes().all(|b| b.is_ascii_hexdigit());
                     let object = hex.then(|| u64::from_str_radix(word, 16).ok()).flatten();
-                    asked.object =
-                        object.ok_or(Unusable::Client("the object is no number of 16 hex digits"))?;
+                    asked.object = object
+                        .ok_or(Unusable::Client("the object is no number of 16 hex digits"))?;
                 }
                 Segment::Name => {
                     let digest = Mark::of(word).0;
@@ -180,14 +207,20 @@
             );
         }
         asked.group = number(headers, names::GROUP).unwrap_or(0);
-        asked.size_kb =
-            number(headers, names::SIZE).filter(|size: &f64| size.is_finite() && *size >= 0.0).unwrap_or(0.0);
+        asked.size_kb = number(headers, names::SIZE)
+            .filter(|size: &f64| size.is_finite() && *size >= 0.0)
+            .unwrap_or(0.0);
         asked.token = text(headers, names::TOKEN).map(str::to_string);
-        asked.wait_ms =
-            number(headers, names::VIA_WAIT).or_else(|| number(headers, "x-envoy-expected-rq-timeout-ms"));
+        asked.wait_ms = number(headers, names::VIA_WAIT)
+            .or_else(|| number(headers, "x-envoy-expected-rq-timeout-ms"));
         asked.holds = field(headers, "if-none-match").is_some();
         if rule.rewrite {
-            asked.path = Some(format!("/v2/q/{}/{:016x}/{}", name(rule.class), asked.object, asked.part));
+            asked.path = Some(format!(
+                "/v2/q/{}/{:016x}/{}",
+                name(rule.class),
+                asked.object,
+                asked.part
+            ));
         }
         Ok(asked)
     }
--- a/edge/fronts/extproc/src/next.rs
+++ b/edge/fronts/extproc/src/next.rs
@@ -18,8 +18,15 @@
 
 impl Front {
     /// A place among those of the limits that hold for the request, where there are any.
-    pub(crate) async fn admit(&self, class: usize, caller: &str, ran: Ran) -> Result<Option<Held>, Final> {
-        let Some(limiter) = self.core.limits.get() else { return Ok(None) };
+    pub(crate) async fn admit(
+        &self,
+        class: usize,
+        caller: &str,
+        ran: Ran,
+    ) -> Result<Option<Held>, Final> {
+        let Some(limiter) = self.core.limits.get() else {
+            return Ok(None);
+        };
         let (tell, told) = oneshot::channel();
         match limiter.enter(
             class,
@@ -37,14 +44,25 @@
                     held.admitted();
                     Ok(Some(held))
                 }
-                _ => Err(Final::refused("its class had no place in time", ran, held.advice(Time::MAX))),
+                _ => Err(Final::refused(
+                    "its class had no place in time",
+                    ran,
+                    held.advice(Time::MAX),
+                )),
             },
         }
     }
 
     /// Whether the limits allow the attempt, after the pause that they want before it.
-    pub(crate) async fn allow(&self, attempt: &mut Attempt, until: Instant, ran: Ran) -> Result<(), Final> {
-        let Some(held) = &mut attempt.limits else { return Ok(()) };
+    pub(crate) async fn allow(
+        &self,
+        attempt: &mut Attempt,
+        until: Instant,
+        ran: Ran,
+    ) -> Result<(), Final> {
+        let Some(held) = &mut attempt.limits else {
+            return Ok(());
+        };
         match held.attempt() {
             Allowed::Now => return Ok(()),
             Allowed::After(pause) if Instant::now() + pause < until => {
@@ -56,8 +74,15 @@
             Allowed::After(_) | Allowed::No => {}
         }
         match held.harmless() {
-            true => Err(Final::refused("its limits allow no other attempt", ran, held.advice(Time::MAX))),
-            false => Err(Final::given_up("its limits allow no other attempt", Ran::Maybe)),
+            true => Err(Final::refused(
+                "its limits allow no other attempt",
+                ran,
+                held.advice(Time::MAX),
+            )),
+            false => Err(Final::given_up(
+                "its limits allow no other attempt",
+                Ran::Maybe,
+            )),
         }
     }
 
@@ -70,12 +95,16 @@
     ) -> Result<Box<Way>, Final> {
         loop {
             let order = timeout_at(until.into(), attempt.orders.recv()).await;
-            let Ok(Some(order)) = order else { return Err(Final::given_up("no decision in time", ran)) };
+            let Ok(Some(order)) = order else {
+                return Err(Final::given_up("no decision in time", ran));
+            };
             match attempt.lent.take(order) {
                 Told::Go(way) => return Ok(way),
                 Told::Wait => {}
                 Told::Refused { wait } => return Err(Final::refused("refused for now", ran, wait)),
-                Told::Failed | Told::Over => return Err(Final::given_up("no server may be asked", ran)),
+                Told::Failed | Told::Over => {
+                    return Err(Final::given_up("no server may be asked", ran))
+                }
             }
         }
     }
@@ -89,15 +118,27 @@
     ) -> Result<Option<String>, Final> {
         // It may be running still, and no other attempt of its key may be made until its time is over: said at once,
         // and not by a refusal of the caller's next try.
-        let waits = attempt.grip.as_ref().filter(|_| !ended.over).map(Grip::quiet_in);
+        let waits = attempt
+            .grip
+            .as_ref()
+            .filter(|_| !ended.over)
+            .map(Grip::quiet_in);
         attempt.end(ended, !self.again || waits.is_some());
         if let Some(wait) = waits {
-            return Err(Final::refused("an attempt may be running", Ran::Maybe, wait.saturating_mul(1_000)));
+            return Err(Final::refused(
+                "an attempt may be running",
+                Ran::Maybe,
+                wait.saturating_mul(1_000),
+            ));
         }
         if !self.again {
             return Ok(None);
         }
-        let ran = if ended.outcome.never_ran() && attempt.number == 0 { Ran::Nothing } else { Ran::Maybe };
+        let ran = if ended.outcome.never_ran() && attempt.number == 0 {
+            Ran::Nothing
+        } else {
+            Ran::Maybe
+        };
         let way = self.next(&mut attempt, Instant::now() + NEXT, ran).await?;
         let (request, number, text) = (attempt.request, attempt.number, attempt.text.clone());
         attempt.way = Some(way);
--- a/edge/fronts/extproc/src/outcome.rs
+++ b/edge/fronts/extproc/src/outcome.rs
@@ -14,9 +14,18 @@
 /// `response.code_details`, which tell an answer that came from upstream from one that the caller made itself.
 /// `holds`: the request named a copy that its client holds.
 pub fn judge(status: u16, untouched: bool, details: Option<&str>, holds: bool) -> Ended {
-    let ended = |outcome| Ended { outcome, over: true };
-    let lost = |outcome| Ended { outcome, over: false };
-    if let Some(made) = details.filter(|details| *details != "via_upstream").and_then(made_by_caller) {
+    let ended = |outcome| Ended {
+        outcome,
+        over: true,
+    };
+    let lost = |outcome| Ended {
+        outcome,
+        over: false,
+    };
+    if let Some(made) = details
+        .filter(|details| *details != "via_upstream")
+        .and_then(made_by_caller)
+    {
         return made;
     }
     match (status, untouched) {
@@ -36,7 +45,9 @@
     let (kind, why) = details.split_once('{').unwrap_or((details, ""));
     let outcome = match kind {
         // A connection that never was: nothing was sent.
-        "upstream_reset_before_response_started" if why.starts_with("remote_connection_failure") => {
+        "upstream_reset_before_response_started"
+            if why.starts_with("remote_connection_failure") =>
+        {
             Outcome::ConnectFailed
         }
         "upstream_reset_before_response_started" if why.starts_with("local_connection_failure") => {
@@ -45,15 +56,24 @@
         "upstream_reset_before_response_started" if why.starts_with("connection_timeout") => {
             Outcome::ConnectFailed
         }
-        "upstream_reset_before_response_started" if why.starts_with("overflow") => Outcome::NeverSent,
+        "upstream_reset_before_response_started" if why.starts_with("overflow") => {
+            Outcome::NeverSent
+        }
         "no_healthy_upstream" | "cluster_not_found" | "route_not_found" => Outcome::NeverSent,
-        "upstream_reset_before_response_started" | "upstream_reset_after_response_started" => Outcome::Reset,
-        "upstream_response_timeout" | "upstream_per_try_timeout" | "response_timeout" => Outcome::TimedOut,
+        "upstream_reset_before_response_started" | "upstream_reset_after_response_started" => {
+            Outcome::Reset
+        }
+        "upstream_response_timeout" | "upstream_per_try_timeout" | "response_timeout" => {
+            Outcome::TimedOut
+        }
         "stream_idle_timeout" | "request_overall_timeout" => Outcome::TimedOut,
         "downstream_remote_disconnect" => Outcome::Cancelled,
         _ => return None,
     };
-    Some(Ended { outcome, over: outcome.never_ran() })
+    Some(Ended {
+        outcome,
+        over: outcome.never_ran(),
+    })
 }
 
 #[cfg(test)]
@@ -63,25 +83,52 @@
     #[test]
     fn never_ran_is_exact_and_what_is_not_known_may_be_running() {
         let of = |status, untouched, details| judge(status, untouched, details, false);
-        let ended = |outcome| Ended { outcome, over: true };
+        let ended = |outcome| Ended {
+            outcome,
+            over: true,
+        };
         assert_eq!(of(200, false, None), ended(Outcome::Served));
-        assert_eq!((of(404, false, None), of(503, true, None)), (ended(Outcome::Miss), ended(Outcome::Full)));
+        assert_eq!(
+            (of(404, false, None), of(503, true, None)),
+            (ended(Outcome::Miss), ended(Outcome::Full))
+        );
         assert_eq!(of(504, true, None), ended(Outcome::NeverSent));
-        assert_eq!(of(503, false, None), Ended { outcome: Outcome::Error, over: false });
+        assert_eq!(
+            of(503, false, None),
+            Ended {
+                outcome: Outcome::Error,
+                over: false
+            }
+        );
         assert_eq!(of(500, true, Some("via_upstream")), ended(Outcome::Error));
         assert_eq!(judge(304, false, None, true), ended(Outcome::Served));
-        assert_eq!(judge(304, false, Some("via_upstream"), false), ended(Outcome::Error));
+        assert_eq!(
+            judge(304, false, Some("via_upstream"), false),
+            ended(Outcome::Error)
+        );
         let reset = "upstream_reset_before_response_started{connection_termination}";
-        assert_eq!(of(503, false, Some(reset)), Ended { outcome: Outcome::Reset, over: false });
+        assert_eq!(
+            of(503, false, Some(reset)),
+            Ended {
+                outcome: Outcome::Reset,
+                over: false
+            }
+        );
         let refused =
             "upstream_reset_before_response_started{remote_connection_failure|delayed_connect_error:_111}";
         assert_eq!(of(503, false, Some(refused)), ended(Outcome::ConnectFailed));
         assert_eq!(
             of(504, false, Some("upstream_response_timeout")),
-            Ended { outcome: Outcome::TimedOut, over: false }
+            Ended {
+                outcome: Outcome::TimedOut,
+                over: false
+            }
         );
         // The caller's own 404 is no miss of the cache.
-        assert_eq!(of(404, false, Some("route_not_found")), ended(Outcome::NeverSent));
+        assert_eq!(
+            of(404, false, Some("route_not_found")),
+            ended(Outcome::NeverSent)
+        );
         // Untouched is a cache's word: a reset with it proves nothing.
         assert!(!of(503, true, Some(reset)).outcome.never_ran());
     }
--- a/edge/fronts/extproc/src/parked.rs
+++ b/edge/fronts/extproc/src/parked.rs
@@ -14,7 +14,10 @@
 
 impl Parked {
     pub fn new(most: usize) -> Parked {
-        Parked { most, held: Mutex::default() }
+        Parked {
+            most,
+            held: Mutex::default(),
+        }
     }
 
     fn held(&self) -> MutexGuard<'_, HashMap<(Mark, u8), (Instant, Attempt)>> {
@@ -27,7 +30,8 @@
         if held.len() >= self.most {
             return Some(way);
         }
-        held.insert((request, attempt), (Instant::now(), way)).map(|(_, former)| former)
+        held.insert((request, attempt), (Instant::now(), way))
+            .map(|(_, former)| former)
     }
 
     pub fn take(&self, request: Mark, attempt: u8) -> Option<Attempt> {
@@ -38,9 +42,15 @@
     pub fn sweep(&self, good_for: Duration) {
         let now = Instant::now();
         let mut held = self.held();
-        let over: Vec<_> =
-            held.iter().filter(|(_, (since, _))| now - *since >= good_for).map(|(k, _)| *k).collect();
-        let over: Vec<_> = over.into_iter().filter_map(|key| held.remove(&key)).collect();
+        let over: Vec<_> = held
+            .iter()
+            .filter(|(_, (since, _))| now - *since >= good_for)
+            .map(|(k, _)| *k)
+            .collect();
+        let over: Vec<_> = over
+            .into_iter()
+            .filter_map(|key| held.remove(&key))
+            .collect();
         drop(held);
         // Their ends are told to the desk without the lock.
         drop(over);
--- a/edge/fronts/extproc/src/place.rs
+++ b/edge/fronts/extproc/src/place.rs
@@ -33,7 +33,10 @@
         arrived: Instant,
         caller: &Arc<str>,
     ) -> Decided {
-        let asked = match self.map.read(headers, |class| self.classes[class].name.to_string()) {
+        let asked = match self
+            .map
+            .read(headers, |class| self.classes[class].name.to_string())
+        {
             Ok(asked) => asked,
             Err(Unusable::Unmatched) if !self.strict => {
                 self.count(&self.counts.unmatched);
@@ -50,7 +53,10 @@
         }
     }
 
-    #[expect(clippy::too_many_lines, reason = "one decision from the ask to what is told; to be split")]
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one decision from the ask to what is told; to be split"
+    )]
     async fn place(
         self: &Arc<Front>,
         asked: Asked,
@@ -59,38 +65,65 @@
     ) -> Result<(Attempt, ProcessingResponse), Final> {
         let class = &self.classes[asked.class];
         let shown = match &asked.token {
-            Some(text) => Some(self.keeper.shown(text, self.remember).map_err(|no| self.no(no, Ran::Maybe))?),
+            Some(text) => Some(
+                self.keeper
+                    .shown(text, self.remember)
+                    .map_err(|no| self.no(no, Ran::Maybe))?,
+            ),
             None => None,
         };
         // An attempt of the request was handed out before, and may have run.
-        let ran = if shown.is_some() { Ran::Maybe } else { Ran::Nothing };
-        let number = shown.as_ref().map_or(0, |token| token.attempt.saturating_add(1));
+        let ran = if shown.is_some() {
+            Ran::Maybe
+        } else {
+            Ran::Nothing
+        };
+        let number = shown
+            .as_ref()
+            .map_or(0, |token| token.attempt.saturating_add(1));
         if number as u32 >= self.attempts {
             return Err(Final::given_up("all attempts are used", ran));
         }
         let mut grip = None;
         let mut key = None;
         if let Repeat::Keyed(_) = class.repeat {
-            let told =
-                asked.key.clone().ok_or_else(|| Final::unusable("no idempotency key", Ran::Nothing))?;
+            let told = asked
+                .key
+                .clone()
+                .ok_or_else(|| Final::unusable("no idempotency key", Ran::Nothing))?;
             let mark = Mark::of(&format!("{}/{told}", class.name));
-            grip =
-                Some(self.keeper.ask(mark, self.rule(class), shown.as_ref()).map_err(|no| self.no(no, ran))?);
+            grip = Some(
+                self.keeper
+                    .ask(mark, self.rule(class), shown.as_ref())
+                    .map_err(|no| self.no(no, ran))?,
+            );
             key = Some(told);
         }
         let within = grip.as_ref().and_then(Grip::within);
-        let budget = asked.wait_ms.map_or(class.longest, |ms| ms.saturating_mul(1_000).min(class.longest));
-        let kept = shown.as_ref().and_then(|token| self.parked.take(token.request, token.attempt));
+        let budget = asked.wait_ms.map_or(class.longest, |ms| {
+            ms.saturating_mul(1_000).min(class.longest)
+        });
+        let kept = shown
+            .as_ref()
+            .and_then(|token| self.parked.take(token.request, token.attempt));
         if class.repeat == Repeat::SingleShot && shown.is_some() && kept.is_none() {
             // Only the module, which saw that nothing ran, allows another.
-            return Err(Final::given_up("an attempt may have run, and none may follow", Ran::Maybe));
+            return Err(Final::given_up(
+                "an attempt may have run, and none may follow",
+                Ran::Maybe,
+            ));
         }
         let mut attempt = match kept {
-            Some(kept) if kept.class == asked.class => Attempt { grip, number, ..kept },
+            Some(kept) if kept.class == asked.class => Attempt {
+                grip,
+                number,
+                ..kept
+            },
             _ => {
                 let limits = self.admit(*class.place, caller, ran).await?;
                 let until = limits.as_ref().map(|held| held.deadline(arrived));
-                let most = until.map(|until| until.saturating_duration_since(arrived).as_micros() as Time);
+                let most =
+                    until.map(|until| until.saturating_duration_since(arrived).as_micros() as Time);
                 let budget = most.map_or(budget, |most| most.min(budget));
                 let serial = self.serial.fetch_add(1, Ordering::Relaxed);
                 let inquiry = Inquiry {
@@ -111,9 +144,21 @@
                     within,
                 };
                 let (sender, orders) = mpsc::channel(ORDERS);
-                let full = || Final::refused("no place for another request", ran, self.core.refusal_wait());
-                let lent = Lent::ask(&self.core, &inquiry, 0, Box::new(Sent(sender)), 2 * self.streams)
-                    .ok_or_else(full)?;
+                let full = || {
+                    Final::refused(
+                        "no place for another request",
+                        ran,
+                        self.core.refusal_wait(),
+                    )
+                };
+                let lent = Lent::ask(
+                    &self.core,
+                    &inquiry,
+                    0,
+                    Box::new(Sent(sender)),
+                    2 * self.streams,
+                )
+                .ok_or_else(full)?;
                 let request = Mark::of(&format!("{:016x}/{serial}", self.salt));
                 let (class, holds) = (asked.class, asked.holds);
                 Attempt {
@@ -147,20 +192,25 @@
             let group = class.repeat.group_of(&way.cache.member);
             if within.is_some_and(|within| within != group) {
                 // Chosen before it was known that an attempt may have run elsewhere.
-                return Err(Final::given_up("no cache of the attempt's group may be asked", Ran::Maybe));
+                return Err(Final::given_up(
+                    "no cache of the attempt's group may be asked",
+                    Ran::Maybe,
+                ));
             }
             if let Some(held) = &attempt.limits {
                 held.narrow(&mut way.fetch);
-                let fill = held
-                    .fill(&way.fetch)
-                    .ok_or_else(|| Final::refused("too many fills there", ran, held.advice(Time::MAX)))?;
+                let fill = held.fill(&way.fetch).ok_or_else(|| {
+                    Final::refused("too many fills there", ran, held.advice(Time::MAX))
+                })?;
                 attempt.fill = Some(fill);
             }
             let good_until = unix_ms() + self.good_for.as_millis() as u64;
             let (text, good_until) = match &mut attempt.grip {
                 Some(grip) => {
-                    let (token, text) =
-                        grip.hand(attempt.request, group).await.map_err(|no| self.no(no, ran))?;
+                    let (token, text) = grip
+                        .hand(attempt.request, group)
+                        .await
+                        .map_err(|no| self.no(no, ran))?;
                     // The ledger counts a key's attempts, also those whose tokens were not shown: a way that is kept for
                     // the next one is found by the number that is in the token.
                     attempt.number = token.attempt;
@@ -184,7 +234,11 @@
                 attempt.way = Some(self.next(&mut attempt, until, ran).await?);
                 continue;
             }
-            let left = attempt.lent.deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
+            let left = attempt
+                .lent
+                .deadline
+                .saturating_duration_since(Instant::now())
+                .as_millis() as u64;
             if left == 0 {
                 return Err(Final::given_up("its time is over", ran));
             }
--- a/edge/fronts/extproc/src/reflect.rs
+++ b/edge/fronts/extproc/src/reflect.rs
@@ -15,7 +15,9 @@
         .register_encoded_file_descriptor_set(tonic_health::pb::FILE_DESCRIPTOR_SET)
         .register_file_descriptor_set(published::files())
         .build_v1();
-    built.inspect_err(|e| tracing::warn!("external processor: no reflection: {e}")).ok()
+    built
+        .inspect_err(|e| tracing::warn!("external processor: no reflection: {e}"))
+        .ok()
 }
 
 #[cfg(test)]
--- a/edge/fronts/extproc/src/reflect/describe.rs
+++ b/edge/fronts/extproc/src/reflect/describe.rs
@@ -7,7 +7,12 @@
 };
 
 /// A field: its name, number and type; `.full.Name` of a message, `enum .full.Name`, or a scalar. `one`: in the oneof.
-pub(super) struct Field(pub(super) &'static str, pub(super) i32, pub(super) &'static str, pub(super) Shape);
+pub(super) struct Field(
+    pub(super) &'static str,
+    pub(super) i32,
+    pub(super) &'static str,
+    pub(super) Shape,
+);
 
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Shape {
@@ -33,7 +38,11 @@
     FieldDescriptorProto {
         name: Some(name.to_string()),
         number: Some(*number),
-        label: Some(if *shape == Repeated { Label::Repeated } else { Label::Optional } as i32),
+        label: Some(if *shape == Repeated {
+            Label::Repeated
+        } else {
+            Label::Optional
+        } as i32),
         r#type: Some(r#type as i32),
         type_name,
         oneof_index: (*shape == One).then_some(0),
@@ -42,8 +51,10 @@
 }
 
 pub(super) fn message(name: &str, oneof: Option<&str>, fields: &[Field]) -> DescriptorProto {
-    let one =
-        |name: &str| OneofDescriptorProto { name: Some(name.to_string()), ..OneofDescriptorProto::default() };
+    let one = |name: &str| OneofDescriptorProto {
+        name: Some(name.to_string()),
+        ..OneofDescriptorProto::default()
+    };
     DescriptorProto {
         name: Some(name.to_string()),
         field: fields.iter().map(field).collect(),
--- a/edge/fronts/extproc/src/reflect/published.rs
+++ b/edge/fronts/extproc/src/reflect/published.rs
@@ -3,7 +3,8 @@
 use super::describe::{choice, file, message, Field, One, Repeated, Single};
 use crate::pb::external_processor_server::SERVICE_NAME;
 use prost_types::{
-    DescriptorProto, FileDescriptorProto, FileDescriptorSet, MethodDescriptorProto, ServiceDescriptorProto,
+    DescriptorProto, FileDescriptorProto, FileDescriptorSet, MethodDescriptorProto,
+    ServiceDescriptorProto,
 };
 
 const SERVICE_FILE: &str = "envoy/service/ext_proc/v3/external_processor.proto";
@@ -23,8 +24,10 @@
     const TO_BODY: &str = ".envoy.service.ext_proc.v3.BodyResponse";
     const TO_TRAILERS: &str = ".envoy.service.ext_proc.v3.TrailersResponse";
     const COMMON: &str = ".envoy.service.ext_proc.v3.CommonResponse";
-    const SEND: &str = "enum .envoy.extensions.filters.http.ext_proc.v3.ProcessingMode.HeaderSendMode";
-    const BODIES: &str = "enum .envoy.extensions.filters.http.ext_proc.v3.ProcessingMode.BodySendMode";
+    const SEND: &str =
+        "enum .envoy.extensions.filters.http.ext_proc.v3.ProcessingMode.HeaderSendMode";
+    const BODIES: &str =
+        "enum .envoy.extensions.filters.http.ext_proc.v3.ProcessingMode.BodySendMode";
     let base = file(
         BASE_FILE,
         "envoy.config.core.v3",
@@ -39,7 +42,16 @@
                     Field("raw_value", 3, "bytes", Single),
                 ],
             ),
-            message("HeaderMap", None, &[Field("headers", 1, ".envoy.config.core.v3.HeaderValue", Repeated)]),
+            message(
+                "HeaderMap",
+                None,
+                &[Field(
+                    "headers",
+                    1,
+                    ".envoy.config.core.v3.HeaderValue",
+                    Repeated,
+                )],
+            ),
             DescriptorProto {
                 enum_type: vec![choice(
                     "HeaderAppendAction",
@@ -71,7 +83,11 @@
         STATUS_FILE,
         "envoy.type.v3",
         &[],
-        vec![message("HttpStatus", None, &[Field("code", 1, "uint32", Single)])],
+        vec![message(
+            "HttpStatus",
+            None,
+            &[Field("code", 1, "uint32", Single)],
+        )],
     );
     let mode = file(
         MODE_FILE,
@@ -82,7 +98,14 @@
                 choice("HeaderSendMode", &["DEFAULT", "SEND", "SKIP"]),
                 choice(
                     "BodySendMode",
-                    &["NONE", "STREAMED", "BUFFERED", "BUFFERED_PARTIAL", "FULL_DUPLEX_STREAMED", "GRPC"],
+                    &[
+                        "NONE",
+                        "STREAMED",
+                        "BUFFERED",
+                        "BUFFERED_PARTIAL",
+                        "FULL_DUPLEX_STREAMED",
+                        "GRPC",
+                    ],
                 ),
             ],
             ..message(
@@ -123,7 +146,12 @@
                 Field("response_body", 4, TO_BODY, One),
                 Field("request_trailers", 5, TO_TRAILERS, One),
                 Field("response_trailers", 6, TO_TRAILERS, One),
-                Field("immediate_response", 7, ".envoy.service.ext_proc.v3.ImmediateResponse", One),
+                Field(
+                    "immediate_response",
+                    7,
+                    ".envoy.service.ext_proc.v3.ImmediateResponse",
+                    One,
+                ),
                 Field(
                     "mode_override",
                     9,
@@ -135,19 +163,40 @@
         message(
             "HttpHeaders",
             None,
-            &[Field("headers", 1, MAP, Single), Field("end_of_stream", 3, "bool", Single)],
+            &[
+                Field("headers", 1, MAP, Single),
+                Field("end_of_stream", 3, "bool", Single),
+            ],
         ),
         message(
             "HttpBody",
             None,
-            &[Field("body", 1, "bytes", Single), Field("end_of_stream", 2, "bool", Single)],
+            &[
+                Field("body", 1, "bytes", Single),
+                Field("end_of_stream", 2, "bool", Single),
+            ],
         ),
         message("HttpTrailers", None, &[Field("trailers", 1, MAP, Single)]),
-        message("HeadersResponse", None, &[Field("response", 1, COMMON, Single)]),
-        message("BodyResponse", None, &[Field("response", 1, COMMON, Single)]),
-        message("TrailersResponse", None, &[Field("header_mutation", 1, MUTATION, Single)]),
+        message(
+            "HeadersResponse",
+            None,
+            &[Field("response", 1, COMMON, Single)],
+        ),
+        message(
+            "BodyResponse",
+            None,
+            &[Field("response", 1, COMMON, Single)],
+        ),
+        message(
+            "TrailersResponse",
+            None,
+            &[Field("header_mutation", 1, MUTATION, Single)],
+        ),
         DescriptorProto {
-            enum_type: vec![choice("ResponseStatus", &["CONTINUE", "CONTINUE_AND_REPLACE"])],
+            enum_type: vec![choice(
+                "ResponseStatus",
+                &["CONTINUE", "CONTINUE_AND_REPLACE"],
+            )],
             ..message(
                 "CommonResponse",
                 None,
@@ -168,7 +217,12 @@
             "HeaderMutation",
             None,
             &[
-                Field("set_headers", 1, ".envoy.config.core.v3.HeaderValueOption", Repeated),
+                Field(
+                    "set_headers",
+                    1,
+                    ".envoy.config.core.v3.HeaderValueOption",
+                    Repeated,
+                ),
                 Field("remove_headers", 2, "string", Repeated),
             ],
         ),
@@ -199,7 +253,14 @@
     };
     let service = FileDescriptorProto {
         service: vec![service],
-        ..file(SERVICE_FILE, package, &[BASE_FILE, STATUS_FILE, MODE_FILE], messages)
+        ..file(
+            SERVICE_FILE,
+            package,
+            &[BASE_FILE, STATUS_FILE, MODE_FILE],
+            messages,
+        )
     };
-    FileDescriptorSet { file: vec![base, status, mode, service] }
+    FileDescriptorSet {
+        file: vec![base, status, mode, service],
+    }
 }
--- a/edge/fronts/extproc/src/reflect/tests.rs
+++ b/edge/fronts/extproc/src/reflect/tests.rs
@@ -11,11 +11,20 @@
     for file in &set.file {
         for message in &file.message_type {
             let name = format!(".{}.{}", file.package(), message.name());
-            known.extend(message.enum_type.iter().map(|e| format!("{name}.{}", e.name())));
+            known.extend(
+                message
+                    .enum_type
+                    .iter()
+                    .map(|e| format!("{name}.{}", e.name())),
+            );
             known.push(name);
         }
     }
-    let named = set.file.iter().flat_map(|f| &f.message_type).flat_map(|m| &m.field);
+    let named = set
+        .file
+        .iter()
+        .flat_map(|f| &f.message_type)
+        .flat_map(|m| &m.field);
     for name in named.filter_map(|f| f.type_name.as_ref()) {
         assert!(known.contains(name), "{name}");
     }
--- a/edge/fronts/extproc/src/serve.rs
+++ b/edge/fronts/extproc/src/serve.rs
@@ -55,14 +55,24 @@
         if let Some(leave) = self.leave.take() {
             let _ = leave.send(());
         }
-        let (Some(runtime), Some(ended)) = (&self.runtime, self.ended.take()) else { return true };
+        let (Some(runtime), Some(ended)) = (&self.runtime, self.ended.take()) else {
+            return true;
+        };
         runtime.block_on(async { timeout(longest, ended).await.is_ok() })
     }
 
     /// One line with what was counted since the start.
     pub fn line(&self) -> String {
-        let Counts { placed, refused, given_up, unusable, unmatched, again, faults, observed } =
-            &self.front.counts;
+        let Counts {
+            placed,
+            refused,
+            given_up,
+            unusable,
+            unmatched,
+            again,
+            faults,
+            observed,
+        } = &self.front.counts;
         let all = [
             ("placed", placed),
             ("refused", refused),
@@ -106,8 +116,16 @@
         &self,
         request: Request<Streaming<ProcessingRequest>>,
     ) -> Result<Response<Self::ProcessStream>, Status> {
-        let caller = request.extensions().get::<Caller>().cloned().unwrap_or_default();
-        Ok(Response::new(Box::pin(life::stream(self.0.clone(), request.into_inner(), caller.0))))
+        let caller = request
+            .extensions()
+            .get::<Caller>()
+            .cloned()
+            .unwrap_or_default();
+        Ok(Response::new(Box::pin(life::stream(
+            self.0.clone(),
+            request.into_inner(),
+            caller.0,
+        ))))
     }
 }
 
@@ -120,13 +138,17 @@
     leave: oneshot::Receiver<()>,
 ) {
     let (reporter, health) = tonic_health::server::health_reporter();
-    reporter.set_not_serving::<ExternalProcessorServer<Service>>().await;
+    reporter
+        .set_not_serving::<ExternalProcessorServer<Service>>()
+        .await;
     let (ready, known) = (reporter.clone(), listed);
     tokio::spawn(async move {
         while !known.load(Ordering::SeqCst) {
             sleep(Duration::from_millis(20)).await;
         }
-        ready.set_serving::<ExternalProcessorServer<Service>>().await;
+        ready
+            .set_serving::<ExternalProcessorServer<Service>>()
+            .await;
     });
     let swept = front.clone();
     tokio::spawn(async move {
@@ -140,10 +162,13 @@
     let (taken, incoming) = mpsc::channel(16);
     let accepting = tokio::spawn(accept(listener, identity.map(Arc::new), connections, taken));
     let streams = front.streams;
-    let service = ExternalProcessorServer::new(Service(front)).max_decoding_message_size(MESSAGE_MOST);
+    let service =
+        ExternalProcessorServer::new(Service(front)).max_decoding_message_size(MESSAGE_MOST);
     let leaving = async move {
         let _ = leave.await;
-        reporter.set_not_serving::<ExternalProcessorServer<Service>>().await;
+        reporter
+            .set_not_serving::<ExternalProcessorServer<Service>>()
+            .await;
         accepting.abort();
     };
     let mut server = Server::builder()
@@ -158,14 +183,20 @@
     if let Some(reflection) = reflect::service() {
         server = server.add_service(reflection);
     }
-    if let Err(e) = server.serve_with_incoming_shutdown(ReceiverStream::new(incoming), leaving).await {
+    if let Err(e) = server
+        .serve_with_incoming_shutdown(ReceiverStream::new(incoming), leaving)
+        .await
+    {
         tracing::error!("external processor: {e}");
     }
 }
 
 /// Runs a future to its end on a small runtime of this thread, as the commands of the program do.
 pub fn block_on<T>(future: impl Future<Output = T>) -> Result<T, String> {
-    let runtime =
-        Builder::new_current_thread().enable_io().enable_time().build().map_err(|e| e.to_string())?;
+    let runtime = Builder::new_current_thread()
+        .enable_io()
+        .enable_time()
+        .build()
+        .map_err(|e| e.to_string())?;
     Ok(runtime.block_on(future))
 }
--- a/edge/fronts/extproc/src/serve/bound.rs
+++ b/edge/fronts/extproc/src/serve/bound.rs
@@ -34,7 +34,10 @@
 
 /// For how long after a key's last attempt its repeat may come (ms).
 fn remember(setup: &ExtProc) -> u64 {
-    setup.ledger.as_ref().map_or(60_000, |ledger| ledger.remember_ms)
+    setup
+        .ledger
+        .as_ref()
+        .map_or(60_000, |ledger| ledger.remember_ms)
 }
 
 /// The store under the ledger, as the file sets it.
@@ -55,29 +58,50 @@
     }
 
     /// With another store than the file's, for tests of a disk that fails.
-    pub fn on(setup: ExtProc, classes: Vec<Class>, store: Option<(Opener, Commit)>) -> Result<Bound, String> {
+    pub fn on(
+        setup: ExtProc,
+        classes: Vec<Class>,
+        store: Option<(Opener, Commit)>,
+    ) -> Result<Bound, String> {
         let told = |e: String| format!("external processor: {e}");
         let keyed = |class: &Class| matches!(class.repeat, Repeat::Keyed(_));
         let names: Vec<(&str, bool)> = classes.iter().map(|c| (&*c.name, keyed(c))).collect();
         let map = Map::new(&setup.asks, &names).map_err(told)?;
-        let asked = |class: &&Class| keyed(class) && setup.asks.iter().any(|a| a.class == *class.name);
+        let asked =
+            |class: &&Class| keyed(class) && setup.asks.iter().any(|a| a.class == *class.name);
         if let Some(class) = classes.iter().find(asked).filter(|_| store.is_none()) {
-            return Err(told(format!("{} is keyed, and there is no ledger", class.name)));
+            return Err(told(format!(
+                "{} is keyed, and there is no ledger",
+                class.name
+            )));
         }
-        let listener =
-            Listener::bind(setup.listen).map_err(|e| told(format!("listening on {}: {e}", setup.listen)))?;
+        let listener = Listener::bind(setup.listen)
+            .map_err(|e| told(format!("listening on {}: {e}", setup.listen)))?;
         let identity = setup.tls.as_ref().map(|tls| {
             let [svid, key, bundle] = [&tls.svid, &tls.key, &tls.bundle].map(PathBuf::from);
             Identity::load(Files { svid, key, bundle }, tls.allowed.clone(), b"h2")
         });
         let identity = identity.transpose().map_err(told)?;
-        let secrets: Vec<(u8, &[u8])> =
-            setup.keys.iter().map(|key| (key.number, key.secret.as_bytes())).collect();
-        let most = setup.ledger.as_ref().map_or(0, |ledger| ledger.entries as usize);
+        let secrets: Vec<(u8, &[u8])> = setup
+            .keys
+            .iter()
+            .map(|key| (key.number, key.secret.as_bytes()))
+            .collect();
+        let most = setup
+            .ledger
+            .as_ref()
+            .map_or(0, |ledger| ledger.entries as usize);
         let remember = remember(&setup);
         let keeper = Keeper::start(store, most, &secrets, setup.overlap_ms, remember);
         let keeper = Arc::new(keeper.map_err(|e| told(format!("ledger: {e}")))?);
-        Ok(Bound { setup, listener, identity, map, classes, keeper })
+        Ok(Bound {
+            setup,
+            listener,
+            identity,
+            map,
+            classes,
+            keeper,
+        })
     }
 
     pub fn address(&self) -> Result<SocketAddr, String> {
@@ -85,8 +109,20 @@
     }
 
     /// Serves on a runtime of its own, until it is told to leave. `listed`: whether the members are known.
-    pub fn serve(self, core: Arc<Core>, attempts: u32, listed: Arc<AtomicBool>) -> Result<Serving, String> {
-        let Bound { setup, listener, identity, map, classes, keeper } = self;
+    pub fn serve(
+        self,
+        core: Arc<Core>,
+        attempts: u32,
+        listed: Arc<AtomicBool>,
+    ) -> Result<Serving, String> {
+        let Bound {
+            setup,
+            listener,
+            identity,
+            map,
+            classes,
+            keeper,
+        } = self;
         let mut salt = [0; 8];
         getrandom::fill(&mut salt).map_err(|e| format!("external processor: {e}"))?;
         let streams = setup.streams as usize;
@@ -129,6 +165,11 @@
             let connections = setup.connections as usize;
             runtime.spawn(run(front, listener, identity, connections, listed, told))
         };
-        Ok(Serving { runtime: Some(runtime), leave: Some(leave), ended: Some(ended), front })
+        Ok(Serving {
+            runtime: Some(runtime),
+            leave: Some(leave),
+            ended: Some(ended),
+            front,
+        })
     }
 }
--- a/edge/fronts/extproc/src/serve/connections.rs
+++ b/edge/fronts/extproc/src/serve/connections.rs
@@ -45,7 +45,9 @@
                 continue;
             }
         };
-        let Ok(place) = places.clone().try_acquire_owned() else { continue };
+        let Ok(place) = places.clone().try_acquire_owned() else {
+            continue;
+        };
         let _ = stream.set_nodelay(true);
         let (identity, taken) = (identity.clone(), taken.clone());
         tokio::spawn(async move {
@@ -56,7 +58,13 @@
                     _ => return,
                 },
             };
-            let _ = taken.send(Ok(Link { io, caller, _place: place })).await;
+            let _ = taken
+                .send(Ok(Link {
+                    io,
+                    caller,
+                    _place: place,
+                }))
+                .await;
         });
     }
 }
@@ -121,7 +129,11 @@
 }
 
 impl AsyncWrite for Link {
-    fn poll_write(mut self: Pin<&mut Self>, context: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        context: &mut Context,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         match &mut self.io {
             Io::Plain(stream) => Pin::new(stream).poll_write(context, bytes),
             Io::Tls(stream) => Pin::new(&mut **stream).poll_write(context, bytes),
--- a/edge/fronts/extproc/tests/common/mod.rs
+++ b/edge/fronts/extproc/tests/common/mod.rs
@@ -38,7 +38,11 @@
 
 /// The operator's file, on a free port; `more` are arguments, `rest` further calls.
 pub fn script(more: &str, rest: &str) -> String {
-    let ledger = if rest.contains("ledger(") { "" } else { "ledger(\"unused\")" };
+    let ledger = if rest.contains("ledger(") {
+        ""
+    } else {
+        "ledger(\"unused\")"
+    };
     format!(
         r#"
 {ledger}
@@ -70,20 +74,42 @@
 
 pub fn line(number: u32, kind: usize, cell: u16, state: State, address: SocketAddr) -> Listed {
     let zone = (kind == 0) as usize;
-    let member = Member { cache: CacheId(number), zone, kind, cell, state, weight: 1.0, boot: 0 };
-    Listed { member, name: format!("s-{number:08x}").into(), address }
+    let member = Member {
+        cache: CacheId(number),
+        zone,
+        kind,
+        cell,
+        state,
+        weight: 1.0,
+        boot: 0,
+    };
+    Listed {
+        member,
+        name: format!("s-{number:08x}").into(),
+        address,
+    }
 }
 
 impl Instance {
     /// Caches 1, 2 and so on, each in the cell of its number; all fill from the origin.
-    pub fn start(script: &str, store: Opener, caches: &[SocketAddr], origin: SocketAddr) -> Instance {
+    pub fn start(
+        script: &str,
+        store: Opener,
+        caches: &[SocketAddr],
+        origin: SocketAddr,
+    ) -> Instance {
         let mut instance = Instance::idle(script, store, caches, origin);
         instance.run();
         instance
     }
 
     /// One whose desk decides nothing until [`Instance::run`].
-    pub fn idle(script: &str, store: Opener, caches: &[SocketAddr], origin: SocketAddr) -> Instance {
+    pub fn idle(
+        script: &str,
+        store: Opener,
+        caches: &[SocketAddr],
+        origin: SocketAddr,
+    ) -> Instance {
         Instance::made(script, store, Commit::Group, caches, origin)
     }
 
@@ -107,7 +133,11 @@
         origin: SocketAddr,
     ) -> Instance {
         let decoded = foldmux_settings::parse(SETTINGS).unwrap();
-        let classes = decoded.classes.iter().zip(&decoded.settings.classes).enumerate();
+        let classes = decoded
+            .classes
+            .iter()
+            .zip(&decoded.settings.classes)
+            .enumerate();
         let class = |(place, (name, class)): (usize, (&String, &Class))| life::Class {
             name: name.as_str().into(),
             place: place.into(),
@@ -117,31 +147,58 @@
         };
         let classes: Vec<life::Class> = classes.map(class).collect();
         assert!(matches!(classes[1].repeat, Repeat::Keyed(_)));
-        let setup =
-            foldmux_operator::script::evaluate("t.star", script.to_string()).unwrap().ext_proc.unwrap();
+        let setup = foldmux_operator::script::evaluate("t.star", script.to_string())
+            .unwrap()
+            .ext_proc
+            .unwrap();
         let bound = Bound::on(setup, classes, Some((store, commit))).unwrap();
         let address = bound.address().unwrap();
         let (clock, members) = (Clock::default(), Arc::new(Members::default()));
         let router = Router::new(decoded.settings, 1);
         let (desk, handle) = Desk::new(router, clock.clone(), members.clone());
-        let core =
-            Core::new(handle.clone(), clock, Buffers::new(8), members, Box::new(Never), 50_000, 0, 4_096);
-        let mut listed = vec![line(900, 2, 0, State::Ready, origin), line(901, 1, 0, State::Ready, origin)];
+        let core = Core::new(
+            handle.clone(),
+            clock,
+            Buffers::new(8),
+            members,
+            Box::new(Never),
+            50_000,
+            0,
+            4_096,
+        );
+        let mut listed = vec![
+            line(900, 2, 0, State::Ready, origin),
+            line(901, 1, 0, State::Ready, origin),
+        ];
         for (n, cache) in caches.iter().enumerate() {
             listed.push(line(n as u32 + 1, 0, n as u16 + 1, State::Ready, *cache));
         }
         handle.tell(Notice::Members { full: true, listed });
-        let serving = bound.serve(core.clone(), 4, Arc::new(AtomicBool::new(true))).unwrap();
-        Instance { serving, core, desk: handle, address, waiting: Some(desk) }
+        let serving = bound
+            .serve(core.clone(), 4, Arc::new(AtomicBool::new(true)))
+            .unwrap();
+        Instance {
+            serving,
+            core,
+            desk: handle,
+            address,
+            waiting: Some(desk),
+        }
     }
 
     pub fn run(&mut self) {
         let desk = self.waiting.take().unwrap();
-        thread::Builder::new().stack_size(512 * 1024).spawn(move || desk.run()).unwrap();
+        thread::Builder::new()
+            .stack_size(512 * 1024)
+            .spawn(move || desk.run())
+            .unwrap();
     }
 
     pub fn tell(&self, listed: Listed) {
-        self.desk.tell(Notice::Members { full: false, listed: vec![listed] });
+        self.desk.tell(Notice::Members {
+            full: false,
+            listed: vec![listed],
+        });
     }
 
     /// Waits until nothing is held: no stream, no request, no place, no key that is being placed.
@@ -149,7 +206,10 @@
         until("all is given back", || {
             let front = &self.serving.front;
             let streams = front.open.load(std::sync::atomic::Ordering::SeqCst);
-            streams == 0 && self.core.lent() == 0 && front.parked.is_empty() && front.keeper.sizes()[1] == 0
+            streams == 0
+                && self.core.lent() == 0
+                && front.parked.is_empty()
+                && front.keeper.sizes()[1] == 0
         });
     }
 }
--- a/edge/fronts/extproc/tests/common/talk.rs
+++ b/edge/fronts/extproc/tests/common/talk.rs
@@ -21,13 +21,24 @@
 }
 
 pub fn message(request: Request) -> ProcessingRequest {
-    ProcessingRequest { request: Some(request), ..ProcessingRequest::default() }
+    ProcessingRequest {
+        request: Some(request),
+        ..ProcessingRequest::default()
+    }
 }
 
 pub fn response(status: &str, end_of_stream: bool) -> ProcessingRequest {
-    let headers = vec![HeaderValue { key: ":status".into(), value: status.into(), ..HeaderValue::default() }];
+    let headers = vec![HeaderValue {
+        key: ":status".into(),
+        value: status.into(),
+        ..HeaderValue::default()
+    }];
     let headers = Some(HeaderMap { headers });
-    message(Request::ResponseHeaders(HttpHeaders { headers, end_of_stream, ..HttpHeaders::default() }))
+    message(Request::ResponseHeaders(HttpHeaders {
+        headers,
+        end_of_stream,
+        ..HttpHeaders::default()
+    }))
 }
 
 /// One stream, message by message.
@@ -44,7 +55,11 @@
 
     pub async fn on(client: &mut ExternalProcessorClient<tonic::transport::Channel>) -> Talk {
         let (sender, messages) = mpsc::channel(4);
-        let answers = client.process(ReceiverStream::new(messages)).await.unwrap().into_inner();
+        let answers = client
+            .process(ReceiverStream::new(messages))
+            .await
+            .unwrap()
+            .into_inner();
         Talk { sender, answers }
     }
 
@@ -53,7 +68,9 @@
     }
 
     pub async fn hear(&mut self) -> Result<Option<ProcessingResponse>, Status> {
-        tokio::time::timeout(PATIENCE, self.answers.message()).await.expect("an answer")
+        tokio::time::timeout(PATIENCE, self.answers.message())
+            .await
+            .expect("an answer")
     }
 
     pub async fn ask(&mut self, path: &str) -> Response {
@@ -68,13 +85,27 @@
 }
 
 pub async fn client(instance: &Instance) -> ExternalProcessorClient<tonic::transport::Channel> {
-    ExternalProcessorClient::connect(format!("http://{}", instance.address)).await.unwrap()
+    ExternalProcessorClient::connect(format!("http://{}", instance.address))
+        .await
+        .unwrap()
 }
 
 /// A field of a placement.
 pub fn placed(response: &Response, name: &str) -> Option<String> {
-    let Response::RequestHeaders(headers) = response else { panic!("no placement: {response:?}") };
-    let mutation = headers.response.as_ref().unwrap().header_mutation.as_ref().unwrap();
-    let mut set = mutation.set_headers.iter().filter_map(|f| f.header.as_ref());
-    set.find(|h| h.key == name).map(|h| String::from_utf8(h.raw_value.clone()).unwrap())
+    let Response::RequestHeaders(headers) = response else {
+        panic!("no placement: {response:?}")
+    };
+    let mutation = headers
+        .response
+        .as_ref()
+        .unwrap()
+        .header_mutation
+        .as_ref()
+        .unwrap();
+    let mut set = mutation
+        .set_headers
+        .iter()
+        .filter_map(|f| f.header.as_ref());
+    set.find(|h| h.key == name)
+        .map(|h| String::from_utf8(h.raw_value.clone()).unwrap())
 }
--- a/edge/fronts/extproc/tests/flood.rs
+++ b/edge/fronts/extproc/tests/flood.rs
@@ -14,7 +14,12 @@
     let folder = tempfile::tempdir().unwrap();
     let cache = quick();
     let wide = script(", streams = 2200", "");
-    let instance = Instance::start(&wide, store(folder.path()), &[cache.address(); 2], cache.address());
+    let instance = Instance::start(
+        &wide,
+        store(folder.path()),
+        &[cache.address(); 2],
+        cache.address(),
+    );
     block_on(async {
         let mut idle = Vec::new();
         for _ in 0..20 {
@@ -31,9 +36,14 @@
         }
         slow.say(first).await;
         let mut sent = 0;
-        let flood = message(Request::RequestBody(HttpBody { body: vec![0; 10_000], ..HttpBody::default() }));
+        let flood = message(Request::RequestBody(HttpBody {
+            body: vec![0; 10_000],
+            ..HttpBody::default()
+        }));
         while sent < 10_000
-            && tokio::time::timeout(Duration::from_millis(200), slow.sender.send(flood.clone())).await.is_ok()
+            && tokio::time::timeout(Duration::from_millis(200), slow.sender.send(flood.clone()))
+                .await
+                .is_ok()
         {
             sent += 1;
         }
--- a/edge/fronts/extproc/tests/keyed.rs
+++ b/edge/fronts/extproc/tests/keyed.rs
@@ -29,19 +29,33 @@
 
 fn field(told: &str, name: &str) -> String {
     let start = format!("  {name}: ");
-    told.lines().find_map(|line| line.strip_prefix(&start)).unwrap_or_default().to_string()
+    told.lines()
+        .find_map(|line| line.strip_prefix(&start))
+        .unwrap_or_default()
+        .to_string()
 }
 
 fn token(class_key: &str, attempt: u8, first: u64, expires: u64) -> Token {
-    Token { request: Mark::of("r"), key: Mark::of(class_key), attempt, group: 2, first, expires }
+    Token {
+        request: Mark::of("r"),
+        key: Mark::of(class_key),
+        attempt,
+        group: 2,
+        first,
+        expires,
+    }
 }
 
 #[test]
 fn forged_foreign_expired_replayed_and_other_tokens_are_refused_and_counted() {
     let folder = tempfile::tempdir().unwrap();
     let cache = cache();
-    let instance =
-        Instance::start(&script("", ""), store(folder.path()), &[cache.address(); 2], cache.address());
+    let instance = Instance::start(
+        &script("", ""),
+        store(folder.path()),
+        &[cache.address(); 2],
+        cache.address(),
+    );
     let (now, keys) = (unix_ms(), Keys::new(1, SECRET));
     let sound = keys.sign(&token("record/k", 0, now, now + 20_000));
     let mut spoilt = sound.clone().into_bytes();
@@ -56,19 +70,31 @@
         ("x", "the token can't be read"),
     ] {
         let told = ask(&instance, "k", Some(text));
-        assert!(told.starts_with("answered 400") && told.contains(why), "{told}");
+        assert!(
+            told.starts_with("answered 400") && told.contains(why),
+            "{told}"
+        );
     }
     let told = ask(&instance, "other", Some(&sound));
-    assert!(told.starts_with("answered 400") && told.contains("another key"), "{told}");
+    assert!(
+        told.starts_with("answered 400") && told.contains("another key"),
+        "{told}"
+    );
     // An attempt out there may be running; then one was followed by another, and the former comes again.
     let told = ask(&instance, "k", Some(&sound));
-    assert!(told.starts_with("answered 503") && told.contains("may be running"), "{told}");
+    assert!(
+        told.starts_with("answered 503") && told.contains("may be running"),
+        "{told}"
+    );
     let (past, first) = (now - 29_000, now - 30_000);
     let late = keys.sign(&token("record/k2", 0, first, past));
     let told = ask(&instance, "k2", Some(&late));
     assert!(told.starts_with("placed"), "{told}");
     let told = ask(&instance, "k2", Some(&late));
-    assert!(told.starts_with("answered 504") && told.contains("followed by another; may have run"), "{told}");
+    assert!(
+        told.starts_with("answered 504") && told.contains("followed by another; may have run"),
+        "{told}"
+    );
     let counts = &instance.serving.front.keeper.counts;
     let of = [
         &counts.forged,
@@ -92,14 +118,30 @@
     for n in 0..12 {
         // Cells count from 0, groups from 1: cell 2 is group 3, and the second cache's.
         let key = format!("g{n}");
-        let shown = Token { group: 3, ..token(&format!("record/{key}"), 0, now - 30_000, now - 29_000) };
+        let shown = Token {
+            group: 3,
+            ..token(&format!("record/{key}"), 0, now - 30_000, now - 29_000)
+        };
         let told = ask(&instance, &key, Some(&keys.sign(&shown)));
-        assert_eq!(field(&told, "x-foldmux-cache"), places[1].to_string(), "{told}");
+        assert_eq!(
+            field(&told, "x-foldmux-cache"),
+            places[1].to_string(),
+            "{told}"
+        );
     }
-    let shown = Token { group: 3, ..token("record/w", 0, now - 61_000, now - 50_000) };
+    let shown = Token {
+        group: 3,
+        ..token("record/w", 0, now - 61_000, now - 50_000)
+    };
     let told = ask(&instance, "w", Some(&keys.sign(&shown)));
-    assert!(told.starts_with("answered 504") && told.contains("a repeat would run again"), "{told}");
-    let shown = Token { group: 77, ..token("record/n", 0, now - 30_000, now - 29_000) };
+    assert!(
+        told.starts_with("answered 504") && told.contains("a repeat would run again"),
+        "{told}"
+    );
+    let shown = Token {
+        group: 77,
+        ..token("record/n", 0, now - 30_000, now - 29_000)
+    };
     let told = ask(&instance, "n", Some(&keys.sign(&shown)));
     assert!(
         told.starts_with("answered 50") && told.contains("may have run"),
@@ -114,13 +156,24 @@
     let cache = cache();
     let fails = Arc::new(AtomicBool::new(false));
     let opener = foldmux_store::failing(&folder.path().join("ledger"), fails.clone());
-    let instance = Instance::start(&script("", ""), opener, &[cache.address(); 2], cache.address());
+    let instance = Instance::start(
+        &script("", ""),
+        opener,
+        &[cache.address(); 2],
+        cache.address(),
+    );
     assert!(ask(&instance, "a", None).starts_with("placed"));
     fails.store(true, Ordering::SeqCst);
     for _ in 0..3 {
         let told = ask(&instance, "b", None);
-        assert!(told.starts_with("answered 503") && told.contains("can't be written"), "{told}");
-        assert!(told.contains("nothing ran") && !field(&told, "retry-after").is_empty(), "{told}");
+        assert!(
+            told.starts_with("answered 503") && told.contains("can't be written"),
+            "{told}"
+        );
+        assert!(
+            told.contains("nothing ran") && !field(&told, "retry-after").is_empty(),
+            "{told}"
+        );
         let sheet = check::check(&instance.address.to_string(), "GET", "/cards/x", &[]).unwrap();
         assert!(sheet.starts_with("placed"), "{sheet}");
     }
@@ -138,16 +191,28 @@
 fn a_front_that_comes_back_refuses_what_may_have_run() {
     let folder = tempfile::tempdir().unwrap();
     let cache = cache();
-    let first =
-        Instance::start(&script("", ""), store(folder.path()), &[cache.address(); 2], cache.address());
+    let first = Instance::start(
+        &script("", ""),
+        store(folder.path()),
+        &[cache.address(); 2],
+        cache.address(),
+    );
     assert!(ask(&first, "a", None).starts_with("placed"));
     // As the disk was between the answer and its outcome: whatever the first still writes is not in this one.
     let left = tempfile::tempdir().unwrap();
     copied(folder.path(), left.path());
     drop(first);
-    let again = Instance::start(&script("", ""), store(left.path()), &[cache.address(); 2], cache.address());
+    let again = Instance::start(
+        &script("", ""),
+        store(left.path()),
+        &[cache.address(); 2],
+        cache.address(),
+    );
     let told = ask(&again, "a", None);
-    assert!(told.starts_with("answered 503") && told.contains("may be running until"), "{told}");
+    assert!(
+        told.starts_with("answered 503") && told.contains("may be running until"),
+        "{told}"
+    );
     assert!(ask(&again, "b", None).starts_with("placed"), "others go on");
     again.settled();
 }
@@ -155,7 +220,13 @@
 #[test]
 fn what_was_written_and_never_told_is_refused_as_well_after_a_crash() {
     let folder = tempfile::tempdir().unwrap();
-    let rule = Rule { window: 10_000, attempts: 4, good_for: 200, runs_for: 1_500, remember: 60_000 };
+    let rule = Rule {
+        window: 10_000,
+        attempts: 4,
+        good_for: 200,
+        runs_for: 1_500,
+        remember: 60_000,
+    };
     let keeper = |folder: &Path| {
         let keys: [(u8, &[u8]); 1] = [(1, SECRET)];
         Arc::new(Keeper::start(Some((store(folder), Commit::Group)), 10, &keys, 0, 60_000).unwrap())
@@ -171,7 +242,10 @@
     })
     .unwrap();
     let again = keeper(left.path());
-    assert!(matches!(again.ask(Mark::of("record/a"), rule, None), Err(No::Ledger(Refusal::Running { .. }))));
+    assert!(matches!(
+        again.ask(Mark::of("record/a"), rule, None),
+        Err(No::Ledger(Refusal::Running { .. }))
+    ));
     // The one that lived on knows that it was never told.
     assert!(first.ask(Mark::of("record/a"), rule, None).is_ok());
 }
@@ -183,13 +257,23 @@
     // A disk that is read-only: nothing can be written, so the file can't be opened for it.
     let fails = Arc::new(AtomicBool::new(true));
     let opener = foldmux_store::failing(&folder.path().join("ledger"), fails.clone());
-    let instance = Instance::start(&script("", ""), opener, &[cache.address(); 2], cache.address());
+    let instance = Instance::start(
+        &script("", ""),
+        opener,
+        &[cache.address(); 2],
+        cache.address(),
+    );
     let told = ask(&instance, "a", None);
-    assert!(told.starts_with("answered 503") && told.contains("can't be read yet; nothing ran"), "{told}");
+    assert!(
+        told.starts_with("answered 503") && told.contains("can't be read yet; nothing ran"),
+        "{told}"
+    );
     let sheet = check::check(&instance.address.to_string(), "GET", "/cards/x", &[]).unwrap();
     assert!(sheet.starts_with("placed"), "{sheet}");
     fails.store(false, Ordering::SeqCst);
-    until("the ledger is there", || ask(&instance, "a", None).starts_with("placed"));
+    until("the ledger is there", || {
+        ask(&instance, "a", None).starts_with("placed")
+    });
     instance.settled();
 }
 
@@ -198,13 +282,25 @@
     let folder = tempfile::tempdir().unwrap();
     let cache = cache();
     let small = script("", "ledger(\"unused\", entries = 2)");
-    let instance = Instance::start(&small, store(folder.path()), &[cache.address(); 2], cache.address());
+    let instance = Instance::start(
+        &small,
+        store(folder.path()),
+        &[cache.address(); 2],
+        cache.address(),
+    );
     assert!(
-        ask(&instance, "a", None).starts_with("placed") && ask(&instance, "b", None).starts_with("placed")
+        ask(&instance, "a", None).starts_with("placed")
+            && ask(&instance, "b", None).starts_with("placed")
     );
     let told = ask(&instance, "c", None);
-    assert!(told.starts_with("answered 503") && told.contains("is full; nothing ran"), "{told}");
-    assert!(ask(&instance, "a", None).contains("may be running"), "still known");
+    assert!(
+        told.starts_with("answered 503") && told.contains("is full; nothing ran"),
+        "{told}"
+    );
+    assert!(
+        ask(&instance, "a", None).contains("may be running"),
+        "still known"
+    );
     instance.settled();
 }
 
@@ -212,26 +308,51 @@
 fn written(folder: &Path, key: &[u8], value: &[u8]) {
     let store = foldmux_store::Store::start(store(folder), Commit::Each, |_| Ok(())).unwrap();
     let (told, done) = std::sync::mpsc::channel();
-    store.put(key, value, Box::new(move |result| told.send(result).unwrap()));
+    store.put(
+        key,
+        value,
+        Box::new(move |result| told.send(result).unwrap()),
+    );
     done.recv().unwrap().unwrap();
 }
 
 #[test]
 fn an_entry_that_can_t_be_read_fences_its_key_off_and_a_key_of_no_known_form_refuses_the_start() {
     let folder = tempfile::tempdir().unwrap();
-    written(folder.path(), &Mark::of("record/damaged").0, b"\x09 of a later version");
+    written(
+        folder.path(),
+        &Mark::of("record/damaged").0,
+        b"\x09 of a later version",
+    );
     let cache = cache();
     {
-        let instance =
-            Instance::start(&script("", ""), store(folder.path()), &[cache.address(); 2], cache.address());
+        let instance = Instance::start(
+            &script("", ""),
+            store(folder.path()),
+            &[cache.address(); 2],
+            cache.address(),
+        );
         let told = ask(&instance, "damaged", None);
         assert!(told.starts_with("answered 50"), "{told}");
-        assert!(told.contains("can't be read") && told.contains("may have run"), "{told}");
+        assert!(
+            told.contains("can't be read") && told.contains("may have run"),
+            "{told}"
+        );
         assert!(ask(&instance, "other", None).starts_with("placed"));
         instance.settled();
     }
     written(folder.path(), b"short", b"whatever");
     let secret = [(1, SECRET)];
-    let refused = Keeper::start(Some((store(folder.path()), Commit::Group)), 10, &secret, 0, 60_000).err();
-    assert_eq!(refused.as_deref(), Some("a key of 5 bytes, and 16 are its own"));
+    let refused = Keeper::start(
+        Some((store(folder.path()), Commit::Group)),
+        10,
+        &secret,
+        0,
+        60_000,
+    )
+    .err();
+    assert_eq!(
+        refused.as_deref(),
+        Some("a key of 5 bytes, and 16 are its own")
+    );
 }
--- a/edge/fronts/extproc/tests/rights.rs
+++ b/edge/fronts/extproc/tests/rights.rs
@@ -25,8 +25,8 @@
     let stream = TcpStream::connect(at)?;
     stream.set_read_timeout(Some(PATIENCE))?;
     let name = ServerName::try_from("localhost").unwrap();
-    let connection =
-        rustls::ClientConnection::new(trusted.peer(shown, &[b"h2"]), name).map_err(std::io::Error::other)?;
+    let connection = rustls::ClientConnection::new(trusted.peer(shown, &[b"h2"]), name)
+        .map_err(std::io::Error::other)?;
     let mut stream = rustls::StreamOwned::new(connection, stream);
     stream.write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0")?;
     stream.flush()?;
@@ -48,19 +48,35 @@
         at("key.pem"),
         at("bundle.pem")
     );
-    let instance =
-        Instance::start(&script(&tls, ""), store(folder.path()), &[cache.address()], cache.address());
+    let instance = Instance::start(
+        &script(&tls, ""),
+        store(folder.path()),
+        &[cache.address()],
+        cache.address(),
+    );
     let caller = ["spiffe://colour.example/front"];
     let frame = first_frame(instance.address, &old, &old.svid(&caller)).unwrap();
     assert_eq!(frame[3], 4, "SETTINGS: {frame:?}");
-    for ids in [&["spiffe://colour.example/other"][..], &[], &[caller[0], "spiffe://colour.example/b"]] {
-        assert!(first_frame(instance.address, &old, &old.svid(ids)).is_err(), "{ids:?}");
+    for ids in [
+        &["spiffe://colour.example/other"][..],
+        &[],
+        &[caller[0], "spiffe://colour.example/b"],
+    ] {
+        assert!(
+            first_frame(instance.address, &old, &old.svid(ids)).is_err(),
+            "{ids:?}"
+        );
     }
-    assert!(first_frame(instance.address, &old, &new.svid(&caller)).is_err(), "another authority's");
+    assert!(
+        first_frame(instance.address, &old, &new.svid(&caller)).is_err(),
+        "another authority's"
+    );
     // Plain text is no way in.
     let mut plain = TcpStream::connect(instance.address).unwrap();
     plain.set_read_timeout(Some(PATIENCE)).unwrap();
-    plain.write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n").unwrap();
+    plain
+        .write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")
+        .unwrap();
     let mut answer = Vec::new();
     let _ = plain.read_to_end(&mut answer);
     // At most an alert of TLS, and no frame of HTTP/2.
@@ -74,13 +90,19 @@
 fn health_and_reflection_are_there() {
     let folder = tempfile::tempdir().unwrap();
     let cache = Source::start(|_| Act::give(10, Duration::ZERO));
-    let mut instance =
-        Instance::start(&script("", ""), store(folder.path()), &[cache.address()], cache.address());
+    let mut instance = Instance::start(
+        &script("", ""),
+        store(folder.path()),
+        &[cache.address()],
+        cache.address(),
+    );
     let at = format!("http://{}", instance.address);
     block_on(async {
         let channel = Endpoint::from_shared(at).unwrap().connect().await.unwrap();
         let mut health = HealthClient::new(channel.clone());
-        let ask = || HealthCheckRequest { service: SERVICE.to_string() };
+        let ask = || HealthCheckRequest {
+            service: SERVICE.to_string(),
+        };
         let mut told = health.watch(ask()).await.unwrap().into_inner();
         // SERVING is 1, once the members are known.
         while told.message().await.unwrap().unwrap().status != 1 {}
@@ -89,13 +111,34 @@
             MessageRequest::ListServices(String::new()),
             MessageRequest::FileContainingSymbol(SERVICE.to_string()),
         ];
-        let asks =
-            asks.map(|ask| ServerReflectionRequest { host: String::new(), message_request: Some(ask) });
-        let mut answers = client.server_reflection_info(tokio_stream::iter(asks)).await.unwrap().into_inner();
-        let mut next = async || answers.message().await.unwrap().unwrap().message_response.unwrap();
-        let MessageResponse::ListServicesResponse(services) = next().await else { panic!() };
-        assert!(services.service.iter().any(|s| s.name == SERVICE), "{services:?}");
-        let MessageResponse::FileDescriptorResponse(files) = next().await else { panic!() };
+        let asks = asks.map(|ask| ServerReflectionRequest {
+            host: String::new(),
+            message_request: Some(ask),
+        });
+        let mut answers = client
+            .server_reflection_info(tokio_stream::iter(asks))
+            .await
+            .unwrap()
+            .into_inner();
+        let mut next = async || {
+            answers
+                .message()
+                .await
+                .unwrap()
+                .unwrap()
+                .message_response
+                .unwrap()
+        };
+        let MessageResponse::ListServicesResponse(services) = next().await else {
+            panic!()
+        };
+        assert!(
+            services.service.iter().any(|s| s.name == SERVICE),
+            "{services:?}"
+        );
+        let MessageResponse::FileDescriptorResponse(files) = next().await else {
+            panic!()
+        };
         assert_eq!(files.file_descriptor_proto.len(), 1);
     })
     .unwrap();
--- a/edge/fronts/src/dns/mod.rs
+++ b/edge/fronts/src/dns/mod.rs
@@ -61,11 +61,19 @@
 
 impl Reply {
     fn no(code: ResponseCode, why: Option<(u16, &'static str)>) -> Reply {
-        Reply { code, answers: Vec::new(), additionals: Vec::new(), why }
+        Reply {
+            code,
+            answers: Vec::new(),
+            additionals: Vec::new(),
+            why,
+        }
     }
 
     fn answers(answers: Vec<Record>) -> Reply {
-        Reply { answers, ..Reply::no(ResponseCode::NoError, None) }
+        Reply {
+            answers,
+            ..Reply::no(ResponseCode::NoError, None)
+        }
     }
 }
 
@@ -77,7 +85,9 @@
             return None;
         }
         let mut out = Message::new();
-        out.set_id(header.id()).set_message_type(MessageType::Response).set_op_code(header.op_code());
+        out.set_id(header.id())
+            .set_message_type(MessageType::Response)
+            .set_op_code(header.op_code());
         out.set_recursion_desired(header.recursion_desired());
         let Ok(query) = Message::from_vec(bytes) else {
             out.set_response_code(ResponseCode::FormErr);
@@ -92,9 +102,13 @@
         };
         out.set_response_code(reply.code);
         // Nothing is authoritative for a name that is not ours.
-        out.set_authoritative(matches!(reply.code, ResponseCode::NoError | ResponseCode::NXDomain));
+        out.set_authoritative(matches!(
+            reply.code,
+            ResponseCode::NoError | ResponseCode::NXDomain
+        ));
         let empty = reply.answers.is_empty();
-        out.add_answers(reply.answers).add_additionals(reply.additionals);
+        out.add_answers(reply.answers)
+            .add_additionals(reply.additionals);
         if out.authoritative() && empty {
             out.add_name_server(self.soa());
         }
@@ -122,11 +136,17 @@
         }
         match names::read(query.name(), &self.zone) {
             Asked::Outside => Reply::no(ResponseCode::Refused, outside),
-            Asked::Apex if query.query_type() == RecordType::SOA => Reply::answers(vec![self.soa()]),
+            Asked::Apex if query.query_type() == RecordType::SOA => {
+                Reply::answers(vec![self.soa()])
+            }
             Asked::Apex => Reply::answers(Vec::new()),
             Asked::Unknown => Reply::no(ResponseCode::NXDomain, None),
             Asked::Node(member) => self.node(query, &member),
-            Asked::Part { class, object, part } => {
+            Asked::Part {
+                class,
+                object,
+                part,
+            } => {
                 let Some(class) = self.classes.iter().find(|routed| *routed.name == *class) else {
                     return Reply::no(ResponseCode::NXDomain, None);
                 };
@@ -141,7 +161,12 @@
     }
 
     fn part(&self, query: &Query, class: &Routed, object: u64, part: u32) -> Reply {
-        let wanted = [RecordType::A, RecordType::AAAA, RecordType::SRV, RecordType::TXT];
+        let wanted = [
+            RecordType::A,
+            RecordType::AAAA,
+            RecordType::SRV,
+            RecordType::TXT,
+        ];
         if !wanted.contains(&query.query_type()) {
             return Reply::answers(Vec::new());
         }
@@ -163,8 +188,11 @@
             within: None,
         };
         // A query does not wait for a place: one thread answers all that come over UDP.
-        let limits =
-            self.core.limits.get().map(|l| l.enter_now(*inquiry.class, &inquiry.caller, inquiry.front));
+        let limits = self
+            .core
+            .limits
+            .get()
+            .map(|l| l.enter_now(*inquiry.class, &inquiry.caller, inquiry.front));
         let Ok(limits) = limits.transpose().map(Option::flatten) else {
             let why = "its class has no place";
             return Reply::no(ResponseCode::ServFail, Some((EDE_NOT_READY, why)));
@@ -178,12 +206,19 @@
             let node = names::node(&cache.name, &self.zone);
             match (query.query_type(), cache.address.ip()) {
                 (RecordType::A, IpAddr::V4(ip)) => Reply::answers(vec![record(RData::A(A(ip)))]),
-                (RecordType::AAAA, IpAddr::V6(ip)) => Reply::answers(vec![record(RData::AAAA(AAAA(ip)))]),
+                (RecordType::AAAA, IpAddr::V6(ip)) => {
+                    Reply::answers(vec![record(RData::AAAA(AAAA(ip)))])
+                }
                 (RecordType::SRV, ip) => {
-                    let Some(node) = node else { return Reply::no(ResponseCode::ServFail, None) };
+                    let Some(node) = node else {
+                        return Reply::no(ResponseCode::ServFail, None);
+                    };
                     let srv = SRV::new(0, 0, cache.address.port(), node.clone());
                     let address = Record::from_rdata(node, 0, address(ip));
-                    Reply { additionals: vec![address], ..Reply::answers(vec![record(RData::SRV(srv))]) }
+                    Reply {
+                        additionals: vec![address],
+                        ..Reply::answers(vec![record(RData::SRV(srv))])
+                    }
                 }
                 (RecordType::TXT, _) => {
                     let mut words = vec![format!("cache={}", cache.name)];
@@ -201,8 +236,14 @@
         match placed {
             Placed::At(reply) => reply,
             Placed::Full => Reply::no(ResponseCode::ServFail, Some((EDE_NOT_READY, "overloaded"))),
-            Placed::Refused => Reply::no(ResponseCode::ServFail, Some((EDE_UNREACHABLE, "refused for now"))),
-            Placed::Failed => Reply::no(ResponseCode::ServFail, Some((EDE_OTHER, "no placement in time"))),
+            Placed::Refused => Reply::no(
+                ResponseCode::ServFail,
+                Some((EDE_UNREACHABLE, "refused for now")),
+            ),
+            Placed::Failed => Reply::no(
+                ResponseCode::ServFail,
+                Some((EDE_OTHER, "no placement in time")),
+            ),
         }
     }
 
@@ -210,21 +251,33 @@
     fn node(&self, query: &Query, member: &str) -> Reply {
         let now = self.core.clock.now();
         let listed = self.core.members.named(member);
-        let Some(listed) = listed.filter(|l| l.member.state == State::Ready && !self.core.cold(now, l))
+        let Some(listed) =
+            listed.filter(|l| l.member.state == State::Ready && !self.core.cold(now, l))
         else {
             return Reply::no(ResponseCode::NXDomain, None);
         };
         let data = address(listed.address.ip());
         let fits = data.record_type() == query.query_type();
-        Reply::answers(fits.then(|| Record::from_rdata(query.name().clone(), 0, data)).into_iter().collect())
+        Reply::answers(
+            fits.then(|| Record::from_rdata(query.name().clone(), 0, data))
+                .into_iter()
+                .collect(),
+        )
     }
 
     /// Negatives are not to be kept either: the last figure is their time to live.
     fn soa(&self) -> Record {
         let serial = self.serial.load(Ordering::SeqCst);
         let host = |label: &str| Name::from_ascii(label).and_then(|n| n.append_domain(&self.zone));
-        let (ns, mail) = (host("ns").unwrap_or_default(), host("hostmaster").unwrap_or_default());
-        Record::from_rdata(self.zone.clone(), 0, RData::SOA(SOA::new(ns, mail, serial, 1, 1, 60, 0)))
+        let (ns, mail) = (
+            host("ns").unwrap_or_default(),
+            host("hostmaster").unwrap_or_default(),
+        );
+        Record::from_rdata(
+            self.zone.clone(),
+            0,
+            RData::SOA(SOA::new(ns, mail, serial, 1, 1, 60, 0)),
+        )
     }
 }
 
--- a/edge/fronts/src/dns/notify.rs
+++ b/edge/fronts/src/dns/notify.rs
@@ -36,7 +36,9 @@
     pub fn tell(&self, socket: &UdpSocket) -> Vec<SocketAddr> {
         let serial = self.serial.load(Ordering::SeqCst);
         let mut left = self.resolvers.clone();
-        let Ok(bytes) = self.message(serial).to_vec() else { return left };
+        let Ok(bytes) = self.message(serial).to_vec() else {
+            return left;
+        };
         for _ in 0..TRIES {
             if left.is_empty() || self.bell_rang() {
                 break;
@@ -65,7 +67,10 @@
 
     fn message(&self, serial: u32) -> Message {
         let mut message = Message::new();
-        message.set_id(serial as u16).set_message_type(MessageType::Query).set_op_code(OpCode::Notify);
+        message
+            .set_id(serial as u16)
+            .set_message_type(MessageType::Query)
+            .set_op_code(OpCode::Notify);
         message.set_authoritative(true);
         message.add_query(Query::query(self.zone.clone(), RecordType::SOA));
         message
@@ -82,7 +87,8 @@
         socket.set_read_timeout(Some(left)).ok()?;
         if let Ok((n, from)) = socket.recv_from(&mut bytes) {
             if let Ok(message) = Message::from_vec(&bytes[..n]) {
-                return Some((message, from)).filter(|(m, _)| m.message_type() == MessageType::Response);
+                return Some((message, from))
+                    .filter(|(m, _)| m.message_type() == MessageType::Response);
             }
         }
     }
--- a/edge/fronts/src/dns/server.rs
+++ b/edge/fronts/src/dns/server.rs
@@ -48,13 +48,20 @@
         let zone = zone(&setup.zone)?;
         let no = |at: &SocketAddr, e: io::Error| format!("DNS front: listening on {at}: {e}");
         let listen = |at: &SocketAddr| TcpListener::bind(at).map_err(|e| no(at, e));
-        let udp = setup.udp.map(|at| UdpSocket::bind(at).map_err(|e| no(&at, e))).transpose()?;
+        let udp = setup
+            .udp
+            .map(|at| UdpSocket::bind(at).map_err(|e| no(&at, e)))
+            .transpose()?;
         let tcp = setup.tcp.as_ref().map(listen).transpose()?;
         let tls = match &setup.tls {
             Some(tls) => {
                 let [svid, key, bundle] = [&tls.svid, &tls.key, &tls.bundle].map(PathBuf::from);
-                let identity = Identity::load(Files { svid, key, bundle }, tls.allowed.clone(), b"dot");
-                Some((listen(&tls.listen)?, identity.map_err(|e| format!("DNS front: {e}"))?))
+                let identity =
+                    Identity::load(Files { svid, key, bundle }, tls.allowed.clone(), b"dot");
+                Some((
+                    listen(&tls.listen)?,
+                    identity.map_err(|e| format!("DNS front: {e}"))?,
+                ))
             }
             None => None,
         };
@@ -63,14 +70,25 @@
             _ => SocketAddr::from(([0, 0, 0, 0], 0)),
         };
         let notify = UdpSocket::bind(from).map_err(|e| no(&from, e))?;
-        Ok(Bound { zone, setup, udp, tcp, tls, notify: Some(notify) })
+        Ok(Bound {
+            zone,
+            setup,
+            udp,
+            tcp,
+            tls,
+            notify: Some(notify),
+        })
     }
 
     /// Where it listens: UDP, TCP, TLS.
     pub fn addresses(&self) -> [Option<SocketAddr>; 3] {
         let udp = self.udp.as_ref().and_then(|s| s.local_addr().ok());
         let tcp = self.tcp.as_ref().and_then(|s| s.local_addr().ok());
-        [udp, tcp, self.tls.as_ref().and_then(|s| s.0.local_addr().ok())]
+        [
+            udp,
+            tcp,
+            self.tls.as_ref().and_then(|s| s.0.local_addr().ok()),
+        ]
     }
 
     /// Hooks NOTIFY to the desk: called before it runs.
@@ -83,7 +101,12 @@
             let _ = ring.try_send(());
         });
         let (zone, resolvers) = (self.zone.clone(), self.setup.notify.clone());
-        let notifier = Notifier { zone, resolvers, serial: serial.clone(), bell };
+        let notifier = Notifier {
+            zone,
+            resolvers,
+            serial: serial.clone(),
+            bell,
+        };
         if let Some(socket) = self.notify.take() {
             named("notify", READER_STACK, move || notifier.run(socket))?;
         }
@@ -100,7 +123,14 @@
     ) -> Result<(), String> {
         let us = |ms: u64| ms.saturating_mul(1000) as Time;
         let (lease, patience) = (us(self.setup.lease_ms), us(self.setup.patience_ms));
-        let dns = Arc::new(Front { core, zone: self.zone, classes, lease, patience, serial });
+        let dns = Arc::new(Front {
+            core,
+            zone: self.zone,
+            classes,
+            lease,
+            patience,
+            serial,
+        });
         if let Some(socket) = self.udp {
             let dns = dns.clone();
             named("dns-udp", TLS_STACK, move || serve_udp(&dns, &socket))?;
@@ -109,12 +139,16 @@
         if let Some(listener) = self.tcp {
             let (dns, places) = (dns.clone(), places());
             let serve = move |place: Place| drop(serve_tcp(&dns, &place));
-            named("dns-tcp", READER_STACK, move || accept(&listener, &places, TLS_STACK, Arc::new(serve)))?;
+            named("dns-tcp", READER_STACK, move || {
+                accept(&listener, &places, TLS_STACK, Arc::new(serve))
+            })?;
         }
         if let Some((listener, identity)) = self.tls {
             let places = places();
             let serve = move |place: Place| drop(serve_tls(&dns, &identity, &place));
-            named("dns-tls", READER_STACK, move || accept(&listener, &places, TLS_STACK, Arc::new(serve)))?;
+            named("dns-tls", READER_STACK, move || {
+                accept(&listener, &places, TLS_STACK, Arc::new(serve))
+            })?;
         }
         Ok(())
     }
@@ -164,12 +198,16 @@
         stream.read_exact(&mut length)?;
         let length = u16::from_be_bytes(length) as usize;
         // No query that is served here is as long: what follows is not read.
-        let Some(message) = bytes.get_mut(..length) else { return Ok(()) };
+        let Some(message) = bytes.get_mut(..length) else {
+            return Ok(());
+        };
         stream.read_exact(message)?;
         if !place.begin() {
             return Ok(());
         }
-        let Some(answer) = dns.respond(message, false) else { return Ok(()) };
+        let Some(answer) = dns.respond(message, false) else {
+            return Ok(());
+        };
         let length = u16::try_from(answer.len()).map_err(io::Error::other)?;
         stream.write_all(&[&length.to_be_bytes()[..], &answer].concat())?;
         stream.flush()?;
