--- a/edge/fronts/src/listen.rs
+++ b/edge/fronts/src/listen.rs
@@ -46,7 +46,9 @@
     let body = Arc::new(Mutex::new(Some(body)));
     let spawn = || {
         let body = body.clone();
-        let thread = thread::Builder::new().name(name.to_string()).stack_size(stack);
+        let thread = thread::Builder::new()
+            .name(name.to_string())
+            .stack_size(stack);
         thread.spawn(move || run_once(&body))
     };
     again_while_none_are_left(THREADS_BACK, spawn).map_err(|e| format!("thread {name}: {e}"))
@@ -82,7 +84,11 @@
 /// `LOOK_EVERY`, so that its thread can see that it is to close.
 pub fn shared(address: SocketAddr) -> io::Result<TcpListener> {
     use socket2::{Domain, Protocol, Socket, Type};
-    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+    let socket = Socket::new(
+        Domain::for_address(address),
+        Type::STREAM,
+        Some(Protocol::TCP),
+    )?;
     socket.set_reuse_address(true)?;
     socket.set_reuse_port(true)?;
     socket.bind(&address.into())?;
@@ -162,7 +168,12 @@
 
 /// A look at the listener's queue that is over now.
 fn looked(began: Instant, drained: bool) -> Call {
-    Call { began, failing_since: None, drained, over: Instant::now() }
+    Call {
+        began,
+        failing_since: None,
+        drained,
+        over: Instant::now(),
+    }
 }
 
 /// Connections without a place: our side has ended, and the peer has a while to see that before they are closed.
@@ -179,13 +190,20 @@
     }
 
     fn close_old(&mut self) {
-        while self.0.front().is_some_and(|(since, _)| since.elapsed() >= LINGER) {
+        while self
+            .0
+            .front()
+            .is_some_and(|(since, _)| since.elapsed() >= LINGER)
+        {
             self.close_oldest();
         }
     }
 
     fn close_oldest(&mut self) {
-        self.0.pop_front().iter().for_each(|(_, stream)| drain(stream));
+        self.0
+            .pop_front()
+            .iter()
+            .for_each(|(_, stream)| drain(stream));
     }
 }
 
--- a/edge/fronts/src/listen/spawn_tests.rs
+++ b/edge/fronts/src/listen/spawn_tests.rs
@@ -29,7 +29,10 @@
         tries += 1;
         Err::<(), _>(io::Error::from(io::ErrorKind::PermissionDenied))
     });
-    assert_eq!((refused.unwrap_err().kind(), tries), (io::ErrorKind::PermissionDenied, 1));
+    assert_eq!(
+        (refused.unwrap_err().kind(), tries),
+        (io::ErrorKind::PermissionDenied, 1)
+    );
 }
 
 #[test]
--- a/edge/fronts/src/listen/tests.rs
+++ b/edge/fronts/src/listen/tests.rs
@@ -5,7 +5,10 @@
 #[test]
 fn accept_errors_neither_spin_nor_end_the_program() {
     for code in [23, 24, 105, 12] {
-        assert!(!pause(&io::Error::from_raw_os_error(code)).is_zero(), "error {code}");
+        assert!(
+            !pause(&io::Error::from_raw_os_error(code)).is_zero(),
+            "error {code}"
+        );
     }
     assert!(pause(&io::Error::from(io::ErrorKind::ConnectionAborted)).is_zero());
 }
@@ -17,11 +20,17 @@
     let second = shared(address).expect("a second process may listen beside the first");
     drop(second);
     // Connections queued at the first before it is told to close are all taken, then it returns.
-    let dialled: Vec<_> = (0..8).map(|_| std::net::TcpStream::connect(address).unwrap()).collect();
+    let dialled: Vec<_> = (0..8)
+        .map(|_| std::net::TcpStream::connect(address).unwrap())
+        .collect();
     let places = Places::new(64);
-    let (taken, told) = (Arc::new(std::sync::Mutex::new(0)), Arc::new(AtomicBool::new(true)));
+    let (taken, told) = (
+        Arc::new(std::sync::Mutex::new(0)),
+        Arc::new(AtomicBool::new(true)),
+    );
     let counted = taken.clone();
-    let serve: Arc<dyn Fn(Place) + Send + Sync> = Arc::new(move |_place| *counted.lock().unwrap() += 1);
+    let serve: Arc<dyn Fn(Place) + Send + Sync> =
+        Arc::new(move |_place| *counted.lock().unwrap() += 1);
     accept_until(&first, &places, READER_STACK, serve, &told);
     drop(first);
     let deadline = std::time::Instant::now() + Duration::from_secs(10);
--- a/edge/fronts/src/msgpack/answering.rs
+++ b/edge/fronts/src/msgpack/answering.rs
@@ -17,7 +17,12 @@
 
 impl Answering {
     pub fn new(connection: Arc<Connection>, id: u32, deadline: Instant) -> Answering {
-        Answering { connection, id, deadline, done: false }
+        Answering {
+            connection,
+            id,
+            deadline,
+            done: false,
+        }
     }
 
     fn give(&mut self, answer: Answer) {
@@ -45,7 +50,9 @@
             }
             Answer::Same => self.connection.write(&codec::same(id), patience),
             Answer::Shed { wait } => self.connection.write(&codec::shed(id, wait), patience),
-            Answer::Failed => self.connection.write(&codec::error(id, "Fault", None), patience),
+            Answer::Failed => self
+                .connection
+                .write(&codec::error(id, "Fault", None), patience),
         }
     }
 }
--- a/edge/fronts/src/msgpack/codec.rs
+++ b/edge/fronts/src/msgpack/codec.rs
@@ -108,7 +108,11 @@
         return Err(Fault::Bad("too many parameters"));
     }
     let asked = fields(r)?;
-    let body = if length > 1 { body(r, buffers)? } else { Body::None };
+    let body = if length > 1 {
+        body(r, buffers)?
+    } else {
+        Body::None
+    };
     for _ in 2..length {
         pass_over(r, DEPTH, &mut { PASSED_OVER })?;
     }
@@ -117,7 +121,12 @@
         Body::Read(lease, length) => Some((lease, length)),
         Body::NoRoom => return Ok(Heard::NoRoom(number, method)),
     };
-    Ok(Heard::Call(Call { id: number, method, asked, body }))
+    Ok(Heard::Call(Call {
+        id: number,
+        method,
+        asked,
+        body,
+    }))
 }
 
 fn notification(r: &mut impl Read) -> Part<Heard> {
@@ -131,7 +140,11 @@
         return Ok(Heard::Forget(Vec::new()));
     }
     let ids: Part<Vec<u64>> = (0..length).map(|_| uint(r)).collect();
-    Ok(Heard::Forget(ids?.into_iter().filter_map(|id| u32::try_from(id).ok()).collect()))
+    Ok(Heard::Forget(
+        ids?.into_iter()
+            .filter_map(|id| u32::try_from(id).ok())
+            .collect(),
+    ))
 }
 
 /// The map of a call. Fields of no use here are passed over; those of use are texts.
--- a/edge/fronts/src/msgpack/codec/values.rs
+++ b/edge/fronts/src/msgpack/codec/values.rs
@@ -56,7 +56,9 @@
 pub(super) fn pass_over(r: &mut impl Read, depth: usize, left: &mut usize) -> Part<()> {
     let depth = depth.checked_sub(1).ok_or(Fault::Bad("nested too deep"))?;
     let (bytes, values) = match read_marker(r)? {
-        Marker::FixPos(_) | Marker::FixNeg(_) | Marker::Null | Marker::True | Marker::False => (0, 0),
+        Marker::FixPos(_) | Marker::FixNeg(_) | Marker::Null | Marker::True | Marker::False => {
+            (0, 0)
+        }
         Marker::U8 | Marker::I8 => (1, 0),
         Marker::U16 | Marker::I16 => (2, 0),
         Marker::U32 | Marker::I32 | Marker::F32 => (4, 0),
@@ -73,7 +75,9 @@
         Marker::Map32 => (0, 2 * r.read_data_u32()? as usize),
         _ => return Err(Fault::Bad("a type that is not spoken here")),
     };
-    *left = left.checked_sub(bytes + values + 1).ok_or(Fault::Bad("too long"))?;
+    *left = left
+        .checked_sub(bytes + values + 1)
+        .ok_or(Fault::Bad("too long"))?;
     skip(r, bytes)?;
     (0..values).try_for_each(|_| pass_over(r, depth, left))
 }
--- a/edge/fronts/src/msgpack/codec/write.rs
+++ b/edge/fronts/src/msgpack/codec/write.rs
@@ -31,7 +31,9 @@
     map(&mut behind, &[]);
     let start = body.start.checked_sub(before.len())?;
     buffer[start..body.start].copy_from_slice(&before);
-    buffer.get_mut(body.end..body.end + behind.len())?.copy_from_slice(&behind);
+    buffer
+        .get_mut(body.end..body.end + behind.len())?
+        .copy_from_slice(&behind);
     Some(start..body.end + behind.len())
 }
 
--- a/edge/fronts/src/msgpack/connection.rs
+++ b/edge/fronts/src/msgpack/connection.rs
@@ -85,12 +85,18 @@
 
     /// Why a message could not be written whole, told once.
     pub fn take_write_failure(&self) -> Option<EndReason> {
-        self.write_failure.lock().unwrap_or_else(PoisonError::into_inner).take()
+        self.write_failure
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .take()
     }
 
     /// A message could not be written whole: the connection ends.
     fn fail(&self, reason: EndReason) {
-        self.write_failure.lock().unwrap_or_else(PoisonError::into_inner).get_or_insert(reason);
+        self.write_failure
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .get_or_insert(reason);
         self.cut();
     }
 
@@ -103,7 +109,9 @@
     /// connection ends, and this returns once the client has closed too or has had the time to.
     pub fn end_when_answered(&self) {
         self.place.end_when_idle();
-        discard(self.stream(), || self.place.ended_for().map_or(Discard::Owed, Discard::Ended));
+        discard(self.stream(), || {
+            self.place.ended_for().map_or(Discard::Owed, Discard::Ended)
+        });
     }
 
     /// Ends the connection both ways, at once.
@@ -115,7 +123,9 @@
     /// Writes one whole message. A client that does not take it in time loses its connection: the rest of a cut
     /// message would be read as something else. One whose turn does not come in time is left out.
     pub fn write(&self, message: &[u8], patience: Patience) {
-        let Some(_turn) = self.turn(patience) else { return };
+        let Some(_turn) = self.turn(patience) else {
+            return;
+        };
         let until = match patience {
             Patience::Until(until) => until,
             Patience::Behind(time) => Instant::now() + time,
@@ -128,7 +138,9 @@
                 // an answer that comes too late.
                 Err(Stop::Failing(_)) if left.len() == message.len() => return,
                 Err(Stop::TimedOut) => self.fail(EndReason::NotTaken),
-                Err(Stop::Over(error) | Stop::Failing(error)) => self.fail(EndReason::WriteFailed(error)),
+                Err(Stop::Over(error) | Stop::Failing(error)) => {
+                    self.fail(EndReason::WriteFailed(error))
+                }
             }
         }
     }
@@ -139,10 +151,16 @@
         let mut writing = self.writing.lock().unwrap_or_else(PoisonError::into_inner);
         while *writing {
             writing = match patience {
-                Patience::Behind(_) => self.written.wait(writing).unwrap_or_else(PoisonError::into_inner),
+                Patience::Behind(_) => self
+                    .written
+                    .wait(writing)
+                    .unwrap_or_else(PoisonError::into_inner),
                 Patience::Until(until) => {
                     let left = until.checked_duration_since(Instant::now())?;
-                    self.written.wait_timeout(writing, left).unwrap_or_else(PoisonError::into_inner).0
+                    self.written
+                        .wait_timeout(writing, left)
+                        .unwrap_or_else(PoisonError::into_inner)
+                        .0
                 }
             };
         }
@@ -156,7 +174,11 @@
 
 impl Drop for Turn<'_> {
     fn drop(&mut self) {
-        *self.0.writing.lock().unwrap_or_else(PoisonError::into_inner) = false;
+        *self
+            .0
+            .writing
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = false;
         self.0.written.notify_one();
     }
 }
--- a/edge/fronts/src/msgpack/end.rs
+++ b/edge/fronts/src/msgpack/end.rs
@@ -52,7 +52,10 @@
     reason: &EndReason,
     given_up: &[u64],
 ) {
-    let client = client.map_or_else(|| "a client that has gone".to_string(), |address| address.to_string());
+    let client = client.map_or_else(
+        || "a client that has gone".to_string(),
+        |address| address.to_string(),
+    );
     if given_up.is_empty() {
         tracing::debug!("connection {number} of {client}: {reason}");
         return;
@@ -60,7 +63,11 @@
     if !lines.admits(Instant::now()) {
         return;
     }
-    let named: Vec<String> = given_up.iter().take(NAMED).map(|id| format!("{id:016x}")).collect();
+    let named: Vec<String> = given_up
+        .iter()
+        .take(NAMED)
+        .map(|id| format!("{id:016x}"))
+        .collect();
     let more = given_up.len().saturating_sub(NAMED);
     let named = named.join(", ");
     tracing::info!("connection {number} of {client}: {reason}; given up: {named} and {more} more");
--- a/edge/fronts/src/msgpack/mod.rs
+++ b/edge/fronts/src/msgpack/mod.rs
@@ -76,7 +76,10 @@
 impl Front {
     /// The classes that clients may name now.
     pub fn classes(&self) -> Arc<Vec<Taken>> {
-        self.classes.read().unwrap_or_else(PoisonError::into_inner).clone()
+        self.classes
+            .read()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// Serves one connection until it ends; called on a thread of its own.
@@ -133,7 +136,9 @@
                 Err(Unread::Garbled(id, why)) => {
                     // What follows can't be told apart any more. What was asked before is answered still.
                     let answered = id.filter(|_| calls_taken);
-                    answered.iter().for_each(|id| self.unusable(connection, *id, why));
+                    answered
+                        .iter()
+                        .for_each(|id| self.unusable(connection, *id, why));
                     return Stopped::Unreadable(EndReason::Unreadable(why));
                 }
                 Err(Unread::Over) if reader.get_ref().is_late() => {
@@ -153,7 +158,10 @@
 
     fn unusable(&self, connection: &Connection, id: u32, why: &'static str) {
         self.core.tally.end(None, End::Unusable);
-        connection.write(&codec::error(id, "Fault", Some(("why", why))), Patience::Behind(OWN_WORDS));
+        connection.write(
+            &codec::error(id, "Fault", Some(("why", why))),
+            Patience::Behind(OWN_WORDS),
+        );
     }
 
     /// A number that does not count up. Guards against two answers under one number, and against a client that
@@ -161,7 +169,11 @@
     fn misnumbered(&self, connection: &Connection, number: u32) {
         if let Some(slot) = connection.close(number) {
             self.core.leave(&slot);
-            let error = codec::error(number, "Fault", Some(("why", "two requests under one number")));
+            let error = codec::error(
+                number,
+                "Fault",
+                Some(("why", "two requests under one number")),
+            );
             connection.write(&error, Patience::Behind(OWN_WORDS));
             connection.place.done();
         }
@@ -191,8 +203,18 @@
         };
         let slot = self.core.slot();
         // Guards against one client's flood taking all places for requests: the last are for those under their share.
-        let most = self.core.share(connection.place.among()).map_or(OPEN, |share| share.min(OPEN));
-        if !connection.open(id, OpenCall { slot: slot.clone(), request: asked.via }, most) {
+        let most = self
+            .core
+            .share(connection.place.among())
+            .map_or(OPEN, |share| share.min(OPEN));
+        if !connection.open(
+            id,
+            OpenCall {
+                slot: slot.clone(),
+                request: asked.via,
+            },
+            most,
+        ) {
             return self.shed(connection, id, Some(taken), Reason::ConnectionFull);
         }
         let inquiry = Inquiry {
@@ -219,7 +241,9 @@
     /// How long the client waits for this; none where the process must go too soon to begin it.
     fn budget(&self, taken: &Taken, asked: &Asked, arrived: Instant) -> Option<Time> {
         let budget = ((asked.wait_ms * 1000.0) as Time).min(taken.longest);
-        let Some(by) = self.leave_by.get() else { return Some(budget) };
+        let Some(by) = self.leave_by.get() else {
+            return Some(budget);
+        };
         // Leaving: what can't end before the process must go is given up at once, for another to take.
         let left = by.saturating_duration_since(arrived).as_micros() as Time;
         (left >= LEAST_LEFT).then(|| budget.min(left))
@@ -227,8 +251,13 @@
 
     /// Refuses a call that there is no room or no time for, before the core hears of it.
     fn shed(&self, connection: &Connection, id: u32, taken: Option<&Taken>, reason: Reason) {
-        self.core.tally.end(taken.map(|taken| &taken.name), End::Shed(reason));
-        connection.write(&codec::shed(id, self.core.refusal_wait()), Patience::Behind(OWN_WORDS));
+        self.core
+            .tally
+            .end(taken.map(|taken| &taken.name), End::Shed(reason));
+        connection.write(
+            &codec::shed(id, self.core.refusal_wait()),
+            Patience::Behind(OWN_WORDS),
+        );
     }
 }
 
--- a/edge/fronts/src/msgpack/patient.rs
+++ b/edge/fronts/src/msgpack/patient.rs
@@ -38,7 +38,15 @@
     pub fn new(connection: Arc<Connection>) -> Patient {
         let watch = Watch::new(connection.place.opened);
         let until = Instant::now();
-        Patient { connection, begun: false, patience: HALF, until, late: false, failure: None, watch }
+        Patient {
+            connection,
+            begun: false,
+            patience: HALF,
+            until,
+            late: false,
+            failure: None,
+            watch,
+        }
     }
 
     /// A message is waited for. `begun`: some of it has been read already. `asked`: it is not the first.
@@ -83,7 +91,8 @@
         let stream = self.connection.stream();
         if !self.begun {
             // What comes after the end was decided is not sent on.
-            if !stream::wait_for_bytes(stream, self.until, &mut self.watch)? || !self.connection.place.begin()
+            if !stream::wait_for_bytes(stream, self.until, &mut self.watch)?
+                || !self.connection.place.begin()
             {
                 return Ok(0);
             }
--- a/edge/fronts/src/places.rs
+++ b/edge/fronts/src/places.rs
@@ -48,7 +48,11 @@
 
 impl Places {
     pub fn new(most: usize) -> Arc<Places> {
-        Arc::new(Places { most, state: Mutex::default(), freed: Condvar::new() })
+        Arc::new(Places {
+            most,
+            state: Mutex::default(),
+            freed: Condvar::new(),
+        })
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -64,14 +68,23 @@
                 return Err(stream);
             }
         }
-        let staying = state.taken.values().filter(|taken| taken.ended.is_none()).count();
+        let staying = state
+            .taken
+            .values()
+            .filter(|taken| taken.ended.is_none())
+            .count();
         if staying + self.most / SPARE >= self.most {
             state.end_one();
         }
         let (number, stream) = (state.next, Arc::new(stream));
         state.taken.insert(number, Taken::new(stream.clone()));
         state.next += 1;
-        Ok(Place { places: self.clone(), number, stream, opened: Instant::now() })
+        Ok(Place {
+            places: self.clone(),
+            number,
+            stream,
+            opened: Instant::now(),
+        })
     }
 
     /// All places are taken: waits for one that lingers, or that is told to make way now, to be gone.
@@ -91,9 +104,16 @@
         state
     }
 
-    fn wait_for_room<'a>(&self, state: MutexGuard<'a, State>, time: Duration) -> MutexGuard<'a, State> {
+    fn wait_for_room<'a>(
+        &self,
+        state: MutexGuard<'a, State>,
+        time: Duration,
+    ) -> MutexGuard<'a, State> {
         let full = |state: &mut State| state.taken.len() >= self.most;
-        self.freed.wait_timeout_while(state, time, full).unwrap_or_else(PoisonError::into_inner).0
+        self.freed
+            .wait_timeout_while(state, time, full)
+            .unwrap_or_else(PoisonError::into_inner)
+            .0
     }
 
     /// The process leaves: connections with nothing open end now, the others with their last answer. A client
@@ -110,7 +130,10 @@
     fn enter(&self, phase: Phase) {
         let mut state = self.state();
         state.phase = phase;
-        state.taken.values_mut().for_each(|taken| taken.end_if_due(phase));
+        state
+            .taken
+            .values_mut()
+            .for_each(|taken| taken.end_if_due(phase));
     }
 
     /// Cuts those that have lingered for long enough, and ends those that were new when the process began to close.
@@ -135,7 +158,11 @@
     /// Ends one that is idle, for a newcomer; false where there is none.
     fn end_one(&mut self) -> bool {
         let now = Instant::now();
-        let mut idle: Vec<_> = self.taken.values_mut().filter(|taken| taken.is_idle()).collect();
+        let mut idle: Vec<_> = self
+            .taken
+            .values_mut()
+            .filter(|taken| taken.is_idle())
+            .collect();
         idle.sort_by_key(|taken| {
             let new = !taken.asked && now.saturating_duration_since(taken.idle) < NEW;
             (new, taken.asked, taken.idle)
@@ -145,11 +172,16 @@
 
     /// Those that have ended and are not cut yet.
     fn lingering(&mut self) -> impl Iterator<Item = &mut Taken> {
-        self.taken.values_mut().filter(|taken| taken.ended.is_some() && !taken.cut)
+        self.taken
+            .values_mut()
+            .filter(|taken| taken.ended.is_some() && !taken.cut)
     }
 
     fn longest_lingering(&mut self) -> Option<Duration> {
-        self.lingering().filter_map(|taken| taken.ended).map(|at| at.elapsed()).max()
+        self.lingering()
+            .filter_map(|taken| taken.ended)
+            .map(|at| at.elapsed())
+            .max()
     }
 
     /// Cuts the one that has lingered for longest.
@@ -164,7 +196,10 @@
     fn with<T>(&self, change: impl FnOnce(&mut Taken, Phase) -> T) -> Option<T> {
         let mut state = self.places.state();
         let phase = state.phase;
-        state.taken.get_mut(&self.number).map(|taken| change(taken, phase))
+        state
+            .taken
+            .get_mut(&self.number)
+            .map(|taken| change(taken, phase))
     }
 
     /// A message has begun; false if the connection has ended, and what is read now comes too late.
@@ -201,17 +236,25 @@
 
     /// For how long nothing has been open; none while something is.
     pub fn idle_for(&self) -> Option<Duration> {
-        self.with(|taken, _| (taken.open == 0).then(|| taken.idle.elapsed())).flatten()
+        self.with(|taken, _| (taken.open == 0).then(|| taken.idle.elapsed()))
+            .flatten()
     }
 
     /// How long ago our side ended; none where it has not.
     pub fn ended_for(&self) -> Option<Duration> {
-        self.with(|taken, _| taken.ended.map(|at| at.elapsed())).flatten()
+        self.with(|taken, _| taken.ended.map(|at| at.elapsed()))
+            .flatten()
     }
 
     /// How many connections have something open, this one among them.
     pub fn among(&self) -> usize {
-        self.places.state().taken.values().filter(|taken| taken.open > 0).count().max(1)
+        self.places
+            .state()
+            .taken
+            .values()
+            .filter(|taken| taken.open > 0)
+            .count()
+            .max(1)
     }
 }
 
--- a/edge/fronts/src/places/taken.rs
+++ b/edge/fronts/src/places/taken.rs
@@ -38,7 +38,15 @@
 impl Taken {
     pub(super) fn new(stream: Arc<TcpStream>) -> Taken {
         let idle = Instant::now();
-        Taken { stream, open: 0, idle, asked: false, last: false, ended: None, cut: false }
+        Taken {
+            stream,
+            open: 0,
+            idle,
+            asked: false,
+            last: false,
+            ended: None,
+            cut: false,
+        }
     }
 
     pub(super) fn is_idle(&self) -> bool {
--- a/edge/fronts/src/places/tests.rs
+++ b/edge/fronts/src/places/tests.rs
@@ -13,11 +13,15 @@
         fars.push(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
         listener.accept().unwrap().0
     };
-    let (asked, silent) = (places.take(connect()).unwrap(), places.take(connect()).unwrap());
+    let (asked, silent) = (
+        places.take(connect()).unwrap(),
+        places.take(connect()).unwrap(),
+    );
     assert!(asked.begin());
     asked.done();
     // The silent one makes way once it is no newcomer, before the one that asked first.
-    places.state().taken.get_mut(&silent.number).unwrap().idle = Instant::now().checked_sub(2 * NEW).unwrap();
+    places.state().taken.get_mut(&silent.number).unwrap().idle =
+        Instant::now().checked_sub(2 * NEW).unwrap();
     let gone = std::thread::spawn(move || {
         let ended = (&*silent.stream).read(&mut [0]).unwrap_or(0);
         drop(silent);
@@ -29,7 +33,10 @@
     assert!(asked.begin() && third.begin());
     assert!(places.take(connect()).is_err(), "both are busy");
     asked.done();
-    assert!(places.take(connect()).is_err(), "it was told to make way, and has not gone");
+    assert!(
+        places.take(connect()).is_err(),
+        "it was told to make way, and has not gone"
+    );
     assert!(!asked.begin(), "what is read now comes too late");
     drop(asked);
     assert!(places.take(connect()).is_ok());
@@ -61,7 +68,10 @@
     places.leave();
     assert_eq!(idle_far.read(&mut [0]).unwrap(), 0);
     let ended = |place: &Place| place.ended_for().is_some();
-    assert_eq!([&idle, &open, &arrived, &silent].map(ended), [true, false, false, false]);
+    assert_eq!(
+        [&idle, &open, &arrived, &silent].map(ended),
+        [true, false, false, false]
+    );
     // The message has begun before its bytes are read: no end falls between.
     assert!(arrived.begin());
     (&*arrived.stream).read_exact(&mut [0]).unwrap();
@@ -75,11 +85,16 @@
     assert!(ended(&open));
     // One that never asked ends with the serving time, once it is no newcomer.
     places.close();
-    places.state().taken.get_mut(&silent.number).unwrap().idle = Instant::now().checked_sub(2 * NEW).unwrap();
+    places.state().taken.get_mut(&silent.number).unwrap().idle =
+        Instant::now().checked_sub(2 * NEW).unwrap();
     places.sweep();
     assert!(ended(&silent));
     // Those that linger are cut after a while.
-    places.state().taken.values_mut().for_each(|taken| taken.ended = Instant::now().checked_sub(LINGER));
+    places
+        .state()
+        .taken
+        .values_mut()
+        .for_each(|taken| taken.ended = Instant::now().checked_sub(LINGER));
     places.sweep();
     assert!(places.state().taken.values().all(|taken| taken.cut));
 }
--- a/edge/fronts/tests/accepting.rs
+++ b/edge/fronts/tests/accepting.rs
@@ -25,7 +25,10 @@
         let closing = Arc::new(AtomicBool::new(false));
         let (places, told) = (places.clone(), closing.clone());
         let accept = move || accept_until(&listener, &places, READER_STACK, serve, &told);
-        Acceptor { thread: std::thread::spawn(accept), closing }
+        Acceptor {
+            thread: std::thread::spawn(accept),
+            closing,
+        }
     }
 
     fn end(self) {
@@ -50,7 +53,8 @@
 fn small_answers_are_held_back_on_no_connection() {
     let (listener, address) = listener();
     let (told, heard) = channel();
-    let serve: Serve = Arc::new(move |place: Place| told.send(place.stream.nodelay().unwrap()).unwrap());
+    let serve: Serve =
+        Arc::new(move |place: Place| told.send(place.stream.nodelay().unwrap()).unwrap());
     let acceptor = Acceptor::start(listener, &Places::new(8), serve);
     for _ in 0..3 {
         let _client = dial(address);
--- a/edge/operations/src/call.rs
+++ b/edge/operations/src/call.rs
@@ -29,7 +29,10 @@
             Fault::TooLong => write!(f, "call longer than {LONGEST} bytes"),
             Fault::NotText => write!(f, "call is not text"),
             Fault::Unknown(word) => {
-                write!(f, "no call {word:?}; calls: status, stats, maint-on ID, maint-off ID")
+                write!(
+                    f,
+                    "no call {word:?}; calls: status, stats, maint-on ID, maint-off ID"
+                )
             }
             Fault::NoId(call) => write!(f, "{call} wants the id of a pop cache"),
             Fault::TooManyWords(call) => write!(f, "{call} takes no more than its words"),
@@ -44,7 +47,9 @@
     }
     let text = std::str::from_utf8(line).map_err(|_| Fault::NotText)?;
     let mut words = text.split_ascii_whitespace();
-    let Some(first) = words.next() else { return Err(Fault::Empty) };
+    let Some(first) = words.next() else {
+        return Err(Fault::Empty);
+    };
     let (second, third) = (words.next(), words.next());
     let bare = |call: Call, name: &'static str| match second {
         None => Ok(call),
@@ -111,8 +116,14 @@
     fn each_call_by_its_words() {
         assert_eq!(parse(b"status"), Ok(Call::Status));
         assert_eq!(parse(b"  stats "), Ok(Call::Stats));
-        assert_eq!(parse(b"maint-on s-0a1b2c3d"), Ok(Call::MaintOn("s-0a1b2c3d".into())));
-        assert_eq!(parse(b"maint-off s-0a1b2c3d"), Ok(Call::MaintOff("s-0a1b2c3d".into())));
+        assert_eq!(
+            parse(b"maint-on s-0a1b2c3d"),
+            Ok(Call::MaintOn("s-0a1b2c3d".into()))
+        );
+        assert_eq!(
+            parse(b"maint-off s-0a1b2c3d"),
+            Ok(Call::MaintOff("s-0a1b2c3d".into()))
+        );
     }
 
     #[test]
@@ -131,7 +142,10 @@
         let mut lines = Lines::default();
         let mut sent = vec![b'x'; 100_000];
         sent.extend_from_slice(b"\nstatus\r\nsta");
-        assert_eq!(lines.feed(&sent), vec![Err(Fault::TooLong), Ok(Call::Status)]);
+        assert_eq!(
+            lines.feed(&sent),
+            vec![Err(Fault::TooLong), Ok(Call::Status)]
+        );
         assert!(lines.partial());
         assert_eq!(lines.feed(b"ts\n"), vec![Ok(Call::Stats)]);
         assert!(!lines.partial());
--- a/edge/operations/src/maintenance.rs
+++ b/edge/operations/src/maintenance.rs
@@ -65,9 +65,13 @@
     /// From the form on disk. A file cut off in its last line loses that line alone; blank lines are passed
     /// over; what is beyond `MOST` is left out.
     pub fn parse(text: &str) -> Maintenance {
-        let ids =
-            text.lines().map(str::trim).filter(|id| !id.is_empty() && !id.contains(char::is_whitespace));
-        Maintenance { out: ids.take(MOST).map(str::to_string).collect() }
+        let ids = text
+            .lines()
+            .map(str::trim)
+            .filter(|id| !id.is_empty() && !id.contains(char::is_whitespace));
+        Maintenance {
+            out: ids.take(MOST).map(str::to_string).collect(),
+        }
     }
 }
 
--- a/edge/operations/src/retune.rs
+++ b/edge/operations/src/retune.rs
@@ -39,7 +39,10 @@
             Refused::Twice(name) => write!(f, "settings: class {name:?} is named twice"),
             Refused::Nameless => write!(f, "settings: a class has no name"),
             Refused::TooMany => {
-                write!(f, "settings: more than {MOST} classes in service or with open requests")
+                write!(
+                    f,
+                    "settings: more than {MOST} classes in service or with open requests"
+                )
             }
         }
     }
@@ -47,7 +50,10 @@
 
 impl<C: Clone + PartialEq> Classes<C> {
     pub fn new(first: Vec<(String, C)>) -> Result<Classes<C>, Refused> {
-        let mut classes = Classes { all: Vec::new(), named: Vec::new() };
+        let mut classes = Classes {
+            all: Vec::new(),
+            named: Vec::new(),
+        };
         classes.take(first)?;
         Ok(classes)
     }
@@ -66,7 +72,9 @@
             }
         }
         let same = |(name, class): &(String, C)| {
-            self.all.iter().position(|held| held.name == *name && held.class == *class)
+            self.all
+                .iter()
+                .position(|held| held.name == *name && held.class == *class)
         };
         let kept: Vec<Option<usize>> = new.iter().map(same).collect();
         let free = |at: &usize| {
@@ -78,7 +86,11 @@
         let places: Vec<usize> = places.collect::<Option<_>>().ok_or(Refused::TooMany)?;
         for ((name, class), &at) in new.into_iter().zip(&places) {
             if at == self.all.len() {
-                self.all.push(Held { name, class, place: Arc::new(at) });
+                self.all.push(Held {
+                    name,
+                    class,
+                    place: Arc::new(at),
+                });
             } else {
                 (self.all[at].name, self.all[at].class) = (name, class);
             }
@@ -94,7 +106,10 @@
 
     /// The classes in service: name, place, rules. A clone of the place holds it.
     pub fn named(&self) -> impl Iterator<Item = (&str, &Arc<usize>, &C)> {
-        self.named.iter().map(|at| &self.all[*at]).map(|held| (&*held.name, &held.place, &held.class))
+        self.named
+            .iter()
+            .map(|at| &self.all[*at])
+            .map(|held| (&*held.name, &held.place, &held.class))
     }
 }
 
@@ -104,11 +119,17 @@
     use proptest::prelude::*;
 
     fn file(classes: &[(&str, u32)]) -> Vec<(String, u32)> {
-        classes.iter().map(|(name, rule)| (name.to_string(), *rule)).collect()
+        classes
+            .iter()
+            .map(|(name, rule)| (name.to_string(), *rule))
+            .collect()
     }
 
     fn place(classes: &Classes<u32>, name: &str) -> Option<Arc<usize>> {
-        classes.named().find(|named| named.0 == name).map(|named| named.1.clone())
+        classes
+            .named()
+            .find(|named| named.0 == name)
+            .map(|named| named.1.clone())
     }
 
     #[test]
@@ -116,9 +137,21 @@
         let mut classes = Classes::new(file(&[("a", 1), ("b", 2)])).unwrap();
         let (a, b) = (place(&classes, "a").unwrap(), place(&classes, "b").unwrap());
         classes.take(file(&[("a", 1), ("b", 3), ("c", 4)])).unwrap();
-        assert_eq!(place(&classes, "a"), Some(a.clone()), "the same rules, the same place");
-        assert_ne!(place(&classes, "b"), Some(b.clone()), "other rules, another place");
-        assert_eq!(classes.all().nth(*b), Some(&2), "open requests of b keep theirs");
+        assert_eq!(
+            place(&classes, "a"),
+            Some(a.clone()),
+            "the same rules, the same place"
+        );
+        assert_ne!(
+            place(&classes, "b"),
+            Some(b.clone()),
+            "other rules, another place"
+        );
+        assert_eq!(
+            classes.all().nth(*b),
+            Some(&2),
+            "open requests of b keep theirs"
+        );
         classes.take(file(&[("b", 3), ("c", 4)])).unwrap();
         assert_eq!(place(&classes, "a"), None);
         assert_eq!(classes.all().nth(*a), Some(&1));
@@ -129,10 +162,19 @@
         let mut classes = Classes::new(file(&[("a", 0), ("b", 0), ("c", 0)])).unwrap();
         let held = place(&classes, "a").unwrap();
         for n in 1..1_000 {
-            classes.take(file(&[("a", n), ("b", n), ("c", n)])).expect("a place is free");
+            classes
+                .take(file(&[("a", n), ("b", n), ("c", n)]))
+                .expect("a place is free");
         }
-        assert_eq!(classes.all().nth(*held), Some(&0), "an open request keeps its class");
-        assert!(classes.all().count() <= 7, "three in service, three that were, one held");
+        assert_eq!(
+            classes.all().nth(*held),
+            Some(&0),
+            "an open request keeps its class"
+        );
+        assert!(
+            classes.all().count() <= 7,
+            "three in service, three that were, one held"
+        );
     }
 
     #[test]
@@ -157,7 +199,10 @@
         let mut classes = Classes::new(file(&[("a", 1)])).unwrap();
         let before = classes.clone();
         assert_eq!(classes.take(vec![]), Err(Refused::NoClass));
-        assert_eq!(classes.take(file(&[("a", 1), ("a", 2)])), Err(Refused::Twice("a".into())));
+        assert_eq!(
+            classes.take(file(&[("a", 1), ("a", 2)])),
+            Err(Refused::Twice("a".into()))
+        );
         assert_eq!(classes.take(file(&[("", 1)])), Err(Refused::Nameless));
         assert_eq!(classes, before);
     }
--- a/edge/operations/src/stats.rs
+++ b/edge/operations/src/stats.rs
@@ -42,7 +42,10 @@
         ] {
             out.push_str(&format!("proxy.{name}:{value}|g\n"));
         }
-        for (name, count) in [("conf_loaded", self.conf_loaded), ("conf_invalid", self.conf_invalid)] {
+        for (name, count) in [
+            ("conf_loaded", self.conf_loaded),
+            ("conf_invalid", self.conf_invalid),
+        ] {
             out.push_str(&format!("proxy.{name}:{count}|c\n"));
         }
         out.push_str("end\n");
--- a/edge/proxy/src/advice.rs
+++ b/edge/proxy/src/advice.rs
@@ -9,7 +9,12 @@
 
 /// Advised with a refusal of the core's own (us), as far as the settings let clients be told a wait.
 pub fn refusal_wait(settings: &Settings) -> Time {
-    let shortest = settings.classes.iter().map(|class| class.deadline).min().unwrap_or(0);
+    let shortest = settings
+        .classes
+        .iter()
+        .map(|class| class.deadline)
+        .min()
+        .unwrap_or(0);
     let wait = LONGEST.min(shortest / PART);
     settings.retry_after.map_or(0, |most| wait.min(most))
 }
--- a/edge/proxy/src/config.rs
+++ b/edge/proxy/src/config.rs
@@ -53,7 +53,8 @@
         // Whoever fills the places of clients and caches leaves discovery and the operator line theirs.
         let rest = sockets.saturating_sub(clients + operator + KEPT_BACK);
         // Buffers may take 7/10 of the memory; each request needs one, and writes one more.
-        let buffers = (limits.memory_mb * 1024 * 1024 * 7 / 10 / foldmux_core::buffers::SIZE).max(8);
+        let buffers =
+            (limits.memory_mb * 1024 * 1024 * 7 / 10 / foldmux_core::buffers::SIZE).max(8);
         Bounds {
             clients,
             open: (sockets / 2).min(buffers * 15 / 16).max(1),
@@ -103,7 +104,8 @@
 
 /// The configuration in a file, with what the environment overrides.
 pub fn read(file: &Path) -> Result<Config, Unusable> {
-    let bytes = std::fs::read(file).map_err(|e| Unusable::one(format!("{}: {e}", file.display())))?;
+    let bytes =
+        std::fs::read(file).map_err(|e| Unusable::one(format!("{}: {e}", file.display())))?;
     let mut config = parse(bytes)?;
     if let Ok(listen) = std::env::var("GW_LISTEN") {
         config.listen = address("GW_LISTEN", &listen)?;
@@ -118,7 +120,8 @@
 }
 
 fn address(variable: &str, text: &str) -> Result<SocketAddr, Unusable> {
-    text.parse().map_err(|_| Unusable::one(format!("{variable} {text:?} is no address")))
+    text.parse()
+        .map_err(|_| Unusable::one(format!("{variable} {text:?} is no address")))
 }
 
 /// The configuration, or all that is wrong with it.
@@ -180,13 +183,23 @@
 fn placed(settings: &Section, decoded: &Decoded) {
     let among = |key: &str, number: usize, list: &str, names: &[String]| {
         if !names.is_empty() && number >= names.len() {
-            settings.fault(key, format_args!("{number} is none of the {} in {list}", names.len()));
+            settings.fault(
+                key,
+                format_args!("{number} is none of the {} in {list}", names.len()),
+            );
         }
     };
     let told = &decoded.settings;
     among("locality", told.zone, "dcs", &decoded.zones);
-    among("domain.originKind", told.origin_kind, "kinds", &decoded.kinds);
-    told.parent_kind.iter().for_each(|kind| among("domain.midKind", *kind, "kinds", &decoded.kinds));
+    among(
+        "domain.originKind",
+        told.origin_kind,
+        "kinds",
+        &decoded.kinds,
+    );
+    told.parent_kind
+        .iter()
+        .for_each(|kind| among("domain.midKind", *kind, "kinds", &decoded.kinds));
 }
 
 fn limits(section: &Section) -> Limits {
@@ -194,14 +207,20 @@
         let limit: usize = section.required(key);
         let there = section.get(key).is_some();
         if there && limit < least {
-            section.fault(key, format_args!("{limit} is too little to serve with; {least} at least"));
+            section.fault(
+                key,
+                format_args!("{limit} is too little to serve with; {least} at least"),
+            );
         }
         if limit > MOST {
             section.fault(key, format_args!("{limit} is over {MOST}"));
         }
         limit.min(MOST)
     };
-    Limits { memory_mb: limit("memory_mb", LEAST_MEMORY_MB), sockets: limit("sockets", LEAST_SOCKETS) }
+    Limits {
+        memory_mb: limit("memory_mb", LEAST_MEMORY_MB),
+        sockets: limit("sockets", LEAST_SOCKETS),
+    }
 }
 
 fn seed(document: &Section, name: &str, listen: SocketAddr) -> u64 {
@@ -211,18 +230,25 @@
         return unlike(name, listen);
     }
     u64::from_str_radix(&text, 16).unwrap_or_else(|_| {
-        document.fault("seed", format_args!("{text:?} is no hexadecimal number of 64 bits"));
+        document.fault(
+            "seed",
+            format_args!("{text:?} is no hexadecimal number of 64 bits"),
+        );
         0
     })
 }
 
 /// A seed for a proxy that is told none: its own by name and address.
 fn unlike(name: &str, listen: SocketAddr) -> u64 {
-    format!("{name} {listen}").bytes().fold(0, |seed, byte| foldmux_figures::mix(seed ^ byte as u64))
+    format!("{name} {listen}")
+        .bytes()
+        .fold(0, |seed, byte| foldmux_figures::mix(seed ^ byte as u64))
 }
 
 fn known(document: &Section) -> Feed {
-    let Some(value) = document.get("known") else { return Feed::default() };
+    let Some(value) = document.get("known") else {
+        return Feed::default();
+    };
     simd_json::serde::from_refowned_value(value).unwrap_or_else(|e| {
         document.fault("known", e);
         Feed::default()
--- a/edge/proxy/src/config/unique.rs
+++ b/edge/proxy/src/config/unique.rs
@@ -29,7 +29,9 @@
         while let Some(key) = map.next_key::<String>()? {
             map.next_value::<Unique>()?;
             if let Some(twice) = seen.replace(key) {
-                return Err(A::Error::custom(format_args!("key {twice:?} stands twice in one object")));
+                return Err(A::Error::custom(format_args!(
+                    "key {twice:?} stands twice in one object"
+                )));
             }
         }
         Ok(Unique)
--- a/edge/proxy/src/cover/hold.rs
+++ b/edge/proxy/src/cover/hold.rs
@@ -39,7 +39,13 @@
             Proof::NeverRan | Proof::Over => None,
         };
         // Numbers go on from those of this term, if another client here had it first.
-        let number = record.attempts.iter().filter(|a| a.term == term).map(|a| a.number).max().unwrap_or(0);
+        let number = record
+            .attempts
+            .iter()
+            .filter(|a| a.term == term)
+            .map(|a| a.number)
+            .max()
+            .unwrap_or(0);
         Held {
             line: line.clone(),
             class,
@@ -61,7 +67,11 @@
 
     fn let_go(&self, over: bool) {
         if !self.closed.swap(true, Ordering::SeqCst) {
-            self.line.say(Ask::LetGo { key: self.key, term: self.term, over });
+            self.line.say(Ask::LetGo {
+                key: self.key,
+                term: self.term,
+                over,
+            });
         }
     }
 }
@@ -75,7 +85,13 @@
         let (key, term) = (self.key, self.term);
         let number = self.number.fetch_add(1, Ordering::SeqCst) + 1;
         let group = self.class.repeat.group_of(member);
-        let told = self.line.ask(self.until, |ticket| Ask::Intend { ticket, key, term, number, group });
+        let told = self.line.ask(self.until, |ticket| Ask::Intend {
+            ticket,
+            key,
+            term,
+            number,
+            group,
+        });
         match told {
             Some(Told::Written { .. }) => Intended::Yes,
             Some(Told::Refused { .. }) => Intended::No,
@@ -93,16 +109,27 @@
 
     fn term(&self) -> Option<u64> {
         // Later attempts under one term are above its earlier ones, too.
-        self.class.terms.then(|| self.term << 8 | u64::from(self.number.load(Ordering::SeqCst)))
+        self.class
+            .terms
+            .then(|| self.term << 8 | u64::from(self.number.load(Ordering::SeqCst)))
     }
 
     fn ended(&self, outcome: Outcome) {
         let number = self.number.load(Ordering::SeqCst);
-        let end = if outcome.never_ran() { End::NeverRan } else { End::MayHaveRun };
+        let end = if outcome.never_ran() {
+            End::NeverRan
+        } else {
+            End::MayHaveRun
+        };
         if end == End::MayHaveRun {
             self.may_have_run.store(true, Ordering::SeqCst);
         }
-        self.line.say(Ask::Ended { key: self.key, term: self.term, number, end });
+        self.line.say(Ask::Ended {
+            key: self.key,
+            term: self.term,
+            number,
+            end,
+        });
     }
 
     fn may_have_run(&self) -> bool {
@@ -116,7 +143,12 @@
             Final::Same => Answer::Same,
             Final::Failed => Answer::Failed,
         };
-        let told = self.line.ask(self.until, |ticket| Ask::Done { ticket, key, term, answer });
+        let told = self.line.ask(self.until, |ticket| Ask::Done {
+            ticket,
+            key,
+            term,
+            answer,
+        });
         let kept = matches!(told, Some(Told::Written { .. }));
         match told {
             Some(Told::Written { .. }) => self.closed.store(true, Ordering::SeqCst),
--- a/edge/proxy/src/cover/keep.rs
+++ b/edge/proxy/src/cover/keep.rs
@@ -61,9 +61,13 @@
             Ok(Some((log, found))) => self.holds(now, log, found),
             Ok(None) => {
                 if !matches!(self.own, Own::Waits { .. }) {
-                    tracing::info!("cover: another process of this name is the seat; this one waits for it");
+                    tracing::info!(
+                        "cover: another process of this name is the seat; this one waits for it"
+                    );
                     self.part.mute();
-                    self.own = Own::Waits { until: now + self.window };
+                    self.own = Own::Waits {
+                        until: now + self.window,
+                    };
                 }
             }
             Err(e) => {
@@ -76,7 +80,8 @@
     fn holds(&mut self, now: Time, log: Log, found: Found) {
         let (ms, count) = (found.speaks_in / 1_000, found.kept.len());
         tracing::info!("cover: this seat speaks in {ms} ms, {count} records read back");
-        self.part.remember(now, found.speaks_in, found.kept.into_iter());
+        self.part
+            .remember(now, found.speaks_in, found.kept.into_iter());
         self.own = Own::Held(log);
     }
 
@@ -91,7 +96,14 @@
             Own::Held(log) => log,
             Own::Waits { until } if look && now >= *until => {
                 if let Ok(Some(log)) = Log::pass(&self.folder, &self.mark) {
-                    self.holds(now, log, Found { speaks_in: 0, kept: Default::default() });
+                    self.holds(
+                        now,
+                        log,
+                        Found {
+                            speaks_in: 0,
+                            kept: Default::default(),
+                        },
+                    );
                 }
                 return;
             }
@@ -114,7 +126,13 @@
                 log.spoil();
                 // Nobody hears what is not kept.
                 out.retain(|act| {
-                    !matches!(act, Do::Send { message: Message::Claimed { .. } | Message::Noted { .. }, .. })
+                    !matches!(
+                        act,
+                        Do::Send {
+                            message: Message::Claimed { .. } | Message::Noted { .. },
+                            ..
+                        }
+                    )
                 });
             }
         }
@@ -151,6 +169,10 @@
     fn due(&self) -> Option<Time> {
         // It looks by itself while it waits for the other, or the other may wait for it.
         let looks = matches!(self.own, Own::Waits { .. }) || self.leaving;
-        self.part.due().into_iter().chain(looks.then_some(self.looked + LOOK)).min()
+        self.part
+            .due()
+            .into_iter()
+            .chain(looks.then_some(self.looked + LOOK))
+            .min()
     }
 }
--- a/edge/proxy/src/cover/line.rs
+++ b/edge/proxy/src/cover/line.rs
@@ -55,7 +55,9 @@
 
     /// The part's time now; none before it runs.
     pub fn now(&self) -> Option<u64> {
-        self.port.get().map(|(_, began)| began.elapsed().as_micros() as u64)
+        self.port
+            .get()
+            .map(|(_, began)| began.elapsed().as_micros() as u64)
     }
 
     fn waits(&self) -> MutexGuard<'_, HashMap<u64, Sender<Told>>> {
@@ -64,7 +66,9 @@
 
     /// Says it, and waits for nothing.
     pub fn say(&self, ask: Ask) -> bool {
-        self.port.get().is_some_and(|(port, _)| port.ask(ask).is_ok())
+        self.port
+            .get()
+            .is_some_and(|(port, _)| port.ask(ask).is_ok())
     }
 
     /// The answer to an ask; none where it did not come in time, or nobody is there to give it.
@@ -116,16 +120,39 @@
                 return;
             }
             Told::TakeOver { .. } => {
-                let Told::TakeOver { key, record, proof, lease } = told else { return };
+                let Told::TakeOver {
+                    key,
+                    record,
+                    proof,
+                    lease,
+                } = told
+                else {
+                    return;
+                };
                 let term = record.ballot.term;
-                if line.taken.try_send(Taken { key, record, proof, lease }).is_err() {
+                if line
+                    .taken
+                    .try_send(Taken {
+                        key,
+                        record,
+                        proof,
+                        lease,
+                    })
+                    .is_err()
+                {
                     // No room to finish it here: the next in line does.
                     line.counts.passed_on.fetch_add(1, Ordering::Relaxed);
-                    line.say(Ask::LetGo { key, term, over: false });
+                    line.say(Ask::LetGo {
+                        key,
+                        term,
+                        over: false,
+                    });
                 }
                 return;
             }
-            Told::Mine { ticket, .. } | Told::Kept { ticket, .. } | Told::Uncovered { ticket } => *ticket,
+            Told::Mine { ticket, .. } | Told::Kept { ticket, .. } | Told::Uncovered { ticket } => {
+                *ticket
+            }
             Told::Refused { ticket } | Told::Failed { ticket } => *ticket,
             Told::Written { ticket } | Told::Lost { ticket } => *ticket,
         };
@@ -134,7 +161,11 @@
             (Some(wait), told) => drop(wait.try_send(told)),
             // Nobody waits for it any more.
             (None, Told::Mine { key, record, .. }) => {
-                line.say(Ask::LetGo { key, term: record.ballot.term, over: false });
+                line.say(Ask::LetGo {
+                    key,
+                    term: record.ballot.term,
+                    over: false,
+                });
             }
             (None, _) => {}
         }
--- a/edge/proxy/src/cover/log.rs
+++ b/edge/proxy/src/cover/log.rs
@@ -57,7 +57,9 @@
 /// The machine's time since its start, asleep too (us): the same for all its processes.
 pub fn machine() -> u64 {
     let time = clock_gettime(ClockId::CLOCK_BOOTTIME);
-    time.map_or(0, |time| time.tv_sec() as u64 * 1_000_000 + time.tv_nsec() as u64 / 1_000)
+    time.map_or(0, |time| {
+        time.tv_sec() as u64 * 1_000_000 + time.tv_nsec() as u64 / 1_000
+    })
 }
 
 fn named(folder: &Path, number: u64) -> PathBuf {
@@ -65,8 +67,17 @@
 }
 
 fn numbers(folder: &Path) -> io::Result<Vec<u64>> {
-    let number = |entry: fs::DirEntry| entry.file_name().to_str()?.strip_suffix(".seat")?.parse().ok();
-    Ok(fs::read_dir(folder)?.filter_map(|entry| number(entry.ok()?)).collect())
+    let number = |entry: fs::DirEntry| {
+        entry
+            .file_name()
+            .to_str()?
+            .strip_suffix(".seat")?
+            .parse()
+            .ok()
+    };
+    Ok(fs::read_dir(folder)?
+        .filter_map(|entry| number(entry.ok()?))
+        .collect())
 }
 
 fn put<T: Serialize>(to: &mut Vec<u8>, entry: &T) -> io::Result<()> {
@@ -108,7 +119,13 @@
                 Past::Passed => {}
                 Past::Nothing => {
                     if let Some(log) = Log::fresh(folder, last, mark, window)? {
-                        return Ok(Some((log, Found { speaks_in: window, kept: BTreeMap::new() })));
+                        return Ok(Some((
+                            log,
+                            Found {
+                                speaks_in: window,
+                                kept: BTreeMap::new(),
+                            },
+                        )));
                     }
                 }
             }
@@ -124,7 +141,11 @@
 
     fn fresh(folder: &Path, last: u64, mark: &str, silent: u64) -> io::Result<Option<Log>> {
         let boot = fs::read_to_string("/proc/sys/kernel/random/boot_id")?;
-        let first = First { boot, mark: mark.to_string(), speaks: machine() + silent };
+        let first = First {
+            boot,
+            mark: mark.to_string(),
+            speaks: machine() + silent,
+        };
         Log::begin(folder, last + 1, first, &[])
     }
 
@@ -134,7 +155,11 @@
     }
 
     fn go_on(folder: &Path, number: u64, boot: &str, mark: &str) -> io::Result<Past> {
-        let Ok(mut file) = OpenOptions::new().read(true).append(true).open(named(folder, number)) else {
+        let Ok(mut file) = OpenOptions::new()
+            .read(true)
+            .append(true)
+            .open(named(folder, number))
+        else {
             return Ok(Past::Nothing);
         };
         if file.try_lock().is_err() {
@@ -147,7 +172,8 @@
         let mut bytes = Vec::new();
         io::Read::read_to_end(&mut file, &mut bytes)?;
         let (mut from, now) = (&bytes[..], machine());
-        let Some(first) = next::<First>(&mut from).filter(|f| f.boot == boot && f.mark == mark) else {
+        let Some(first) = next::<First>(&mut from).filter(|f| f.boot == boot && f.mark == mark)
+        else {
             return Ok(Past::Nothing);
         };
         let mut kept = BTreeMap::new();
@@ -157,25 +183,42 @@
         // Behind what was torn off nothing could be read.
         let length = (bytes.len() - from.len()) as u64;
         file.set_len(length)?;
-        let aged =
-            |(key, (stamp, one)): (Key, (u64, Kept))| Some((key, one.aged(now.saturating_sub(stamp))?));
+        let aged = |(key, (stamp, one)): (Key, (u64, Kept))| {
+            Some((key, one.aged(now.saturating_sub(stamp))?))
+        };
         let found = Found {
             speaks_in: first.speaks.saturating_sub(now),
             kept: kept.into_iter().filter_map(aged).collect(),
         };
         let longest = LEAST.max(4 * length);
-        Ok(Past::Read(Log { folder: folder.to_path_buf(), number, file, first, length, longest }, found))
+        Ok(Past::Read(
+            Log {
+                folder: folder.to_path_buf(),
+                number,
+                file,
+                first,
+                length,
+                longest,
+            },
+            found,
+        ))
     }
 
     /// None where another has the number by now.
-    fn begin(folder: &Path, number: u64, first: First, all: &[(Key, Kept)]) -> io::Result<Option<Log>> {
+    fn begin(
+        folder: &Path,
+        number: u64,
+        first: First,
+        all: &[(Key, Kept)],
+    ) -> io::Result<Option<Log>> {
         let own = folder.join(format!("{number}.{}", std::process::id()));
         let mut file = OpenOptions::new().create(true).append(true).open(&own)?;
         file.set_len(0)?;
         let mut bytes = Vec::new();
         put(&mut bytes, &first)?;
         let stamp = machine();
-        all.iter().try_for_each(|(key, kept)| put(&mut bytes, &(stamp, key, kept)))?;
+        all.iter()
+            .try_for_each(|(key, kept)| put(&mut bytes, &(stamp, key, kept)))?;
         file.write_all(&bytes)?;
         file.lock()?;
         // Whole before it has its name; a name that is taken is not replaced.
@@ -190,12 +233,20 @@
             .for_each(|n| drop(fs::remove_file(named(folder, n))));
         let length = bytes.len() as u64;
         let longest = LEAST.max(4 * length);
-        Ok(Some(Log { folder: folder.to_path_buf(), number, file, first, length, longest }))
+        Ok(Some(Log {
+            folder: folder.to_path_buf(),
+            number,
+            file,
+            first,
+            length,
+            longest,
+        }))
     }
 
     /// Whether another process is this seat by now.
     pub fn passed(&self) -> bool {
-        let later = numbers(&self.folder).is_ok_and(|all| all.into_iter().any(|other| other > self.number));
+        let later =
+            numbers(&self.folder).is_ok_and(|all| all.into_iter().any(|other| other > self.number));
         later || !named(&self.folder, self.number).exists()
     }
 
@@ -206,7 +257,9 @@
 
     pub fn add(&mut self, changed: &[(Key, Kept)]) -> io::Result<()> {
         let (stamp, mut bytes) = (machine(), Vec::new());
-        changed.iter().try_for_each(|(key, kept)| put(&mut bytes, &(stamp, key, kept)))?;
+        changed
+            .iter()
+            .try_for_each(|(key, kept)| put(&mut bytes, &(stamp, key, kept)))?;
         self.length += bytes.len() as u64;
         self.file.write_all(&bytes)
     }
@@ -217,7 +270,11 @@
             return Err(io::Error::other("another process goes on"));
         }
         let First { boot, mark, speaks } = &self.first;
-        let first = First { boot: boot.clone(), mark: mark.clone(), speaks: *speaks };
+        let first = First {
+            boot: boot.clone(),
+            mark: mark.clone(),
+            speaks: *speaks,
+        };
         let log = Log::begin(&self.folder, self.number + 1, first, all)?;
         *self = log.ok_or_else(|| io::Error::other("another process goes on"))?;
         Ok(())
--- a/edge/proxy/src/cover/log_tests.rs
+++ b/edge/proxy/src/cover/log_tests.rs
@@ -4,12 +4,23 @@
 use foldmux_takeover::{Ballot, Kept};
 
 fn kept(term: u64) -> Kept {
-    let promised = Ballot { term, ..Ballot::none() };
-    Kept { promised, let_go: false, over: false, record: None, left: 60_000_000 }
+    let promised = Ballot {
+        term,
+        ..Ballot::none()
+    };
+    Kept {
+        promised,
+        let_go: false,
+        over: false,
+        record: None,
+        left: 60_000_000,
+    }
 }
 
 fn open(folder: &Path, mark: &str) -> (Log, Found) {
-    Log::open(folder, mark, 5_000_000).unwrap().expect("nobody holds it")
+    Log::open(folder, mark, 5_000_000)
+        .unwrap()
+        .expect("nobody holds it")
 }
 
 fn terms(found: &Found) -> Vec<u64> {
--- a/edge/proxy/src/cover/mod.rs
+++ b/edge/proxy/src/cover/mod.rs
@@ -29,10 +29,16 @@
 
 impl Covering {
     fn uncovered(&self, refuse: bool) -> Claimed {
-        let count = if refuse { &self.line.counts.refused } else { &self.line.counts.uncovered };
+        let count = if refuse {
+            &self.line.counts.refused
+        } else {
+            &self.line.counts.uncovered
+        };
         count.fetch_add(1, Ordering::Relaxed);
         match refuse {
-            true => Claimed::Refused { wait: self.shed_wait },
+            true => Claimed::Refused {
+                wait: self.shed_wait,
+            },
             false => Claimed::Uncovered,
         }
     }
@@ -40,17 +46,38 @@
 
 impl Cover for Covering {
     fn claim(&self, inquiry: &Inquiry, deadline: Instant, again: bool) -> Claimed {
-        let Some(class) = self.classes.get(&inquiry.class_name) else { return Claimed::Uncovered };
+        let Some(class) = self.classes.get(&inquiry.class_name) else {
+            return Claimed::Uncovered;
+        };
         // What carries no key has its client's id, which no other request has.
         let own = || format!("{:016x}", inquiry.via);
-        let key = Key::of(&inquiry.class_name, &inquiry.token.clone().unwrap_or_else(own));
+        let key = Key::of(
+            &inquiry.class_name,
+            &inquiry.token.clone().unwrap_or_else(own),
+        );
         let work = Arc::new(work(inquiry));
-        let left = deadline.saturating_duration_since(Instant::now()).as_micros() as u64;
-        let told = self.line.ask(deadline, |ticket| Ask::Claim { ticket, key, work, left, again });
+        let left = deadline
+            .saturating_duration_since(Instant::now())
+            .as_micros() as u64;
+        let told = self.line.ask(deadline, |ticket| Ask::Claim {
+            ticket,
+            key,
+            work,
+            left,
+            again,
+        });
         match told {
-            Some(Told::Mine { key, record, proof, lease, .. }) => {
+            Some(Told::Mine {
+                key,
+                record,
+                proof,
+                lease,
+                ..
+            }) => {
                 self.line.counts.covered.fetch_add(1, Ordering::Relaxed);
-                Claimed::Mine(Box::new(Held::new(&self.line, *class, key, &record, proof, lease, deadline)))
+                Claimed::Mine(Box::new(Held::new(
+                    &self.line, *class, key, &record, proof, lease, deadline,
+                )))
             }
             Some(Told::Kept { answer, .. }) => {
                 self.line.counts.kept.fetch_add(1, Ordering::Relaxed);
@@ -79,6 +106,9 @@
         size: (inquiry.size_kb * 1_000.0).round() as u64,
         token: text(&inquiry.token),
         got: text(&inquiry.got),
-        body: inquiry.body.as_ref().map(|(lease, length)| Arc::from(&lease[..*length])),
+        body: inquiry
+            .body
+            .as_ref()
+            .map(|(lease, length)| Arc::from(&lease[..*length])),
     }
 }
--- a/edge/proxy/src/cover/rules.rs
+++ b/edge/proxy/src/cover/rules.rs
@@ -28,7 +28,10 @@
     }
 
     pub fn place(&self, name: &str) -> Arc<usize> {
-        self.0.get(name).map(|(_, place)| place.clone()).unwrap_or_default()
+        self.0
+            .get(name)
+            .map(|(_, place)| place.clone())
+            .unwrap_or_default()
     }
 
     /// `places`: the classes as the fronts serve them.
@@ -37,14 +40,30 @@
         decoded: &Decoded,
         places: impl Iterator<Item = (&'a Arc<str>, &'a Arc<usize>)>,
     ) -> Classes {
-        let places: HashMap<&str, &Arc<usize>> = places.map(|(name, place)| (&**name, place)).collect();
+        let places: HashMap<&str, &Arc<usize>> =
+            places.map(|(name, place)| (&**name, place)).collect();
         let one = |cover: &foldmux_operator::Cover| {
-            let at = decoded.classes.iter().position(|class| *class == cover.class)?;
+            let at = decoded
+                .classes
+                .iter()
+                .position(|class| *class == cover.class)?;
             let repeat = decoded.settings.classes[at].repeat;
-            let class = Class { repeat, terms: cover.terms, refuse: cover.uncovered == Not::Refuse };
-            Some((Arc::from(cover.class.as_str()), (class, (*places.get(cover.class.as_str())?).clone())))
+            let class = Class {
+                repeat,
+                terms: cover.terms,
+                refuse: cover.uncovered == Not::Refuse,
+            };
+            Some((
+                Arc::from(cover.class.as_str()),
+                (class, (*places.get(cover.class.as_str())?).clone()),
+            ))
         };
-        Classes(said.covers.iter().filter_map(|said| one(&said.value)).collect())
+        Classes(
+            said.covers
+                .iter()
+                .filter_map(|said| one(&said.value))
+                .collect(),
+        )
     }
 }
 
@@ -61,13 +80,27 @@
     let way = said.round_trip_ms * 1_000;
     let (mut rules, mut longest) = (Rules::new(), 0);
     for cover in said.covers.iter().map(|said| &said.value) {
-        let Some(at) = decoded.classes.iter().position(|class| *class == cover.class) else { continue };
+        let Some(at) = decoded
+            .classes
+            .iter()
+            .position(|class| *class == cover.class)
+        else {
+            continue;
+        };
         let class = &decoded.settings.classes[at];
         // A repeat is on its way to the archive for a while, and the archive's clock is its own.
         let window = drift.shortened(class.repeat_window).saturating_sub(way);
         let rule = Rule {
-            uncovered: if cover.uncovered == Not::Refuse { Uncovered::Refuse } else { Uncovered::Run },
-            unclaimed: if cover.unclaimed == Left::Finish { Unclaimed::Finish } else { Unclaimed::LetGo },
+            uncovered: if cover.uncovered == Not::Refuse {
+                Uncovered::Refuse
+            } else {
+                Uncovered::Run
+            },
+            unclaimed: if cover.unclaimed == Left::Finish {
+                Unclaimed::Finish
+            } else {
+                Unclaimed::LetGo
+            },
             keep: cover.keep_ms * 1_000,
             repeat: match class.repeat {
                 Repeats::Safe => Repeat::Safe,
--- a/edge/proxy/src/cover/start.rs
+++ b/edge/proxy/src/cover/start.rs
@@ -55,7 +55,13 @@
         // Where the platform gives this place a folder of its own, which a new version beside this one shares.
         let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
         let folder = folder.map(|own| own.join(format!("foldmux-seat-{}", said.listen.port())));
-        Ok(Some(Ready { setup, classes, line: Line::new(sender), taken, folder }))
+        Ok(Some(Ready {
+            setup,
+            classes,
+            line: Line::new(sender),
+            taken,
+            folder,
+        }))
     }
 
     /// Puts the part among the fleet's; the fleet is not started yet.
@@ -65,19 +71,37 @@
     }
 
     /// The fleet runs; `began`: its clock's start.
-    pub fn start(self, core: &Arc<Core>, port: Port<Ask>, began: Instant) -> Result<Covered, String> {
-        let Ready { classes, line, taken, .. } = self;
+    pub fn start(
+        self,
+        core: &Arc<Core>,
+        port: Port<Ask>,
+        began: Instant,
+    ) -> Result<Covered, String> {
+        let Ready {
+            classes,
+            line,
+            taken,
+            ..
+        } = self;
         line.open(port, began);
         let (on, own_line, own_classes) = (core.clone(), line.clone(), classes.clone());
         named("taken", STACK, move || {
             for one in taken {
                 let begun = begin(&on, &own_classes, &own_line, one);
-                let count = if begun { &own_line.counts.taken } else { &own_line.counts.passed_on };
+                let count = if begun {
+                    &own_line.counts.taken
+                } else {
+                    &own_line.counts.passed_on
+                };
                 count.fetch_add(1, Ordering::Relaxed);
             }
         })?;
         let shed_wait = core.refusal_wait();
-        let _ = core.cover.set(Arc::new(Covering { classes, line: line.clone(), shed_wait }));
+        let _ = core.cover.set(Arc::new(Covering {
+            classes,
+            line: line.clone(),
+            shed_wait,
+        }));
         Ok(Covered { line })
     }
 }
--- a/edge/proxy/src/cover/taken.rs
+++ b/edge/proxy/src/cover/taken.rs
@@ -19,14 +19,32 @@
 
 /// Whether it was begun; else its hold was dropped, and the next in line goes on.
 pub fn begin(core: &Arc<Core>, classes: &Classes, line: &Arc<Line>, taken: Taken) -> bool {
-    let Taken { key, record, proof, lease } = taken;
-    let Some(class) = classes.get(&record.work.class) else { return false };
+    let Taken {
+        key,
+        record,
+        proof,
+        lease,
+    } = taken;
+    let Some(class) = classes.get(&record.work.class) else {
+        return false;
+    };
     let (arrived, work) = (Instant::now(), &record.work);
-    let hold = Held::new(line, *class, key, &record, proof, lease, arrived + span(record.left));
+    let hold = Held::new(
+        line,
+        *class,
+        key,
+        &record,
+        proof,
+        lease,
+        arrived + span(record.left),
+    );
     let body = match &work.body {
         None => None,
         Some(bytes) => {
-            let Some(mut lease) = core.buffers.lease_for_body().filter(|lease| bytes.len() <= lease.len())
+            let Some(mut lease) = core
+                .buffers
+                .lease_for_body()
+                .filter(|lease| bytes.len() <= lease.len())
             else {
                 return false;
             };
--- a/edge/proxy/src/fleet.rs
+++ b/edge/proxy/src/fleet.rs
@@ -45,7 +45,12 @@
 impl Fleet {
     /// None where this process is no peer of it; an error is one plain line.
     pub fn new(said: &Said, own: &Own) -> Result<Option<Fleet>, String> {
-        let Own { name, decoded, seed, .. } = *own;
+        let Own {
+            name,
+            decoded,
+            seed,
+            ..
+        } = *own;
         let Some(place) = said.peer(name) else {
             tracing::warn!("fleet: {name:?} is no peer of it; it is off here");
             return Ok(None);
@@ -56,30 +61,64 @@
         for peer in &said.peers {
             let site = peer.site.split('/').next().unwrap_or_default();
             if !decoded.zones.iter().any(|zone| zone == site) {
-                tracing::warn!("fleet: the site {site} of {} is no zone of the settings", peer.name);
+                tracing::warn!(
+                    "fleet: the site {site} of {} is no zone of the settings",
+                    peer.name
+                );
             }
         }
         let mut builder = Builder::new(Setup {
             name: Peer::new(name),
             listen: said.listen,
-            peers: said.peers.iter().map(|peer| (Peer::new(&peer.name), peer.address)).collect(),
+            peers: said
+                .peers
+                .iter()
+                .map(|peer| (Peer::new(&peer.name), peer.address))
+                .collect(),
             key: key(Path::new(&said.key_file)).map_err(|why| format!("fleet: key_file {why}"))?,
             seed,
             queue: said.queue as usize,
             bounds: bounds(said.round_trip_ms, said.peers.len()),
         });
-        let born = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        let me = Who::new(Peer::new(name), &place.site, place.address, born.as_micros() as u64);
-        let pace = Pace { rtt: said.round_trip_ms * 1_000, size: said.peers.len() as u32 };
+        let born = SystemTime::now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .unwrap_or_default();
+        let me = Who::new(
+            Peer::new(name),
+            &place.site,
+            place.address,
+            born.as_micros() as u64,
+        );
+        let pace = Pace {
+            rtt: said.round_trip_ms * 1_000,
+            size: said.peers.len() as u32,
+        };
         // Names of the list alone: no other is linked.
-        let setup = foldmux_members::Setup { me, pace, most: said.peers.len(), seed };
+        let setup = foldmux_members::Setup {
+            me,
+            pace,
+            most: said.peers.len(),
+            seed,
+        };
         let added = members::add(&mut builder, setup, Log);
         let (members, roll) = added.map_err(|e| format!("fleet: {e}"))?;
         builder.add(WATCH, Watch, Log);
         let parts = Parts::add(&mut builder, said, own)?;
         let told = (said.peers.len(), place.site.clone(), said.listen);
-        let all = said.peers.iter().map(|peer| Peer::new(&peer.name)).collect();
-        Ok(Some(Fleet { builder, members, roll, parts, told, all, seed }))
+        let all = said
+            .peers
+            .iter()
+            .map(|peer| Peer::new(&peer.name))
+            .collect();
+        Ok(Some(Fleet {
+            builder,
+            members,
+            roll,
+            parts,
+            told,
+            all,
+            seed,
+        }))
     }
 
     /// Before the journal is read.
@@ -89,16 +128,33 @@
 
     /// `journal`: a clone of the one that is read.
     pub fn start(self, core: &Arc<Core>, journal: Journal) -> Result<Running, String> {
-        let Fleet { builder, members, roll, parts, told: (count, site, listen), all, seed } = self;
-        let fleet = builder.start(Log).map_err(|e| format!("fleet: listening on {listen}: {e}"))?;
+        let Fleet {
+            builder,
+            members,
+            roll,
+            parts,
+            told: (count, site, listen),
+            all,
+            seed,
+        } = self;
+        let fleet = builder
+            .start(Log)
+            .map_err(|e| format!("fleet: listening on {listen}: {e}"))?;
         match fleet.links().address() {
             Some(on) => tracing::info!("fleet: one of {count}, at site {site}, on {on}"),
-            None => tracing::warn!("fleet: {listen} is in use; one of {count}, that dials until it is free"),
+            None => tracing::warn!(
+                "fleet: {listen} is in use; one of {count}, that dials until it is free"
+            ),
         }
         let serving = parts.start(core, journal, fleet.began(), seed)?;
         // The queue has room for one at the start.
         let _ = members.ask(Ask::Join(all));
-        Ok(Running { fleet, members, serving, roll })
+        Ok(Running {
+            fleet,
+            members,
+            serving,
+            roll,
+        })
     }
 }
 
@@ -107,7 +163,10 @@
     pub fn leave(&self) {
         self.serving.leave();
         let asked = self.members.ask(Ask::Leave);
-        asked.err().iter().for_each(|e| tracing::warn!("fleet: leaving without a word: {e:?}"));
+        asked
+            .err()
+            .iter()
+            .for_each(|e| tracing::warn!("fleet: leaving without a word: {e:?}"));
     }
 
     /// See [`Serving::reweigh`].
@@ -118,7 +177,11 @@
     pub fn end(self) {
         self.serving.report();
         let counts = self.fleet.links().counts();
-        let (links, broken, strangers) = (counts.links.get(), counts.broken.get(), counts.strangers.get());
+        let (links, broken, strangers) = (
+            counts.links.get(),
+            counts.broken.get(),
+            counts.strangers.get(),
+        );
         let (dropped, unlinked) = (counts.dropped.get(), counts.unlinked.get());
         tracing::info!("fleet: {links} links, {broken} broken, {strangers} strangers");
         tracing::info!("fleet: {dropped} frames without room, {unlinked} without a link");
@@ -134,7 +197,9 @@
     let digit = |b: u8| char::from(b).to_digit(16).map(|digit| digit as u8);
     let pair = |pair: &[u8]| Some(digit(pair[0])? << 4 | digit(pair[1])?);
     let bytes: Option<Vec<u8>> = text.chunks_exact(2).map(pair).collect();
-    let key = bytes.filter(|_| text.len() == 64).and_then(|bytes| bytes.try_into().ok());
+    let key = bytes
+        .filter(|_| text.len() == 64)
+        .and_then(|bytes| bytes.try_into().ok());
     key.ok_or_else(|| format!("{name}: 64 hexadecimal digits are wanted"))
 }
 
@@ -146,7 +211,15 @@
     let first = Duration::from_millis(round_trip_ms.max(10));
     // Each peer may dial while its link before stands, beside an older process of its name.
     let accepted = 4 * peers + 16;
-    Bounds { beat, idle, hello, accepted, dial: beat * 5, again: (first, first * 25), ..Bounds::default() }
+    Bounds {
+        beat,
+        idle,
+        hello,
+        accepted,
+        dial: beat * 5,
+        again: (first, first * 25),
+        ..Bounds::default()
+    }
 }
 
 /// Looks on, and tells which peers count as up for the parts.
--- a/edge/proxy/src/fleet/parts.rs
+++ b/edge/proxy/src/fleet/parts.rs
@@ -18,7 +18,10 @@
 pub(crate) fn seats(said: &Said) -> Result<(Seats, Drift), String> {
     let seats = Seats::new(said.seats.iter().map(|name| Peer::new(name)));
     let drift = Drift::percent(said.drift_percent);
-    Ok((seats.map_err(|e| format!("fleet: {e}"))?, drift.map_err(|e| format!("fleet: {e}"))?))
+    Ok((
+        seats.map_err(|e| format!("fleet: {e}"))?,
+        drift.map_err(|e| format!("fleet: {e}"))?,
+    ))
 }
 
 /// What the process brings to them.
@@ -55,9 +58,19 @@
     pub fn add(builder: &mut Builder, said: &Said, own: &Own) -> Result<Parts, String> {
         let mut parts = Parts::default();
         let bounds = (own.open, own.memory_mb, own.seed);
-        if let Some(ready) = Ready::new(said, own.name, own.decoded, own.classes.iter().copied(), bounds)? {
+        if let Some(ready) = Ready::new(
+            said,
+            own.name,
+            own.decoded,
+            own.classes.iter().copied(),
+            bounds,
+        )? {
             let port = ready.add(builder);
-            let classes: Vec<&str> = said.covers.iter().map(|cover| &*cover.value.class).collect();
+            let classes: Vec<&str> = said
+                .covers
+                .iter()
+                .map(|cover| &*cover.value.class)
+                .collect();
             parts.told.push(format!("covers {}", classes.join(", ")));
             parts.cover = Some((ready, port));
         }
@@ -66,10 +79,20 @@
             parts.told.push(format!("relays {}", relayed::JOURNAL));
             parts.relayed = Some((relayed, port));
         }
-        parts.turns = Turns::add(builder, said, own.name, own.decoded, own.members.clone(), own.seed)?;
+        parts.turns = Turns::add(
+            builder,
+            said,
+            own.name,
+            own.decoded,
+            own.members.clone(),
+            own.seed,
+        )?;
         if parts.turns.is_some() {
-            let pools: Vec<String> =
-                said.pools.iter().map(|pool| format!("{} ({} slots)", pool.name, pool.slots)).collect();
+            let pools: Vec<String> = said
+                .pools
+                .iter()
+                .map(|pool| format!("{} ({} slots)", pool.name, pool.slots))
+                .collect();
             parts.told.push(format!("shares {}", pools.join(", ")));
         }
         Ok(parts)
@@ -77,7 +100,9 @@
 
     /// From now on what this process reads at the journal service is shared, where the file says so.
     pub fn share(&self, journal: &mut Journal) {
-        self.relayed.iter().for_each(|(relayed, _)| journal.share(relayed.desk.clone()));
+        self.relayed
+            .iter()
+            .for_each(|(relayed, _)| journal.share(relayed.desk.clone()));
     }
 
     /// The fleet runs since `began`. `journal`: as the one that reads the source, once it shares.
@@ -88,7 +113,12 @@
         began: Instant,
         seed: u64,
     ) -> Result<Serving, String> {
-        let Parts { cover, relayed, turns, told } = self;
+        let Parts {
+            cover,
+            relayed,
+            turns,
+            told,
+        } = self;
         let mut serving = Serving::default();
         if let Some((ready, port)) = cover {
             serving.cover = Some(ready.start(core, port, began)?);
@@ -117,10 +147,14 @@
 
     /// How many weights are taken; none where there is no pool.
     pub fn reweigh(&self, said: &Said, tenants: &[(String, f64)]) -> Option<usize> {
-        self.turns.as_ref().map(|turns| turns.reweigh(said, tenants))
+        self.turns
+            .as_ref()
+            .map(|turns| turns.reweigh(said, tenants))
     }
 
     pub fn report(&self) {
-        self.cover.iter().for_each(|cover| tracing::info!("fleet: {}", cover.report()));
+        self.cover
+            .iter()
+            .for_each(|cover| tracing::info!("fleet: {}", cover.report()));
     }
 }
--- a/edge/proxy/src/journal.rs
+++ b/edge/proxy/src/journal.rs
@@ -63,13 +63,25 @@
         listed: Arc<AtomicBool>,
     ) -> Journal {
         let (hand, shared, boots) = (None, None, Boots::default());
-        Journal { names, clock, desk, pool, listed, hand, shared, boots, pos: 0 }
+        Journal {
+            names,
+            clock,
+            desk,
+            pool,
+            listed,
+            hand,
+            shared,
+            boots,
+            pos: 0,
+        }
     }
 
     /// Takes the events that follow on those already taken: all of them, or none where one is missing or out of order.
     /// False if so; the next call asks for them again.
     pub fn take(&mut self, feed: &Feed) -> bool {
-        let Some(following) = following(&feed.entries, self.pos) else { return false };
+        let Some(following) = following(&feed.entries, self.pos) else {
+            return false;
+        };
         if let Some(last) = following.last() {
             self.pos = last.pos;
             self.tell_read(&following);
@@ -80,8 +92,12 @@
     /// Takes a telling of all events from 1, by a service that numbers them anew: its lists come to one whole list, and
     /// what that leaves out has gone. False where it is no such telling; then nothing changes.
     fn take_anew(&mut self, feed: &Feed) -> bool {
-        let Some(entries) = following(&feed.entries, 0) else { return false };
-        let Some(last) = entries.last().filter(|last| last.pos == feed.last()) else { return false };
+        let Some(entries) = following(&feed.entries, 0) else {
+            return false;
+        };
+        let Some(last) = entries.last().filter(|last| last.pos == feed.last()) else {
+            return false;
+        };
         let whole = |entry: &&Entry| entry.hosts.as_ref().is_some_and(|hosts| hosts.snapshot);
         if !entries.iter().any(whole) {
             return false;
@@ -93,7 +109,9 @@
 
     /// Tells of events that this process read at the source.
     fn tell_read(&self, entries: &[&Entry]) {
-        let Some(Shared { desk, newest }) = &self.shared else { return self.tell(entries, None) };
+        let Some(Shared { desk, newest }) = &self.shared else {
+            return self.tell(entries, None);
+        };
         entries.iter().for_each(|entry| desk.count(entry));
         let mut newest = newest.lock().unwrap_or_else(PoisonError::into_inner);
         self.tell(entries, Some(&mut newest));
@@ -102,13 +120,23 @@
     /// Tells of several events at once: the desk hears of no state of a member that a later one of them changes. Guards
     /// against one that drains or has gone being ready for a moment, because its former state is told first.
     fn tell(&self, entries: &[&Entry], newest: Option<&mut u64>) {
-        if let Some(List { full, index, listed }) = self.list(entries) {
+        if let Some(List {
+            full,
+            index,
+            listed,
+        }) = self.list(entries)
+        {
             // A whole list counts from its own index.
-            newest.into_iter().for_each(|newest| *newest = index.max(if full { 0 } else { *newest }));
+            newest
+                .into_iter()
+                .for_each(|newest| *newest = index.max(if full { 0 } else { *newest }));
             self.tell_list(full, listed);
         }
         for entry in entries {
-            let purged = entry.expire.as_ref().and_then(|expire| self.purged(entry.pos, expire));
+            let purged = entry
+                .expire
+                .as_ref()
+                .and_then(|expire| self.purged(entry.pos, expire));
             purged.into_iter().for_each(|notice| self.desk.tell(notice));
         }
     }
@@ -126,15 +154,23 @@
     /// From now on this process's reading of the source is shared by `desk`; what others read comes by
     /// [`Journal::relayed`] of a clone.
     pub fn share(&mut self, desk: Arc<Desk>) {
-        self.shared = Some(Shared { desk, newest: Arc::default() });
+        self.shared = Some(Shared {
+            desk,
+            newest: Arc::default(),
+        });
     }
 
     /// Events by way of a relay. A list older than the one that was taken is passed over: purges can't be too old.
     pub fn relayed(&self, entries: &[Entry]) {
-        let Some(Shared { newest, .. }) = &self.shared else { return };
+        let Some(Shared { newest, .. }) = &self.shared else {
+            return;
+        };
         for entry in entries {
             let mut newest = newest.lock().unwrap_or_else(PoisonError::into_inner);
-            let older = entry.hosts.as_ref().is_some_and(|hosts| hosts.index < *newest);
+            let older = entry
+                .hosts
+                .as_ref()
+                .is_some_and(|hosts| hosts.index < *newest);
             if !older {
                 self.tell(&[entry], Some(&mut newest));
             }
--- a/edge/proxy/src/journal/answer.rs
+++ b/edge/proxy/src/journal/answer.rs
@@ -42,7 +42,9 @@
             Fault::Broken(Broken::Unreadable) => write!(out, "an answer that can't be read"),
             Fault::Status(status) => write!(out, "answered {status}"),
             Fault::Unreadable(error) => write!(out, "an answer that can't be read: {error}"),
-            Fault::Missing { after } => write!(out, "events after {after} are missing or out of order"),
+            Fault::Missing { after } => {
+                write!(out, "events after {after} are missing or out of order")
+            }
             Fault::Older { last, taken } => write!(out, "it ends at event {last}, before {taken}"),
         }
     }
@@ -64,9 +66,14 @@
 impl Call {
     /// Makes the call. One deadline bounds the whole, however little of an answer comes at a time.
     pub fn make(&self, stream: &TcpStream, buffer: &mut [u8]) -> Result<Answer, Fault> {
-        let Call { address, tail, max_wait } = self;
+        let Call {
+            address,
+            tail,
+            max_wait,
+        } = self;
         let wait = max_wait.as_millis();
-        let request = format!("GET /journal?tail={tail}&max_wait={wait} HTTP/1.1\r\nHost: {address}\r\n\r\n");
+        let request =
+            format!("GET /journal?tail={tail}&max_wait={wait} HTTP/1.1\r\nHost: {address}\r\n\r\n");
         let deadline = Instant::now() + *max_wait + PATIENCE;
         let written = write_all(stream, &[request.as_bytes()], deadline);
         written.map_err(|unwritten| Fault::Broken(unwritten.cause))?;
@@ -74,7 +81,11 @@
         if response.status != 200 {
             return Err(Fault::Status(response.status));
         }
-        let feed = simd_json::serde::from_slice(&mut buffer[response.body]).map_err(Fault::Unreadable)?;
-        Ok(Answer { feed, reusable: response.reusable })
+        let feed =
+            simd_json::serde::from_slice(&mut buffer[response.body]).map_err(Fault::Unreadable)?;
+        Ok(Answer {
+            feed,
+            reusable: response.reusable,
+        })
     }
 }
--- a/edge/proxy/src/journal/boots.rs
+++ b/edge/proxy/src/journal/boots.rs
@@ -31,7 +31,11 @@
 
     /// Keeps those alone that are listed after these lines: all of them (`full`), or what changed.
     pub fn retain(&self, full: bool, lines: &[Listed]) {
-        let told: HashMap<CacheId, State> = lines.iter().map(|l| (l.member.cache, l.member.state)).collect();
-        self.held().retain(|cache, _| told.get(cache).map_or(!full, |state| *state != State::Gone));
+        let told: HashMap<CacheId, State> = lines
+            .iter()
+            .map(|l| (l.member.cache, l.member.state))
+            .collect();
+        self.held()
+            .retain(|cache, _| told.get(cache).map_or(!full, |state| *state != State::Gone));
     }
 }
--- a/edge/proxy/src/journal/service.rs
+++ b/edge/proxy/src/journal/service.rs
@@ -23,7 +23,14 @@
 
 impl Service {
     pub fn new(address: Option<SocketAddr>) -> Service {
-        Service { state: Mutex::new(State { address, moves: 0, connection: None }), moved: Condvar::new() }
+        Service {
+            state: Mutex::new(State {
+                address,
+                moves: 0,
+                connection: None,
+            }),
+            moved: Condvar::new(),
+        }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -45,15 +52,23 @@
         let mut state = self.state();
         loop {
             if let Some(address) = state.address {
-                return Place { address, moves: state.moves };
+                return Place {
+                    address,
+                    moves: state.moves,
+                };
             }
-            state = self.moved.wait(state).unwrap_or_else(PoisonError::into_inner);
+            state = self
+                .moved
+                .wait(state)
+                .unwrap_or_else(PoisonError::into_inner);
         }
     }
 
     /// Waits, but not beyond a move; whether there was one.
     pub(super) fn pause(&self, moves: u64, time: Duration) -> bool {
-        let waited = self.moved.wait_timeout_while(self.state(), time, |state| state.moves == moves);
+        let waited = self
+            .moved
+            .wait_timeout_while(self.state(), time, |state| state.moves == moves);
         waited.unwrap_or_else(PoisonError::into_inner).0.moves != moves
     }
 
--- a/edge/proxy/src/journal/service/tests.rs
+++ b/edge/proxy/src/journal/service/tests.rs
@@ -36,7 +36,15 @@
         });
         moved.recv_timeout(A_WHILE).is_err()
     });
-    assert!(taken.unwrap(), "the service had moved before all of the answer was taken");
-    moved.recv_timeout(TIME_OUT).expect("it moves once the answer is taken");
-    assert!(matches!(service.unless_moved(asked.moves, || ()), Err(Fault::Moved)));
+    assert!(
+        taken.unwrap(),
+        "the service had moved before all of the answer was taken"
+    );
+    moved
+        .recv_timeout(TIME_OUT)
+        .expect("it moves once the answer is taken");
+    assert!(matches!(
+        service.unless_moved(asked.moves, || ()),
+        Err(Fault::Moved)
+    ));
 }
--- a/edge/proxy/src/journal/watch.rs
+++ b/edge/proxy/src/journal/watch.rs
@@ -15,7 +15,10 @@
 const TOLD: Duration = Duration::from_secs(7);
 /// From the moment in which a connection falls silent until the next call is written, at the longest: the wait for the
 /// answer, the pause after it and the dial.
-const SILENCE: Duration = MAX_WAIT.saturating_add(PATIENCE).saturating_add(LONGEST).saturating_add(PATIENCE);
+const SILENCE: Duration = MAX_WAIT
+    .saturating_add(PATIENCE)
+    .saturating_add(LONGEST)
+    .saturating_add(PATIENCE);
 /// Two connections that fall silent one after the other leave time for a third.
 const _: () = assert!(SILENCE.saturating_mul(2).as_millis() < TOLD.as_millis());
 
@@ -48,7 +51,13 @@
     pub fn follow(self, service: &Service, backoff: Backoff) {
         let shared = self.shared.as_ref().map(|shared| shared.desk.clone());
         let buffer = vec![0; MOST_ANSWER];
-        Watch { journal: self, service, buffer, recount: false }.run(shared, backoff);
+        Watch {
+            journal: self,
+            service,
+            buffer,
+            recount: false,
+        }
+        .run(shared, backoff);
     }
 }
 
@@ -57,7 +66,11 @@
         loop {
             // One that was not read for a while is asked for what there is.
             let at_once = shared.as_ref().is_some_and(|desk| desk.gate.pass());
-            let max_wait = if at_once { Duration::ZERO } else { backoff.hold(MAX_WAIT) };
+            let max_wait = if at_once {
+                Duration::ZERO
+            } else {
+                backoff.hold(MAX_WAIT)
+            };
             let place = self.service.current();
             let asked = Instant::now();
             match self.poll(place, max_wait) {
@@ -90,7 +103,11 @@
     fn poll(&mut self, place: Place, max_wait: Duration) -> Result<Polled, Fault> {
         let stream = self.service.connection(place)?;
         let tail = if self.recount { 0 } else { self.journal.pos };
-        let call = Call { address: place.address, tail, max_wait };
+        let call = Call {
+            address: place.address,
+            tail,
+            max_wait,
+        };
         let answer = call.make(&stream, &mut self.buffer)?;
         let service = self.service;
         // One step with the check: an answer of an address that the service has left is not taken.
@@ -132,7 +149,10 @@
             return Err(Fault::Missing { after: 0 });
         }
         if self.journal.pos < taken {
-            tracing::warn!("journal service: it numbers anew, to {} after {taken}", self.journal.pos);
+            tracing::warn!(
+                "journal service: it numbers anew, to {} after {taken}",
+                self.journal.pos
+            );
         }
         Ok(Polled::Taken)
     }
--- a/edge/proxy/src/leave.rs
+++ b/edge/proxy/src/leave.rs
@@ -50,7 +50,11 @@
     pub fn leave(self) {
         let told = Instant::now();
         self.connections.leave();
-        let left = self.by.saturating_duration_since(told).as_millis().next_multiple_of(10);
+        let left = self
+            .by
+            .saturating_duration_since(told)
+            .as_millis()
+            .next_multiple_of(10);
         tracing::info!("told to leave: what is taken is answered first, within {left} ms");
         self.sleep_until(told + TAKE_ON);
         self.closing.store(true, Ordering::SeqCst);
@@ -61,12 +65,19 @@
             thread::sleep(LOOK_EVERY);
         }
         let (open, connected) = (self.core.open(), self.connections.count());
-        tracing::info!("left {:?} after the signal, {open} open, {connected} connected", told.elapsed());
+        tracing::info!(
+            "left {:?} after the signal, {open} open, {connected} connected",
+            told.elapsed()
+        );
     }
 
     /// Where SIGKILL may come soon, the serving time is cut short.
     fn sleep_until(&self, moment: Instant) {
-        thread::sleep(moment.min(self.by).saturating_duration_since(Instant::now()));
+        thread::sleep(
+            moment
+                .min(self.by)
+                .saturating_duration_since(Instant::now()),
+        );
     }
 
     fn is_over(&self, told: Instant) -> bool {
--- a/edge/proxy/src/limits.rs
+++ b/edge/proxy/src/limits.rs
@@ -12,8 +12,15 @@
 
 /// The account's rules as the platform's settings give them. `sockets` and `memory_mb`: the process's.
 pub fn account(decoded: &Decoded, sockets: u64, memory_mb: u64) -> Account {
-    let Settings { classes, max_attempts, may_duplicate, retry_after, answer_slack, purge_slack, .. } =
-        &decoded.settings;
+    let Settings {
+        classes,
+        max_attempts,
+        may_duplicate,
+        retry_after,
+        answer_slack,
+        purge_slack,
+        ..
+    } = &decoded.settings;
     let ms = |us: u64| us / 1_000;
     let class = |(name, class): (&String, &foldmux::interface::Class)| Class {
         name: name.clone(),
@@ -57,10 +64,17 @@
 }
 
 /// `foldmux limits …`: what is printed.
-pub fn command(words: &[String], operator: Option<&Path>, route: Option<&str>) -> Result<String, String> {
+pub fn command(
+    words: &[String],
+    operator: Option<&Path>,
+    route: Option<&str>,
+) -> Result<String, String> {
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     let file = |named: Option<&Path>| {
-        named.map_or_else(|| Ok(Table::new(&Account::default(), &Draft::default())), load)
+        named.map_or_else(
+            || Ok(Table::new(&Account::default(), &Draft::default())),
+            load,
+        )
     };
     match words[..] {
         ["show", class] => {
@@ -77,9 +91,9 @@
             let lines = export::diff(&load(Path::new(old))?, &load(Path::new(new))?);
             Ok(lines.iter().map(|line| format!("{line}\n")).collect())
         }
-        _ => {
-            Err("limits show CLASS [--route R] | export | schema | diff OLD NEW; see foldmux help"
-                .to_string())
-        }
+        _ => Err(
+            "limits show CLASS [--route R] | export | schema | diff OLD NEW; see foldmux help"
+                .to_string(),
+        ),
     }
 }
--- a/edge/proxy/src/line.rs
+++ b/edge/proxy/src/line.rs
@@ -47,13 +47,15 @@
 impl Sources {
     pub fn figures(&self) -> Figures {
         let classes = self.core.tally.classes().into_iter();
-        let classes = classes.map(|(class, [answered, deferred, errored, sends])| ClassFigures {
-            class: class.to_string(),
-            answered,
-            deferred,
-            errored,
-            sends,
-        });
+        let classes = classes.map(
+            |(class, [answered, deferred, errored, sends])| ClassFigures {
+                class: class.to_string(),
+                answered,
+                deferred,
+                errored,
+                sends,
+            },
+        );
         let (size, unready) = self.hand.census();
         Figures {
             classes: classes.collect(),
@@ -96,8 +98,13 @@
 }
 
 /// Listens at `address` and answers there until the process ends, `places` connections at once.
-pub fn serve(address: SocketAddr, sources: Arc<Sources>, places: usize) -> Result<SocketAddr, String> {
-    let listener = TcpListener::bind(address).map_err(|e| format!("operator line on {address}: {e}"))?;
+pub fn serve(
+    address: SocketAddr,
+    sources: Arc<Sources>,
+    places: usize,
+) -> Result<SocketAddr, String> {
+    let listener =
+        TcpListener::bind(address).map_err(|e| format!("operator line on {address}: {e}"))?;
     let on = listener.local_addr().map_err(|e| e.to_string())?;
     let open = Arc::new(AtomicUsize::new(0));
     if sources.hand.shared() {
@@ -117,7 +124,10 @@
         };
         if open.fetch_add(1, Ordering::SeqCst) >= places {
             open.fetch_sub(1, Ordering::SeqCst);
-            say(&stream, b"error busy: too many connections to the operator line\n");
+            say(
+                &stream,
+                b"error busy: too many connections to the operator line\n",
+            );
             continue;
         }
         let (sources, place) = (sources.clone(), Place(open.clone()));
@@ -125,7 +135,10 @@
             let _place = place;
             converse(stream, &sources);
         });
-        spawned.err().iter().for_each(|e| tracing::warn!("operator line: {e}"));
+        spawned
+            .err()
+            .iter()
+            .for_each(|e| tracing::warn!("operator line: {e}"));
     })?;
     Ok(on)
 }
--- a/edge/proxy/src/line/hand.rs
+++ b/edge/proxy/src/line/hand.rs
@@ -31,7 +31,14 @@
         if !out.is_empty() {
             tracing::info!("maintenance: {} pop caches out by hand, as kept", out.len());
         }
-        Hand { held: Mutex::new(Held { out, told: HashMap::new() }), desk, kept }
+        Hand {
+            held: Mutex::new(Held {
+                out,
+                told: HashMap::new(),
+            }),
+            desk,
+            kept,
+        }
     }
 
     fn held(&self) -> MutexGuard<'_, Held> {
@@ -59,7 +66,13 @@
     pub fn set(&self, id: &str, out: bool) -> Result<bool, Refused> {
         let mut held = self.held();
         let known = held.told.contains_key(id);
-        let one = |set: &mut Maintenance| if out { set.on(id, known) } else { set.off(id, known) };
+        let one = |set: &mut Maintenance| {
+            if out {
+                set.on(id, known)
+            } else {
+                set.off(id, known)
+            }
+        };
         let (set, changed) = match &self.kept {
             Some(kept) => kept.change(&held.out, one),
             None => {
@@ -75,12 +88,19 @@
     /// Goes by another set from now on; how many listed pop caches that concerns.
     fn take(&self, held: &mut Held, set: Maintenance) -> usize {
         let differs = |line: &&Listed| set.holds(&line.name) != held.out.holds(&line.name);
-        let changed: Vec<Listed> =
-            held.told.values().filter(differs).map(|line| out_by_hand(&set, line.clone())).collect();
+        let changed: Vec<Listed> = held
+            .told
+            .values()
+            .filter(differs)
+            .map(|line| out_by_hand(&set, line.clone()))
+            .collect();
         held.out = set;
         let count = changed.len();
         if count > 0 {
-            self.desk.tell(Notice::Members { full: false, listed: changed });
+            self.desk.tell(Notice::Members {
+                full: false,
+                listed: changed,
+            });
         }
         count
     }
@@ -99,10 +119,14 @@
         let Some(kept) = &self.kept else { return };
         // Read under the lock: a call here may change it between the reading and the taking.
         let mut held = self.held();
-        let Some(set) = kept.read().filter(|set| *set != held.out) else { return };
+        let Some(set) = kept.read().filter(|set| *set != held.out) else {
+            return;
+        };
         let changed = self.take(&mut held, set);
         if changed > 0 {
-            tracing::info!("maintenance: {changed} pop caches changed by the process beside this one");
+            tracing::info!(
+                "maintenance: {changed} pop caches changed by the process beside this one"
+            );
         }
     }
 
--- a/edge/proxy/src/line/kept.rs
+++ b/edge/proxy/src/line/kept.rs
@@ -25,7 +25,10 @@
 
     /// What is kept; none where nothing is, or it can't be read.
     pub fn read(&self) -> Option<Maintenance> {
-        std::fs::read_to_string(&self.file).ok().as_deref().map(Maintenance::parse)
+        std::fs::read_to_string(&self.file)
+            .ok()
+            .as_deref()
+            .map(Maintenance::parse)
     }
 
     /// Changes what is kept, or `own` where nothing is: the set as it is then, and what `change` gives. Where it can't be
@@ -39,16 +42,28 @@
         let before = self.read();
         let mut set = before.clone().unwrap_or_else(|| own.clone());
         let came = change(&mut set);
-        let written = if before.as_ref() == Some(&set) { Ok(()) } else { self.write(&set) };
+        let written = if before.as_ref() == Some(&set) {
+            Ok(())
+        } else {
+            self.write(&set)
+        };
         let file = self.file.display();
-        written.err().iter().for_each(|e| tracing::warn!("maintenance: not kept in {file}: {e}"));
+        written
+            .err()
+            .iter()
+            .for_each(|e| tracing::warn!("maintenance: not kept in {file}: {e}"));
         // Kept all the same, as where no other process is there.
-        locked.err().iter().for_each(|e| tracing::warn!("maintenance: {file} changed without its lock: {e}"));
+        locked
+            .err()
+            .iter()
+            .for_each(|e| tracing::warn!("maintenance: {file} changed without its lock: {e}"));
         (set, came)
     }
 
     fn write(&self, set: &Maintenance) -> io::Result<()> {
-        let fresh = self.file.with_extension(format!("new{}", std::process::id()));
+        let fresh = self
+            .file
+            .with_extension(format!("new{}", std::process::id()));
         std::fs::write(&fresh, set.render())?;
         std::fs::rename(&fresh, &self.file)
     }
@@ -65,7 +80,9 @@
             match file.try_lock() {
                 Ok(()) => return Ok(file),
                 Err(TryLockError::Error(e)) => return Err(e),
-                Err(TryLockError::WouldBlock) if Instant::now() < until => std::thread::sleep(LOOK_EVERY),
+                Err(TryLockError::WouldBlock) if Instant::now() < until => {
+                    std::thread::sleep(LOOK_EVERY)
+                }
                 Err(TryLockError::WouldBlock) => return Err(io::ErrorKind::TimedOut.into()),
             }
         }
@@ -89,11 +106,14 @@
                     let kept = Kept::new(file);
                     start.wait();
                     for k in 0..20 {
-                        let (set, _) =
-                            kept.change(&Maintenance::default(), |set| set.on(&format!("s-{n}-{k}"), true));
+                        let (set, _) = kept.change(&Maintenance::default(), |set| {
+                            set.on(&format!("s-{n}-{k}"), true)
+                        });
                         assert!(set.holds(&format!("s-{n}-{k}")));
                         if k % 2 == 1 {
-                            kept.change(&set, |set| set.off(&format!("s-{n}-{}", k - 1), true)).1.unwrap();
+                            kept.change(&set, |set| set.off(&format!("s-{n}-{}", k - 1), true))
+                                .1
+                                .unwrap();
                         }
                     }
                 });
--- a/edge/proxy/src/log.rs
+++ b/edge/proxy/src/log.rs
@@ -31,8 +31,10 @@
 /// for, and it is asked again.
 fn writer() -> Result<(NonBlocking, WorkerGuard), String> {
     for _ in 0..STARTS {
-        let builder =
-            NonBlockingBuilder::default().lossy(true).buffered_lines_limit(QUEUE).thread_name("log");
+        let builder = NonBlockingBuilder::default()
+            .lossy(true)
+            .buffered_lines_limit(QUEUE)
+            .thread_name("log");
         if let Ok(writer) = catch_unwind(|| builder.finish(std::io::stderr())) {
             return Ok(writer);
         }
@@ -48,7 +50,10 @@
     let filter = level.or(variable.as_deref()).unwrap_or("info");
     let filter = EnvFilter::try_new(filter).map_err(|e| format!("log level {filter:?}: {e}"))?;
     let (writer, guard) = writer()?;
-    let lines = tracing_subscriber::fmt().with_env_filter(filter).with_writer(writer).with_ansi(false);
+    let lines = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(writer)
+        .with_ansi(false);
     let set = match form {
         Form::Plain => lines.with_target(false).try_init(),
         Form::Json => lines.json().flatten_event(true).try_init(),
--- a/edge/proxy/src/main.rs
+++ b/edge/proxy/src/main.rs
@@ -73,7 +73,10 @@
     let (mut command, mut config, mut name, mut level) = (None, None, None, None);
     let mut operator = std::env::var_os("FOLDMUX_OPERATOR").map(PathBuf::from);
     let (mut files, mut form) = (Vec::new(), Form::Plain);
-    let (mut method, mut path) = ("GET".to_string(), "/v2/q/formula-card/0000000000000001/0".to_string());
+    let (mut method, mut path) = (
+        "GET".to_string(),
+        "/v2/q/formula-card/0000000000000001/0".to_string(),
+    );
     let (mut headers, mut words, mut route) = (Vec::new(), Vec::new(), None);
     let said = |e: lexopt::Error| e.to_string();
     let word = |value: OsString| value.into_string().map_err(|v| format!("{v:?} is no text"));
@@ -92,7 +95,9 @@
                     other => return Err(format!("no command {other:?}; see foldmux help")),
                 });
             }
-            Arg::Value(file) if command == Some(Command::Plan) && files.len() < 2 => files.push(file.into()),
+            Arg::Value(file) if command == Some(Command::Plan) && files.len() < 2 => {
+                files.push(file.into())
+            }
             Arg::Value(place) if command == Some(Command::Ask) && files.is_empty() => {
                 files.push(place.into())
             }
@@ -104,8 +109,9 @@
             Arg::Long("path") => path = word(parser.value().map_err(said)?)?,
             Arg::Long("header") => {
                 let text = word(parser.value().map_err(said)?)?;
-                let (name, value) =
-                    text.split_once(':').ok_or_else(|| format!("{text:?} is no NAME:VALUE"))?;
+                let (name, value) = text
+                    .split_once(':')
+                    .ok_or_else(|| format!("{text:?} is no NAME:VALUE"))?;
                 headers.push((name.to_string(), value.trim().to_string()));
             }
             Arg::Long("config") => config = Some(parser.value().map_err(said)?),
@@ -119,12 +125,37 @@
         }
     }
     let command = command.ok_or("no command; see foldmux help")?;
-    Ok(Line { command, config, operator, name, files, method, path, headers, words, route, form, level })
+    Ok(Line {
+        command,
+        config,
+        operator,
+        name,
+        files,
+        method,
+        path,
+        headers,
+        words,
+        route,
+        form,
+        level,
+    })
 }
 
 fn run(line: Line) -> Result<(), String> {
-    let Line { command, config, operator, name, files, method, path, headers, words, route, form, level } =
-        line;
+    let Line {
+        command,
+        config,
+        operator,
+        name,
+        files,
+        method,
+        path,
+        headers,
+        words,
+        route,
+        form,
+        level,
+    } = line;
     match command {
         Command::Help => println!("{USAGE}"),
         Command::Version => println!("foldmux {}", env!("CARGO_PKG_VERSION")),
@@ -140,9 +171,15 @@
                 return Err("extproc-check wants an address; see foldmux help".to_string());
             };
             let place = place.to_string_lossy();
-            print!("{}", foldmux_extproc::check::check(&place, &method, &path, &headers)?);
+            print!(
+                "{}",
+                foldmux_extproc::check::check(&place, &method, &path, &headers)?
+            );
         }
-        Command::Limits => print!("{}", limits::command(&words, operator.as_deref(), route.as_deref())?),
+        Command::Limits => print!(
+            "{}",
+            limits::command(&words, operator.as_deref(), route.as_deref())?
+        ),
         Command::Serve => {
             let file = place(config)?;
             let config = config::read(&file)?;
--- a/edge/proxy/src/relayed.rs
+++ b/edge/proxy/src/relayed.rs
@@ -34,17 +34,28 @@
 
 impl Relayed {
     /// None where the file does not name the journal. With it the part for the fleet's thread, and where that tells.
-    pub fn new(said: &Fleet, name: &str, seed: u64) -> Result<Option<(Relayed, Relay, Tells)>, String> {
+    pub fn new(
+        said: &Fleet,
+        name: &str,
+        seed: u64,
+    ) -> Result<Option<(Relayed, Relay, Tells)>, String> {
         let Some(journal) = said.streams.iter().find(|stream| stream.name == JOURNAL) else {
             return Ok(None);
         };
         let (seats, drift) = seats(said)?;
-        let life = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64);
+        let life = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_micros() as u64);
         let setup = Setup {
             me: Peer::new(name),
             life,
             places: (said.peers.iter())
-                .map(|peer| (Peer::new(&peer.name), peer.site.split('/').map(Into::into).collect()))
+                .map(|peer| {
+                    (
+                        Peer::new(&peer.name),
+                        peer.site.split('/').map(Into::into).collect(),
+                    )
+                })
                 .collect(),
             seats,
             drift,
@@ -60,7 +71,11 @@
         // Until its reader is fed the process reads the source, as one without a fleet does.
         desk.gate.without(true);
         Ok(Some((
-            Relayed { desk, serve: journal.serve, most: journal.readers as usize - 1 },
+            Relayed {
+                desk,
+                serve: journal.serve,
+                most: journal.readers as usize - 1,
+            },
             Relay::new(setup, 0),
             tells,
         )))
@@ -75,7 +90,10 @@
             tracing::info!("the journal is served to the site on {on}");
         }
         let desk = self.desk.clone();
-        named("relayed", 512 * 1024, move || follow(&desk, &journal, Backoff::new(seed))).map(drop)
+        named("relayed", 512 * 1024, move || {
+            follow(&desk, &journal, Backoff::new(seed))
+        })
+        .map(drop)
     }
 }
 
--- a/edge/proxy/src/reload.rs
+++ b/edge/proxy/src/reload.rs
@@ -37,23 +37,37 @@
     front: &Front,
 ) -> Result<String, String> {
     let config = config::read(file).map_err(|unusable| unusable.on_one_line())?;
-    started.check(&config).map_err(|unusable| unusable.on_one_line())?;
+    started
+        .check(&config)
+        .map_err(|unusable| unusable.on_one_line())?;
     let mut settings = config.decoded.settings.clone();
-    tune.take(rules(&config.decoded)).map_err(|refused| format!("configuration: {refused}"))?;
+    tune.take(rules(&config.decoded))
+        .map_err(|refused| format!("configuration: {refused}"))?;
     settings.classes = tune.all().cloned().collect();
-    front.core.retune(refusal_wait(&settings), settings.longest_cold());
+    front
+        .core
+        .retune(refusal_wait(&settings), settings.longest_cold());
     // The module knows the new places before any client can name them.
     front.core.desk.tell(Notice::Retuned(Box::new(settings)));
     // Which member is a parent, the origin or a neighbour follows from the settings: it is worked out anew.
-    front.core.desk.tell(Notice::Members { full: false, listed: Vec::new() });
+    front.core.desk.tell(Notice::Members {
+        full: false,
+        listed: Vec::new(),
+    });
     let taken = served(tune);
-    taken.iter().for_each(|class| front.core.tally.know(&class.name));
-    *front.classes.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(taken);
+    taken
+        .iter()
+        .for_each(|class| front.core.tally.know(&class.name));
+    *front
+        .classes
+        .write()
+        .unwrap_or_else(PoisonError::into_inner) = Arc::new(taken);
     service.move_to(config.journal);
     let names: Vec<&str> = tune.named().map(|(name, ..)| name).collect();
-    let at = config.journal.map_or("no journal service: the list stays as it is".to_string(), |address| {
-        format!("the journal service is at {address}")
-    });
+    let at = config.journal.map_or(
+        "no journal service: the list stays as it is".to_string(),
+        |address| format!("the journal service is at {address}"),
+    );
     let later = match started.later(&config) {
         keys if keys.is_empty() => String::new(),
         keys => format!("; from the next start: {}", keys.join(", ")),
@@ -62,14 +76,24 @@
 }
 
 pub fn rules(decoded: &foldmux_settings::Decoded) -> Vec<(String, Class)> {
-    decoded.classes.iter().cloned().zip(decoded.settings.classes.iter().cloned()).collect()
+    decoded
+        .classes
+        .iter()
+        .cloned()
+        .zip(decoded.settings.classes.iter().cloned())
+        .collect()
 }
 
 /// The classes that the front takes by name, each at its place.
 pub fn served(tune: &Classes<Class>) -> Vec<Taken> {
     let one = |(name, place, class): (&str, &Arc<usize>, &Class)| {
         let keyed = matches!(class.repeat, Repeat::Keyed(_));
-        Taken { name: name.into(), place: place.clone(), keyed, longest: class.deadline }
+        Taken {
+            name: name.into(),
+            place: place.clone(),
+            keyed,
+            longest: class.deadline,
+        }
     };
     tune.named().map(one).collect()
 }
@@ -89,16 +113,25 @@
 pub fn rewire(file: &Path, live: &mut Live) -> Result<String, String> {
     live.tell_again()?;
     let operator = foldmux_operator::load(file).map_err(|faults| faults.join("; "))?;
-    let hierarchy = operator.hierarchy.ok_or_else(|| format!("{}: no hierarchy", file.display()))?;
+    let hierarchy = operator
+        .hierarchy
+        .ok_or_else(|| format!("{}: no hierarchy", file.display()))?;
     live.take(&hierarchy)
 }
 
 /// Reads the operator's file again and takes its limits, all at once; those who are open keep theirs.
-pub fn relimit(file: &Path, account: &foldmux_limits::Account, limiter: &Limiter) -> Result<String, String> {
+pub fn relimit(
+    file: &Path,
+    account: &foldmux_limits::Account,
+    limiter: &Limiter,
+) -> Result<String, String> {
     let operator = foldmux_operator::load(file).map_err(|faults| faults.join("; "))?;
     let draft = operator.limits.unwrap_or_default();
     let table = limits::table(account, &draft).map_err(|faults| faults.join("; "))?;
-    let count = table.all().filter(|resolved| !resolved.at.is_empty()).count();
+    let count = table
+        .all()
+        .filter(|resolved| !resolved.at.is_empty())
+        .count();
     limiter.swap(table);
     Ok(format!("{count} sets of limits taken"))
 }
@@ -107,20 +140,32 @@
 pub fn reweigh(file: &Path, settings: &Path, fleet: &Running) -> Option<Result<String, String>> {
     let told = || -> Result<Option<usize>, String> {
         let operator = foldmux_operator::load(file).map_err(|faults| faults.join("; "))?;
-        let said = operator.fleet.ok_or_else(|| format!("{}: no fleet", file.display()))?;
+        let said = operator
+            .fleet
+            .ok_or_else(|| format!("{}: no fleet", file.display()))?;
         let read = config::read(settings).map_err(|unusable| unusable.on_one_line())?;
         Ok(fleet.reweigh(&said, &read.decoded.tenants))
     };
-    told().map(|count| count.map(|count| format!("{count} taken"))).transpose()
+    told()
+        .map(|count| count.map(|count| format!("{count} taken")))
+        .transpose()
 }
 
 /// Reads the operator's file again and takes its keys for tokens.
 pub fn rekey(file: &Path, serving: &Serving) -> Result<String, String> {
     let operator = foldmux_operator::load(file).map_err(|faults| faults.join("; "))?;
-    let own = operator.ext_proc.ok_or_else(|| format!("{}: no ext_proc", file.display()))?;
-    let keys: Vec<(u8, &[u8])> = own.keys.iter().map(|key| (key.number, key.secret.as_bytes())).collect();
+    let own = operator
+        .ext_proc
+        .ok_or_else(|| format!("{}: no ext_proc", file.display()))?;
+    let keys: Vec<(u8, &[u8])> = own
+        .keys
+        .iter()
+        .map(|key| (key.number, key.secret.as_bytes()))
+        .collect();
     serving.front.keeper.change(&keys);
-    Ok(keys.last().map_or("none".to_string(), |(number, _)| format!("{number} signs")))
+    Ok(keys
+        .last()
+        .map_or("none".to_string(), |(number, _)| format!("{number} signs")))
 }
 
 /// The classes, as the external processor serves them.
--- a/edge/proxy/src/reports.rs
+++ b/edge/proxy/src/reports.rs
@@ -18,21 +18,48 @@
     handle: &DeskHandle,
     upstream: Upstream,
 ) -> Result<Box<dyn Tries>, String> {
-    let Some(beside) = Beside::new(setup.clone(), settings) else { return Ok(Box::new(upstream)) };
+    let Some(beside) = Beside::new(setup.clone(), settings) else {
+        return Ok(Box::new(upstream));
+    };
     let asks = setup.asks();
-    let Setup { fields, in_answers, patience, .. } = setup;
+    let Setup {
+        fields,
+        in_answers,
+        patience,
+        ..
+    } = setup;
     let prober = || {
         let (members, pool) = (upstream.members.clone(), upstream.pool.clone());
         let desk = handle.clone();
-        let hears = move |cache, start, well, load| desk.tell(Notice::Probed { cache, start, well, load });
-        Prober::start(members, pool, Arc::new(hears), fields.clone(), span(patience))
+        let hears = move |cache, start, well, load| {
+            desk.tell(Notice::Probed {
+                cache,
+                start,
+                well,
+                load,
+            })
+        };
+        Prober::start(
+            members,
+            pool,
+            Arc::new(hears),
+            fields.clone(),
+            span(patience),
+        )
     };
     let prober = asks.then(prober).transpose()?;
-    desk.report_to(beside, prober.map(|prober| Box::new(prober) as Box<dyn Probes>));
+    desk.report_to(
+        beside,
+        prober.map(|prober| Box::new(prober) as Box<dyn Probes>),
+    );
     if !in_answers || fields.is_empty() {
         return Ok(Box::new(upstream));
     }
     let desk = handle.clone();
     let hears = move |cache, start, load| desk.tell(Notice::Load { cache, start, load });
-    Ok(Box::new(Reporting { upstream, fields, hears: Box::new(hears) }))
+    Ok(Box::new(Reporting {
+        upstream,
+        fields,
+        hears: Box::new(hears),
+    }))
 }
--- a/edge/proxy/src/server.rs
+++ b/edge/proxy/src/server.rs
@@ -7,7 +7,9 @@
 use crate::journal::{Journal, Names, Service};
 use crate::leave::{until_killed, Leaving, ANSWERS_READ, LONGEST};
 use crate::line::{self, Hand, Sources};
-use crate::reload::{processed, rekey, relimit, reload, reweigh, rewire, routed, rules, served, tell};
+use crate::reload::{
+    processed, rekey, relimit, reload, reweigh, rewire, routed, rules, served, tell,
+};
 use crate::signals::{Signal, Signals};
 use crate::started::Started;
 use crate::wiring::{Live, Zones};
@@ -51,16 +53,24 @@
 
 /// Runs until a signal ends it; an error is one plain line. `file` is where the configuration came from.
 /// `operator`: the operator's file and what it holds.
-#[expect(clippy::too_many_lines, reason = "puts all parts together, in their order; to be split by phase")]
+#[expect(
+    clippy::too_many_lines,
+    reason = "puts all parts together, in their order; to be split by phase"
+)]
 pub fn run(config: Config, file: &Path, operator: Option<(&Path, Operator)>) -> Result<(), String> {
     let signals = Signals::new().map_err(|e| format!("signals: {e}"))?;
     let bounds = config.bounds;
     let started = Started::of(&config);
     let decoded = config.decoded;
-    let (own_file, operator) = operator.map_or((None, Operator::default()), |(file, o)| (Some(file), o));
-    let mut tune = Classes::new(rules(&decoded)).map_err(|refused| format!("configuration: {refused}"))?;
+    let (own_file, operator) =
+        operator.map_or((None, Operator::default()), |(file, o)| (Some(file), o));
+    let mut tune =
+        Classes::new(rules(&decoded)).map_err(|refused| format!("configuration: {refused}"))?;
     let dns = operator.dns.map(Bound::new).transpose()?;
-    let processor = operator.ext_proc.map(|setup| Processor::new(setup, processed(&tune))).transpose()?;
+    let processor = operator
+        .ext_proc
+        .map(|setup| Processor::new(setup, processed(&tune)))
+        .transpose()?;
     let zones = Zones {
         names: decoded.zones.clone(),
         own: decoded.settings.zone,
@@ -69,19 +79,28 @@
     let clock = Clock::default();
     let members = Arc::new(Members::default());
     let pool = Pool::new(bounds.upstream, span(decoded.keep_alive));
-    let (shed_wait, cold_for) = (refusal_wait(&decoded.settings), decoded.settings.longest_cold());
+    let (shed_wait, cold_for) = (
+        refusal_wait(&decoded.settings),
+        decoded.settings.longest_cold(),
+    );
     let classes: Vec<Arc<str>> = decoded.classes.iter().map(|c| c.as_str().into()).collect();
     let taken = served(&tune);
     let own = Own {
         name: &config.name,
         decoded: &decoded,
-        classes: taken.iter().map(|class| (&class.name, &class.place)).collect(),
+        classes: taken
+            .iter()
+            .map(|class| (&class.name, &class.place))
+            .collect(),
         members: &members,
         open: bounds.open,
         memory_mb: config.limits[1],
         seed: config.seed,
     };
-    let own_fleet = operator.fleet.as_ref().map(|said| fleet::Fleet::new(said, &own));
+    let own_fleet = operator
+        .fleet
+        .as_ref()
+        .map(|said| fleet::Fleet::new(said, &own));
     let own_fleet = own_fleet.transpose()?.flatten();
     let attempts = decoded.settings.max_attempts;
     let account = limits::account(&decoded, config.limits[0], config.limits[1]);
@@ -90,8 +109,17 @@
         .as_ref()
         .map(|draft| limits::table(&account, draft).map_err(|faults| faults.join("\nfoldmux: ")));
     let limited = limited.transpose()?;
-    let repeats: Vec<Repeat> = decoded.settings.classes.iter().map(|class| class.repeat).collect();
-    let own_zone = decoded.zones.get(decoded.settings.zone).cloned().unwrap_or_default();
+    let repeats: Vec<Repeat> = decoded
+        .settings
+        .classes
+        .iter()
+        .map(|class| class.repeat)
+        .collect();
+    let own_zone = decoded
+        .zones
+        .get(decoded.settings.zone)
+        .cloned()
+        .unwrap_or_default();
     let (told, reported) = (decoded.settings.clone(), decoded.reports);
     let router = Router::new(decoded.settings, config.seed);
     let (mut desk, handle) = Desk::new(router, clock.clone(), members.clone());
@@ -106,11 +134,22 @@
     let buffers = Buffers::new(bounds.buffers);
     let tries = reports::start(reported, &told, &mut desk, &handle, upstream)?;
     let most = bounds.open;
-    let core = Core::new(handle.clone(), clock.clone(), buffers, members, tries, shed_wait, cold_for, most);
+    let core = Core::new(
+        handle.clone(),
+        clock.clone(),
+        buffers,
+        members,
+        tries,
+        shed_wait,
+        cold_for,
+        most,
+    );
     // Limits go by the places of the start's classes: no other class may take one.
     let _limited_places = limited.is_some().then(|| taken.clone());
     if let Some(table) = limited {
-        let _ = core.limits.set(Limiter::new(table, clock.clone(), own_zone, repeats));
+        let _ = core
+            .limits
+            .set(Limiter::new(table, clock.clone(), own_zone, repeats));
     }
     if let Some(mut dns) = dns {
         let serial = dns.notify(&mut desk)?;
@@ -119,11 +158,17 @@
     named("desk", DESK_STACK, move || run_desk(desk))?;
 
     let listed = Arc::new(AtomicBool::new(false));
-    let names = Names { zones: decoded.zones, kinds: decoded.kinds };
+    let names = Names {
+        zones: decoded.zones,
+        kinds: decoded.kinds,
+    };
     // The wiring comes before the list: no fill goes another way first.
     let tree = operator.hierarchy.as_ref();
-    let mut live = tree.map(|h| Live::start(h, zones, clock.clone(), handle.clone())).transpose()?;
-    let listener = shared(config.listen).map_err(|e| format!("listening on {}: {e}", config.listen))?;
+    let mut live = tree
+        .map(|h| Live::start(h, zones, clock.clone(), handle.clone()))
+        .transpose()?;
+    let listener =
+        shared(config.listen).map_err(|e| format!("listening on {}: {e}", config.listen))?;
     let on = listener.local_addr().map_err(|e| e.to_string())?;
     let mut journal = Journal::new(names, clock, handle.clone(), pool.clone(), listed.clone());
     // Kept where the platform gives this place a folder of its own, which a new version beside this one shares.
@@ -144,7 +189,9 @@
     let relayed = own_fleet.is_some().then(|| journal.clone());
     let followed = service.clone();
     let backoff = Backoff::new(config.seed);
-    named("journal", 512 * 1024, move || journal.follow(&followed, backoff))?;
+    named("journal", 512 * 1024, move || {
+        journal.follow(&followed, backoff)
+    })?;
 
     let mut processor = match processor {
         Some(processor) => {
@@ -175,7 +222,9 @@
         accept_until(&listener, &places, READER_STACK, Arc::new(serve), &close);
         tracing::info!("no more connections are taken");
     })?;
-    let own_fleet = own_fleet.zip(relayed).map(|(fleet, journal)| fleet.start(&core, journal));
+    let own_fleet = own_fleet
+        .zip(relayed)
+        .map(|(fleet, journal)| fleet.start(&core, journal));
     let own_fleet = own_fleet.transpose()?;
     tracing::info!("{} serves on {on}", config.name);
     let sources = Arc::new(Sources {
@@ -195,8 +244,14 @@
     named("tally", READER_STACK, move || loop {
         thread::sleep(TALLY_EVERY);
         pool.sweep(); // also where there is no journal service
-        told.tally.line().iter().for_each(|line| tracing::info!("{line}; {} open", told.open()));
-        told.tally.reasons_line().iter().for_each(|line| tracing::info!("not served: {line}"));
+        told.tally
+            .line()
+            .iter()
+            .for_each(|line| tracing::info!("{line}; {} open", told.open()));
+        told.tally
+            .reasons_line()
+            .iter()
+            .for_each(|line| tracing::info!("not served: {line}"));
         let withheld = told.unserved_lines.take_withheld();
         if withheld > 0 {
             tracing::info!("{withheld} lines of requests that were not served are left out");
@@ -204,7 +259,11 @@
     })?;
     while signals.wait() == Signal::Reload {
         let reloaded = reload(file, &service, (&started, &mut tune), &retuned);
-        let count = if reloaded.is_ok() { &sources.conf_loaded } else { &sources.conf_invalid };
+        let count = if reloaded.is_ok() {
+            &sources.conf_loaded
+        } else {
+            &sources.conf_invalid
+        };
         count.fetch_add(1, Ordering::Relaxed);
         tell("reload", reloaded);
         if let (Some(live), Some(own_file)) = (&mut live, own_file) {
@@ -214,28 +273,50 @@
             tell("limits", relimit(own_file, &account, limiter));
         }
         if let (Some(fleet), Some(own_file)) = (&own_fleet, own_file) {
-            reweigh(own_file, file, fleet).into_iter().for_each(|came| tell("weights", came));
+            reweigh(own_file, file, fleet)
+                .into_iter()
+                .for_each(|came| tell("weights", came));
         }
         if let (Some(serving), Some(own_file)) = (&processor, own_file) {
             // What was placed and refused is told either way.
             let counted = |text: String| format!("{text}; {}", serving.line());
-            tell("token keys", rekey(own_file, serving).map(counted).map_err(counted));
+            tell(
+                "token keys",
+                rekey(own_file, serving).map(counted).map_err(counted),
+            );
         }
     }
     // By the classes of now: a reload may have brought other deadlines.
-    let longest = retuned.classes().iter().map(|class| class.longest).max().unwrap_or(0);
+    let longest = retuned
+        .classes()
+        .iter()
+        .map(|class| class.longest)
+        .max()
+        .unwrap_or(0);
     let by = Instant::now() + until_killed(longest);
     let _ = leave_by.set(by);
-    core.desk.tell(Notice::Closing { by: core.clock.at(by - ANSWERS_READ) });
+    core.desk.tell(Notice::Closing {
+        by: core.clock.at(by - ANSWERS_READ),
+    });
     own_fleet.iter().for_each(fleet::Running::leave);
     // Beside the clients' end: streams that do not end must not hold that up.
     let processor = processor.take().map(|mut serving| {
         named("processor", 512 * 1024, move || {
             let ended = serving.leave(LONGEST);
-            tracing::info!("external processor: {}; all streams ended: {ended}", serving.line());
+            tracing::info!(
+                "external processor: {}; all streams ended: {ended}",
+                serving.line()
+            );
         })
     });
-    Leaving { core, connections, closing, acceptor, by }.leave();
+    Leaving {
+        core,
+        connections,
+        closing,
+        acceptor,
+        by,
+    }
+    .leave();
     if let Some(Ok(processor)) = processor {
         let _ = processor.join();
     }
--- a/edge/proxy/src/started.rs
+++ b/edge/proxy/src/started.rs
@@ -19,7 +19,10 @@
 }
 
 fn keep(key: &'static str, value: impl std::fmt::Debug) -> Kept {
-    Kept { key, value: format!("{value:?}") }
+    Kept {
+        key,
+        value: format!("{value:?}"),
+    }
 }
 
 impl Started {
@@ -38,7 +41,10 @@
             keep("limits", config.limits),
             keep("settings.limits.dialTimeout", decoded.dial_time_out),
             keep("settings.limits.keepalive", decoded.keep_alive),
-            keep("settings.report, limits.probes or charges.probe", reports(config)),
+            keep(
+                "settings.report, limits.probes or charges.probe",
+                reports(config),
+            ),
         ];
         Started { numbering, kept }
     }
@@ -48,10 +54,20 @@
         let other = Started::of(config).numbering;
         let differs = |(held, told): (&Kept, &Kept)| {
             let Kept { key, value } = held;
-            let line = || format!("configuration.{key}: {} is not {value}, which is in service", told.value);
+            let line = || {
+                format!(
+                    "configuration.{key}: {} is not {value}, which is in service",
+                    told.value
+                )
+            };
             (held != told).then(line)
         };
-        let lines: Vec<String> = self.numbering.iter().zip(&other).filter_map(differs).collect();
+        let lines: Vec<String> = self
+            .numbering
+            .iter()
+            .zip(&other)
+            .filter_map(differs)
+            .collect();
         if lines.is_empty() {
             return Ok(());
         }
@@ -61,12 +77,22 @@
     /// The keys whose values in `config` hold from the next start.
     pub fn later(&self, config: &Config) -> Vec<&'static str> {
         let other = Started::of(config).kept;
-        self.kept.iter().zip(&other).filter(|(held, told)| held != told).map(|(held, _)| held.key).collect()
+        self.kept
+            .iter()
+            .zip(&other)
+            .filter(|(held, told)| held != told)
+            .map(|(held, _)| held.key)
+            .collect()
     }
 }
 
 /// How reports and probes are set up, but for what is derived from the classes.
 fn reports(config: &Config) -> impl std::fmt::Debug {
     let reports = &config.decoded.reports;
-    (format!("{:?}", reports.fields), reports.in_answers, reports.probes, reports.price.to_bits())
+    (
+        format!("{:?}", reports.fields),
+        reports.in_answers,
+        reports.probes,
+        reports.price.to_bits(),
+    )
 }
--- a/edge/proxy/src/turns.rs
+++ b/edge/proxy/src/turns.rs
@@ -44,8 +44,11 @@
     pub fn of(pool: &str, decoded: &Decoded) -> Result<Kinds, String> {
         let settings = &decoded.settings;
         let (archive, hub) = (settings.origin_kind, settings.parent_kind);
-        let caches =
-            || (0..decoded.kinds.len()).filter(|kind| *kind != archive && Some(*kind) != hub).collect();
+        let caches = || {
+            (0..decoded.kinds.len())
+                .filter(|kind| *kind != archive && Some(*kind) != hub)
+                .collect()
+        };
         let kinds = match (decoded.kinds.iter().position(|kind| kind == pool), pool) {
             (Some(kind), _) => vec![kind],
             (None, "archive") => vec![archive],
@@ -81,8 +84,17 @@
             return Ok(None);
         }
         let classes = &decoded.settings.classes;
-        let longest = classes.iter().map(|class| class.deadline).max().unwrap_or(1);
-        let slow_over = classes.iter().map(|class| class.aim).filter(|aim| *aim > 0).min().unwrap_or(longest);
+        let longest = classes
+            .iter()
+            .map(|class| class.deadline)
+            .max()
+            .unwrap_or(1);
+        let slow_over = classes
+            .iter()
+            .map(|class| class.aim)
+            .filter(|aim| *aim > 0)
+            .min()
+            .unwrap_or(longest);
         // None starts that may outlast its slot's lease, also right before the lease is renewed.
         let lease = 2 * longest + said.lease_ms * 1_000;
         let weights = weights(said, &decoded.tenants);
@@ -106,7 +118,10 @@
             let figures = Figures::new(classes.len(), slow_over, longest);
             let mut local = Local::new(key_of, setup, figures, Stock::default());
             local.retune(0, &weights, Weight::ONE);
-            pools.push((kinds, Pool::new(key_of, by, local, decoded.settings.retry_after.unwrap_or(0))));
+            pools.push((
+                kinds,
+                Pool::new(key_of, by, local, decoded.settings.retry_after.unwrap_or(0)),
+            ));
             setups.push(PoolSetup {
                 key: key_of,
                 slots: pool.slots as u16,
@@ -117,19 +132,35 @@
         }
         let (seats, drift) = seats(said)?;
         let seats = Change::settled(seats);
-        let peers = said.peers.iter().map(|peer| Peer::new(&peer.name)).collect();
-        let setup = FleetSetup { own: Peer::new(name), life: life(seed), peers, seats, drift, pools: setups };
+        let peers = said
+            .peers
+            .iter()
+            .map(|peer| Peer::new(&peer.name))
+            .collect();
+        let setup = FleetSetup {
+            own: Peer::new(name),
+            life: life(seed),
+            peers,
+            seats,
+            drift,
+            pools: setups,
+        };
         let turns = Arc::new(Turns { members, pools });
         // The fleet's clock began with its thread, which is yet to start: the part takes its first time as that.
         let port = builder.add(PART, FleetSlots::new(0, setup), News(turns.clone()));
-        turns.pools.iter().for_each(|(_, pool)| pool.ask_by(port.clone()));
+        turns
+            .pools
+            .iter()
+            .for_each(|(_, pool)| pool.ask_by(port.clone()));
         Ok(Some(turns))
     }
 
     /// Has the fleet hear of use and wants, and those that waited for too long of it.
     pub fn start(self: &Arc<Turns>) -> io::Result<()> {
         let turns = Arc::downgrade(self);
-        let thread = thread::Builder::new().name("turns".into()).stack_size(256 * 1024);
+        let thread = thread::Builder::new()
+            .name("turns".into())
+            .stack_size(256 * 1024);
         thread.spawn(move || {
             while let Some(turns) = turns.upgrade() {
                 turns.pools.iter().for_each(|(_, pool)| pool.beat());
@@ -143,7 +174,9 @@
     /// Weights as the file and the settings say now; what waits keeps its place and goes by them from here on.
     pub fn reweigh(&self, said: &Said, tenants: &[(String, f64)]) -> usize {
         let weights = weights(said, tenants);
-        self.pools.iter().for_each(|(_, pool)| pool.reweigh(&weights));
+        self.pools
+            .iter()
+            .for_each(|(_, pool)| pool.reweigh(&weights));
         weights.len()
     }
 
@@ -155,7 +188,8 @@
     fn told(&self, told: Told) {
         let (Told::Held { pool, .. } | Told::Most { pool, .. } | Told::Used { pool, .. }) = told;
         let own = self.pools.iter().find(|(_, own)| own.key == pool);
-        own.into_iter().for_each(|(_, pool)| pool.told(told.clone()));
+        own.into_iter()
+            .for_each(|(_, pool)| pool.told(told.clone()));
     }
 
     /// The pool that bounds an attempt: that of the fill's source, else of where it goes. One at the most, so that none
@@ -172,7 +206,9 @@
 
 /// Another for each start: the time, and the seed where two start in one moment.
 fn life(seed: u64) -> u64 {
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap_or_default();
     (now.as_nanos() as u64 ^ seed.rotate_left(32) ^ std::process::id() as u64).max(1)
 }
 
@@ -185,7 +221,9 @@
 
     /// What is held runs out with its leases, and no more comes: the cap holds.
     fn gone(&self) {
-        tracing::error!("fleet: no more slots come; requests of pools are refused once those here run out");
+        tracing::error!(
+            "fleet: no more slots come; requests of pools are refused once those here run out"
+        );
     }
 }
 
@@ -200,7 +238,9 @@
 
 impl Turn for Turns {
     fn turn(&self, wanted: &Wanted) -> Result<Option<Box<dyn Place>>, Time> {
-        let Some((pool, source)) = self.pool(wanted.fetch) else { return Ok(None) };
+        let Some((pool, source)) = self.pool(wanted.fetch) else {
+            return Ok(None);
+        };
         let inquiry = wanted.inquiry;
         let request = Request {
             id: wanted.slot.id.0,
--- a/edge/proxy/src/turns/pool.rs
+++ b/edge/proxy/src/turns/pool.rs
@@ -36,8 +36,18 @@
 
 impl Pool {
     pub fn new(key: u64, by: By, local: Local, longest: Time) -> Arc<Pool> {
-        let state = Mutex::new(State { local, waiting: HashMap::new() });
-        Arc::new(Pool { key, by, began: Instant::now(), longest, state, port: OnceLock::new() })
+        let state = Mutex::new(State {
+            local,
+            waiting: HashMap::new(),
+        });
+        Arc::new(Pool {
+            key,
+            by,
+            began: Instant::now(),
+            longest,
+            state,
+            port: OnceLock::new(),
+        })
     }
 
     pub fn ask_by(&self, port: Port<Ask>) {
@@ -99,7 +109,11 @@
         state.local.retune(now, weights, Weight::ONE);
         self.go_on(&mut state, now);
         let named = keyed(weights).collect();
-        self.ask(Ask::Weights { pool: self.key, named, unnamed: Weight::ONE.0 });
+        self.ask(Ask::Weights {
+            pool: self.key,
+            named,
+            unnamed: Weight::ONE.0,
+        });
     }
 
     pub fn leave(&self) {
@@ -129,7 +143,11 @@
                 state.local.ended(now, used);
             }
         }
-        state.local.gave().into_iter().for_each(|gave| self.ask(gave));
+        state
+            .local
+            .gave()
+            .into_iter()
+            .for_each(|gave| self.ask(gave));
     }
 
     /// An ask that finds no room is lost: the next beat says the same of use; a slot that was given back is the seats' once
@@ -151,7 +169,11 @@
 impl TurnPlace {
     pub fn new(pool: &Arc<Pool>, used: InUse) -> TurnPlace {
         let until = pool.began + Duration::from_micros(used.until());
-        TurnPlace { pool: pool.clone(), used: Some(used), until }
+        TurnPlace {
+            pool: pool.clone(),
+            used: Some(used),
+            until,
+        }
     }
 }
 
@@ -163,7 +185,10 @@
 
 impl Drop for TurnPlace {
     fn drop(&mut self) {
-        self.used.take().into_iter().for_each(|used| self.pool.ended(used));
+        self.used
+            .take()
+            .into_iter()
+            .for_each(|used| self.pool.ended(used));
     }
 }
 
@@ -176,7 +201,15 @@
     use foldmux_fair::Stock;
 
     fn request(id: u64, deadline: Time) -> Request<'static> {
-        Request { id, tenant: "a", class: 0, size_kb: 1.0, source: 1, deadline, repeat: false }
+        Request {
+            id,
+            tenant: "a",
+            class: 0,
+            size_kb: 1.0,
+            source: 1,
+            deadline,
+            repeat: false,
+        }
     }
 
     #[test]
@@ -193,20 +226,38 @@
         let pool = Pool::new(1, By::Class, local, 500_000);
         let long = pool.at(Instant::now()) + 60_000_000;
         let (tell, told) = bounded(2);
-        let Asked::Now(used) = pool.enter(&request(1, long), &tell) else { panic!("a slot is free") };
+        let Asked::Now(used) = pool.enter(&request(1, long), &tell) else {
+            panic!("a slot is free")
+        };
         let first = TurnPlace::new(&pool, used);
-        let Asked::Waits(_) = pool.enter(&request(2, long), &tell) else { panic!("it waits") };
+        let Asked::Waits(_) = pool.enter(&request(2, long), &tell) else {
+            panic!("it waits")
+        };
         let (gone, nobody) = bounded(2);
-        let Asked::Waits(_) = pool.enter(&request(3, long), &gone) else { panic!("it waits") };
-        assert!(matches!(pool.enter(&request(4, 1), &tell), Asked::Refused(_)), "its time is over");
-        assert_eq!([pool.advice(400_000), pool.advice(700_000)], [400_000, 500_000], "as the settings allow");
+        let Asked::Waits(_) = pool.enter(&request(3, long), &gone) else {
+            panic!("it waits")
+        };
+        assert!(
+            matches!(pool.enter(&request(4, 1), &tell), Asked::Refused(_)),
+            "its time is over"
+        );
+        assert_eq!(
+            [pool.advice(400_000), pool.advice(700_000)],
+            [400_000, 500_000],
+            "as the settings allow"
+        );
         drop(nobody);
         assert!(told.try_recv().is_err());
         drop(first);
-        let Ok(Word::Go(used)) = told.try_recv() else { panic!("the next has its turn") };
+        let Ok(Word::Go(used)) = told.try_recv() else {
+            panic!("the next has its turn")
+        };
         // The third is gone with its channel: its slot comes back at once.
         drop(TurnPlace::new(&pool, used));
         assert_eq!(pool.state().local.sizes(), [0, 0]);
-        assert!(matches!(pool.enter(&request(5, long), &tell), Asked::Now(_)));
+        assert!(matches!(
+            pool.enter(&request(5, long), &tell),
+            Asked::Now(_)
+        ));
     }
 }
--- a/edge/proxy/src/turns/weights.rs
+++ b/edge/proxy/src/turns/weights.rs
@@ -10,7 +10,8 @@
 /// What the settings tell of a tenant comes before what the file says.
 pub fn weights(said: &Said, tenants: &[(String, f64)]) -> Weights {
     let told = said.weights.iter().chain(tenants);
-    told.map(|(name, weight)| (name.as_str().into(), Weight::of(*weight))).collect()
+    told.map(|(name, weight)| (name.as_str().into(), Weight::of(*weight)))
+        .collect()
 }
 
 /// As the fleet knows them.
--- a/edge/proxy/src/wiring.rs
+++ b/edge/proxy/src/wiring.rs
@@ -30,27 +30,41 @@
     /// What of a tree concerns this proxy, or why it can't be used here.
     pub fn notice(&self, tree: &Tree) -> Result<Notice, String> {
         let own = self.names.get(self.own).map_or("", String::as_str);
-        let ix = tree.find(own).filter(|ix| tree.node(*ix).kind == Kind::Location);
-        let ix = ix.ok_or_else(|| format!("{own}, this proxy's zone, is no location of the tree"))?;
+        let ix = tree
+            .find(own)
+            .filter(|ix| tree.node(*ix).kind == Kind::Location);
+        let ix =
+            ix.ok_or_else(|| format!("{own}, this proxy's zone, is no location of the tree"))?;
         let of = |ix| -> Result<Vec<usize>, String> {
-            let hubs = tree.node(ix).parents.iter().filter(|p| **p != tree.archive());
+            let hubs = tree
+                .node(ix)
+                .parents
+                .iter()
+                .filter(|p| **p != tree.archive());
             hubs.map(|hub| {
                 let name = tree.name(*hub);
-                self.number(name).ok_or_else(|| format!("the hub {name} is no zone of the settings"))
+                self.number(name)
+                    .ok_or_else(|| format!("the hub {name} is no zone of the settings"))
             })
             .collect()
         };
         let mut hub_of = self.hub_of.clone();
         for (zone, name) in self.names.iter().enumerate() {
             // A zone that the tree doesn't name keeps the hub that the settings give.
-            let hubs =
-                tree.find(name).filter(|ix| tree.node(*ix).kind == Kind::Location).map(of).transpose()?;
+            let hubs = tree
+                .find(name)
+                .filter(|ix| tree.node(*ix).kind == Kind::Location)
+                .map(of)
+                .transpose()?;
             let first = hubs.and_then(|hubs| hubs.first().copied());
             if let (Some(held), Some(first)) = (hub_of.get_mut(zone), first) {
                 *held = first;
             }
         }
-        Ok(Notice::Wired { hubs: of(ix)?, hub_of })
+        Ok(Notice::Wired {
+            hubs: of(ix)?,
+            hub_of,
+        })
     }
 }
 
@@ -67,7 +81,12 @@
         let wiring = Wiring::new(own, hierarchy.tree.clone(), hierarchy.overlap_ms * 1_000);
         let wiring = wiring.map_err(|refused| refused.to_string())?;
         desk.tell(notice);
-        Ok(Live { wiring, zones, clock, desk })
+        Ok(Live {
+            wiring,
+            zones,
+            clock,
+            desk,
+        })
     }
 
     /// Tells the module the tree in service once more: its settings were taken anew, and what they say of hubs is not what
@@ -84,7 +103,10 @@
         if taken.map_err(|refused| refused.to_string())? == Taken::New {
             self.desk.tell(notice);
         }
-        Ok(format!("tree {} is in service", self.wiring.present().stamp()))
+        Ok(format!(
+            "tree {} is in service",
+            self.wiring.present().stamp()
+        ))
     }
 }
 
--- a/edge/proxy/src/wiring_tests.rs
+++ b/edge/proxy/src/wiring_tests.rs
@@ -4,21 +4,42 @@
 
 fn tree(text: &str) -> Tree {
     let head = "hierarchy(epoch = 1, domain = \"f.example\")\narchive(\"archive\")\n";
-    foldmux_operator::script::evaluate("t.star", format!("{head}{text}")).unwrap().hierarchy.unwrap().tree
+    foldmux_operator::script::evaluate("t.star", format!("{head}{text}"))
+        .unwrap()
+        .hierarchy
+        .unwrap()
+        .tree
 }
 
 #[test]
 fn a_tree_is_told_as_zones_or_refused_with_a_reason() {
-    let names = ["south", "east", "porvoo", "kotka"].map(str::to_string).to_vec();
-    let zones = Zones { names, own: 2, hub_of: vec![0, 1, 0, 1] };
+    let names = ["south", "east", "porvoo", "kotka"]
+        .map(str::to_string)
+        .to_vec();
+    let zones = Zones {
+        names,
+        own: 2,
+        hub_of: vec![0, 1, 0, 1],
+    };
     let hubs = "hub(\"south\", parents = [\"archive\"])\nhub(\"east\", parents = [\"archive\"])\n";
-    let sound = tree(&format!("{hubs}location(\"porvoo\", parents = [\"east\", \"south\"])"));
+    let sound = tree(&format!(
+        "{hubs}location(\"porvoo\", parents = [\"east\", \"south\"])"
+    ));
     match zones.notice(&sound) {
-        Ok(Notice::Wired { hubs, hub_of }) => assert_eq!((hubs, hub_of), (vec![1, 0], vec![0, 1, 1, 1])),
+        Ok(Notice::Wired { hubs, hub_of }) => {
+            assert_eq!((hubs, hub_of), (vec![1, 0], vec![0, 1, 1, 1]))
+        }
         _ => panic!("no notice"),
     }
     let without = zones.notice(&tree(hubs)).err().unwrap();
-    assert_eq!(without, "porvoo, this proxy's zone, is no location of the tree");
-    let unknown = "hub(\"west\", parents = [\"archive\"])\nlocation(\"porvoo\", parents = [\"west\"])";
-    assert_eq!(zones.notice(&tree(unknown)).err().unwrap(), "the hub west is no zone of the settings");
+    assert_eq!(
+        without,
+        "porvoo, this proxy's zone, is no location of the tree"
+    );
+    let unknown =
+        "hub(\"west\", parents = [\"archive\"])\nlocation(\"porvoo\", parents = [\"west\"])";
+    assert_eq!(
+        zones.notice(&tree(unknown)).err().unwrap(),
+        "the hub west is no zone of the settings"
+    );
 }
--- a/edge/proxy/tests/advice.rs
+++ b/edge/proxy/tests/advice.rs
@@ -27,11 +27,17 @@
 fn a_reload_changes_the_wait_that_is_advised() {
     let rig = Rig::start_with(|config| config.replace("\"maxRetryAfter\":100", MOST));
     let before = refusal(&rig, FIRST);
-    assert!(before.contains("Shed") && before.contains("\\xa1w\\xa3100"), "{before}");
+    assert!(
+        before.contains("Shed") && before.contains("\\xa1w\\xa3100"),
+        "{before}"
+    );
     let shorter = rig.config.replace(MOST, "\"maxRetryAfter\":40000");
     assert!(rig.program.reload(&shorter).contains("classes"));
     let after = refusal(&rig, FIRST + 2 * OPEN);
-    assert!(after.contains("Shed") && after.contains("\\xa1w\\xa240"), "{after}");
+    assert!(
+        after.contains("Shed") && after.contains("\\xa1w\\xa240"),
+        "{after}"
+    );
 }
 
 #[test]
@@ -43,5 +49,8 @@
             .replace("\"slo\":20000000", "\"slo\":1000000")
     });
     let answer = refusal(&rig, FIRST);
-    assert!(answer.contains("Shed") && answer.contains("\\xa1w\\xa3200"), "{answer}");
+    assert!(
+        answer.contains("Shed") && answer.contains("\\xa1w\\xa3200"),
+        "{answer}"
+    );
 }
--- a/edge/proxy/tests/client_closes.rs
+++ b/edge/proxy/tests/client_closes.rs
@@ -27,7 +27,11 @@
     stays.ends();
     drop(stays);
     rig.ends_well();
-    assert_eq!(rig.waiting_attempts(), 0, "a further attempt for a client that had gone");
+    assert_eq!(
+        rig.waiting_attempts(),
+        0,
+        "a further attempt for a client that had gone"
+    );
 }
 
 #[test]
@@ -79,7 +83,11 @@
     client.ask(TWO + 3);
     drop(client);
     third.is_given_up();
-    assert_eq!(rig.waiting_attempts(), 0, "a call was sent on after the end was decided");
+    assert_eq!(
+        rig.waiting_attempts(),
+        0,
+        "a call was sent on after the end was decided"
+    );
 }
 
 #[test]
@@ -108,6 +116,8 @@
     }
     let mut attempts: Vec<_> = (0..32).map(|_| rig.attempt()).collect();
     drop(client);
-    attempts.iter_mut().for_each(|attempt| attempt.is_given_up());
+    attempts
+        .iter_mut()
+        .for_each(|attempt| attempt.is_given_up());
     assert_eq!(rig.waiting_attempts(), 0);
 }
--- a/edge/proxy/tests/closes.rs
+++ b/edge/proxy/tests/closes.rs
@@ -52,13 +52,18 @@
 fn without_descriptors_the_acceptor_sleeps_and_takes_connections_again_when_they_come_back() {
     let rig = Rig::start();
     let process = rig.program.id();
-    let used = std::fs::read_dir(format!("/proc/{process}/fd")).unwrap().count();
+    let used = std::fs::read_dir(format!("/proc/{process}/fd"))
+        .unwrap()
+        .count();
     let limit = format!("--nofile={0}:{0}", used + 3);
-    let limited =
-        std::process::Command::new("prlimit").args(["--pid", &process.to_string(), &limit]).status();
+    let limited = std::process::Command::new("prlimit")
+        .args(["--pid", &process.to_string(), &limit])
+        .status();
     assert!(limited.unwrap().success());
     let mut taken: Vec<Client> = (0..3).map(|_| rig.client()).collect();
-    taken.iter_mut().for_each(|client| assert!(client.is_well()));
+    taken
+        .iter_mut()
+        .for_each(|client| assert!(client.is_well()));
     let mut queued = rig.client();
     // It leaves the processor by itself, again and again.
     let sleeps = || acceptor_sleeps(process);
@@ -73,8 +78,14 @@
 /// How often the acceptor's thread has gone to sleep.
 fn acceptor_sleeps(process: u32) -> u64 {
     let tasks = std::fs::read_dir(format!("/proc/{process}/task")).unwrap();
-    let mut status = tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("status")).ok());
-    let acceptor = status.find(|status| status.starts_with("Name:\taccept\n")).expect("the acceptor");
-    let line = acceptor.lines().find_map(|line| line.strip_prefix("voluntary_ctxt_switches:")).unwrap();
+    let mut status =
+        tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("status")).ok());
+    let acceptor = status
+        .find(|status| status.starts_with("Name:\taccept\n"))
+        .expect("the acceptor");
+    let line = acceptor
+        .lines()
+        .find_map(|line| line.strip_prefix("voluntary_ctxt_switches:"))
+        .unwrap();
     line.trim().parse().unwrap()
 }
--- a/edge/proxy/tests/common/bytes.rs
+++ b/edge/proxy/tests/common/bytes.rs
@@ -10,14 +10,20 @@
     let mut length = 0;
     loop {
         let mut line = String::new();
-        assert!(stream.read_line(&mut line).unwrap() > 0, "the connection ended within a request");
+        assert!(
+            stream.read_line(&mut line).unwrap() > 0,
+            "the connection ended within a request"
+        );
         let line = line.trim_end();
         match line.split_once(": ") {
             // Each poll draws how long it asks to be held.
             None if line.contains("max_wait=") => {
                 let (before, after) = line.split_once("max_wait=").unwrap();
                 let (wait, after) = after.split_once(' ').unwrap();
-                assert!((800..=1_000).contains(&wait.parse::<u64>().unwrap()), "{line}");
+                assert!(
+                    (800..=1_000).contains(&wait.parse::<u64>().unwrap()),
+                    "{line}"
+                );
                 told.push(format!("{before}max_wait=- {after}"));
             }
             _ if line.is_empty() => break,
@@ -57,7 +63,9 @@
         let at = bytes.len();
         bytes.resize(at + n, 0);
         stream.read_exact(&mut bytes[at..]).unwrap();
-        bytes[at..].iter().fold(0, |number, byte| number << 8 | *byte as usize)
+        bytes[at..]
+            .iter()
+            .fold(0, |number, byte| number << 8 | *byte as usize)
     };
     let (skip, values) = match more(1) as u8 {
         mark @ 0x80..=0x8f => (0, 2 * (mark & 15) as usize),
--- a/edge/proxy/tests/common/cache.rs
+++ b/edge/proxy/tests/common/cache.rs
@@ -21,7 +21,9 @@
 
 impl Cache {
     pub fn start() -> Cache {
-        Cache { listener: TcpListener::bind("127.0.0.1:0").unwrap() }
+        Cache {
+            listener: TcpListener::bind("127.0.0.1:0").unwrap(),
+        }
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -29,7 +31,9 @@
     }
 
     pub fn connection(&self) -> Connection {
-        Connection { stream: BufReader::new(accept(&self.listener)) }
+        Connection {
+            stream: BufReader::new(accept(&self.listener)),
+        }
     }
 
     /// Whether a connection waits to be taken.
@@ -56,7 +60,9 @@
             for stream in self.listener.incoming() {
                 let Ok(stream) = stream else { return };
                 std::thread::spawn(move || {
-                    let mut connection = Connection { stream: BufReader::new(stream) };
+                    let mut connection = Connection {
+                        stream: BufReader::new(stream),
+                    };
                     while connection.is_asked() {
                         connection.request();
                         connection.answer(bytes);
@@ -78,15 +84,23 @@
     }
 
     pub fn answer(&mut self, bytes: &str) {
-        let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{bytes}", bytes.len());
+        let text = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{bytes}",
+            bytes.len()
+        );
         self.stream.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
     /// Reads on until the program closes; all that it wrote.
     pub fn rest(mut self) -> String {
-        self.stream.get_ref().set_read_timeout(Some(PATIENCE)).unwrap();
+        self.stream
+            .get_ref()
+            .set_read_timeout(Some(PATIENCE))
+            .unwrap();
         let mut rest = Vec::new();
-        self.stream.read_to_end(&mut rest).expect("the program closes");
+        self.stream
+            .read_to_end(&mut rest)
+            .expect("the program closes");
         String::from_utf8_lossy(&rest).into_owned()
     }
 }
--- a/edge/proxy/tests/common/calls.rs
+++ b/edge/proxy/tests/common/calls.rs
@@ -18,7 +18,14 @@
     body: &[u8],
 ) -> Vec<u8> {
     let (id, wait) = (format!("{object:016x}"), wait_ms.to_string());
-    let usual = [("i", &*id), ("d", &*wait), ("o", &*id), ("nth", "3"), ("batch", "17"), ("m", "500")];
+    let usual = [
+        ("i", &*id),
+        ("d", &*wait),
+        ("o", &*id),
+        ("nth", "3"),
+        ("batch", "17"),
+        ("m", "500"),
+    ];
     let mut bytes = b"\x94\x00\xce".to_vec();
     bytes.extend(number.to_be_bytes());
     text(&mut bytes, class);
--- a/edge/proxy/tests/common/client.rs
+++ b/edge/proxy/tests/common/client.rs
@@ -22,7 +22,10 @@
 impl Client {
     pub fn connect(address: SocketAddr) -> Client {
         let stream = common::connected(TcpStream::connect(address).unwrap());
-        Client { stream: BufReader::new(stream), number: 0 }
+        Client {
+            stream: BufReader::new(stream),
+            number: 0,
+        }
     }
 
     fn call(&mut self, method: &str, fields: &[(&str, &str)]) {
@@ -40,9 +43,18 @@
 
     /// Asks for the first part of an object.
     pub fn ask(&mut self, object: u64) {
-        let (id, object) = (format!("{:016x}", object ^ 0x9b1f_03aa_5c7e_2d41), format!("{object:016x}"));
-        let fields =
-            [("i", &*id), ("d", WAIT_MS), ("o", &*object), ("nth", "0"), ("batch", "17"), ("m", "500")];
+        let (id, object) = (
+            format!("{:016x}", object ^ 0x9b1f_03aa_5c7e_2d41),
+            format!("{object:016x}"),
+        );
+        let fields = [
+            ("i", &*id),
+            ("d", WAIT_MS),
+            ("o", &*object),
+            ("nth", "0"),
+            ("batch", "17"),
+            ("m", "500"),
+        ];
         self.call("sheet", &fields);
     }
 
@@ -54,13 +66,19 @@
     /// Asks for an object and says whether it was served with these bytes.
     pub fn is_served(&mut self, object: u64, bytes: &str) -> bool {
         self.ask(object);
-        self.answer().ends_with(&format!("\\xc0\\x92\\xc4\\x{:02x}{bytes}\\x80", bytes.len()))
+        self.answer().ends_with(&format!(
+            "\\xc0\\x92\\xc4\\x{:02x}{bytes}\\x80",
+            bytes.len()
+        ))
     }
 
     pub fn is_well(&mut self) -> bool {
         self.call("isWell", &[]);
         let answer = self.answer();
-        assert!(answer.ends_with("\\xc3\\x80") || answer.ends_with("\\xc2\\x80"), "{answer}");
+        assert!(
+            answer.ends_with("\\xc3\\x80") || answer.ends_with("\\xc2\\x80"),
+            "{answer}"
+        );
         answer.ends_with("\\xc3\\x80")
     }
 }
--- a/edge/proxy/tests/common/dns.rs
+++ b/edge/proxy/tests/common/dns.rs
@@ -41,52 +41,105 @@
 pub fn limited(zone: &str, more: &str, most: usize, limits: &str) -> Rig {
     let decoded = foldmux_settings::parse(common::SETTINGS).unwrap();
     let account = foldmux_proxy::limits::account(&decoded, 1_024, 192);
-    let repeats = decoded.settings.classes.iter().map(|class| class.repeat).collect();
-    let (clock, members, pool) =
-        (Clock::default(), Arc::new(Members::default()), Pool::new(8, Duration::from_secs(15)));
+    let repeats = decoded
+        .settings
+        .classes
+        .iter()
+        .map(|class| class.repeat)
+        .collect();
+    let (clock, members, pool) = (
+        Clock::default(),
+        Arc::new(Members::default()),
+        Pool::new(8, Duration::from_secs(15)),
+    );
     let router = Router::new(decoded.settings, 1);
     let (mut desk, handle) = Desk::new(router, clock.clone(), members.clone());
     let dial_time_out = Duration::from_millis(400);
-    let upstream = Upstream { members: members.clone(), pool, clock: clock.clone(), dial_time_out };
+    let upstream = Upstream {
+        members: members.clone(),
+        pool,
+        clock: clock.clone(),
+        dial_time_out,
+    };
     let buffers = Buffers::new(4);
-    let core =
-        Core::new(handle.clone(), clock.clone(), buffers, members, Box::new(upstream), 0, 21_000_000, most);
+    let core = Core::new(
+        handle.clone(),
+        clock.clone(),
+        buffers,
+        members,
+        Box::new(upstream),
+        0,
+        21_000_000,
+        most,
+    );
     let setup = format!(
         "dns(zone = {zone:?}, udp = \"127.0.0.1:0\", tcp = \"127.0.0.1:0\", patience_ms = 20000{more})\n{limits}"
     );
     let operator = evaluate("dns.star", setup).unwrap();
     if let Some(draft) = &operator.limits {
         let table = foldmux_proxy::limits::table(&account, draft).unwrap();
-        assert!(core.limits.set(Limiter::new(table, clock.clone(), "edge".into(), repeats)).is_ok());
+        assert!(core
+            .limits
+            .set(Limiter::new(table, clock.clone(), "edge".into(), repeats))
+            .is_ok());
     }
     let mut bound = Bound::new(operator.dns.unwrap()).unwrap();
     let (at, serial) = (bound.addresses(), bound.notify(&mut desk).unwrap());
-    let routed =
-        |place: usize, name: &str| Routed { name: name.into(), place: place.into(), writes: place == 1 };
+    let routed = |place: usize, name: &str| Routed {
+        name: name.into(),
+        place: place.into(),
+        writes: place == 1,
+    };
     let classes = vec![routed(0, "sheet"), routed(1, "record")];
     bound.serve(core.clone(), classes, serial, 8).unwrap();
     std::thread::spawn(move || desk.run());
-    let rig = Rig { core, desk: handle, clock, at, zone: zone.to_string() };
+    let rig = Rig {
+        core,
+        desk: handle,
+        clock,
+        at,
+        zone: zone.to_string(),
+    };
     let all = [(1, 0), (2, 0), (3, 1), (4, 2)].map(|(n, kind)| rig.line(n, kind, State::Ready, 0));
-    rig.desk.tell(Notice::Members { full: true, listed: all.to_vec() });
+    rig.desk.tell(Notice::Members {
+        full: true,
+        listed: all.to_vec(),
+    });
     rig
 }
 
 impl Rig {
     pub fn line(&self, n: u32, kind: usize, state: State, boot: u64) -> Listed {
         let zone = if kind == 0 { 1 } else { 0 };
-        let member = Member { cache: CacheId(n), zone, kind, state, weight: 1.0, boot, ..Member::default() };
+        let member = Member {
+            cache: CacheId(n),
+            zone,
+            kind,
+            state,
+            weight: 1.0,
+            boot,
+            ..Member::default()
+        };
         let address = SocketAddr::from(([127, 0, 0, n as u8], 7001));
-        Listed { member, name: format!("s-{n:08x}").into(), address }
+        Listed {
+            member,
+            name: format!("s-{n:08x}").into(),
+            address,
+        }
     }
 
     pub fn change(&self, n: u32, state: State, boot: u64) {
-        self.desk.tell(Notice::Members { full: false, listed: vec![self.line(n, 0, state, boot)] });
+        self.desk.tell(Notice::Members {
+            full: false,
+            listed: vec![self.line(n, 0, state, boot)],
+        });
     }
 
     pub fn query(&self, name: &str, kind: RecordType) -> Vec<u8> {
         let mut message = Message::new();
-        message.set_id(7).add_query(Query::query(Name::from_ascii(name).unwrap(), kind));
+        message
+            .set_id(7)
+            .add_query(Query::query(Name::from_ascii(name).unwrap(), kind));
         message.set_edns(Default::default());
         message.to_vec().unwrap()
     }
--- a/edge/proxy/tests/common/faults.rs
+++ b/edge/proxy/tests/common/faults.rs
@@ -43,7 +43,10 @@
 impl Faulty {
     /// How many faults have been injected.
     pub fn injected(&self) -> usize {
-        std::fs::read_to_string(self.trace.path()).unwrap().lines().count()
+        std::fs::read_to_string(self.trace.path())
+            .unwrap()
+            .lines()
+            .count()
     }
 
     /// The cache's side of the request that the client has just made. An answer or an end that comes before it fails the
@@ -53,7 +56,10 @@
             if let Some(attempt) = self.attempt_now() {
                 return attempt;
             }
-            assert!(!client.has_answer(), "an answer or an end before the cache was asked");
+            assert!(
+                !client.has_answer(),
+                "an answer or an end before the cache was asked"
+            );
             std::thread::yield_now();
         }
     }
@@ -97,5 +103,8 @@
         .env("FOLDMUX_FAULTS", file.path())
         .env("FOLDMUX_FAULT_TRACE", trace.path());
     // The program has read the file once it serves.
-    Faulty { rig: Rig::start_by(program, change), trace }
+    Faulty {
+        rig: Rig::start_by(program, change),
+        trace,
+    }
 }
--- a/edge/proxy/tests/common/mod.rs
+++ b/edge/proxy/tests/common/mod.rs
@@ -39,7 +39,12 @@
             "status":"ready","weight":1,"since_ms":0}}"#
         )
     };
-    let lines = [line(1, "box", "edge"), line(2, "parent", "hub"), line(3, "origin", "hub")].join(",");
+    let lines = [
+        line(1, "box", "edge"),
+        line(2, "parent", "hub"),
+        line(3, "origin", "hub"),
+    ]
+    .join(",");
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"1","limits":{{"memory_mb":192,"sockets":1024}},
         "journal":"{journal}","known":{{"pos":1,"entries":[{{"pos":1,"hosts":{{"index":1,"snapshot":true,
@@ -65,7 +70,9 @@
     /// The next line of the log that has these words.
     pub fn line(&self, words: &str) -> String {
         let mut lines = std::iter::from_fn(|| self.log.recv_timeout(PATIENCE).ok());
-        lines.find(|line| line.contains(words)).expect("a line in the log")
+        lines
+            .find(|line| line.contains(words))
+            .expect("a line in the log")
     }
 
     pub fn id(&self) -> u32 {
@@ -78,7 +85,11 @@
 
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args([name, &id])
+            .status()
+            .unwrap()
+            .success());
     }
 
     /// Puts another configuration in place of the first; what the log says of it.
@@ -115,15 +126,33 @@
 
 /// Starts the program by this command.
 pub fn start_by(mut command: Command, config: &str) -> (Program, [Option<SocketAddr>; 2]) {
-    let file = std::env::temp_dir().join(format!("foldmux-{}-{:?}", std::process::id(), config.as_ptr()));
+    let file = std::env::temp_dir().join(format!(
+        "foldmux-{}-{:?}",
+        std::process::id(),
+        config.as_ptr()
+    ));
     std::fs::write(&file, config).unwrap();
-    let mut child = command.env("GW_CONFIG", &file).stderr(Stdio::piped()).spawn().expect("the program");
-    let mut lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
+    let mut child = command
+        .env("GW_CONFIG", &file)
+        .stderr(Stdio::piped())
+        .spawn()
+        .expect("the program");
+    let mut lines = BufReader::new(child.stderr.take().unwrap())
+        .lines()
+        .map_while(Result::ok);
     let (mut at, mut said) = ([None; 2], String::new());
     while at[0].is_none() {
-        let line = lines.next().unwrap_or_else(|| panic!("the program said: {said}"));
-        let after = |words: &str| line.split_once(words).and_then(|(_, at)| at.trim().parse().ok());
-        at = [after(" serves on "), at[1].or(after("external processor on "))];
+        let line = lines
+            .next()
+            .unwrap_or_else(|| panic!("the program said: {said}"));
+        let after = |words: &str| {
+            line.split_once(words)
+                .and_then(|(_, at)| at.trim().parse().ok())
+        };
+        at = [
+            after(" serves on "),
+            at[1].or(after("external processor on ")),
+        ];
         said += &line;
     }
     let (told, log) = channel();
@@ -139,7 +168,10 @@
 /// Plays the lines and returns them, with what the program sent in its places.
 pub fn play(script: &str) -> String {
     let (caches, mut journal) = (listener(), listener());
-    let (mut program, address) = start(&config(caches.local_addr().unwrap(), journal.local_addr().unwrap()));
+    let (mut program, address) = start(&config(
+        caches.local_addr().unwrap(),
+        journal.local_addr().unwrap(),
+    ));
     let mut clients: HashMap<String, BufReader<TcpStream>> = HashMap::new();
     let mut cache: Option<BufReader<TcpStream>> = None;
     let mut poll = None;
@@ -150,7 +182,10 @@
             ["client", name, ">", ref rest @ ..] => {
                 let open = || BufReader::new(connected(TcpStream::connect(address).unwrap()));
                 let client = clients.entry(name.to_string()).or_insert_with(open);
-                client.get_mut().write_all(&unescape(rest.first().unwrap_or(&""))).unwrap();
+                client
+                    .get_mut()
+                    .write_all(&unescape(rest.first().unwrap_or(&"")))
+                    .unwrap();
                 String::new()
             }
             ["client", name, "<"] => message(clients.get_mut(name).unwrap()),
@@ -168,7 +203,12 @@
             }
             ["cache", ">", ..] => {
                 let bytes = line.split_once("> ").unwrap().1;
-                cache.as_mut().unwrap().get_mut().write_all(&unescape(bytes)).unwrap();
+                cache
+                    .as_mut()
+                    .unwrap()
+                    .get_mut()
+                    .write_all(&unescape(bytes))
+                    .unwrap();
                 String::new()
             }
             ["cache", "closed"] => ended(&mut cache.take().unwrap()),
@@ -180,7 +220,10 @@
                 let mut called = poll.take().unwrap_or_else(|| accept(&journal));
                 let told = request(&mut called);
                 let body = line.split_once("> ").unwrap().1;
-                let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+                let answer = format!(
+                    "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                    body.len()
+                );
                 called.get_mut().write_all(answer.as_bytes()).unwrap();
                 poll = Some(called);
                 told
@@ -191,9 +234,12 @@
             ["journal", "<"] => request(poll.as_mut().unwrap()),
             ["journal", "moves"] => {
                 journal = listener();
-                let (cache, address) = (caches.local_addr().unwrap(), journal.local_addr().unwrap());
+                let (cache, address) =
+                    (caches.local_addr().unwrap(), journal.local_addr().unwrap());
                 program.reload(&config(cache, address));
-                let mut left = poll.replace(accept(&journal)).expect("a call at the old address");
+                let mut left = poll
+                    .replace(accept(&journal))
+                    .expect("a call at the old address");
                 format!("{}{}", ended(&mut left), request(poll.as_mut().unwrap()))
             }
             ["reload", ..] => program.reload(line.split_once(' ').unwrap().1),
@@ -207,7 +253,12 @@
             _ if line.starts_with('#') => String::new(),
             _ => panic!("no such line: {line}"),
         };
-        writeln!(out, "{line}{}{told}", if told.is_empty() { "" } else { "\n    " }).unwrap();
+        writeln!(
+            out,
+            "{line}{}{told}",
+            if told.is_empty() { "" } else { "\n    " }
+        )
+        .unwrap();
     }
     out
 }
@@ -222,7 +273,13 @@
     let (told, heard) = channel();
     let listener = listener.try_clone().unwrap();
     std::thread::spawn(move || drop(told.send(listener.accept())));
-    BufReader::new(connected(heard.recv_timeout(PATIENCE).expect("a connection").unwrap().0))
+    BufReader::new(connected(
+        heard
+            .recv_timeout(PATIENCE)
+            .expect("a connection")
+            .unwrap()
+            .0,
+    ))
 }
 
 /// The end of a connection: the program sent nothing more, and closed.
--- a/edge/proxy/tests/common/place.rs
+++ b/edge/proxy/tests/common/place.rs
@@ -30,12 +30,19 @@
     pub fn start(address: SocketAddr, known: &str) -> Place {
         let decoded = foldmux_settings::parse(common::SETTINGS).unwrap();
         let (clock, members) = (Clock::default(), Arc::new(Members::default()));
-        let (mut desk, handle) = Desk::new(Router::new(decoded.settings, 1), clock.clone(), members.clone());
+        let (mut desk, handle) = Desk::new(
+            Router::new(decoded.settings, 1),
+            clock.clone(),
+            members.clone(),
+        );
         let ended: Arc<Mutex<Vec<String>>> = Arc::default();
         let heard = ended.clone();
         desk.when_ended(move |former| heard.lock().unwrap().push(former.name.to_string()));
         std::thread::spawn(move || desk.run());
-        let names = Names { zones: decoded.zones, kinds: decoded.kinds };
+        let names = Names {
+            zones: decoded.zones,
+            kinds: decoded.kinds,
+        };
         let pool = Pool::new(8, Duration::from_secs(10));
         let listed = Arc::new(AtomicBool::new(false));
         let mut journal = Journal::new(names, clock, handle, pool, listed.clone());
@@ -44,7 +51,12 @@
         let service = Arc::new(Service::new(Some(address)));
         let followed = service.clone();
         std::thread::spawn(move || journal.follow(&followed, Backoff::new(1)));
-        Place { members, service, listed, ended }
+        Place {
+            members,
+            service,
+            listed,
+            ended,
+        }
     }
 
     pub fn is_listed(&self) -> bool {
@@ -53,7 +65,9 @@
 
     /// What the list says of a member, or that it has none of this name.
     pub fn state(&self, id: u32) -> Option<State> {
-        self.members.get(cache_id(&format!("s-{id:08x}"))).map(|listed| listed.member.state)
+        self.members
+            .get(cache_id(&format!("s-{id:08x}")))
+            .map(|listed| listed.member.state)
     }
 
     /// Returns once the desk has taken a list with this member, and so all that was told before it.
--- a/edge/proxy/tests/common/running.rs
+++ b/edge/proxy/tests/common/running.rs
@@ -29,7 +29,11 @@
     pub fn reload(&self, file: &std::path::Path, text: &str) -> String {
         std::fs::write(file, text).unwrap();
         let id = self.child.id().to_string();
-        assert!(std::process::Command::new("kill").args(["-HUP", &id]).status().unwrap().success());
+        assert!(std::process::Command::new("kill")
+            .args(["-HUP", &id])
+            .status()
+            .unwrap()
+            .success());
         let mut lines = std::iter::from_fn(|| self.log.recv_timeout(PATIENCE).ok());
         lines.find(|line| line.contains("reload: ")).unwrap()
     }
@@ -47,7 +51,10 @@
     tmp: Option<&std::path::Path>,
 ) -> Result<Running, String> {
     let mut command = common::command(&["serve"]);
-    command.env("GW_CONFIG", config).env("GW_OPERATOR", "127.0.0.1:0").env_remove("TMPDIR");
+    command
+        .env("GW_CONFIG", config)
+        .env("GW_OPERATOR", "127.0.0.1:0")
+        .env_remove("TMPDIR");
     if let Some(tmp) = tmp {
         command.env("TMPDIR", tmp);
     }
@@ -60,21 +67,31 @@
 /// Starts the program by this command; once it serves and its operator line does.
 pub fn spawned(mut command: Command) -> Result<Running, String> {
     let mut child = command.stderr(Stdio::piped()).spawn().expect("the program");
-    let mut lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
+    let mut lines = BufReader::new(child.stderr.take().unwrap())
+        .lines()
+        .map_while(Result::ok);
     let (mut serves, mut operator, mut said) = (None, None, String::new());
     while serves.is_none() || operator.is_none() {
         let Some(line) = lines.next() else {
             let _ = child.wait();
             return Err(said);
         };
-        let after = |words: &str| line.split_once(words).and_then(|(_, at)| at.trim().parse().ok());
+        let after = |words: &str| {
+            line.split_once(words)
+                .and_then(|(_, at)| at.trim().parse().ok())
+        };
         serves = serves.or(after(" serves on "));
         operator = operator.or(after("operator line on "));
         said += &line;
     }
     let (told, log) = channel();
     std::thread::spawn(move || lines.for_each(|line| drop(told.send(line))));
-    Ok(Running { child, log, serves: serves.unwrap(), operator: operator.unwrap() })
+    Ok(Running {
+        child,
+        log,
+        serves: serves.unwrap(),
+        operator: operator.unwrap(),
+    })
 }
 
 pub fn configured(name: &str) -> (std::path::PathBuf, TcpListener, TcpListener) {
--- a/edge/proxy/tests/common/steps.rs
+++ b/edge/proxy/tests/common/steps.rs
@@ -44,7 +44,13 @@
         let config = common::config(caches.local_addr().unwrap(), journal.local_addr().unwrap());
         let config = change(config.replace("\"hardLimit\":30000000", DEADLINE));
         let (program, [serves, _]) = common::start_by(command, &config);
-        Rig { program, serves: serves.expect("an address"), config, caches, _journal: journal }
+        Rig {
+            program,
+            serves: serves.expect("an address"),
+            config,
+            caches,
+            _journal: journal,
+        }
     }
 
     pub fn client(&self) -> Client {
@@ -60,7 +66,11 @@
         let (told, heard) = channel();
         let listener = self.caches.try_clone().unwrap();
         std::thread::spawn(move || drop(told.send(listener.accept())));
-        let stream = heard.recv_timeout(PATIENCE).expect("a connection to the cache").unwrap().0;
+        let stream = heard
+            .recv_timeout(PATIENCE)
+            .expect("a connection to the cache")
+            .unwrap()
+            .0;
         let mut stream = BufReader::new(connected(stream));
         let head = head(&mut stream);
         Attempt { stream, head }
@@ -120,7 +130,8 @@
     /// The program is stopped: what happens from here on happens, for it, at one moment. Returns once it has stopped.
     pub fn stop(&self) {
         self.signal("-STOP");
-        let state = || std::fs::read_to_string(format!("/proc/{}/stat", self.program.id())).unwrap();
+        let state =
+            || std::fs::read_to_string(format!("/proc/{}/stat", self.program.id())).unwrap();
         while !state().rsplit(") ").next().unwrap().starts_with('T') {
             std::thread::yield_now();
         }
@@ -150,7 +161,10 @@
 
 impl Client {
     pub fn over(stream: TcpStream) -> Client {
-        Client { stream: BufReader::new(connected(stream)), next: 1 }
+        Client {
+            stream: BufReader::new(connected(stream)),
+            next: 1,
+        }
     }
 
     pub fn send(&mut self, bytes: &[u8]) {
@@ -194,7 +208,9 @@
     /// The program ends the connection in order, with nothing more on it: no reset.
     pub fn ends(&mut self) {
         let mut rest = Vec::new();
-        self.stream.read_to_end(&mut rest).expect("an end without a reset");
+        self.stream
+            .read_to_end(&mut rest)
+            .expect("an end without a reset");
         assert_eq!(common::escape(&rest), "");
     }
 
@@ -202,7 +218,14 @@
     pub fn is_well(&mut self) -> bool {
         let number = self.next;
         self.next += 1;
-        self.send(&[&b"\x94\x00\xce"[..], &number.to_be_bytes(), b"\xa6isWell\x91\x80"].concat());
+        self.send(
+            &[
+                &b"\x94\x00\xce"[..],
+                &number.to_be_bytes(),
+                b"\xa6isWell\x91\x80",
+            ]
+            .concat(),
+        );
         self.answer().contains("\\xc3")
     }
 }
@@ -228,7 +251,10 @@
     /// A field of the request.
     pub fn field(&self, name: &str) -> &str {
         let mut fields = self.head.lines().filter_map(|line| line.split_once(": "));
-        fields.find(|(field, _)| *field == name).expect("the field").1
+        fields
+            .find(|(field, _)| *field == name)
+            .expect("the field")
+            .1
     }
 
     /// The program gave this attempt up: it closed the connection, with no other request on it.
@@ -244,7 +270,10 @@
 fn head(stream: &mut BufReader<TcpStream>) -> String {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
-        assert!(stream.read_line(&mut head).unwrap() > 0, "the connection ended within a request: {head}");
+        assert!(
+            stream.read_line(&mut head).unwrap() > 0,
+            "the connection ended within a request: {head}"
+        );
     }
     head
 }
--- a/edge/proxy/tests/common/watch.rs
+++ b/edge/proxy/tests/common/watch.rs
@@ -33,11 +33,22 @@
 
 impl Line {
     pub fn pop_cache(id: u32, address: SocketAddr) -> Line {
-        Line { id, zone: "edge", kind: "box", address, status: "ready", since_ms: 0 }
+        Line {
+            id,
+            zone: "edge",
+            kind: "box",
+            address,
+            status: "ready",
+            since_ms: 0,
+        }
     }
 
     pub fn hub(id: u32, kind: &'static str, address: SocketAddr) -> Line {
-        Line { zone: "hub", kind, ..Line::pop_cache(id, address) }
+        Line {
+            zone: "hub",
+            kind,
+            ..Line::pop_cache(id, address)
+        }
     }
 
     pub fn now(self, status: &'static str) -> Line {
@@ -49,7 +60,14 @@
     }
 
     fn json(&self) -> String {
-        let Line { zone, kind, address, status, since_ms, .. } = self;
+        let Line {
+            zone,
+            kind,
+            address,
+            status,
+            since_ms,
+            ..
+        } = self;
         let name = self.name();
         format!(
             r#"{{"name":"{name}","address":"{address}","zone":"{zone}","type":"{kind}","group":0,"status":"{status}","weight":1,"since_ms":{since_ms}}}"#
@@ -78,7 +96,10 @@
 
 /// An answer as it goes over the socket.
 pub fn answer(body: &str) -> String {
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// The program's configuration with these events for `known`.
@@ -94,7 +115,11 @@
     let (told, heard) = channel();
     let listener = listener.try_clone().unwrap();
     std::thread::spawn(move || drop(told.send(listener.accept())));
-    let stream = heard.recv_timeout(PATIENCE).expect("a connection").unwrap().0;
+    let stream = heard
+        .recv_timeout(PATIENCE)
+        .expect("a connection")
+        .unwrap()
+        .0;
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     stream
 }
@@ -105,7 +130,9 @@
     }
 
     pub fn at(address: SocketAddr) -> Service {
-        Service { listener: TcpListener::bind(address).unwrap() }
+        Service {
+            listener: TcpListener::bind(address).unwrap(),
+        }
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -129,10 +156,15 @@
                 return None;
             }
             if line == "\r\n" {
-                return Some(Call { stream, tail: tail.expect("a tail") });
+                return Some(Call {
+                    stream,
+                    tail: tail.expect("a tail"),
+                });
             }
             let after = line.split_once("tail=").map(|(_, after)| after);
-            let number = after.and_then(|after| after.split_once('&')).map(|(number, _)| number);
+            let number = after
+                .and_then(|after| after.split_once('&'))
+                .map(|(number, _)| number);
             tail = tail.or(number.map(|number| number.parse().unwrap()));
         }
     }
@@ -152,12 +184,19 @@
         let mut rest = Vec::new();
         // A reset ends it as well: what was written to it stays unread.
         let _ = self.stream.read_to_end(&mut rest);
-        assert!(rest.is_empty(), "the program wrote on: {}", String::from_utf8_lossy(&rest));
+        assert!(
+            rest.is_empty(),
+            "the program wrote on: {}",
+            String::from_utf8_lossy(&rest)
+        );
     }
 
     /// Writes no more, as a service that ends; the program must close as well.
     pub fn end(self) {
-        self.stream.get_ref().shutdown(std::net::Shutdown::Write).unwrap();
+        self.stream
+            .get_ref()
+            .shutdown(std::net::Shutdown::Write)
+            .unwrap();
         self.closed();
     }
 
--- a/edge/proxy/tests/days.rs
+++ b/edge/proxy/tests/days.rs
@@ -18,19 +18,30 @@
     silent.write_all(b"sta").unwrap();
     assert_eq!(call(at, b"status\n"), "done yes\n");
     let stats = call(at, b"stats\n");
-    for figure in
-        ["proxy.answered.sheet:0|c", "proxy.sends.record:0|c", "proxy.current:0|g", "proxy.cluster_size:3|g"]
-    {
-        assert!(stats.lines().any(|line| line == figure), "{figure} in {stats}");
+    for figure in [
+        "proxy.answered.sheet:0|c",
+        "proxy.sends.record:0|c",
+        "proxy.current:0|g",
+        "proxy.cluster_size:3|g",
+    ] {
+        assert!(
+            stats.lines().any(|line| line == figure),
+            "{figure} in {stats}"
+        );
     }
     assert!(stats.ends_with("proxy.conf_invalid:0|c\nend\n"), "{stats}");
     assert!(call(at, b"reboot\n").starts_with("error no call"));
     assert!(call(at, b"maint-on s-0000cafe\n").starts_with("error no pop cache"));
-    assert!(call(at, &[b'x'; 10_000]).starts_with("error"), "a line too long, not yet ended");
+    assert!(
+        call(at, &[b'x'; 10_000]).starts_with("error"),
+        "a line too long, not yet ended"
+    );
     // Two calls out, one call back; and the connection goes on after a fault.
     let stream = TcpStream::connect(at).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    (&stream).write_all(b"maint-on s-00000001\nmaint-on s-00000001\nnonsense\nstats\n").unwrap();
+    (&stream)
+        .write_all(b"maint-on s-00000001\nmaint-on s-00000001\nnonsense\nstats\n")
+        .unwrap();
     let mut reader = BufReader::new(stream);
     let mut lines = Vec::new();
     while lines.last().map(String::as_str) != Some("end") {
@@ -46,8 +57,14 @@
             "error no call \"nonsense\"; calls: status, stats, maint-on ID, maint-off ID"
         ]
     );
-    assert!(lines.contains(&"proxy.cluster_unhealthy:1|g".to_string()), "{lines:?}");
-    assert_eq!(call(at, b"maint-off s-00000001\n"), "done s-00000001 is back\n");
+    assert!(
+        lines.contains(&"proxy.cluster_unhealthy:1|g".to_string()),
+        "{lines:?}"
+    );
+    assert_eq!(
+        call(at, b"maint-off s-00000001\n"),
+        "done s-00000001 is back\n"
+    );
     assert!(call(at, b"stats\n").contains("proxy.cluster_unhealthy:0|g\n"));
     silent.write_all(b"tus\n").unwrap();
     let mut answer = [0; 9];
@@ -65,7 +82,8 @@
     std::fs::create_dir_all(&tmp).unwrap();
     let old = start_in(&file, None, Some(&tmp)).unwrap();
     assert!(call(old.operator, b"maint-on s-00000002\n").starts_with("done"));
-    let new = start_in(&file, Some(old.serves), Some(&tmp)).expect("a second process on the same address");
+    let new = start_in(&file, Some(old.serves), Some(&tmp))
+        .expect("a second process on the same address");
     assert_eq!(new.serves, old.serves);
     assert_eq!(call(new.operator, b"status\n"), "done yes\n");
     // What was out before the new one started is out there too, and what the new one takes out is out for both.
@@ -76,8 +94,13 @@
     assert!(call(old.operator, b"stats\n").contains("proxy.cluster_unhealthy:1|g\n"));
     // The old one leaves on SIGTERM, saying no from then on, and the new one goes on taking clients.
     let id = old.child.id().to_string();
-    assert!(std::process::Command::new("kill").args(["-TERM", &id]).status().unwrap().success());
-    let left = std::iter::from_fn(|| old.log.recv_timeout(PATIENCE).ok()).find(|l| l.contains("left "));
+    assert!(std::process::Command::new("kill")
+        .args(["-TERM", &id])
+        .status()
+        .unwrap()
+        .success());
+    let left =
+        std::iter::from_fn(|| old.log.recv_timeout(PATIENCE).ok()).find(|l| l.contains("left "));
     assert!(left.is_some());
     for _ in 0..20 {
         TcpStream::connect(new.serves).expect("the new one takes clients");
@@ -102,7 +125,10 @@
     for text in &broken {
         let said = hup(text);
         assert!(said.ends_with("all stays as it was"), "{text}");
-        assert!(said.contains("WARN"), "staff who filter at WARN must see it: {said}");
+        assert!(
+            said.contains("WARN"),
+            "staff who filter at WARN must see it: {said}"
+        );
     }
     let stats = call(running.operator, b"stats\n");
     assert!(
@@ -138,7 +164,10 @@
     let running = start(&file, None).unwrap();
     assert_eq!(call(running.operator, b"status\n"), "done yes\n");
     let said = running.reload(&file, &without);
-    assert!(said.ends_with("no journal service: the list stays as it is"), "{said}");
+    assert!(
+        said.ends_with("no journal service: the list stays as it is"),
+        "{said}"
+    );
     // Named at a later reload, it is asked from then on.
     let said = running.reload(&file, &whole);
     assert!(said.contains("the journal service is at"), "{said}");
@@ -147,7 +176,10 @@
     asks.read_exact(&mut begin).unwrap();
     assert_eq!(&begin, b"GET /journal");
     let stats = call(running.operator, b"stats\n");
-    assert!(stats.contains("proxy.conf_loaded:2|c\nproxy.conf_invalid:0|c\n"), "{stats}");
+    assert!(
+        stats.contains("proxy.conf_loaded:2|c\nproxy.conf_invalid:0|c\n"),
+        "{stats}"
+    );
     drop(running);
     let _ = std::fs::remove_file(file);
 }
@@ -158,7 +190,10 @@
     let running = start(&file, None).unwrap();
     let good = common::config(caches.local_addr().unwrap(), journal.local_addr().unwrap());
     for n in 1..=70 {
-        let other = good.replace("\"hardLimit\":30000000", &format!("\"hardLimit\":{}", 30_000_000 + n));
+        let other = good.replace(
+            "\"hardLimit\":30000000",
+            &format!("\"hardLimit\":{}", 30_000_000 + n),
+        );
         assert_ne!(other, good);
         let said = running.reload(&file, &other);
         assert!(said.contains("classes sheet, record"), "retune {n}: {said}");
