--- a/edge/proxy/tests/descriptors.rs
+++ b/edge/proxy/tests/descriptors.rs
@@ -32,15 +32,25 @@
     let mut command = Command::new("sh");
     let script = format!("ulimit -n {DESCRIPTORS} && exec \"$0\" serve");
     command.args(["-c", &script, env!("CARGO_BIN_EXE_foldmux")]);
-    for variable in ["GW_LISTEN", "GW_NAME", "FOLDMUX_OPERATOR", "FOLDMUX_LOG", "TMPDIR"] {
+    for variable in [
+        "GW_LISTEN",
+        "GW_NAME",
+        "FOLDMUX_OPERATOR",
+        "FOLDMUX_LOG",
+        "TMPDIR",
+    ] {
         command.env_remove(variable);
     }
-    command.env("GW_CONFIG", config).env("GW_OPERATOR", "127.0.0.1:0");
+    command
+        .env("GW_CONFIG", config)
+        .env("GW_OPERATOR", "127.0.0.1:0");
     spawned(command).expect("it serves")
 }
 
 fn descriptors(running: &Running) -> usize {
-    std::fs::read_dir(format!("/proc/{}/fd", running.child.id())).unwrap().count()
+    std::fs::read_dir(format!("/proc/{}/fd", running.child.id()))
+        .unwrap()
+        .count()
 }
 
 /// Connections in the queue of the listener at this address: come up, and accepted by nobody.
@@ -58,9 +68,13 @@
 /// Whether the thread that takes connections is asleep at this moment.
 fn accepts_asleep(running: &Running) -> bool {
     let tasks = std::fs::read_dir(format!("/proc/{}/task", running.child.id())).unwrap();
-    let stats = tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("stat")).ok());
+    let stats =
+        tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("stat")).ok());
     let mut accepts = stats.filter(|stat| stat.contains("(accept)"));
-    accepts.any(|stat| stat.rsplit_once(") ").is_some_and(|(_, fields)| fields.starts_with('S')))
+    accepts.any(|stat| {
+        stat.rsplit_once(") ")
+            .is_some_and(|(_, fields)| fields.starts_with('S'))
+    })
 }
 
 fn dial(address: SocketAddr) -> Option<TcpStream> {
@@ -86,7 +100,11 @@
     let text = common::config(caches.local_addr().unwrap(), at);
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
-    std::fs::write(&file, text.replace("\"sockets\":1024", &format!("\"sockets\":{DESCRIPTORS}"))).unwrap();
+    std::fs::write(
+        &file,
+        text.replace("\"sockets\":1024", &format!("\"sockets\":{DESCRIPTORS}")),
+    )
+    .unwrap();
     let running = start(&file);
     // Discovery was there once; then it goes, and nobody listens at its address.
     let (mut polling, _) = journal.accept().unwrap();
@@ -103,7 +121,11 @@
     let operators: Vec<TcpStream> = (0..MANY).filter_map(|_| dial(running.operator)).collect();
     // One without a place is told so: the line still takes connections.
     let mut refused = String::new();
-    operators.last().unwrap().read_to_string(&mut refused).unwrap();
+    operators
+        .last()
+        .unwrap()
+        .read_to_string(&mut refused)
+        .unwrap();
     assert!(refused.starts_with("error busy"), "{refused}");
     let held = descriptors(&running);
     println!("{held} descriptors of {DESCRIPTORS} in use");
@@ -112,9 +134,17 @@
     let journal = TcpListener::bind(at).expect("the address of discovery");
     let (mut polling, _) = journal.accept().unwrap();
     polling.set_read_timeout(Some(PATIENCE)).unwrap();
-    assert!(poll(&mut polling).contains("tail=1"), "it goes on from the event that it had");
+    assert!(
+        poll(&mut polling).contains("tail=1"),
+        "it goes on from the event that it had"
+    );
     let events = r#"{"pos":2,"entries":[{"pos":2,"expire":{"set":17,"stamp":1764576000480}}]}"#;
-    write!(polling, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{events}", events.len()).unwrap();
+    write!(
+        polling,
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{events}",
+        events.len()
+    )
+    .unwrap();
     assert!(poll(&mut polling).contains("tail=2"), "the event was taken");
     // All that were open are served.
     attempts.into_iter().for_each(Attempt::serve);
@@ -124,9 +154,17 @@
     drop(operators);
     // A place of the line is free once the program has read that its callers went.
     let mut answers = std::iter::repeat_with(|| call(running.operator, b"status\n")).take(1_000);
-    assert_eq!(answers.find(|answer| !answer.starts_with("error busy")).as_deref(), Some("done yes\n"));
+    assert_eq!(
+        answers
+            .find(|answer| !answer.starts_with("error busy"))
+            .as_deref(),
+        Some("done yes\n")
+    );
     drop(idle);
-    assert!(Terminal::connect(running.serves, PATIENCE).unwrap().well().unwrap());
+    assert!(Terminal::connect(running.serves, PATIENCE)
+        .unwrap()
+        .well()
+        .unwrap());
 }
 
 /// Descriptors that run out all the same, here by a limit far under what the configuration says.
@@ -142,12 +180,24 @@
     let idle: Vec<TcpStream> = (0..MANY).filter_map(|_| dial(running.serves)).collect();
     assert_eq!(idle.len(), MANY);
     let mut looks = std::iter::repeat_with(|| descriptors(&running)).take(1_000_000);
-    assert!(looks.any(|held| held + GIVEN_AHEAD >= DESCRIPTORS), "none is left");
+    assert!(
+        looks.any(|held| held + GIVEN_AHEAD >= DESCRIPTORS),
+        "none is left"
+    );
     // Connections wait in its queue, so that a listener which does not pause after an error finds the next one at once: it
     // never sleeps then.
     let mut asleep = std::iter::repeat_with(|| accepts_asleep(&running)).take(1_000);
     assert!(asleep.any(|asleep| asleep), "the listener pauses");
-    assert!(queued(running.serves) > 0, "all were taken: there were descriptors left");
+    assert!(
+        queued(running.serves) > 0,
+        "all were taken: there were descriptors left"
+    );
     drop(idle);
-    assert!(Terminal::connect(running.serves, PATIENCE).unwrap().well().unwrap(), "it takes clients again");
+    assert!(
+        Terminal::connect(running.serves, PATIENCE)
+            .unwrap()
+            .well()
+            .unwrap(),
+        "it takes clients again"
+    );
 }
--- a/edge/proxy/tests/dials.rs
+++ b/edge/proxy/tests/dials.rs
@@ -49,7 +49,10 @@
     let filled = Filled::new(rig.caches());
     let mut client = dialling(&rig, rig.caches().local_addr().unwrap());
     rig.leave();
-    assert!(client.answer().contains("Shed"), "nothing was sent: trying again is harmless");
+    assert!(
+        client.answer().contains("Shed"),
+        "nothing was sent: trying again is harmless"
+    );
     client.ends();
     drop(client);
     rig.ends_well();
--- a/edge/proxy/tests/dns_resolvers.rs
+++ b/edge/proxy/tests/dns_resolvers.rs
@@ -25,7 +25,11 @@
     fn new(obeys: bool) -> Resolver {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         socket.set_read_timeout(Some(PATIENCE)).unwrap();
-        Resolver { kept: HashMap::new(), socket, obeys }
+        Resolver {
+            kept: HashMap::new(),
+            socket,
+            obeys,
+        }
     }
 
     fn look_up(&mut self, rig: &Rig, part: u32) -> Option<u8> {
@@ -44,11 +48,16 @@
         let mut bytes = [0; 512];
         let (n, from) = self.socket.recv_from(&mut bytes).unwrap();
         let mut message = Message::from_vec(&bytes[..n]).unwrap();
-        assert_eq!((message.op_code(), message.queries()[0].query_type()), (OpCode::Notify, RecordType::SOA));
+        assert_eq!(
+            (message.op_code(), message.queries()[0].query_type()),
+            (OpCode::Notify, RecordType::SOA)
+        );
         if answers {
             self.kept.clear();
             message.set_message_type(MessageType::Response);
-            self.socket.send_to(&message.to_vec().unwrap(), from).unwrap();
+            self.socket
+                .send_to(&message.to_vec().unwrap(), from)
+                .unwrap();
         }
         message.id()
     }
@@ -60,8 +69,10 @@
     let notify = format!(r#", notify = ["{}"]"#, keeping.socket.local_addr().unwrap());
     let rig = rig("route.example.", &notify, 64);
     let parts = 0..20;
-    let before: Vec<_> =
-        parts.clone().map(|p| (obeying.look_up(&rig, p), keeping.look_up(&rig, p))).collect();
+    let before: Vec<_> = parts
+        .clone()
+        .map(|p| (obeying.look_up(&rig, p), keeping.look_up(&rig, p)))
+        .collect();
     assert!(before.iter().any(|b| b.0 == Some(1)) && before.iter().all(|b| b.0 == b.1));
     rig.change(1, State::Draining, 0);
     // The first query after the notice no longer gives it, to whoever asks.
@@ -72,14 +83,16 @@
     assert_eq!(keeping.notified(true), first);
     assert!(parts.clone().all(|p| keeping.look_up(&rig, p) == Some(2)));
     assert_eq!(
-        rig.ask("s-00000001.node.route.example.", RecordType::A).response_code(),
+        rig.ask("s-00000001.node.route.example.", RecordType::A)
+            .response_code(),
         ResponseCode::NXDomain
     );
     // Back, but cold: how many hold a stale answer is unknown, so it stays out, by all names.
     rig.change(1, State::Ready, rig.clock.now());
     assert!(parts.clone().all(|p| obeying.look_up(&rig, p) == Some(2)));
     assert_eq!(
-        rig.ask("s-00000001.node.route.example.", RecordType::A).response_code(),
+        rig.ask("s-00000001.node.route.example.", RecordType::A)
+            .response_code(),
         ResponseCode::NXDomain
     );
 }
@@ -88,7 +101,10 @@
     let name = ServerName::try_from("localhost").unwrap();
     let connection = rustls::ClientConnection::new(trusted.peer(shown, &[]), name).unwrap();
     let stream = common::connected(TcpStream::connect(rig.at[2].unwrap())?);
-    over_tcp(rustls::StreamOwned::new(connection, stream), &rig.query(&rig.part(0), RecordType::A))
+    over_tcp(
+        rustls::StreamOwned::new(connection, stream),
+        &rig.query(&rig.part(0), RecordType::A),
+    )
 }
 
 #[test]
@@ -109,7 +125,11 @@
     let resolver = ["spiffe://colour.example/resolver"];
     assert!(cache(&over_tls(&rig, &old, &old.svid(&resolver)).unwrap()).is_some());
     // Another ID, none, two, or a chain that ends elsewhere.
-    for ids in [&["spiffe://colour.example/other"][..], &[], &[resolver[0], "spiffe://colour.example/b"]] {
+    for ids in [
+        &["spiffe://colour.example/other"][..],
+        &[],
+        &[resolver[0], "spiffe://colour.example/b"],
+    ] {
         assert!(over_tls(&rig, &old, &old.svid(ids)).is_err(), "{ids:?}");
     }
     assert!(over_tls(&rig, &old, &new.svid(&resolver)).is_err());
--- a/edge/proxy/tests/floods.rs
+++ b/edge/proxy/tests/floods.rs
@@ -31,7 +31,9 @@
 fn calls_beyond_the_open_ones_are_refused_and_all_end_with_their_client() {
     let rig = Rig::start();
     let mut client = rig.client();
-    let calls: Vec<u8> = (0..OPEN + 8).flat_map(|n| steps::call(n as u32 + 1, ONE + n)).collect();
+    let calls: Vec<u8> = (0..OPEN + 8)
+        .flat_map(|n| steps::call(n as u32 + 1, ONE + n))
+        .collect();
     client.send(&calls);
     let mut attempts: Vec<_> = (0..OPEN).map(|_| rig.attempt()).collect();
     for _ in 0..8 {
@@ -39,7 +41,9 @@
         assert!(answer.contains("Shed"), "{answer}");
     }
     drop(client);
-    attempts.iter_mut().for_each(|attempt| attempt.is_given_up());
+    attempts
+        .iter_mut()
+        .for_each(|attempt| attempt.is_given_up());
     served(&rig, TWO);
     assert_eq!(rig.waiting_attempts(), 0);
 }
@@ -49,7 +53,9 @@
     let rig = Rig::start();
     let mut client = rig.client();
     client.stream.get_ref().set_nodelay(true).unwrap();
-    steps::call(1, ONE).iter().for_each(|byte| client.send(&[*byte]));
+    steps::call(1, ONE)
+        .iter()
+        .for_each(|byte| client.send(&[*byte]));
     rig.attempt().give(b"ok");
     assert!(client.answer().contains("\\xc4\\x02ok"));
 }
@@ -68,7 +74,9 @@
         }
         // Half of them just go, the others end with bytes unread.
         halves.drain(..6).for_each(drop);
-        halves.iter_mut().for_each(|client| client.send(&[1; 1_000]));
+        halves
+            .iter_mut()
+            .for_each(|client| client.send(&[1; 1_000]));
     }
     // Their readers have heard of their ends once all buffers are back; until then a body is refused.
     until("a buffer comes back", || {
@@ -77,7 +85,10 @@
         loop {
             if let Some(mut attempt) = rig.attempt_now() {
                 assert_eq!(attempt.field("Content-Length"), BODY.to_string());
-                attempt.stream.read_exact(&mut vec![0; BODY as usize]).unwrap();
+                attempt
+                    .stream
+                    .read_exact(&mut vec![0; BODY as usize])
+                    .unwrap();
                 attempt.give(b"ok");
                 assert!(client.answer().contains("\\xc4\\x02ok"));
                 return true;
@@ -112,12 +123,17 @@
     let mut attempts: Vec<_> = (0..OPEN).map(|_| rig.attempt()).collect();
     attempts.sort_by_key(|attempt| attempt.field("Via-Wait").parse::<u32>().unwrap() < SHORT_MS);
     // Each connection to the cache closes behind its answer: none is used again.
-    attempts.into_iter().for_each(|mut attempt| attempt.give(&vec![7; LARGE]));
+    attempts
+        .into_iter()
+        .for_each(|mut attempt| attempt.give(&vec![7; LARGE]));
     served(&rig, TWO);
     for n in long..OPEN {
         until("a short one ends", || rig.is_over(ONE + n));
     }
-    assert!((0..long).any(|n| !rig.is_over(ONE + n)), "the sockets' buffers took all: nothing was forced");
+    assert!(
+        (0..long).any(|n| !rig.is_over(ONE + n)),
+        "the sockets' buffers took all: nothing was forced"
+    );
     drop(deaf);
     for n in 0..long {
         until("all end with their client", || rig.is_over(ONE + n));
--- a/edge/proxy/tests/forgets.rs
+++ b/edge/proxy/tests/forgets.rs
@@ -64,6 +64,10 @@
     drop(attempt);
     rig.attempt().give(b"new");
     let first = client.answer();
-    let message = if first.contains("\\xc4\\x02ok") { client.answer() } else { first };
+    let message = if first.contains("\\xc4\\x02ok") {
+        client.answer()
+    } else {
+        first
+    };
     carries_on(rig, client, message);
 }
--- a/edge/proxy/tests/hand_over.rs
+++ b/edge/proxy/tests/hand_over.rs
@@ -20,24 +20,39 @@
     let (file, caches, _journal) = configured("hand-over");
     let tmp = tempfile::tempdir().unwrap();
     let mut old = start_in(&file, None, Some(tmp.path())).unwrap();
-    assert_eq!(call(old.operator, b"maint-on s-00000003\n"), "done s-00000003 is out\n");
+    assert_eq!(
+        call(old.operator, b"maint-on s-00000003\n"),
+        "done s-00000003 is out\n"
+    );
     // The old one alone listens: all of these are its.
     let mut open = Vec::new();
     for object in 1..=OPEN {
         let asked = ask(old.serves, "sheet", object);
         open.push((asked, Attempt::next(&caches)));
     }
-    let new = start_in(&file, Some(old.serves), Some(tmp.path())).expect("a second process beside it");
+    let new =
+        start_in(&file, Some(old.serves), Some(tmp.path())).expect("a second process beside it");
     assert_eq!(call(new.operator, b"status\n"), "done yes\n");
-    assert!(call(new.operator, b"stats\n").contains(OUT), "it starts with what is out");
+    assert!(
+        call(new.operator, b"stats\n").contains(OUT),
+        "it starts with what is out"
+    );
     let id = old.child.id().to_string();
-    assert!(std::process::Command::new("kill").args(["-TERM", &id]).status().unwrap().success());
+    assert!(std::process::Command::new("kill")
+        .args(["-TERM", &id])
+        .status()
+        .unwrap()
+        .success());
     let mut lines = std::iter::from_fn(|| old.log.recv_timeout(running::PATIENCE).ok());
     assert!(lines.any(|line| line.contains("told to leave")));
     assert_eq!(call(old.operator, b"status\n"), "done no\n");
     for (place, (asked, attempt)) in open.into_iter().enumerate() {
         attempt.serve();
-        assert_eq!(asked.said(), Some(Said::Served(BODY.to_vec())), "request {place} is not lost");
+        assert_eq!(
+            asked.said(),
+            Some(Said::Served(BODY.to_vec())),
+            "request {place} is not lost"
+        );
     }
     assert!(lines.any(|line| line.contains("left ") && line.contains(", 0 open, ")));
     assert!(old.child.wait().unwrap().success());
@@ -50,7 +65,10 @@
         assert_eq!(asked.said(), Some(Said::Served(BODY.to_vec())));
     }
     assert!(call(new.operator, b"stats\n").contains(OUT));
-    assert_eq!(call(new.operator, b"maint-off s-00000003\n"), "done s-00000003 is back\n");
+    assert_eq!(
+        call(new.operator, b"maint-off s-00000003\n"),
+        "done s-00000003 is back\n"
+    );
     assert!(call(new.operator, b"stats\n").contains("proxy.cluster_unhealthy:0|g\n"));
     let _ = std::fs::remove_file(file);
 }
--- a/edge/proxy/tests/lists.rs
+++ b/edge/proxy/tests/lists.rs
@@ -31,17 +31,29 @@
     fn new() -> Place {
         let decoded = foldmux_settings::parse(common::SETTINGS).unwrap();
         let (clock, members) = (Clock::default(), Arc::new(Members::default()));
-        let (mut desk, handle) = Desk::new(Router::new(decoded.settings, 1), clock.clone(), members.clone());
+        let (mut desk, handle) = Desk::new(
+            Router::new(decoded.settings, 1),
+            clock.clone(),
+            members.clone(),
+        );
         let ended = Arc::new(AtomicUsize::new(0));
         let counted = ended.clone();
         desk.when_ended(move |_| {
             counted.fetch_add(1, Ordering::SeqCst);
         });
         let desk = std::thread::spawn(move || desk.run());
-        let names = Names { zones: decoded.zones, kinds: decoded.kinds };
+        let names = Names {
+            zones: decoded.zones,
+            kinds: decoded.kinds,
+        };
         let pool = Pool::new(8, Duration::from_secs(10));
         let journal = Journal::new(names, clock, handle, pool, Arc::new(AtomicBool::new(false)));
-        Place { journal, members, ended, desk }
+        Place {
+            journal,
+            members,
+            ended,
+            desk,
+        }
     }
 
     /// What the desk has once it took all: the members, and how many starts ended.
@@ -76,7 +88,9 @@
 const BEGAN: u64 = 1_764_576_000_000;
 
 fn first() -> Vec<String> {
-    (0..CACHES).map(|n| line(n + 1, 7_000 + n as u16, "ready", BEGAN + n as u64)).collect()
+    (0..CACHES)
+        .map(|n| line(n + 1, 7_000 + n as u16, "ready", BEGAN + n as u64))
+        .collect()
 }
 
 #[test]
@@ -91,14 +105,18 @@
     }
     assert!(place.journal.take(&read(&feed(&events)).unwrap()));
     let (members, ended) = place.end();
-    assert_eq!((members.census(|_| false), ended), ((CACHES as usize, 0), 0));
+    assert_eq!(
+        (members.census(|_| false), ended),
+        ((CACHES as usize, 0), 0)
+    );
 }
 
 /// The events of 36 replacements; and who is listed then: port, and the stamp of its start.
 fn replaced() -> (Vec<String>, BTreeMap<u32, (u16, u64)>) {
     let mut events = vec![event(1, true, &first())];
-    let mut then: BTreeMap<u32, (u16, u64)> =
-        (0..CACHES).map(|n| (n + 1, (7_000 + n as u16, BEGAN + n as u64))).collect();
+    let mut then: BTreeMap<u32, (u16, u64)> = (0..CACHES)
+        .map(|n| (n + 1, (7_000 + n as u16, BEGAN + n as u64)))
+        .collect();
     let tell = |events: &mut Vec<String>, lines: &[String]| {
         let pos = events.len() as u64 + 1;
         events.push(event(pos, false, lines));
@@ -144,8 +162,11 @@
         while had < events.len() {
             let below = |draws: &mut Draws, n: usize| (draws.draw() % n.max(1) as u64) as usize;
             // From before what was taken (repeated) to beyond it (something is missing).
-            let from = (had + below(&mut draws, 4)).saturating_sub(2).min(events.len() - 1);
-            let mut told = events[from..(from + 1 + below(&mut draws, 20)).min(events.len())].to_vec();
+            let from = (had + below(&mut draws, 4))
+                .saturating_sub(2)
+                .min(events.len() - 1);
+            let mut told =
+                events[from..(from + 1 + below(&mut draws, 20)).min(events.len())].to_vec();
             let odd = below(&mut draws, 4);
             if odd == 0 {
                 let (a, b) = (below(&mut draws, told.len()), below(&mut draws, told.len()));
@@ -168,7 +189,11 @@
                     _ => gapless = false,
                 }
             }
-            assert_eq!(place.journal.take(&read), gapless, "seed {seed} after {had}");
+            assert_eq!(
+                place.journal.take(&read),
+                gapless,
+                "seed {seed} after {had}"
+            );
             had = if gapless { last } else { had };
             refused += !gapless as u32;
         }
@@ -177,8 +202,14 @@
         assert_eq!(members.census(|_| false), (then.len(), 0), "seed {seed}");
         for (id, (port, _)) in &then {
             let name = format!("s-{id:08x}");
-            let held = members.get(cache_id(&name)).unwrap_or_else(|| panic!("seed {seed}: {name}"));
-            assert_eq!((held.address.port(), &*held.name), (*port, name.as_str()), "seed {seed}");
+            let held = members
+                .get(cache_id(&name))
+                .unwrap_or_else(|| panic!("seed {seed}: {name}"));
+            assert_eq!(
+                (held.address.port(), &*held.name),
+                (*port, name.as_str()),
+                "seed {seed}"
+            );
         }
     }
 }
--- a/edge/proxy/tests/operator.rs
+++ b/edge/proxy/tests/operator.rs
@@ -13,13 +13,20 @@
     hub(\"hub\", parents = [\"archive\"])\nlocation(\"edge\", parents = [\"hub\"])\n";
 
 fn told(arguments: &[&str]) -> (bool, String) {
-    let output = common::command(arguments).env_remove("GW_CONFIG").output().expect("the program");
+    let output = common::command(arguments)
+        .env_remove("GW_CONFIG")
+        .output()
+        .expect("the program");
     let text = [output.stdout, output.stderr].concat();
     (output.status.success(), String::from_utf8(text).unwrap())
 }
 
 fn root(file: &str) -> String {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").join(file).display().to_string()
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../..")
+        .join(file)
+        .display()
+        .to_string()
 }
 
 /// A folder that goes with the test.
@@ -48,8 +55,14 @@
 #[test]
 fn the_files_that_are_shipped_are_sound_and_their_plan_is_told() {
     let (well, text) = told(&["check-config", "--operator", &root("deploy/foldmux.star")]);
-    assert!(well && text.contains("10 locations, 3 hubs, 3 of them shields"), "{text}");
-    let (old, new) = (root("deploy/foldmux.star"), root("rigs/lab/scenarios/rewired.star"));
+    assert!(
+        well && text.contains("10 locations, 3 hubs, 3 of them shields"),
+        "{text}"
+    );
+    let (old, new) = (
+        root("deploy/foldmux.star"),
+        root("rigs/lab/scenarios/rewired.star"),
+    );
     let (taken, text) = told(&["plan", &old, &new]);
     assert!(taken, "{text}");
     insta::assert_snapshot!("plan", text);
@@ -63,22 +76,43 @@
 #[test]
 fn a_faulty_file_is_one_line_for_each_fault_and_nothing_else() {
     let folder = Folder::new("faulty");
-    let faulty = TREE.replace("[\"hub\"]", "[\"hub\", \"west\", \"archive\"]") + "relay(lease_ms = 1)\n";
+    let faulty =
+        TREE.replace("[\"hub\"]", "[\"hub\", \"west\", \"archive\"]") + "relay(lease_ms = 1)\n";
     let file = folder.file("a.star", &faulty);
     let (well, text) = told(&["check-config", "--operator", &file]);
-    assert_eq!((well, text), (false, format!("foldmux: {file}:5: lease_ms: lower than 10\n")));
+    assert_eq!(
+        (well, text),
+        (
+            false,
+            format!("foldmux: {file}:5: lease_ms: lower than 10\n")
+        )
+    );
     let file = folder.file("b.star", &faulty.replace("relay(lease_ms = 1)\n", ""));
     let (well, text) = told(&["check-config", "--operator", &file]);
     let lines: Vec<&str> = text.lines().collect();
     assert!(!well && lines.len() == 2, "{text}");
-    assert_eq!(lines[0], format!("foldmux: {file}:4: edge names the parent west, which is no node"));
-    assert!(lines[1].contains(":4: location edge names the archive as a parent"), "{text}");
+    assert_eq!(
+        lines[0],
+        format!("foldmux: {file}:4: edge names the parent west, which is no node")
+    );
+    assert!(
+        lines[1].contains(":4: location edge names the archive as a parent"),
+        "{text}"
+    );
     // A tree without this proxy's zone can't be used by it; by itself it is sound.
     let other = folder.file("c.star", &TREE.replace("\"edge\"", "\"porvoo\""));
-    let config = folder
-        .file("config.json", &common::config("127.0.0.1:9".parse().unwrap(), "127.0.0.1:9".parse().unwrap()));
+    let config = folder.file(
+        "config.json",
+        &common::config(
+            "127.0.0.1:9".parse().unwrap(),
+            "127.0.0.1:9".parse().unwrap(),
+        ),
+    );
     let (well, text) = told(&["check-config", "--config", &config, "--operator", &other]);
-    assert!(!well && text.contains("edge, this proxy's zone, is no location of the tree"), "{text}");
+    assert!(
+        !well && text.contains("edge, this proxy's zone, is no location of the tree"),
+        "{text}"
+    );
     assert!(told(&["check-config", "--operator", &other]).0);
 }
 
@@ -96,7 +130,11 @@
 
     fn hup(&self) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args(["-HUP", &id]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args(["-HUP", &id])
+            .status()
+            .unwrap()
+            .success());
     }
 }
 
@@ -113,23 +151,46 @@
     let operator = folder.file("foldmux.star", TREE);
     let nowhere = "127.0.0.1:9".parse().unwrap();
     let config = folder.file("config.json", &common::config(nowhere, nowhere));
-    let arguments = ["serve", "--config", &config, "--operator", &operator, "--log", "json"];
-    let mut child = common::command(&arguments).stderr(Stdio::piped()).spawn().expect("the program");
+    let arguments = [
+        "serve",
+        "--config",
+        &config,
+        "--operator",
+        &operator,
+        "--log",
+        "json",
+    ];
+    let mut child = common::command(&arguments)
+        .stderr(Stdio::piped())
+        .spawn()
+        .expect("the program");
     let (told, log) = channel();
-    let lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
+    let lines = BufReader::new(child.stderr.take().unwrap())
+        .lines()
+        .map_while(Result::ok);
     std::thread::spawn(move || lines.for_each(|line| drop(told.send(line))));
     let serving = Serving { child, log };
     let first = serving.line("serves on");
-    assert!(first.starts_with('{') && first.contains("\"level\":\"INFO\""), "{first}");
+    assert!(
+        first.starts_with('{') && first.contains("\"level\":\"INFO\""),
+        "{first}"
+    );
     for (text, line) in [
         (TREE.replace("epoch = 2", "epoch = 3"), "rewire: tree 3-"),
-        (TREE.replace("epoch = 2", "epoch = 1"), "epoch 1 is older than epoch 3 in service"),
         (
-            TREE.replace("epoch = 2", "epoch = 9").replace("\"edge\"", "\"other\""),
+            TREE.replace("epoch = 2", "epoch = 1"),
+            "epoch 1 is older than epoch 3 in service",
+        ),
+        (
+            TREE.replace("epoch = 2", "epoch = 9")
+                .replace("\"edge\"", "\"other\""),
             "is no location of the tree; all stays",
         ),
         ("hub(".to_string(), "foldmux.star:1: "),
-        (TREE.replace("epoch = 2", "epoch = 1, instead_of = 3"), "rewire: tree 1-"),
+        (
+            TREE.replace("epoch = 2", "epoch = 1, instead_of = 3"),
+            "rewire: tree 1-",
+        ),
     ] {
         std::fs::write(&operator, text).unwrap();
         serving.hup();
--- a/edge/proxy/tests/processor_end.rs
+++ b/edge/proxy/tests/processor_end.rs
@@ -31,32 +31,54 @@
     std::fs::write(&file, SCRIPT).unwrap();
     let [caches, journal] = [0; 2].map(|_| TcpListener::bind("127.0.0.1:0").unwrap());
     let text = config(caches.local_addr().unwrap(), journal.local_addr().unwrap());
-    let (program, [serves, processor]) = start_with(&text, &["--operator", &file.display().to_string()]);
+    let (program, [serves, processor]) =
+        start_with(&text, &["--operator", &file.display().to_string()]);
     let stream = hold(processor.expect("an external processor"), 1, "sheet").unwrap();
     let request = ask(serves.expect("an address"), "sheet", OBJECT);
     let attempt = Attempt::next(&caches);
     program.signal("-TERM");
     program.line("told to leave");
-    Leaving { program, stream, request, attempt }
+    Leaving {
+        program,
+        stream,
+        request,
+        attempt,
+    }
 }
 
 #[test]
 fn a_client_is_answered_while_a_stream_is_held() {
-    let Leaving { mut program, stream, request, attempt } = leaving();
+    let Leaving {
+        mut program,
+        stream,
+        request,
+        attempt,
+    } = leaving();
     attempt.serve();
     assert_eq!(request.said(), Some(Said::Served(BODY.to_vec())));
     // All clients are gone, and the stream is open still.
-    assert!(program.line("after the signal").contains("0 open, 0 connected"));
+    assert!(program
+        .line("after the signal")
+        .contains("0 open, 0 connected"));
     drop(stream);
-    assert!(program.line("external processor: placed").contains("all streams ended: true"));
+    assert!(program
+        .line("external processor: placed")
+        .contains("all streams ended: true"));
     assert!(program.ended().success());
 }
 
 #[test]
 fn a_client_is_answered_after_the_last_stream_has_ended() {
-    let Leaving { mut program, stream, request, attempt } = leaving();
+    let Leaving {
+        mut program,
+        stream,
+        request,
+        attempt,
+    } = leaving();
     drop(stream);
-    assert!(program.line("external processor: placed").contains("all streams ended: true"));
+    assert!(program
+        .line("external processor: placed")
+        .contains("all streams ended: true"));
     attempt.serve();
     assert_eq!(request.said(), Some(Said::Served(BODY.to_vec())));
     assert!(program.ended().success());
--- a/edge/proxy/tests/reports.rs
+++ b/edge/proxy/tests/reports.rs
@@ -20,8 +20,14 @@
 fn reporting(cache: SocketAddr, journal: SocketAddr) -> String {
     let whole = common::config(cache, journal);
     let told = whole.replace(r#""settings":{"#, &format!(r#""settings":{{{FIELDS}"#));
-    let told = told.replace(r#""limits":{"maxAttempts""#, r#""limits":{"probes":true,"maxAttempts""#);
-    assert!(told.contains("Attempts") && told.contains("probes") && told.contains("x0"), "{told}");
+    let told = told.replace(
+        r#""limits":{"maxAttempts""#,
+        r#""limits":{"probes":true,"maxAttempts""#,
+    );
+    assert!(
+        told.contains("Attempts") && told.contains("probes") && told.contains("x0"),
+        "{told}"
+    );
     told
 }
 
@@ -69,11 +75,19 @@
     ];
     let answer = |n: usize, report: &str| {
         let body = format!("part {n}");
-        format!("HTTP/1.1 200 OK\r\n{report}\r\nETag: {n}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+        format!(
+            "HTTP/1.1 200 OK\r\n{report}\r\nETag: {n}\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        )
     };
-    let answers = reports.iter().enumerate().map(|(n, report)| answer(n, report)).collect();
+    let answers = reports
+        .iter()
+        .enumerate()
+        .map(|(n, report)| answer(n, report))
+        .collect();
     let journal = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (_program, serves) = common::start(&reporting(cache(answers), journal.local_addr().unwrap()));
+    let (_program, serves) =
+        common::start(&reporting(cache(answers), journal.local_addr().unwrap()));
     let mut client = Terminal::connect(serves, PATIENCE).unwrap();
     for n in 0..reports.len() {
         let fields = BTreeMap::from([
@@ -104,16 +118,37 @@
     let file = std::env::temp_dir().join(format!("foldmux-reports-{name}-{}", std::process::id()));
     std::fs::write(&file, text).unwrap();
     let mut command = common::command(&["serve"]);
-    let child = command.env("GW_CONFIG", &file).env_remove("TMPDIR").stderr(Stdio::piped()).spawn();
+    let child = command
+        .env("GW_CONFIG", &file)
+        .env_remove("TMPDIR")
+        .stderr(Stdio::piped())
+        .spawn();
     Ran(child.expect("the program"), file)
 }
 
 /// Settings that lack a field which all deployments have, or say one in a way that none does.
 fn faulty(good: &str) -> Vec<(&'static str, String)> {
-    let without = |key: &'static str| (key, good.replace(&format!("\"{key}\""), &format!("\"{key}Once\"")));
-    let mut all: Vec<_> =
-        ["balancers", "locality", "classes", "maxAttempts", "rules", "originKind", "slo"].map(without).into();
-    all.push(("probe", good.replace(r#""probe":0.01"#, r#""probe":"dear""#)));
+    let without = |key: &'static str| {
+        (
+            key,
+            good.replace(&format!("\"{key}\""), &format!("\"{key}Once\"")),
+        )
+    };
+    let mut all: Vec<_> = [
+        "balancers",
+        "locality",
+        "classes",
+        "maxAttempts",
+        "rules",
+        "originKind",
+        "slo",
+    ]
+    .map(without)
+    .into();
+    all.push((
+        "probe",
+        good.replace(r#""probe":0.01"#, r#""probe":"dear""#),
+    ));
     all.push(("names", good.replace(r#""names":["#, r#""names":[7,"#)));
     assert!(all.iter().all(|(_, text)| text != good), "each differs");
     all
@@ -121,7 +156,11 @@
 
 fn whole() -> (String, TcpListener, TcpListener) {
     let [cache, journal] = [0; 2].map(|_| TcpListener::bind("127.0.0.1:0").unwrap());
-    (reporting(cache.local_addr().unwrap(), journal.local_addr().unwrap()), cache, journal)
+    (
+        reporting(cache.local_addr().unwrap(), journal.local_addr().unwrap()),
+        cache,
+        journal,
+    )
 }
 
 #[test]
@@ -130,32 +169,69 @@
     for (key, text) in faulty(&good) {
         let mut ran = run(key, &text);
         let mut said = String::new();
-        ran.0.stderr.take().unwrap().read_to_string(&mut said).unwrap();
+        ran.0
+            .stderr
+            .take()
+            .unwrap()
+            .read_to_string(&mut said)
+            .unwrap();
         assert!(!ran.0.wait().unwrap().success(), "{key}");
         // One line for each place where it is faulty: both classes lack `slo` then.
         let places = if key == "slo" { 2 } else { 1 };
         assert_eq!(said.trim_end().lines().count(), places, "{key}: {said}");
-        assert!(said.lines().all(|line| line.starts_with("foldmux: configuration")), "{key}: {said}");
-        assert!(said.lines().all(|line| line.contains(key)), "{key} is named: {said}");
+        assert!(
+            said.lines()
+                .all(|line| line.starts_with("foldmux: configuration")),
+            "{key}: {said}"
+        );
+        assert!(
+            said.lines().all(|line| line.contains(key)),
+            "{key} is named: {said}"
+        );
     }
 }
 
 #[test]
 fn what_no_deployment_says_is_passed_over_and_a_faulty_reload_leaves_the_old_settings_whole() {
     let (good, _cache, _journal) = whole();
-    let more = good.replace(r#""settings":{"#, r#""settings":{"moonPhase":{"at":[1,null]},"rack":"b","#);
+    let more = good.replace(
+        r#""settings":{"#,
+        r#""settings":{"moonPhase":{"at":[1,null]},"rack":"b","#,
+    );
     assert_ne!(more, good);
     let mut ran = run("reload", &more);
-    let mut lines = BufReader::new(ran.0.stderr.take().unwrap()).lines().map_while(Result::ok);
-    let mut line = |words: &str| lines.find(|line| line.contains(words)).expect("a line in the log");
+    let mut lines = BufReader::new(ran.0.stderr.take().unwrap())
+        .lines()
+        .map_while(Result::ok);
+    let mut line = |words: &str| {
+        lines
+            .find(|line| line.contains(words))
+            .expect("a line in the log")
+    };
     let serves = line(" serves on ");
-    let serves: SocketAddr = serves.split_once(" serves on ").unwrap().1.trim().parse().unwrap();
+    let serves: SocketAddr = serves
+        .split_once(" serves on ")
+        .unwrap()
+        .1
+        .trim()
+        .parse()
+        .unwrap();
     for (key, text) in faulty(&good) {
         std::fs::write(&ran.1, &text).unwrap();
         let id = ran.0.id().to_string();
-        assert!(std::process::Command::new("kill").args(["-HUP", &id]).status().unwrap().success());
+        assert!(std::process::Command::new("kill")
+            .args(["-HUP", &id])
+            .status()
+            .unwrap()
+            .success());
         let said = line("reload: ");
-        assert!(said.contains("WARN") && said.ends_with("all stays as it was"), "{key}: {said}");
+        assert!(
+            said.contains("WARN") && said.ends_with("all stays as it was"),
+            "{key}: {said}"
+        );
     }
-    assert!(Terminal::connect(serves, PATIENCE).unwrap().well().unwrap(), "it serves on as it did");
+    assert!(
+        Terminal::connect(serves, PATIENCE).unwrap().well().unwrap(),
+        "it serves on as it did"
+    );
 }
--- a/edge/proxy/tests/retries.rs
+++ b/edge/proxy/tests/retries.rs
@@ -13,7 +13,10 @@
     let listener = || TcpListener::bind("127.0.0.1:0").unwrap();
     let (caches, journal) = (listener(), listener());
     let once = config(caches.local_addr().unwrap(), journal.local_addr().unwrap());
-    let once = once.replace(r#""idempotency":"guarded""#, r#""idempotency":"single_shot""#);
+    let once = once.replace(
+        r#""idempotency":"guarded""#,
+        r#""idempotency":"single_shot""#,
+    );
     let (_program, address) = start(&once);
     let mut client = BufReader::new(connected(TcpStream::connect(address).unwrap()));
     client.get_mut().write_all(&unescape(WRITE)).unwrap();
@@ -22,7 +25,10 @@
     assert!(request(&mut cache).ends_with("ink"));
     drop(cache);
     let answer = message(&mut client);
-    assert!(answer.starts_with("\\x94\\x01\\x01") && answer.contains("Fault"), "{answer}");
+    assert!(
+        answer.starts_with("\\x94\\x01\\x01") && answer.contains("Fault"),
+        "{answer}"
+    );
     // Its one answer is out; another attempt would have come before it.
     caches.set_nonblocking(true).unwrap();
     assert!(caches.accept().is_err(), "no second attempt");
--- a/edge/proxy/tests/retuned_classes.rs
+++ b/edge/proxy/tests/retuned_classes.rs
@@ -31,13 +31,21 @@
     fn new(name: &str) -> Place {
         let (file, caches, journal) = configured(name);
         let good = std::fs::read_to_string(&file).unwrap();
-        Place { running: start(&file, None).unwrap(), file, good, caches, _journal: journal }
+        Place {
+            running: start(&file, None).unwrap(),
+            file,
+            good,
+            caches,
+            _journal: journal,
+        }
     }
 
     /// Reloads with one text in the place of another; returns once the program has taken it.
     fn take(&self, is: &str, becomes: &str) -> String {
         assert!(self.good.contains(is), "{is}");
-        let said = self.running.reload(&self.file, &self.good.replace(is, becomes));
+        let said = self
+            .running
+            .reload(&self.file, &self.good.replace(is, becomes));
         assert!(said.contains("reload: classes "), "{said}");
         said
     }
@@ -55,14 +63,21 @@
         let asked = self.asks(class, object);
         self.attempt().cut();
         self.attempt().serve();
-        assert_eq!(asked.said(), Some(Said::Served(BODY.to_vec())), "{class} is repeated");
+        assert_eq!(
+            asked.said(),
+            Some(Said::Served(BODY.to_vec())),
+            "{class} is repeated"
+        );
     }
 
     /// A request of this class whose first attempt may have run has failed.
     fn is_not_repeated(&self, class: &str, object: u64) {
         let asked = self.asks(class, object);
         self.attempt().cut();
-        assert!(matches!(asked.said(), Some(Said::Failed(_))), "{class} is not repeated");
+        assert!(
+            matches!(asked.said(), Some(Said::Failed(_))),
+            "{class} is not repeated"
+        );
     }
 }
 
@@ -99,7 +114,10 @@
     let place = Place::new("deadline");
     let open = place.asks("sheet", 1);
     let first = place.attempt();
-    place.take(SHEET, &SHEET.replace("\"hardLimit\":30000000", "\"hardLimit\":300000"));
+    place.take(
+        SHEET,
+        &SHEET.replace("\"hardLimit\":30000000", "\"hardLimit\":300000"),
+    );
     // A new one ends by itself, long before its client would give it up; the open one is waited for beyond that.
     let new = place.asks("sheet", 2);
     let second = place.attempt();
@@ -127,7 +145,11 @@
     for (attempt, asked, class) in [(first, sheet, "sheet"), (second, record, "record")] {
         attempt.cut();
         let again = place.attempt();
-        assert!(again.head.contains(&format!("/v2/q/{class}/")), "{}", again.head);
+        assert!(
+            again.head.contains(&format!("/v2/q/{class}/")),
+            "{}",
+            again.head
+        );
         again.serve();
         assert_eq!(asked.said(), Some(Said::Served(BODY.to_vec())), "{class}");
     }
@@ -142,13 +164,20 @@
     let open = place.asks("sheet", 1);
     let first = place.attempt();
     place.take("{\"name\":\"sheet\",", "{\"name\":\"other\",");
-    assert!(matches!(place.asks("sheet", 2).said(), Some(Said::Failed(_))), "no such class now");
+    assert!(
+        matches!(place.asks("sheet", 2).said(), Some(Said::Failed(_))),
+        "no such class now"
+    );
     place.is_repeated("other", 3);
     place.take(FREE, ONCE);
     place.is_not_repeated("sheet", 4);
     first.cut();
     place.attempt().serve();
-    assert_eq!(open.said(), Some(Said::Served(BODY.to_vec())), "the open one is free as it was");
+    assert_eq!(
+        open.said(),
+        Some(Said::Served(BODY.to_vec())),
+        "the open one is free as it was"
+    );
 }
 
 /// Which member is a parent follows from the settings: a former deployment's parent must not be asked for fills.
@@ -157,10 +186,17 @@
     let place = Place::new("parents");
     let asked = place.asks("sheet", 1);
     let before = place.attempt();
-    assert!(before.head.contains("X-Fill-From: s-00000002"), "{}", before.head);
+    assert!(
+        before.head.contains("X-Fill-From: s-00000002"),
+        "{}",
+        before.head
+    );
     before.serve();
     assert!(asked.said().is_some());
-    place.take("\"midKind\":1,\"siblings\":\"any\"", "\"midKind\":-1,\"siblings\":\"none\"");
+    place.take(
+        "\"midKind\":1,\"siblings\":\"any\"",
+        "\"midKind\":-1,\"siblings\":\"none\"",
+    );
     for object in 2..8 {
         let asked = place.asks("sheet", object);
         let after = place.attempt();
@@ -176,18 +212,32 @@
     let half = &place.good[..place.good.len() / 2];
     let said = place.running.reload(&place.file, half);
     assert!(said.ends_with("all stays as it was"), "{said}");
-    let whole = place.good.replace(FREE, ONCE).replace("\"name\":\"record\"", "\"name\":\"receipt\"");
+    let whole = place
+        .good
+        .replace(FREE, ONCE)
+        .replace("\"name\":\"record\"", "\"name\":\"receipt\"");
     std::fs::write(&place.file, whole).unwrap();
     let id = place.running.child.id().to_string();
     for _ in 0..2 {
-        assert!(std::process::Command::new("kill").args(["-HUP", &id]).status().unwrap().success());
+        assert!(std::process::Command::new("kill")
+            .args(["-HUP", &id])
+            .status()
+            .unwrap()
+            .success());
     }
     // Both may be taken as one; a third shows that all before it are over.
-    assert!(std::process::Command::new("kill").args(["-HUP", &id]).status().unwrap().success());
+    assert!(std::process::Command::new("kill")
+        .args(["-HUP", &id])
+        .status()
+        .unwrap()
+        .success());
     let mut lines = std::iter::from_fn(|| place.running.log.recv_timeout(running::PATIENCE).ok());
     assert!(lines.any(|line| line.contains("reload: classes sheet, receipt")));
     place.is_not_repeated("sheet", 1);
-    assert!(matches!(place.asks("record", 2).said(), Some(Said::Failed(_))), "no such class now");
+    assert!(
+        matches!(place.asks("record", 2).said(), Some(Said::Failed(_))),
+        "no such class now"
+    );
 }
 
 #[test]
@@ -199,17 +249,33 @@
             "\"dcs\":[\"hub\",\"edge\"]",
             "\"dcs\":[\"edge\",\"hub\",\"yard\"],\"rack\":{\"row\":[1,null]}",
         )
-        .replace("\"kinds\":[\"box\",\"parent\",\"origin\"]", "\"kinds\":[\"parent\",\"box\",\"origin\"]")
+        .replace(
+            "\"kinds\":[\"box\",\"parent\",\"origin\"]",
+            "\"kinds\":[\"parent\",\"box\",\"origin\"]",
+        )
         .replace("\"locality\":1", "\"locality\":0")
         .replace("\"name\":\"sheet\"", "\"name\":\"berth\"");
     let said = place.running.reload(&place.file, &foreign);
     for key in ["settings.dcs", "settings.kinds", "settings.locality"] {
-        assert_eq!(said.matches(&format!("configuration.{key}: ")).count(), 1, "{key}: {said}");
+        assert_eq!(
+            said.matches(&format!("configuration.{key}: ")).count(),
+            1,
+            "{key}: {said}"
+        );
     }
-    assert!(said.contains("WARN") && said.ends_with("all stays as it was"), "{said}");
+    assert!(
+        said.contains("WARN") && said.ends_with("all stays as it was"),
+        "{said}"
+    );
     let stats = call(place.running.operator, b"stats\n");
-    assert!(stats.contains("proxy.conf_invalid:1|c\n") && !stats.contains("berth"), "{stats}");
-    assert!(matches!(place.asks("berth", 1).said(), Some(Said::Failed(_))), "no such class");
+    assert!(
+        stats.contains("proxy.conf_invalid:1|c\n") && !stats.contains("berth"),
+        "{stats}"
+    );
+    assert!(
+        matches!(place.asks("berth", 1).said(), Some(Said::Failed(_))),
+        "no such class"
+    );
     place.is_repeated("sheet", 2);
 }
 
@@ -218,9 +284,14 @@
     let place = Place::new("named");
     let said = place.take("\"sockets\":1024", "\"sockets\":2048");
     assert!(said.ends_with("; from the next start: limits"), "{said}");
-    let said = place
-        .take("\"dialTimeout\":400000,\"keepalive\":15000000", "\"dialTimeout\":50000,\"keepalive\":1000000");
-    assert!(said.ends_with("start: settings.limits.dialTimeout, settings.limits.keepalive"), "{said}");
+    let said = place.take(
+        "\"dialTimeout\":400000,\"keepalive\":15000000",
+        "\"dialTimeout\":50000,\"keepalive\":1000000",
+    );
+    assert!(
+        said.ends_with("start: settings.limits.dialTimeout, settings.limits.keepalive"),
+        "{said}"
+    );
     let said = place.take("\"seed\":\"1\"", "\"seed\":\"2\"");
     assert!(said.ends_with("; from the next start: seed"), "{said}");
     assert!(!place.take(FREE, ONCE).contains("next start"));
--- a/edge/proxy/tests/shutdown.rs
+++ b/edge/proxy/tests/shutdown.rs
@@ -109,7 +109,10 @@
     let large = vec![7; LARGE];
     attempt.give(&large);
     let mut answer = Vec::new();
-    client.stream.read_to_end(&mut answer).expect("the answer and an end, no reset");
+    client
+        .stream
+        .read_to_end(&mut answer)
+        .expect("the answer and an end, no reset");
     assert!(answer.len() > LARGE, "{} bytes", answer.len());
     assert_eq!(rig.waiting_attempts(), 0);
     drop(client);
@@ -128,7 +131,10 @@
     client.stream.read_exact(&mut [0; 1]).unwrap();
     rig.ends_well();
     let mut rest = Vec::new();
-    client.stream.read_to_end(&mut rest).expect("an end without a reset");
+    client
+        .stream
+        .read_to_end(&mut rest)
+        .expect("an end without a reset");
     assert!(rest.len() >= LARGE, "{} bytes", rest.len());
 }
 
@@ -168,7 +174,9 @@
     let mut client = rig.client();
     client.ask(ONE);
     let mut first = rig.attempt();
-    let shorter = rig.config.replace("\"hardLimit\":300000000", "\"hardLimit\":400000");
+    let shorter = rig
+        .config
+        .replace("\"hardLimit\":300000000", "\"hardLimit\":400000");
     let shorter = shorter.replace("\"slo\":20000000", "\"slo\":300000");
     assert!(rig.program.reload(&shorter).contains("classes"));
     // SIGKILL comes 400 ms and 700 ms after SIGTERM, and 250 ms are kept back from that.
--- a/edge/proxy/tests/size.rs
+++ b/edge/proxy/tests/size.rs
@@ -27,7 +27,9 @@
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
     let of = |key: &str| {
         let line = status.lines().find_map(|line| line.strip_prefix(key));
-        line.and_then(|line| line.split_whitespace().next()).and_then(|n| n.parse().ok()).unwrap_or(0)
+        line.and_then(|line| line.split_whitespace().next())
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(0)
     };
     [descriptors, of("Threads:"), of("RssAnon:")]
 }
@@ -68,8 +70,18 @@
     let mut first: Vec<Host> = (0..CACHES).map(|n| host(n, "ready", 0)).collect();
     // The caches fill from it, as far as the program knows.
     let origin = start();
-    let (name, kind, zone) = ("s-0000ffff".to_string(), "origin".to_string(), "hub".to_string());
-    first.push(Host { name, kind, zone, address: origin.address(), ..host(0, "ready", 0) });
+    let (name, kind, zone) = (
+        "s-0000ffff".to_string(),
+        "origin".to_string(),
+        "hub".to_string(),
+    );
+    first.push(Host {
+        name,
+        kind,
+        zone,
+        address: origin.address(),
+        ..host(0, "ready", 0)
+    });
     journal.tell(&hosts(true, &first));
     let config = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"1","limits":{{"memory_mb":{MEMORY_MB},"sockets":{SOCKETS}}},
@@ -77,11 +89,21 @@
         journal.address(),
         common::SETTINGS
     );
-    let bounds = foldmux_proxy::config::parse(config.clone().into_bytes()).unwrap().bounds;
+    let bounds = foldmux_proxy::config::parse(config.clone().into_bytes())
+        .unwrap()
+        .bounds;
     let (program, address) = common::start(&config);
-    until("it is well", || Terminal::connect(address, PATIENCE).and_then(|mut t| t.well()).unwrap_or(false));
+    until("it is well", || {
+        Terminal::connect(address, PATIENCE)
+            .and_then(|mut t| t.well())
+            .unwrap_or(false)
+    });
     let at_rest = taken(program.id());
-    let (over, answers, served) = (AtomicBool::new(false), AtomicUsize::new(0), AtomicUsize::new(0));
+    let (over, answers, served) = (
+        AtomicBool::new(false),
+        AtomicUsize::new(0),
+        AtomicUsize::new(0),
+    );
     let mut most = at_rest;
     std::thread::scope(|scope| {
         for client in 0..CLIENTS as u64 {
@@ -90,22 +112,32 @@
                 let mut number = client << 32;
                 while !over.load(Ordering::SeqCst) {
                     // One that finds no place comes again.
-                    let Ok(mut terminal) = Terminal::connect(address, PATIENCE) else { continue };
+                    let Ok(mut terminal) = Terminal::connect(address, PATIENCE) else {
+                        continue;
+                    };
                     while !over.load(Ordering::SeqCst) {
                         number += 1;
-                        let Ok(said) = ask(&mut terminal, number) else { break };
+                        let Ok(said) = ask(&mut terminal, number) else {
+                            break;
+                        };
                         answers.fetch_add(1, Ordering::SeqCst);
-                        served.fetch_add(matches!(said, Said::Served(_)) as usize, Ordering::SeqCst);
+                        served
+                            .fetch_add(matches!(said, Said::Served(_)) as usize, Ordering::SeqCst);
                         std::thread::sleep(Duration::from_millis(10));
                     }
                     std::thread::sleep(Duration::from_millis(20));
                 }
             };
-            std::thread::Builder::new().stack_size(256 * 1024).spawn_scoped(scope, body).unwrap();
+            std::thread::Builder::new()
+                .stack_size(256 * 1024)
+                .spawn_scoped(scope, body)
+                .unwrap();
         }
         let count = |most: &mut [usize; 3]| {
             let now = taken(program.id());
-            most.iter_mut().zip(now).for_each(|(most, now)| *most = now.max(*most));
+            most.iter_mut()
+                .zip(now)
+                .for_each(|(most, now)| *most = now.max(*most));
         };
         let beyond = |most: &mut [usize; 3], answered: usize| {
             let from = answers.load(Ordering::SeqCst);
@@ -132,9 +164,15 @@
     println!("at rest {at_rest:?}, most {most:?} (descriptors, threads, KB); {served} of {answers} served; {bounds:?}");
     let [descriptors, threads, memory] = most;
     assert!(served * 2 > answers, "{served} of {answers} served");
-    assert!(descriptors <= bounds.clients + bounds.upstream + FIXED, "{descriptors} descriptors");
+    assert!(
+        descriptors <= bounds.clients + bounds.upstream + FIXED,
+        "{descriptors} descriptors"
+    );
     assert!(descriptors < SOCKETS, "{descriptors} descriptors");
-    assert!(threads <= bounds.clients + bounds.open + FIXED, "{threads} threads");
+    assert!(
+        threads <= bounds.clients + bounds.open + FIXED,
+        "{threads} threads"
+    );
     assert!(memory < MEMORY_MB * 1024, "{memory} KB");
     // With the clients gone their descriptors are given back.
     until("descriptors of clients are given back", || {
--- a/edge/proxy/tests/socket_faults.rs
+++ b/edge/proxy/tests/socket_faults.rs
@@ -28,7 +28,9 @@
 #[test]
 fn a_time_out_that_can_t_be_set_ends_no_connection() {
     for error in ["EINTR", "ENOBUFS", "ENOMEM"] {
-        let rig = start_under(&format!("setsockopt role=client error={error} every=3 skip=1"));
+        let rig = start_under(&format!(
+            "setsockopt role=client error={error} every=3 skip=1"
+        ));
         let mut client = rig.client();
         (0..4).for_each(|n| rig.answers_two(&mut client, ONE + 2 * n));
         assert!(rig.injected() >= 4, "{error}");
@@ -69,7 +71,9 @@
 #[test]
 fn a_shut_down_that_fails_is_made_again() {
     for error in ["EINTR", "ENOBUFS"] {
-        let rig = start_under(&format!("shutdown role=client error={error} every=2 skip=1 count=4"));
+        let rig = start_under(&format!(
+            "shutdown role=client error={error} every=2 skip=1 count=4"
+        ));
         // Neither a number twice nor what can't be read is taken; what was asked before is answered, then the end comes.
         for n in 0..4 {
             let mut client = rig.client();
@@ -102,7 +106,9 @@
     // 32 are open; the next is refused by the front itself. A hundred tries take a second of pauses.
     let rig = start_under("send role=client error=ENOBUFS count=100");
     let mut client = rig.client();
-    let calls: Vec<u8> = (0..33).flat_map(|n| call(n + 1, ONE + u64::from(n))).collect();
+    let calls: Vec<u8> = (0..33)
+        .flat_map(|n| call(n + 1, ONE + u64::from(n)))
+        .collect();
     client.send(&calls);
     let mut attempts: Vec<_> = (0..32).map(|_| rig.attempt()).collect();
     assert!(client.answer().contains("Shed"));
@@ -115,9 +121,23 @@
 fn a_body_that_finds_no_buffer_costs_its_own_request_alone() {
     // 16 MB: 44 buffers, of which bodies may have 11.
     let rig = Rig::start_with(|config| config.replace("\"memory_mb\":192", "\"memory_mb\":16"));
-    let half = call_of("record", 1, ONE, WAIT_MS, KEY, &[binary(1_000), vec![7; 500]].concat());
+    let half = call_of(
+        "record",
+        1,
+        ONE,
+        WAIT_MS,
+        KEY,
+        &[binary(1_000), vec![7; 500]].concat(),
+    );
     let whole = |number| {
-        call_of("record", number, TWO + u64::from(number), WAIT_MS, KEY, &[binary(2), vec![7; 2]].concat())
+        call_of(
+            "record",
+            number,
+            TWO + u64::from(number),
+            WAIT_MS,
+            KEY,
+            &[binary(2), vec![7; 2]].concat(),
+        )
     };
     let halves: Vec<Client> = (0..11)
         .map(|_| {
@@ -140,7 +160,10 @@
         attempts.iter_mut().for_each(|attempt| attempt.give(b"ok"));
         let answers = [client.answer(), client.answer()];
         if answers.iter().any(|answer| answer.contains("Shed")) {
-            assert!(answers.iter().any(|answer| answer.contains("\\xc4\\x02ok")), "{answers:?}");
+            assert!(
+                answers.iter().any(|answer| answer.contains("\\xc4\\x02ok")),
+                "{answers:?}"
+            );
             break;
         }
     }
@@ -180,7 +203,16 @@
 
 #[test]
 fn connections_whose_accept_fails_first_are_taken_after_all() {
-    for error in ["ECONNABORTED", "EINTR", "EPROTO", "ENFILE", "EMFILE", "ENOBUFS", "ENOMEM", "EAGAIN"] {
+    for error in [
+        "ECONNABORTED",
+        "EINTR",
+        "EPROTO",
+        "ENFILE",
+        "EMFILE",
+        "ENOBUFS",
+        "ENOMEM",
+        "EAGAIN",
+    ] {
         let rig = start_under(&format!("accept error={error} every=2"));
         let mut client = rig.client();
         rig.answers_two(&mut client, ONE);
--- a/edge/proxy/tests/twins.rs
+++ b/edge/proxy/tests/twins.rs
@@ -55,9 +55,17 @@
         assert!(stats.contains(&out(CACHES)), "process {process}: {stats}");
     }
     // A third is brought back, while the others are called out once more.
-    together(&|n| format!("maint-{} s-{n:08x}\n", if n % 3 == 0 { "off" } else { "on" }));
+    together(&|n| {
+        format!(
+            "maint-{} s-{n:08x}\n",
+            if n % 3 == 0 { "off" } else { "on" }
+        )
+    });
     for (process, operator) in at.iter().enumerate() {
         let stats = call(*operator, b"stats\n");
-        assert!(stats.contains(&out(CACHES - CACHES / 3)), "process {process}: {stats}");
+        assert!(
+            stats.contains(&out(CACHES - CACHES / 3)),
+            "process {process}: {stats}"
+        );
     }
 }
--- a/edge/proxy/tests/watch_drains.rs
+++ b/edge/proxy/tests/watch_drains.rs
@@ -54,7 +54,14 @@
     let mut client = Client::connect(address);
     client.ask(1);
     hangs_in_a_dial(cache.address());
-    Scene { _program: program, _client: client, call: service.call(), cache, filled, lines }
+    Scene {
+        _program: program,
+        _client: client,
+        call: service.call(),
+        cache,
+        filled,
+        lines,
+    }
 }
 
 /// Returns once a dial to this address has sent its first packet and has no answer, by the system's table of sockets.
@@ -64,7 +71,9 @@
     let until = Instant::now() + PATIENCE;
     loop {
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
-        let mut sockets = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
+        let mut sockets = table
+            .lines()
+            .map(|line| line.split_whitespace().collect::<Vec<_>>());
         if sockets.any(|fields| fields[2..4] == [remote.as_str(), SYN_SENT]) {
             return;
         }
@@ -100,14 +109,21 @@
 #[test]
 fn nothing_is_sent_to_the_address_that_another_has_taken_over_while_it_was_dialled() {
     let scene = held_in_the_dial();
-    let taker = Line { id: 9, since_ms: STARTED_LATE_MS, ..scene.lines[0] };
+    let taker = Line {
+        id: 9,
+        since_ms: STARTED_LATE_MS,
+        ..scene.lines[0]
+    };
     assert_eq!(scene.tell_and_release(&[taker]), "");
 }
 
 /// A connection that rests at a cache is closed, and not used again, once another start holds the address.
 fn rests_until_taken_over(taker: impl Fn(Line) -> Line) {
     let (cache, hub, service) = (Cache::start(), Cache::start(), Service::start());
-    let lines = [Line::pop_cache(1, cache.address()), Line::hub(3, "origin", hub.address())];
+    let lines = [
+        Line::pop_cache(1, cache.address()),
+        Line::hub(3, "origin", hub.address()),
+    ];
     hub.serve("direct");
     let settings = settings_with(KEEP_ALIVE);
     let known = feed(1, &[hosts(1, true, &lines)]);
@@ -118,10 +134,16 @@
     resting.request();
     resting.answer("first");
     assert!(client.answer().contains("first"));
-    let call = service.call().answer(2, &[hosts(2, false, &[taker(lines[0])])]);
+    let call = service
+        .call()
+        .answer(2, &[hosts(2, false, &[taker(lines[0])])]);
     assert_eq!(call.tail, 2);
     client.ask(2);
-    assert_eq!(resting.rest(), "", "the resting connection ends without another request");
+    assert_eq!(
+        resting.rest(),
+        "",
+        "the resting connection ends without another request"
+    );
     let mut dialled = cache.connection();
     dialled.request();
     dialled.answer("second");
@@ -130,10 +152,17 @@
 
 #[test]
 fn a_resting_connection_is_closed_when_another_takes_the_address_over() {
-    rests_until_taken_over(|line| Line { id: 9, since_ms: STARTED_LATE_MS, ..line });
+    rests_until_taken_over(|line| Line {
+        id: 9,
+        since_ms: STARTED_LATE_MS,
+        ..line
+    });
 }
 
 #[test]
 fn a_resting_connection_is_closed_when_its_cache_starts_anew_at_the_address() {
-    rests_until_taken_over(|line| Line { since_ms: STARTED_LATE_MS, ..line });
+    rests_until_taken_over(|line| Line {
+        since_ms: STARTED_LATE_MS,
+        ..line
+    });
 }
--- a/edge/proxy/tests/watch_lists.rs
+++ b/edge/proxy/tests/watch_lists.rs
@@ -64,15 +64,26 @@
     // The whole telling passes through a state in which the first is ready and the second is there.
     let anew = [
         hosts(1, true, &[member(1), member(2), member(3), member(4)]),
-        hosts(2, false, &[member(1).now("draining"), member(2).now("gone")]),
+        hosts(
+            2,
+            false,
+            &[member(1).now("draining"), member(2).now("gone")],
+        ),
         hosts(3, false, &[member(3).now("gone")]),
     ];
     let call = recount.answer(3, &anew);
     assert_eq!(call.tail, 3);
     tell_last(&place, call, 4);
-    assert_eq!(place.ended(), names(&[1, 3, 2]), "neither the first nor the third was ready again");
+    assert_eq!(
+        place.ended(),
+        names(&[1, 3, 2]),
+        "neither the first nor the third was ready again"
+    );
     let states = [1, 2, 3, 4].map(|id| place.state(id));
-    assert_eq!(states, [Some(State::Draining), None, None, Some(State::Ready)]);
+    assert_eq!(
+        states,
+        [Some(State::Draining), None, None, Some(State::Ready)]
+    );
 }
 
 #[test]
@@ -86,8 +97,15 @@
     let call = recount.answer(4, &history());
     assert_eq!(call.tail, 4, "it goes on from where it was");
     tell_last(&place, call, 5);
-    assert_eq!(place.ended(), names(&[1, 3]), "nothing came up or ended for it");
-    assert_eq!([1, 2, 3].map(|id| place.state(id)), [Some(State::Draining), Some(State::Ready), None]);
+    assert_eq!(
+        place.ended(),
+        names(&[1, 3]),
+        "nothing came up or ended for it"
+    );
+    assert_eq!(
+        [1, 2, 3].map(|id| place.state(id)),
+        [Some(State::Draining), Some(State::Ready), None]
+    );
 }
 
 #[test]
@@ -118,12 +136,27 @@
     let recount = service.call().answer(0, &[]);
     assert_eq!(recount.tail, 0);
     call.closed();
-    let call = recount.answer(1, &[hosts(1, true, &[member(1).now("draining"), member(2), member(4)])]);
+    let call = recount.answer(
+        1,
+        &[hosts(
+            1,
+            true,
+            &[member(1).now("draining"), member(2), member(4)],
+        )],
+    );
     assert_eq!(call.tail, 1);
     tell_last(&place, call, 2);
     assert_eq!(place.ended(), names(&[1, 3]));
     let states = [1, 2, 3, 4].map(|id| place.state(id));
-    assert_eq!(states, [Some(State::Draining), Some(State::Ready), None, Some(State::Ready)]);
+    assert_eq!(
+        states,
+        [
+            Some(State::Draining),
+            Some(State::Ready),
+            None,
+            Some(State::Ready)
+        ]
+    );
 }
 
 #[test]
@@ -131,19 +164,37 @@
     let service = Service::start();
     let (place, call) = watched(&service);
     // The first comes back and drains once more, the second restarts, the third returns; all is told late, in one answer.
-    let again = Line { since_ms: 1_764_576_000_000, ..member(2) };
+    let again = Line {
+        since_ms: 1_764_576_000_000,
+        ..member(2)
+    };
     let events = [
         hosts(5, false, &[member(1)]),
         hosts(6, false, &[member(2).now("draining")]),
-        hosts(7, false, &[member(1).now("draining"), member(2).now("gone")]),
+        hosts(
+            7,
+            false,
+            &[member(1).now("draining"), member(2).now("gone")],
+        ),
         hosts(8, false, &[again, member(3)]),
     ];
     let call = call.answer(8, &events);
     assert_eq!(call.tail, 8);
     tell_last(&place, call, 9);
-    assert_eq!(place.ended(), names(&[1, 3, 2]), "the first was not ready in between, the second ended once");
+    assert_eq!(
+        place.ended(),
+        names(&[1, 3, 2]),
+        "the first was not ready in between, the second ended once"
+    );
     let states = [1, 2, 3].map(|id| place.state(id));
-    assert_eq!(states, [Some(State::Draining), Some(State::Ready), Some(State::Ready)]);
+    assert_eq!(
+        states,
+        [
+            Some(State::Draining),
+            Some(State::Ready),
+            Some(State::Ready)
+        ]
+    );
 }
 
 #[test]
@@ -155,7 +206,10 @@
     // An older list told again under its own number, alone or before what follows, changes nothing.
     let call = call.answer(5, &history());
     assert_eq!(call.tail, 5);
-    let call = call.answer(6, &[&history()[..], &[hosts(5, true, &[member(2)]), purge(6, 1)]].concat());
+    let call = call.answer(
+        6,
+        &[&history()[..], &[hosts(5, true, &[member(2)]), purge(6, 1)]].concat(),
+    );
     assert_eq!(call.tail, 6);
     tell_last(&place, call, 7);
     assert_eq!(place.ended(), names(&[1, 3, 2]));
@@ -193,7 +247,10 @@
     }
     tell_last(&place, call, 5);
     assert_eq!(place.ended(), names(&[1, 3]));
-    assert_eq!([1, 2, 3].map(|id| place.state(id)), [Some(State::Draining), Some(State::Ready), None]);
+    assert_eq!(
+        [1, 2, 3].map(|id| place.state(id)),
+        [Some(State::Draining), Some(State::Ready), None]
+    );
 }
 
 #[test]
--- a/edge/proxy/tests/watch_moves.rs
+++ b/edge/proxy/tests/watch_moves.rs
@@ -24,7 +24,11 @@
 fn an_answer_of_the_old_address_that_is_read_as_the_service_moves_is_not_taken_after_the_move() {
     let many: Vec<Line> = (1..=MANY).map(member).collect();
     let old_answer = answer(&feed(1, &[hosts(1, true, &many)]));
-    assert!(old_answer.len() > 700 * 1024 && old_answer.len() < 1024 * 1024, "{}", old_answer.len());
+    assert!(
+        old_answer.len() > 700 * 1024 && old_answer.len() < 1024 * 1024,
+        "{}",
+        old_answer.len()
+    );
     for round in 0..ROUNDS {
         let (old, new) = (Service::start(), Service::start());
         let place = Place::start(old.address(), &feed(0, &[]));
@@ -34,7 +38,10 @@
         place.service.move_to(Some(new.address()));
         let taken = place.is_listed() as u64;
         let moved = new.call();
-        assert_eq!(moved.tail, taken, "round {round}: an answer of the old address won after the move");
+        assert_eq!(
+            moved.tail, taken,
+            "round {round}: an answer of the old address won after the move"
+        );
         // What is told at the new address follows on what was taken.
         let list = hosts(taken + 1, true, &[member(MANY + 1)]);
         assert_eq!(moved.answer(taken + 1, &[list]).tail, taken + 1);
@@ -54,7 +61,10 @@
     call.write(&text[..text.len() - 1]);
     let moved = config(new.address(), common::SETTINGS, &known);
     let said = program.reload(&moved);
-    assert!(said.contains(&format!("the journal service is at {}", new.address())), "{said}");
+    assert!(
+        said.contains(&format!("the journal service is at {}", new.address())),
+        "{said}"
+    );
     let mut socket = call.socket();
     let _ = std::io::Write::write_all(&mut socket, &text.as_bytes()[text.len() - 1..]);
     call.closed();
--- a/edge/proxy/tests/watch_silence.rs
+++ b/edge/proxy/tests/watch_silence.rs
@@ -70,7 +70,10 @@
     let drips = [
         ("HTTP/1.1 200 OK\r\nX: ", "x"),
         ("HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n", " "),
-        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\n \r\n"),
+        (
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+            "1\r\n \r\n",
+        ),
         ("", "HTTP/1.1 103 Early Hints\r\n\r\n"),
     ];
     std::thread::scope(|scope| {
@@ -118,7 +121,11 @@
     let service = Service::start();
     let (drains, stays) = (Cache::start(), Cache::start());
     let first = Line::pop_cache(1, drains.address());
-    let lines = [first, Line::pop_cache(2, stays.address()), Line::hub(3, "origin", stays.address())];
+    let lines = [
+        first,
+        Line::pop_cache(2, stays.address()),
+        Line::hub(3, "origin", stays.address()),
+    ];
     let settings = common::SETTINGS.to_string();
     let known = feed(1, &[hosts(1, true, &lines)]);
     let (_program, address) = common::start(&config(service.address(), &settings, &known));
--- a/edge/proxy/tests/watch_start.rs
+++ b/edge/proxy/tests/watch_start.rs
@@ -58,7 +58,8 @@
 #[test]
 fn a_service_that_is_silent_or_slow_at_the_start_holds_nothing_up() {
     let service = Service::start();
-    let (_program, address) = common::start(&config(service.address(), common::SETTINGS, &feed(0, &[])));
+    let (_program, address) =
+        common::start(&config(service.address(), common::SETTINGS, &feed(0, &[])));
     let silent = service.call();
     let mut client = Client::connect(address);
     refuses(&mut client);
@@ -92,7 +93,11 @@
     let at = own_address(3);
     let (drains, stays) = (Cache::start(), Cache::start());
     let first = Line::pop_cache(1, drains.address());
-    let lines = [first, Line::pop_cache(2, stays.address()), Line::hub(3, "origin", stays.address())];
+    let lines = [
+        first,
+        Line::pop_cache(2, stays.address()),
+        Line::hub(3, "origin", stays.address()),
+    ];
     let known = feed(1, &[hosts(1, true, &lines)]);
     let (program, address) = common::start(&config(at, common::SETTINGS, &known));
     // It has been refused often enough for the longest pause.
@@ -100,7 +105,11 @@
     let service = Service::at(at);
     let call = service.call();
     assert_eq!(call.tail, 1);
-    assert_eq!(call.answer(2, &[hosts(2, false, &[first.now("draining")])]).tail, 2);
+    assert_eq!(
+        call.answer(2, &[hosts(2, false, &[first.now("draining")])])
+            .tail,
+        2
+    );
     stays.serve("whole");
     let mut client = Client::connect(address);
     for object in 1..=30 {
--- a/edge/proxy/tests/wired_reload.rs
+++ b/edge/proxy/tests/wired_reload.rs
@@ -33,9 +33,15 @@
     let siblings = sibling(4, "north") + &sibling(5, "south");
     common::config(caches, journal)
         .replace("\"endpoints\":[", &format!("\"endpoints\":[{siblings}"))
-        .replace(r#""dcs":["hub","edge"]"#, r#""dcs":["hub","edge","west","north","south"]"#)
+        .replace(
+            r#""dcs":["hub","edge"]"#,
+            r#""dcs":["hub","edge","west","north","south"]"#,
+        )
         .replace("\"hubOf\":[0,0]", "\"hubOf\":[0,0,2,0,2]")
-        .replace("\"instancesByZone\":[0,1]", "\"instancesByZone\":[0,1,0,0,0]")
+        .replace(
+            "\"instancesByZone\":[0,1]",
+            "\"instancesByZone\":[0,1,0,0,0]",
+        )
 }
 
 /// Of which neighbour a miss is filled.
@@ -56,7 +62,10 @@
     std::fs::write(&file, &text).unwrap();
     std::fs::write(&operator, TREE).unwrap();
     let mut command = common::command(&["serve"]);
-    command.env("GW_CONFIG", &file).env("GW_OPERATOR", "127.0.0.1:0").env_remove("TMPDIR");
+    command
+        .env("GW_CONFIG", &file)
+        .env("GW_OPERATOR", "127.0.0.1:0")
+        .env_remove("TMPDIR");
     let running = spawned_with(command, &operator);
     is_filled_from(&running, &caches, 1, SOUTH);
     for (object, tree) in [(2, TREE), (3, "hub(")] {
--- a/edge/simhost/src/host.rs
+++ b/edge/simhost/src/host.rs
@@ -25,7 +25,11 @@
     /// To compare: reports and probes left aside whatever the settings say, or probes sent where settings and price
     /// allow them, as if the router went by what they find.
     pub fn new(deaf: bool, probes: bool) -> Host {
-        Host { deaf, probes, ..Host::default() }
+        Host {
+            deaf,
+            probes,
+            ..Host::default()
+        }
     }
 
     /// Plays one batch and gives the reply's frame, or one plain line on what is wrong.
@@ -44,7 +48,9 @@
                 self.instances.remove(&instance);
                 continue;
             }
-            let Some(held) = self.instances.get_mut(&instance) else { continue };
+            let Some(held) = self.instances.get_mut(&instance) else {
+                continue;
+            };
             held.take(now, incoming, &mut self.actions);
             for action in self.actions.drain(..) {
                 reply.push(instance, &action);
@@ -60,30 +66,52 @@
             Incoming::Event(event) => self.feed(now, event, out),
             Incoming::Ended(report, cache, load) => {
                 if !load.is_empty() {
-                    self.beside.iter_mut().for_each(|beside| beside.heard_values(now, cache, &load));
+                    self.beside
+                        .iter_mut()
+                        .for_each(|beside| beside.heard_values(now, cache, &load));
                 }
                 self.feed(now, Event::Outcome(report), out);
             }
-            Incoming::Probed { cache, ok, elapsed, report } => match &mut self.beside {
+            Incoming::Probed {
+                cache,
+                ok,
+                elapsed,
+                report,
+            } => match &mut self.beside {
                 Some(beside) => beside.probed_values(now, cache, ok, &report),
-                None => self.feed(now, Event::Probed { cache, ok, elapsed, report }, out),
+                None => self.feed(
+                    now,
+                    Event::Probed {
+                        cache,
+                        ok,
+                        elapsed,
+                        report,
+                    },
+                    out,
+                ),
             },
             Incoming::Start { .. } | Incoming::Stop => {}
         }
     }
 
     fn feed(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
-        let Some(beside) = &mut self.beside else { return self.router.handle(now, event, out) };
+        let Some(beside) = &mut self.beside else {
+            return self.router.handle(now, event, out);
+        };
         let looks = matches!(event, Event::Timer { .. });
         beside.event(now, &event);
         let before = out.len();
         self.router.handle(now, event, out);
-        out[before..].iter().for_each(|action| beside.action(now, action));
+        out[before..]
+            .iter()
+            .for_each(|action| beside.action(now, action));
         if looks {
             let (mut events, mut probes): (Vec<Event>, Vec<CacheId>) = Default::default();
             beside.look(now, &mut events, &mut probes);
             out.extend(probes.into_iter().map(|cache| Action::Probe { cache }));
-            events.into_iter().for_each(|event| self.router.handle(now, event, out));
+            events
+                .into_iter()
+                .for_each(|event| self.router.handle(now, event, out));
         }
     }
 }
--- a/edge/simhost/src/lib.rs
+++ b/edge/simhost/src/lib.rs
@@ -11,7 +11,11 @@
 }
 
 /// The same with a host that was set up before.
-pub fn run_on(mut host: host::Host, mut input: impl Read, mut output: impl Write) -> Result<(), String> {
+pub fn run_on(
+    mut host: host::Host,
+    mut input: impl Read,
+    mut output: impl Write,
+) -> Result<(), String> {
     let mut head = [0u8; wire::HEADER];
     let mut body = Vec::new();
     loop {
@@ -20,19 +24,26 @@
             return Ok(());
         }
         if got < head.len() {
-            return Err(format!("malformed frame: header, offset {got}: the input ends"));
+            return Err(format!(
+                "malformed frame: header, offset {got}: the input ends"
+            ));
         }
         let (now, length, records) = wire::header(&head).map_err(|e| e.to_string())?;
         body.clear();
-        let got =
-            (&mut input).take(length as u64).read_to_end(&mut body).map_err(|e| format!("reading: {e}"))?;
+        let got = (&mut input)
+            .take(length as u64)
+            .read_to_end(&mut body)
+            .map_err(|e| format!("reading: {e}"))?;
         if got < length {
             return Err(format!(
                 "malformed frame: body, offset {got}: the input ends, {length} bytes were due"
             ));
         }
         let reply = host.batch(now, &body, records)?;
-        output.write_all(&reply).and_then(|()| output.flush()).map_err(|e| format!("writing: {e}"))?;
+        output
+            .write_all(&reply)
+            .and_then(|()| output.flush())
+            .map_err(|e| format!("writing: {e}"))?;
     }
 }
 
--- a/edge/simhost/src/wire.rs
+++ b/edge/simhost/src/wire.rs
@@ -17,8 +17,16 @@
 impl fmt::Display for Malformed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.record {
-            Some(n) => write!(f, "malformed frame: record {n}, offset {}: {}", self.offset, self.why),
-            None => write!(f, "malformed frame: header, offset {}: {}", self.offset, self.why),
+            Some(n) => write!(
+                f,
+                "malformed frame: record {n}, offset {}: {}",
+                self.offset, self.why
+            ),
+            None => write!(
+                f,
+                "malformed frame: header, offset {}: {}",
+                self.offset, self.why
+            ),
         }
     }
 }
@@ -49,7 +57,11 @@
     let word = |at: usize| u32::from_le_bytes(std::array::from_fn(|k| bytes[at + k]));
     let clock = u64::from_le_bytes(std::array::from_fn(|k| bytes[k]));
     let Some(length) = (word(8) as usize).checked_sub(4) else {
-        return Err(Malformed { record: None, offset: 8, why: format!("length {} is under 4", word(8)) });
+        return Err(Malformed {
+            record: None,
+            offset: 8,
+            why: format!("length {} is under 4", word(8)),
+        });
     };
     Ok((clock, length, word(12)))
 }
@@ -62,11 +74,18 @@
 
 impl<'a> Reader<'a> {
     fn bad(&self, why: &str) -> Malformed {
-        Malformed { record: self.record, offset: self.at, why: why.to_string() }
+        Malformed {
+            record: self.record,
+            offset: self.at,
+            why: why.to_string(),
+        }
     }
     fn take(&mut self, n: usize) -> Result<&'a [u8], Malformed> {
         if self.bytes.len() - self.at < n {
-            return Err(self.bad(&format!("{n} bytes wanted, {} left", self.bytes.len() - self.at)));
+            return Err(self.bad(&format!(
+                "{n} bytes wanted, {} left",
+                self.bytes.len() - self.at
+            )));
         }
         self.at += n;
         Ok(&self.bytes[self.at - n..self.at])
@@ -109,12 +128,20 @@
     let mut out = Vec::new();
     let mut at = 0;
     for record in 0..records {
-        let mut head = Reader { bytes: body, at, record: Some(record) };
+        let mut head = Reader {
+            bytes: body,
+            at,
+            record: Some(record),
+        };
         let code = head.u8()?;
         let length = head.u32()? as usize;
         let start = head.at;
         head.take(length)?;
-        let mut fields = Reader { bytes: &body[..start + length], at: start, record: Some(record) };
+        let mut fields = Reader {
+            bytes: &body[..start + length],
+            at: start,
+            record: Some(record),
+        };
         if let Some(entry) = decode_record(code, &mut fields)? {
             out.push(entry);
         }
@@ -122,7 +149,11 @@
     }
     if at != body.len() {
         let why = format!("{} bytes after the last record", body.len() - at);
-        return Err(Malformed { record: None, offset: at, why });
+        return Err(Malformed {
+            record: None,
+            offset: at,
+            why,
+        });
     }
     Ok(out)
 }
@@ -136,7 +167,13 @@
         7 => {
             let seed = r.u64()?;
             let n = r.u32()? as usize;
-            return Ok(Some((instance, Incoming::Start { seed, settings: r.text(n)? })));
+            return Ok(Some((
+                instance,
+                Incoming::Start {
+                    seed,
+                    settings: r.text(n)?,
+                },
+            )));
         }
         3 => return Ok(Some((instance, Incoming::Stop))),
         6 => {
@@ -155,11 +192,25 @@
                     other => return Err(r.bad(&format!("member condition {other}"))),
                 };
                 let (weight, boot) = (r.f32()? as f64, r.u64()?);
-                members.push(Member { cache, zone, kind, cell, state, weight, boot });
+                members.push(Member {
+                    cache,
+                    zone,
+                    kind,
+                    cell,
+                    state,
+                    weight,
+                    boot,
+                });
             }
             match form {
-                0 => Event::Members { full: false, members },
-                1 | 2 => Event::Members { full: true, members },
+                0 => Event::Members {
+                    full: false,
+                    members,
+                },
+                1 | 2 => Event::Members {
+                    full: true,
+                    members,
+                },
                 3 => Event::MembersFailed,
                 other => return Err(r.bad(&format!("list form {other}"))),
             }
@@ -174,7 +225,17 @@
             r.u8()?;
             r.u32()?;
             let group = r.f32()? as u32;
-            Event::Request(Ask { id, class, object, part, group, size_kb, budget, lease: 0, within: None })
+            Event::Request(Ask {
+                id,
+                class,
+                object,
+                part,
+                group,
+                size_kb,
+                budget,
+                lease: 0,
+                within: None,
+            })
         }
         1 => {
             let id = RequestId(r.u64()?);
@@ -184,32 +245,64 @@
             let how = r.u16()?;
             let note = note(r.u32()?);
             let cache = CacheId(r.u32()?);
-            let Some(outcome) = outcome(how) else { return Err(r.bad(&format!("outcome {how}"))) };
+            let Some(outcome) = outcome(how) else {
+                return Err(r.bad(&format!("outcome {how}")));
+            };
             // The fill's wait and the load report may be left out.
-            let load = if r.left() > 4 { r.u32().and_then(|_| r.values())? } else { Vec::new() };
-            let report = Report { id, attempt, outcome, note, elapsed, last };
+            let load = if r.left() > 4 {
+                r.u32().and_then(|_| r.values())?
+            } else {
+                Vec::new()
+            };
+            let report = Report {
+                id,
+                attempt,
+                outcome,
+                note,
+                elapsed,
+                last,
+            };
             return Ok(Some((instance, Incoming::Ended(report, cache, load))));
         }
-        0 => Event::Started { id: RequestId(r.u64()?) },
+        0 => Event::Started {
+            id: RequestId(r.u64()?),
+        },
         9 => Event::Timer { token: r.u32()? },
         4 => {
             let ok = r.u16()? == 0;
             let elapsed = r.u32()? as Time;
             let cache = CacheId(r.u32()?);
             let report = r.values()?;
-            return Ok(Some((instance, Incoming::Probed { cache, ok, elapsed, report })));
+            return Ok(Some((
+                instance,
+                Incoming::Probed {
+                    cache,
+                    ok,
+                    elapsed,
+                    report,
+                },
+            )));
         }
         8 => {
             let from = r.u32()?;
             let n = r.u16()? as usize;
-            Event::Peer { from, message: r.take(n)?.to_vec() }
+            Event::Peer {
+                from,
+                message: r.take(n)?.to_vec(),
+            }
         }
-        10 => Event::ClientGone { id: RequestId(r.u64()?) },
+        10 => Event::ClientGone {
+            id: RequestId(r.u64()?),
+        },
         _ => {
             let object = r.u64()?;
             let group = r.u16()? as u32;
             let ago = r.u32()? as Time;
-            Event::Purged { object: (object != 0).then_some(ObjectId(object)), group, ago }
+            Event::Purged {
+                object: (object != 0).then_some(ObjectId(object)),
+                group,
+                ago,
+            }
         }
     };
     Ok(Some((instance, Incoming::Event(event))))
--- a/edge/simhost/src/wire/reply.rs
+++ b/edge/simhost/src/wire/reply.rs
@@ -49,7 +49,9 @@
             }
             Action::TellPeers { message } => {
                 put(&u16::MAX.to_le_bytes());
-                put(&u16::try_from(message.len()).unwrap_or(u16::MAX).to_le_bytes());
+                put(&u16::try_from(message.len())
+                    .unwrap_or(u16::MAX)
+                    .to_le_bytes());
                 put(&message[..message.len().min(u16::MAX as usize)]);
                 71
             }
@@ -59,14 +61,22 @@
             }
         };
         self.body.push(code);
-        self.body.extend_from_slice(&u32::try_from(fields.len()).unwrap_or(u32::MAX).to_le_bytes());
+        self.body.extend_from_slice(
+            &u32::try_from(fields.len())
+                .unwrap_or(u32::MAX)
+                .to_le_bytes(),
+        );
         self.body.extend_from_slice(&fields);
         self.records += 1;
     }
 
     pub fn into_frame(self) -> Vec<u8> {
         let mut frame = self.records.to_le_bytes().to_vec();
-        frame.extend_from_slice(&u32::try_from(self.body.len()).unwrap_or(u32::MAX).to_le_bytes());
+        frame.extend_from_slice(
+            &u32::try_from(self.body.len())
+                .unwrap_or(u32::MAX)
+                .to_le_bytes(),
+        );
         frame.extend_from_slice(&self.body);
         frame
     }
--- a/edge/simhost/tests/wire.rs
+++ b/edge/simhost/tests/wire.rs
@@ -27,7 +27,10 @@
 
 fn start(i: u32) -> Vec<u8> {
     let n = (FACTS.len() as u32).to_le_bytes();
-    record(7, &[&i.to_le_bytes(), &9u64.to_le_bytes(), &n, FACTS.as_bytes()])
+    record(
+        7,
+        &[&i.to_le_bytes(), &9u64.to_le_bytes(), &n, FACTS.as_bytes()],
+    )
 }
 
 fn list(i: u32) -> Vec<u8> {
@@ -39,18 +42,56 @@
         e
     };
     let (a, b) = (entry(7, 0), entry(9, 1));
-    record(6, &[&i.to_le_bytes(), &[2], &1u32.to_le_bytes(), &2u32.to_le_bytes(), &a, &b])
+    record(
+        6,
+        &[
+            &i.to_le_bytes(),
+            &[2],
+            &1u32.to_le_bytes(),
+            &2u32.to_le_bytes(),
+            &a,
+            &b,
+        ],
+    )
 }
 
 fn request(i: u32, id: u64) -> Vec<u8> {
     let (size, budget) = (200f32.to_le_bytes(), 3_000_000u32.to_le_bytes());
     let rest = [&0f32.to_le_bytes()[..], &[0], &[0; 4], &0f32.to_le_bytes()].concat();
-    record(2, &[&i.to_le_bytes(), &id.to_le_bytes(), &[0], &55u64.to_le_bytes(), &size, &budget, &rest])
+    record(
+        2,
+        &[
+            &i.to_le_bytes(),
+            &id.to_le_bytes(),
+            &[0],
+            &55u64.to_le_bytes(),
+            &size,
+            &budget,
+            &rest,
+        ],
+    )
 }
 
 fn resolved(i: u32, id: u64, how: u16, last: u8) -> Vec<u8> {
-    let head = [&i.to_le_bytes()[..], &id.to_le_bytes(), &[last], &50_000u32.to_le_bytes(), &[0]].concat();
-    record(1, &[&head, &how.to_le_bytes(), &0u32.to_le_bytes(), &7u32.to_le_bytes(), &[0; 4], &[0]])
+    let head = [
+        &i.to_le_bytes()[..],
+        &id.to_le_bytes(),
+        &[last],
+        &50_000u32.to_le_bytes(),
+        &[0],
+    ]
+    .concat();
+    record(
+        1,
+        &[
+            &head,
+            &how.to_le_bytes(),
+            &0u32.to_le_bytes(),
+            &7u32.to_le_bytes(),
+            &[0; 4],
+            &[0],
+        ],
+    )
 }
 
 /// One reply's records: code and fields.
@@ -78,24 +119,47 @@
 
 #[test]
 fn a_request_becomes_one_get_with_all_its_fields() {
-    let input = [batch(1000, &[start(3), list(3)]), batch(3000, &[request(3, 0x1234)])].concat();
+    let input = [
+        batch(1000, &[start(3), list(3)]),
+        batch(3000, &[request(3, 0x1234)]),
+    ]
+    .concat();
     let replies = play(&input).unwrap();
     assert_eq!(replies[0][0].0, 68, "the tick's timer");
     let (code, fields) = &replies[1][0];
     assert_eq!((*code, fields.len()), (76, 30));
     // The time-out is twice the aim of this class with the part's sending time.
     let time_out = 960_000u32.to_le_bytes();
-    let want = [&3u32.to_le_bytes()[..], &0x1234u64.to_le_bytes(), &7u32.to_le_bytes(), &time_out].concat();
+    let want = [
+        &3u32.to_le_bytes()[..],
+        &0x1234u64.to_le_bytes(),
+        &7u32.to_le_bytes(),
+        &time_out,
+    ]
+    .concat();
     assert_eq!(fields[..20], want[..]);
-    assert_eq!(fields[20..], [&9u32.to_le_bytes()[..], &[1], &[0; 4], &[0]].concat()[..]);
+    assert_eq!(
+        fields[20..],
+        [&9u32.to_le_bytes()[..], &[1], &[0; 4], &[0]].concat()[..]
+    );
 }
 
 #[test]
 fn instances_in_one_process_act_as_each_does_alone() {
-    let one =
-        |i: u32| play(&[batch(1000, &[start(i), list(i)]), batch(3000, &[request(i, 5)])].concat()).unwrap();
-    let both =
-        [batch(1000, &[start(1), list(1), start(2), list(2)]), batch(3000, &[request(1, 5), request(2, 5)])];
+    let one = |i: u32| {
+        play(
+            &[
+                batch(1000, &[start(i), list(i)]),
+                batch(3000, &[request(i, 5)]),
+            ]
+            .concat(),
+        )
+        .unwrap()
+    };
+    let both = [
+        batch(1000, &[start(1), list(1), start(2), list(2)]),
+        batch(3000, &[request(1, 5), request(2, 5)]),
+    ];
     let both = play(&both.concat()).unwrap();
     for (k, reply) in both.iter().enumerate() {
         assert_eq!(*reply, [one(1)[k].clone(), one(2)[k].clone()].concat());
@@ -113,7 +177,11 @@
     ];
     let replies = play(&input.concat()).unwrap();
     assert_eq!(replies[2].len(), 1, "a new tick");
-    assert_eq!(replies[3].len(), 1, "the old request is unknown, the new one is sent");
+    assert_eq!(
+        replies[3].len(),
+        1,
+        "the old request is unknown, the new one is sent"
+    );
 }
 
 #[test]
@@ -132,16 +200,25 @@
 fn malformed_input_is_named_with_record_and_offset() {
     let short = batch(1000, &[start(1), record(9, &[&1u32.to_le_bytes()])]);
     let message = run(&short[..], Vec::new()).unwrap_err();
-    assert!(message.contains("record 1") && message.contains("offset"), "{message}");
+    assert!(
+        message.contains("record 1") && message.contains("offset"),
+        "{message}"
+    );
     let mut cut = batch(1000, &[start(1)]);
     cut.truncate(40);
-    assert!(run(&cut[..], Vec::new()).unwrap_err().contains("the input ends"));
-    assert!(run(&[1, 2, 3][..], Vec::new()).unwrap_err().contains("header"));
+    assert!(run(&cut[..], Vec::new())
+        .unwrap_err()
+        .contains("the input ends"));
+    assert!(run(&[1, 2, 3][..], Vec::new())
+        .unwrap_err()
+        .contains("header"));
     let extra = [batch(1000, &[]), vec![]].concat();
     let mut extra = extra;
     extra[8] = 6;
     extra.extend([0, 0]);
-    assert!(run(&extra[..], Vec::new()).unwrap_err().contains("after the last record"));
+    assert!(run(&extra[..], Vec::new())
+        .unwrap_err()
+        .contains("after the last record"));
 }
 
 #[test]
@@ -149,34 +226,65 @@
     assert!(settings::parse(FACTS).is_ok());
     assert!(settings::parse("nonsense").is_err());
     let lacking = FACTS.replace("\"originKind\":1,", "");
-    assert!(settings::parse(&lacking).unwrap_err().contains("originKind"));
+    assert!(settings::parse(&lacking)
+        .unwrap_err()
+        .contains("originKind"));
     let odd = FACTS.replace("\"free\"", "\"sometimes\"");
     assert!(settings::parse(&odd).unwrap_err().contains("idempotency"));
 }
 
 /// The end of an attempt with a load report of these values behind it.
 fn reported(i: u32, id: u64, how: u16, values: &[f32]) -> Vec<u8> {
-    let head = [&i.to_le_bytes()[..], &id.to_le_bytes(), &[1], &50_000u32.to_le_bytes(), &[0]].concat();
+    let head = [
+        &i.to_le_bytes()[..],
+        &id.to_le_bytes(),
+        &[1],
+        &50_000u32.to_le_bytes(),
+        &[0],
+    ]
+    .concat();
     let values: Vec<u8> = values.iter().flat_map(|v| v.to_le_bytes()).collect();
     let n = [(values.len() / 4) as u8];
-    record(1, &[&head, &how.to_le_bytes(), &0u32.to_le_bytes(), &7u32.to_le_bytes(), &[0; 4], &n, &values])
+    record(
+        1,
+        &[
+            &head,
+            &how.to_le_bytes(),
+            &0u32.to_le_bytes(),
+            &7u32.to_le_bytes(),
+            &[0; 4],
+            &n,
+            &values,
+        ],
+    )
 }
 
 #[test]
 fn an_outcome_is_taken_with_a_report_without_one_and_with_values_of_no_use() {
     let silent = record(1, &[&resolved(1, 5, 0, 1)[5..30], &7u32.to_le_bytes()]);
     let some = [f32::NAN, f32::INFINITY, -1.0, 0.5];
-    for end in [silent, resolved(1, 5, 0, 1), reported(1, 5, 0, &some), reported(1, 5, 0, &[0.5; 200])] {
+    for end in [
+        silent,
+        resolved(1, 5, 0, 1),
+        reported(1, 5, 0, &some),
+        reported(1, 5, 0, &[0.5; 200]),
+    ] {
         let input = [
             batch(1000, &[start(1), list(1)]),
             batch(3000, &[request(1, 5)]),
             batch(60_000, &[end, request(1, 6)]),
         ];
         let replies = play(&input.concat()).unwrap();
-        assert_eq!(replies[2].iter().map(|r| r.0).collect::<Vec<_>>(), [76], "the next is sent");
+        assert_eq!(
+            replies[2].iter().map(|r| r.0).collect::<Vec<_>>(),
+            [76],
+            "the next is sent"
+        );
     }
     // A report that is cut off is a frame that is cut off.
     let cut = reported(1, 5, 0, &[0.5]);
     let cut = record(1, &[&cut[5..cut.len() - 1]]);
-    assert!(play(&batch(1000, &[start(1), cut])).unwrap_err().contains("record 1"));
+    assert!(play(&batch(1000, &[start(1), cut]))
+        .unwrap_err()
+        .contains("record 1"));
 }
--- a/edge/upstream/src/attempt.rs
+++ b/edge/upstream/src/attempt.rs
@@ -35,7 +35,12 @@
 }
 
 impl Upstream {
-    pub(crate) fn ended(&self, attempt: &Attempt, buffer: &mut [u8], hears: Hears) -> (Outcome, Option<Got>) {
+    pub(crate) fn ended(
+        &self,
+        attempt: &Attempt,
+        buffer: &mut [u8],
+        hears: Hears,
+    ) -> (Outcome, Option<Got>) {
         let Ended { outcome, got } = self.make(attempt, buffer, hears);
         attempt.slot.release();
         if got.is_none() && attempt.slot.off(attempt.target.attempt) {
@@ -51,7 +56,10 @@
             time => attempt.deadline.min(target.decided + span(time)),
         };
         // No connection is opened to a cache that drains or is gone by now.
-        let Some(start) = target.cache.filter(|start| self.members.allows(fetch.cache, *start)) else {
+        let Some(start) = target
+            .cache
+            .filter(|start| self.members.allows(fetch.cache, *start))
+        else {
             return Ended::without(Outcome::NeverSent);
         };
         let Some(mut loan) = self.pool.lend(fetch.cache, start) else {
@@ -59,7 +67,9 @@
         };
         loop {
             match self.send(attempt, &mut loan, until) {
-                Ok(stream) => return self.receive(attempt, start, &mut loan, &stream, buffer, until, hears),
+                Ok(stream) => {
+                    return self.receive(attempt, start, &mut loan, &stream, buffer, until, hears)
+                }
                 // Once at the most: the next is not an idle one.
                 Err(Unsent::Stale) => loan.renew(),
                 Err(Unsent::Ended(outcome)) => return Ended::without(outcome),
@@ -68,10 +78,17 @@
     }
 
     /// Writes the request, on a connection where a cancel finds it.
-    fn send(&self, attempt: &Attempt, loan: &mut Loan, until: Instant) -> Result<Arc<TcpStream>, Unsent> {
+    fn send(
+        &self,
+        attempt: &Attempt,
+        loan: &mut Loan,
+        until: Instant,
+    ) -> Result<Arc<TcpStream>, Unsent> {
         let never = || Unsent::Ended(Outcome::NeverSent);
         let idle = loan.was_idle();
-        let stream = self.connection(attempt, loan, until).map_err(Unsent::Ended)?;
+        let stream = self
+            .connection(attempt, loan, until)
+            .map_err(Unsent::Ended)?;
         if !held(attempt, &stream) {
             return Err(never());
         }
@@ -83,7 +100,11 @@
             Quiet::No | Quiet::Unknown => return Err(unusable(idle)),
         }
         let (head, written) = self.begin(attempt, &stream, idle, until)?;
-        let body = attempt.inquiry.body.as_ref().map_or(&[][..], |(lease, n)| &lease[..*n]);
+        let body = attempt
+            .inquiry
+            .body
+            .as_ref()
+            .map_or(&[][..], |(lease, n)| &lease[..*n]);
         let rest = write_all(&stream, &[&head.as_bytes()[written..], body], until);
         rest.map_err(|Unwritten { cause, .. }| Unsent::Ended(outcome_of(cause)))?;
         Ok(stream)
@@ -109,7 +130,8 @@
             }
             match stream::write(stream, head.as_bytes(), until.min(Instant::now() + FRESH)) {
                 Ok(written) => return Ok((head, written)),
-                Err(Stop::TimedOut | Stop::Failing(_)) if !attempt.slot.off(attempt.target.attempt) => {}
+                Err(Stop::TimedOut | Stop::Failing(_))
+                    if !attempt.slot.off(attempt.target.attempt) => {}
                 Err(Stop::TimedOut | Stop::Failing(_)) => return Err(never()),
                 Err(Stop::Over(_)) => return Err(unusable(idle)),
             }
@@ -164,7 +186,8 @@
         match response {
             Ok(response) => {
                 let load = response.load.clone();
-                load.into_iter().for_each(|at| hears(attempt.fetch.cache, start, &buffer[at]));
+                load.into_iter()
+                    .for_each(|at| hears(attempt.fetch.cache, start, &buffer[at]));
                 loan.reusable = response.reusable;
                 judge(response, buffer, attempt.inquiry.got.as_deref())
             }
@@ -175,7 +198,9 @@
 
 /// Puts the attempt's connection where a cancel finds it; false if the cancel came first.
 fn held(attempt: &Attempt, stream: &Arc<TcpStream>) -> bool {
-    attempt.slot.hold(attempt.target.attempt, Arc::new(Held(stream.clone())))
+    attempt
+        .slot
+        .hold(attempt.target.attempt, Arc::new(Held(stream.clone())))
 }
 
 /// A connection that ended, or spoke, before a byte of the request was written: nothing ran.
--- a/edge/upstream/src/pool.rs
+++ b/edge/upstream/src/pool.rs
@@ -49,7 +49,9 @@
 
     /// Of those that have settled the one used last, so that the others may age; else the one that has rested for longest.
     fn next(&mut self) -> Option<Kept> {
-        let settled = self.idle.partition_point(|kept| kept.since.elapsed() >= SETTLED);
+        let settled = self
+            .idle
+            .partition_point(|kept| kept.since.elapsed() >= SETTLED);
         (!self.idle.is_empty()).then(|| self.idle.remove(settled.saturating_sub(1)))
     }
 
@@ -120,7 +122,11 @@
         let mut state = self.pool.state();
         state.out -= 1;
         if let (true, Some(stream)) = (self.reusable, self.stream.take()) {
-            let kept = Kept { stream, start: self.start, since: Instant::now() };
+            let kept = Kept {
+                stream,
+                start: self.start,
+                since: Instant::now(),
+            };
             if let Some(shelf) = state.caches.get_mut(&self.cache) {
                 if Arc::ptr_eq(&shelf.own, &self.shelf) {
                     shelf.idle.push(kept);
@@ -132,7 +138,11 @@
 
 impl Pool {
     pub fn new(most: usize, keep_alive: Duration) -> Arc<Pool> {
-        Arc::new(Pool { state: Mutex::default(), most, keep: keep_alive * 4 / 5 })
+        Arc::new(Pool {
+            state: Mutex::default(),
+            most,
+            keep: keep_alive * 4 / 5,
+        })
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -148,18 +158,32 @@
         let stream = shelf.take(start, self.keep);
         if stream.is_none() && state.out + state.idle_count() >= self.most {
             // A place that holds an idle connection to another cache is worth less than this request.
-            let idle = state.caches.values_mut().filter(|shelf| !shelf.idle.is_empty());
+            let idle = state
+                .caches
+                .values_mut()
+                .filter(|shelf| !shelf.idle.is_empty());
             idle.min_by_key(|shelf| shelf.idle[0].since)?.idle.remove(0);
         }
         state.out += 1;
         let idle = stream.is_some();
-        Some(Loan { pool: self.clone(), cache, start, shelf: own, stream, idle, reusable: false })
+        Some(Loan {
+            pool: self.clone(),
+            cache,
+            start,
+            shelf: own,
+            stream,
+            idle,
+            reusable: false,
+        })
     }
 
     /// Closes what was idle too long.
     pub fn sweep(&self) {
         let mut state = self.state();
-        state.caches.values_mut().for_each(|shelf| shelf.idle.retain(|k| k.since.elapsed() < self.keep));
+        state
+            .caches
+            .values_mut()
+            .for_each(|shelf| shelf.idle.retain(|k| k.since.elapsed() < self.keep));
         state.caches.retain(|_, shelf| !shelf.is_over());
     }
 
--- a/edge/upstream/src/pool/tests.rs
+++ b/edge/upstream/src/pool/tests.rs
@@ -24,7 +24,10 @@
 #[test]
 fn idle_connections_are_lent_for_one_start_and_only_while_they_are_quiet() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let start = Start { boot: 0, address: listener.local_addr().unwrap() };
+    let start = Start {
+        boot: 0,
+        address: listener.local_addr().unwrap(),
+    };
     let pool = Pool::new(8, Duration::from_secs(60));
     let far = give_back(&pool, &listener, start);
     assert_eq!(pool.count(), (0, 1));
@@ -51,7 +54,10 @@
 #[test]
 fn the_pool_bounds_all_connections_and_lets_go_of_what_is_old_or_discarded() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let start = Start { boot: 0, address: listener.local_addr().unwrap() };
+    let start = Start {
+        boot: 0,
+        address: listener.local_addr().unwrap(),
+    };
     let pool = Pool::new(1, Duration::from_secs(60));
     let _far = give_back(&pool, &listener, start);
     // The only place goes to a request for another cache; while that is out there is none.
@@ -71,7 +77,10 @@
 #[test]
 fn what_is_out_when_its_cache_drains_is_closed_when_it_comes_home() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let start = Start { boot: 0, address: listener.local_addr().unwrap() };
+    let start = Start {
+        boot: 0,
+        address: listener.local_addr().unwrap(),
+    };
     let pool = Pool::new(8, Duration::from_secs(60));
     let lent = |pool: &Arc<Pool>| {
         let mut loan = pool.lend(CACHE, start).unwrap();
@@ -114,24 +123,45 @@
 #[test]
 fn a_connection_that_has_just_come_back_rests_while_another_one_is_idle() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let start = Start { boot: 0, address: listener.local_addr().unwrap() };
+    let start = Start {
+        boot: 0,
+        address: listener.local_addr().unwrap(),
+    };
     let pool = Pool::new(8, Duration::from_secs(60));
     let far = three_idle(&pool, &listener, start);
-    let near: Vec<SocketAddr> = far.iter().map(|stream| stream.peer_addr().unwrap()).collect();
+    let near: Vec<SocketAddr> = far
+        .iter()
+        .map(|stream| stream.peer_addr().unwrap())
+        .collect();
     let came_back = |ages: [Duration; 3]| {
         let mut state = pool.state();
         let shelf = state.caches.get_mut(&CACHE).unwrap();
-        shelf.idle.sort_by_key(|kept| near.iter().position(|at| kept.stream.local_addr().unwrap() == *at));
+        shelf.idle.sort_by_key(|kept| {
+            near.iter()
+                .position(|at| kept.stream.local_addr().unwrap() == *at)
+        });
         let now = Instant::now();
         // None of them settles while the test runs: what is to be fresh came back in an hour.
-        shelf.idle.iter_mut().zip(ages).for_each(|(kept, age)| kept.since = now + HOUR - age);
+        shelf
+            .idle
+            .iter_mut()
+            .zip(ages)
+            .for_each(|(kept, age)| kept.since = now + HOUR - age);
     };
     let (settled, fresh) = (HOUR + SETTLED, Duration::ZERO);
     // A late second answer on the third would be seen by whoever takes it later.
     came_back([settled + SETTLED, settled, fresh]);
-    assert_eq!(lent_next(&pool, start), near[1], "the one used last of those that have settled");
+    assert_eq!(
+        lent_next(&pool, start),
+        near[1],
+        "the one used last of those that have settled"
+    );
     came_back([fresh; 3]);
-    assert_eq!(lent_next(&pool, start), near[0], "the one that has rested for longest");
+    assert_eq!(
+        lent_next(&pool, start),
+        near[0],
+        "the one that has rested for longest"
+    );
     came_back([settled; 3]);
     assert_eq!(lent_next(&pool, start), near[2]);
 }
@@ -139,16 +169,26 @@
 #[test]
 fn idle_connections_to_caches_that_are_gone_give_their_places_to_whoever_asks() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let start = Start { boot: 0, address: listener.local_addr().unwrap() };
+    let start = Start {
+        boot: 0,
+        address: listener.local_addr().unwrap(),
+    };
     let pool = Pool::new(3, Duration::from_secs(60));
     let far = three_idle(&pool, &listener, start);
     // The cache is gone, and no list has said so: its connections are idle here until somebody wants their places.
     drop((far, listener));
     let other = TcpListener::bind("127.0.0.1:0").unwrap();
-    let live = Start { boot: 0, address: other.local_addr().unwrap() };
-    let mut loans: Vec<Loan> = (0..3).map(|_| pool.lend(CacheId(2), live).expect("a place")).collect();
+    let live = Start {
+        boot: 0,
+        address: other.local_addr().unwrap(),
+    };
+    let mut loans: Vec<Loan> = (0..3)
+        .map(|_| pool.lend(CacheId(2), live).expect("a place"))
+        .collect();
     assert_eq!(pool.count(), (3, 0));
-    assert!(loans.iter_mut().all(|loan| loan.stream(Duration::from_secs(5)).is_ok()));
+    assert!(loans
+        .iter_mut()
+        .all(|loan| loan.stream(Duration::from_secs(5)).is_ok()));
     assert!(pool.lend(CacheId(2), live).is_none(), "all places are out");
     loans.truncate(1);
     assert!(pool.lend(CACHE, start).is_some(), "one came back");
--- a/edge/upstream/src/probe.rs
+++ b/edge/upstream/src/probe.rs
@@ -47,11 +47,21 @@
         patience: Duration,
     ) -> Result<Prober, String> {
         let (sender, orders) = bounded(QUEUE);
-        let means = Means { members, pool, hears, fields, patience };
+        let means = Means {
+            members,
+            pool,
+            hears,
+            fields,
+            patience,
+        };
         for _ in 0..PLACES {
             let (means, orders) = (means.clone(), orders.clone());
-            let thread = thread::Builder::new().name("probe".to_string()).stack_size(STACK);
-            thread.spawn(move || serve(&means, &orders)).map_err(|e| format!("thread probe: {e}"))?;
+            let thread = thread::Builder::new()
+                .name("probe".to_string())
+                .stack_size(STACK);
+            thread
+                .spawn(move || serve(&means, &orders))
+                .map_err(|e| format!("thread probe: {e}"))?;
         }
         Ok(Prober(sender))
     }
@@ -71,7 +81,13 @@
 fn serve(means: &Means, orders: &Receiver<(CacheId, Start)>) {
     let mut buffer = vec![0; MOST];
     for (cache, start) in orders {
-        let heard = one(means, cache, start, Instant::now() + means.patience, &mut buffer);
+        let heard = one(
+            means,
+            cache,
+            start,
+            Instant::now() + means.patience,
+            &mut buffer,
+        );
         // Guards against an answer that crossed a drain: it is of a process that takes no work any more.
         if !means.members.allows(cache, start) {
             continue;
@@ -94,11 +110,17 @@
     let stream = loan.stream(means.patience).ok()?;
     // Dialling took time, and the list may have changed in it.
     means.members.allowed(cache, Some(start))?;
-    let path = if means.fields.is_empty() { "ping" } else { "stats" };
+    let path = if means.fields.is_empty() {
+        "ping"
+    } else {
+        "stats"
+    };
     let head = format!("GET /{path} HTTP/1.1\r\nHost: {address}\r\n\r\n");
     write_all(&stream, &[head.as_bytes()], until).ok()?;
     let response = read_response(&stream, buffer, until).ok()?;
     loan.reusable = response.reusable;
-    let load = response.load.map_or(Load::default(), |at| means.fields.read(&buffer[at]));
+    let load = response
+        .load
+        .map_or(Load::default(), |at| means.fields.read(&buffer[at]));
     Some((response.status == 200, load))
 }
--- a/edge/upstream/src/proof.rs
+++ b/edge/upstream/src/proof.rs
@@ -19,7 +19,10 @@
     }
 
     fn served(got: Got) -> Ended {
-        Ended { outcome: Outcome::Served, got: Some(got) }
+        Ended {
+            outcome: Outcome::Served,
+            got: Some(got),
+        }
     }
 }
 
@@ -60,8 +63,12 @@
 /// Whether an answer names the client's copy by its tag, which may stand in quotes. Guards against calling a copy current
 /// by a 304 without a tag, or with the tag of another copy: that names no copy which this client holds.
 fn names(tag: Option<&[u8]>, got: Option<&str>) -> bool {
-    let (Some(tag), Some(got)) = (tag, got) else { return false };
-    let quoted = tag.strip_prefix(b"\"").and_then(|tag| tag.strip_suffix(b"\""));
+    let (Some(tag), Some(got)) = (tag, got) else {
+        return false;
+    };
+    let quoted = tag
+        .strip_prefix(b"\"")
+        .and_then(|tag| tag.strip_suffix(b"\""));
     quoted.unwrap_or(tag) == got.as_bytes()
 }
 
--- a/edge/upstream/tests/answers.rs
+++ b/edge/upstream/tests/answers.rs
@@ -58,7 +58,12 @@
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
     for text in [whole.as_str(), chunked] {
         for length in [0, 1, 12, 20, text.len() - 7, text.len() - 2, text.len() - 1] {
-            assert_eq!(closed_after(&rig, &text[..length]), Outcome::Reset, "{}", &text[..length]);
+            assert_eq!(
+                closed_after(&rig, &text[..length]),
+                Outcome::Reset,
+                "{}",
+                &text[..length]
+            );
             assert_eq!(rig.upstream.pool.count(), (0, 0));
         }
         assert_eq!(closed_after(&rig, text), Outcome::Served);
@@ -71,7 +76,13 @@
     let whole = ok("hello");
     let interim = "HTTP/1.1 100 Continue\r\n\r\n";
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n";
-    let texts = ["", interim, "HTTP/1.1 103 Early Hints\r\n", &whole[..whole.len() - 1], chunked];
+    let texts = [
+        "",
+        interim,
+        "HTTP/1.1 103 Early Hints\r\n",
+        &whole[..whole.len() - 1],
+        chunked,
+    ];
     for text in texts {
         assert_eq!(silent_after(&rig, text), Outcome::TimedOut, "{text}");
         assert_eq!(rig.upstream.pool.count(), (0, 0));
@@ -87,7 +98,10 @@
         ("", "HTTP/1.1 100 Continue\r\n\r\n"),
         (chunked, "5\r\nhello\r\n"),
         (chunked, "0000000000"),
-        ("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", "hello"),
+        (
+            "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",
+            "hello",
+        ),
     ];
     for (first, more) in pieces {
         assert_eq!(endless(&rig, first, more), Outcome::Reset, "{first}{more}");
@@ -127,10 +141,17 @@
         let (outcome, brought, head) = rig.during(&asked, || {
             let stream = rig.accept();
             let head = read_head(&stream);
-            say(&stream, &format!("HTTP/1.1 304 Not Modified\r\n{fields}Connection: close\r\n\r\n"));
+            say(
+                &stream,
+                &format!("HTTP/1.1 304 Not Modified\r\n{fields}Connection: close\r\n\r\n"),
+            );
             head
         });
-        assert_eq!(head.contains("If-None-Match: beef\r\n"), got.is_some(), "{head}");
+        assert_eq!(
+            head.contains("If-None-Match: beef\r\n"),
+            got.is_some(),
+            "{head}"
+        );
         (outcome, brought)
     };
     let same = (Outcome::Served, Some(Brought::Same));
@@ -138,8 +159,18 @@
         assert_eq!(ended(Some("beef"), fields), same, "{fields}");
     }
     // It may have run; it proves nothing of the copy.
-    for fields in ["", "ETag:\r\n", "ETag: bee\r\n", "ETag: W/\"beef\"\r\n", "ETag: beef\r\nETag: beef\r\n"] {
-        assert_eq!(ended(Some("beef"), fields), (Outcome::Error, None), "{fields}");
+    for fields in [
+        "",
+        "ETag:\r\n",
+        "ETag: bee\r\n",
+        "ETag: W/\"beef\"\r\n",
+        "ETag: beef\r\nETag: beef\r\n",
+    ] {
+        assert_eq!(
+            ended(Some("beef"), fields),
+            (Outcome::Error, None),
+            "{fields}"
+        );
     }
     assert_eq!(ended(None, "ETag: beef\r\n"), (Outcome::Error, None));
 }
--- a/edge/upstream/tests/attempts.rs
+++ b/edge/upstream/tests/attempts.rs
@@ -17,18 +17,38 @@
 use common::{fetch, inquiry, CACHE};
 
 fn line(address: SocketAddr, state: State, boot: Time) -> Listed {
-    Listed { member: Member { cache: CACHE, state, boot, ..Member::default() }, name: "s".into(), address }
+    Listed {
+        member: Member {
+            cache: CACHE,
+            state,
+            boot,
+            ..Member::default()
+        },
+        name: "s".into(),
+        address,
+    }
 }
 
 /// How an attempt ends that the module decided on while the cache was `before`, and that is made once it is `after`.
 fn attempt(upstream: &Upstream, before: Listed, after: Option<Listed>) -> Outcome {
     upstream.members.apply(true, vec![before.clone()]);
-    let target = Target { cache: Some(before.start()), source: None, attempt: 0, decided: Instant::now() };
+    let target = Target {
+        cache: Some(before.start()),
+        source: None,
+        attempt: 0,
+        decided: Instant::now(),
+    };
     upstream.members.apply(true, after.into_iter().collect());
     let (inquiry, slot, fetch) = (inquiry(), Slot::new(RequestId(1)), fetch());
     let deadline = Instant::now() + Duration::from_secs(20);
-    let made =
-        Attempt { inquiry: &inquiry, slot: &slot, fetch: &fetch, target: &target, deadline, guard: None };
+    let made = Attempt {
+        inquiry: &inquiry,
+        slot: &slot,
+        fetch: &fetch,
+        target: &target,
+        deadline,
+        guard: None,
+    };
     upstream.attempt(&made, &mut vec![0; 64 * 1024]).0
 }
 
@@ -45,9 +65,12 @@
     let ready = |boot| line(at, State::Ready, boot);
     listener.set_nonblocking(true).unwrap();
     let elsewhere = SocketAddr::from(([127, 0, 0, 1], 9));
-    for after in
-        [Some(line(at, State::Draining, 3)), None, Some(ready(4)), Some(line(elsewhere, State::Ready, 3))]
-    {
+    for after in [
+        Some(line(at, State::Draining, 3)),
+        None,
+        Some(ready(4)),
+        Some(line(elsewhere, State::Ready, 3)),
+    ] {
         assert_eq!(attempt(&upstream, ready(3), after), Outcome::NeverSent);
         // A connection that was opened would be here by now: opening waits for it.
         assert_eq!(listener.accept().unwrap_err().kind(), ErrorKind::WouldBlock);
@@ -58,10 +81,15 @@
     let serves = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
         assert!(stream.read(&mut [0; 4096]).unwrap() > 0);
-        stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").unwrap();
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+            .unwrap();
         stream
     });
-    assert_eq!(attempt(&upstream, ready(3), Some(ready(3))), Outcome::Served);
+    assert_eq!(
+        attempt(&upstream, ready(3), Some(ready(3))),
+        Outcome::Served
+    );
     let _open = serves.join().unwrap();
     assert_eq!(upstream.pool.count(), (0, 1));
 }
--- a/edge/upstream/tests/common/mod.rs
+++ b/edge/upstream/tests/common/mod.rs
@@ -35,8 +35,17 @@
 impl Rig {
     pub fn new() -> Rig {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let member = Member { cache: CACHE, state: State::Ready, boot: 3, ..Member::default() };
-        let listed = Listed { member, name: "s".into(), address: listener.local_addr().unwrap() };
+        let member = Member {
+            cache: CACHE,
+            state: State::Ready,
+            boot: 3,
+            ..Member::default()
+        };
+        let listed = Listed {
+            member,
+            name: "s".into(),
+            address: listener.local_addr().unwrap(),
+        };
         let upstream = Upstream {
             members: Arc::new(Members::default()),
             pool: Pool::new(8, Duration::from_secs(60)),
@@ -44,7 +53,11 @@
             dial_time_out: 2 * PATIENCE,
         };
         upstream.members.apply(true, vec![listed.clone()]);
-        Rig { listener: Some(listener), upstream, listed }
+        Rig {
+            listener: Some(listener),
+            upstream,
+            listed,
+        }
     }
 
     pub fn listener(&self) -> &TcpListener {
@@ -53,15 +66,28 @@
 
     /// Nobody listens any more: dials are refused.
     pub fn without_listener(self) -> Rig {
-        Rig { listener: None, ..self }
+        Rig {
+            listener: None,
+            ..self
+        }
     }
 
     /// A request for this cache, to be changed before it is made.
     pub fn asked(&self) -> Asked {
         let (fetch, inquiry) = (fetch(), inquiry());
-        let target =
-            Target { cache: Some(self.listed.start()), source: None, attempt: 0, decided: Instant::now() };
-        Asked { inquiry, fetch, target, slot: Slot::new(RequestId(1)), guard: None }
+        let target = Target {
+            cache: Some(self.listed.start()),
+            source: None,
+            attempt: 0,
+            decided: Instant::now(),
+        };
+        Asked {
+            inquiry,
+            fetch,
+            target,
+            slot: Slot::new(RequestId(1)),
+            guard: None,
+        }
     }
 
     /// Makes the attempt on the calling thread: how it ended, and the body that it brought.
@@ -109,7 +135,10 @@
             say(&stream, &ok("first"));
             stream
         });
-        assert_eq!((outcome, self.upstream.pool.count()), (Outcome::Served, (0, 1)));
+        assert_eq!(
+            (outcome, self.upstream.pool.count()),
+            (Outcome::Served, (0, 1))
+        );
         stream
     }
 
@@ -140,7 +169,9 @@
 
     /// Runs `step` once the attempt has its connection, before it looks at it and writes.
     pub fn when_connected(self, step: impl FnOnce() + Send + Sync + 'static) -> Asked {
-        assert!(self.slot.hold(0, Arc::new(Dropped(Mutex::new(Some(Box::new(step)))))));
+        assert!(self
+            .slot
+            .hold(0, Arc::new(Dropped(Mutex::new(Some(Box::new(step)))))));
         self
     }
 
--- a/edge/upstream/tests/common/sockets.rs
+++ b/edge/upstream/tests/common/sockets.rs
@@ -9,7 +9,11 @@
     let (told, heard) = std::sync::mpsc::channel();
     let listener = listener.try_clone().unwrap();
     std::thread::spawn(move || drop(told.send(listener.accept())));
-    let stream = heard.recv_timeout(PATIENCE).expect("a connection").unwrap().0;
+    let stream = heard
+        .recv_timeout(PATIENCE)
+        .expect("a connection")
+        .unwrap()
+        .0;
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     stream.set_nodelay(true).unwrap();
     stream
@@ -37,7 +41,10 @@
 }
 
 pub fn ok(body: &str) -> String {
-    format!("HTTP/1.1 200 OK\r\nETag: beef\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 200 OK\r\nETag: beef\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// What the system knows of a TCP socket of this machine.
@@ -56,7 +63,10 @@
         let ports = (port(fields[1])?, port(fields[2])?);
         let unread = usize::from_str_radix(fields[4].split_once(':')?.1, 16).ok()?;
         let found = ports == (local.port(), remote.port());
-        found.then_some(Socket { established: fields[3] == "01", unread })
+        found.then_some(Socket {
+            established: fields[3] == "01",
+            unread,
+        })
     })
 }
 
@@ -74,12 +84,16 @@
 pub fn close(stream: TcpStream) {
     let (near, far) = (stream.peer_addr().unwrap(), stream.local_addr().unwrap());
     drop(stream);
-    until("the end is known", || socket(near, far).is_none_or(|socket| !socket.established));
+    until("the end is known", || {
+        socket(near, far).is_none_or(|socket| !socket.established)
+    });
 }
 
 /// Sends bytes, and waits until they have arrived.
 pub fn arrive(stream: &TcpStream, text: &str) {
     let (near, far) = (stream.peer_addr().unwrap(), stream.local_addr().unwrap());
     say(stream, text);
-    until("the bytes arrived", || socket(near, far).is_some_and(|socket| socket.unread > 0));
+    until("the bytes arrived", || {
+        socket(near, far).is_some_and(|socket| socket.unread > 0)
+    });
 }
--- a/edge/upstream/tests/gone.rs
+++ b/edge/upstream/tests/gone.rs
@@ -41,7 +41,10 @@
         // The attempt's connection ends at once, and what is said after is heard by nobody.
         rest(&stream)
     });
-    assert_eq!((outcome, brought, ended), (Outcome::Cancelled, None, vec![]));
+    assert_eq!(
+        (outcome, brought, ended),
+        (Outcome::Cancelled, None, vec![])
+    );
     assert_eq!(rig.upstream.pool.count(), (0, 0));
 }
 
@@ -98,8 +101,13 @@
 fn a_repeat_whose_window_ends_while_its_connection_is_taken_is_not_sent() {
     let rig = Rig::new();
     let idle = rig.idle();
-    let (clock, by) = (rig.upstream.clock.clone(), rig.upstream.clock.now() + 200_000);
-    let mut asked = rig.asked().when_connected(move || until("the window ends", || clock.now() >= by));
+    let (clock, by) = (
+        rig.upstream.clock.clone(),
+        rig.upstream.clock.now() + 200_000,
+    );
+    let mut asked = rig
+        .asked()
+        .when_connected(move || until("the window ends", || clock.now() >= by));
     asked.fetch.send_by = by;
     assert_eq!(rig.make(&asked), (Outcome::NeverSent, None));
     assert!(rest(&idle).is_empty(), "not a byte came");
--- a/edge/upstream/tests/idle.rs
+++ b/edge/upstream/tests/idle.rs
@@ -19,11 +19,16 @@
         let stream = rig.accept();
         read_head(&stream);
         let (near, far) = (stream.peer_addr().unwrap(), stream.local_addr().unwrap());
-        until("the body arrived", || socket(far, near).is_some_and(|socket| socket.unread == 8));
+        until("the body arrived", || {
+            socket(far, near).is_some_and(|socket| socket.unread == 8)
+        });
         say(&stream, &ok("first"));
         stream
     });
-    assert_eq!((outcome, rig.upstream.pool.count()), (Outcome::Served, (0, 1)));
+    assert_eq!(
+        (outcome, rig.upstream.pool.count()),
+        (Outcome::Served, (0, 1))
+    );
     stream
 }
 
@@ -31,10 +36,15 @@
 fn a_second_answer_that_comes_late_is_not_taken_for_the_next_requests() {
     let rig = Rig::new();
     let idle = rig.idle();
-    let asked = rig.asked().when_connected(move || arrive(&idle, &ok("second")));
+    let asked = rig
+        .asked()
+        .when_connected(move || arrive(&idle, &ok("second")));
     let (outcome, brought, head) = rig.during(&asked, || serves_anew(&rig));
     assert_eq!((outcome, brought), (Outcome::Served, body("fresh")));
-    assert!(head.starts_with("GET /v2/q/sheet/0000000000000005/0 "), "{head}");
+    assert!(
+        head.starts_with("GET /v2/q/sheet/0000000000000005/0 "),
+        "{head}"
+    );
     assert_eq!(rig.upstream.pool.count(), (0, 1));
 }
 
--- a/edge/upstream/tests/probes.rs
+++ b/edge/upstream/tests/probes.rs
@@ -26,21 +26,48 @@
 
 fn rig(names: &[&str], patience: Duration) -> Rig {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (members, pool) = (Arc::new(Members::default()), Pool::new(16, Duration::from_secs(60)));
+    let (members, pool) = (
+        Arc::new(Members::default()),
+        Pool::new(16, Duration::from_secs(60)),
+    );
     let (told, heard) = channel();
     let hears = move |cache, _, well, load| {
         let _ = told.send((cache, well, load));
     };
     let fields = Fields::new(names);
-    let prober = Prober::start(members.clone(), pool.clone(), Arc::new(hears), fields, patience).unwrap();
-    Rig { listener, members, pool, prober: Some(prober), heard }
+    let prober = Prober::start(
+        members.clone(),
+        pool.clone(),
+        Arc::new(hears),
+        fields,
+        patience,
+    )
+    .unwrap();
+    Rig {
+        listener,
+        members,
+        pool,
+        prober: Some(prober),
+        heard,
+    }
 }
 
 impl Rig {
     fn list(&self, cache: u32, state: State) {
-        let member = Member { cache: CacheId(cache), state, ..Member::default() };
+        let member = Member {
+            cache: CacheId(cache),
+            state,
+            ..Member::default()
+        };
         let address = self.listener.local_addr().unwrap();
-        self.members.apply(false, vec![Listed { member, name: "s".into(), address }]);
+        self.members.apply(
+            false,
+            vec![Listed {
+                member,
+                name: "s".into(),
+                address,
+            }],
+        );
     }
 
     /// Whether there was room for it.
@@ -56,7 +83,9 @@
     }
 
     fn next(&self) -> Heard {
-        self.heard.recv_timeout(PATIENCE).expect("what the probe found")
+        self.heard
+            .recv_timeout(PATIENCE)
+            .expect("what the probe found")
     }
 
     /// All that was heard, once no probe is under way any more.
@@ -85,16 +114,28 @@
         let answer =
             format!("HTTP/1.1 {status}\r\nSrv-Load: inflight:7;util:0.5;moon:3\r\nContent-Length: 0\r\n\r\n");
         far.write_all(answer.as_bytes()).unwrap();
-        let load = Load { util: Some(0.5), inflight: Some(7.0), ..Load::default() };
+        let load = Load {
+            util: Some(0.5),
+            inflight: Some(7.0),
+            ..Load::default()
+        };
         assert_eq!(rig.next(), (CacheId(1), well, load));
-        assert!(rig.probe(1), "on the same connection, or the next answer is never asked for");
+        assert!(
+            rig.probe(1),
+            "on the same connection, or the next answer is never asked for"
+        );
     }
     let plain = self::rig(&[], PATIENCE);
     plain.list(1, State::Ready);
     assert!(plain.probe(1));
     let mut far = plain.accept();
-    assert_eq!(asked(&far), "GET /ping HTTP/1.1", "no field is named: there is nothing more to learn");
-    far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
+    assert_eq!(
+        asked(&far),
+        "GET /ping HTTP/1.1",
+        "no field is named: there is nothing more to learn"
+    );
+    far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        .unwrap();
     assert_eq!(plain.next(), (CacheId(1), true, Load::default()));
 }
 
@@ -116,7 +157,11 @@
         let _ = far.write_all(answer.as_bytes());
         let _ = far.shutdown(std::net::Shutdown::Write);
         let start = &answer[..answer.len().min(60)];
-        assert_eq!(rig.next(), (CacheId(1), false, Load::default()), "{start:?}");
+        assert_eq!(
+            rig.next(),
+            (CacheId(1), false, Load::default()),
+            "{start:?}"
+        );
         let pool = rig.pool.clone();
         assert_eq!(rig.rest(), []);
         assert_eq!(pool.count(), (0, 0), "{start:?}");
@@ -128,11 +173,18 @@
     let rig = rig(&["util"], Duration::from_millis(300));
     rig.list(1, State::Ready);
     let taken = (0..40).filter(|_| rig.probe(1)).count();
-    assert!((QUEUE..=PLACES + QUEUE).contains(&taken), "{taken} were taken");
+    assert!(
+        (QUEUE..=PLACES + QUEUE).contains(&taken),
+        "{taken} were taken"
+    );
     let held: Vec<TcpStream> = (0..PLACES).map(|_| rig.accept()).collect();
     assert!(rig.pool.count().0 <= PLACES);
     for _ in 0..taken {
-        assert_eq!(rig.next(), (CacheId(1), false, Load::default()), "silence is no report");
+        assert_eq!(
+            rig.next(),
+            (CacheId(1), false, Load::default()),
+            "silence is no report"
+        );
     }
     drop(held);
     assert_eq!(rig.rest(), []);
@@ -149,13 +201,26 @@
         match crossed {
             State::Ready => {
                 // The same id, started anew.
-                let member = Member { cache: CacheId(1), state: crossed, boot: 9, ..Member::default() };
+                let member = Member {
+                    cache: CacheId(1),
+                    state: crossed,
+                    boot: 9,
+                    ..Member::default()
+                };
                 let address = rig.listener.local_addr().unwrap();
-                rig.members.apply(false, vec![Listed { member, name: "s".into(), address }]);
+                rig.members.apply(
+                    false,
+                    vec![Listed {
+                        member,
+                        name: "s".into(),
+                        address,
+                    }],
+                );
             }
             state => rig.list(1, state),
         }
-        far.write_all(b"HTTP/1.1 200 OK\r\nSrv-Load: util:0.5\r\nContent-Length: 0\r\n\r\n").unwrap();
+        far.write_all(b"HTTP/1.1 200 OK\r\nSrv-Load: util:0.5\r\nContent-Length: 0\r\n\r\n")
+            .unwrap();
         assert_eq!(rig.rest(), [], "{crossed:?}");
     }
 }
--- a/hub/benches/relay.rs
+++ b/hub/benches/relay.rs
@@ -23,7 +23,10 @@
 
 /// Latency from when each request was due, at a rate; those answered a second.
 fn load(at: SocketAddr, rate: f64, object: impl Fn(u64) -> u64 + Sync) -> (Histogram<u64>, f64) {
-    let (all, next) = (Mutex::new(Histogram::new(3).expect("sound")), AtomicU64::new(0));
+    let (all, next) = (
+        Mutex::new(Histogram::new(3).expect("sound")),
+        AtomicU64::new(0),
+    );
     let began = Instant::now();
     thread::scope(|scope| {
         for _ in 0..THREADS {
@@ -37,9 +40,12 @@
                         break;
                     }
                     thread::sleep(due.saturating_duration_since(Instant::now()));
-                    let answer = client.get(&path("sheet", object(n), 0), "").expect("an answer");
+                    let answer = client
+                        .get(&path("sheet", object(n), 0), "")
+                        .expect("an answer");
                     assert_eq!((answer.status, answer.body.len()), (200, LENGTH));
-                    own.record(due.elapsed().as_micros() as u64).expect("in range");
+                    own.record(due.elapsed().as_micros() as u64)
+                        .expect("in range");
                 }
                 all.lock().unwrap().add(own).expect("alike");
             });
@@ -53,7 +59,11 @@
 /// Resident memory of this process (bytes).
 fn resident() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    text.split(' ').nth(1).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0) * 4_096
+    text.split(' ')
+        .nth(1)
+        .and_then(|n| n.parse::<u64>().ok())
+        .unwrap_or(0)
+        * 4_096
 }
 
 fn main() {
@@ -65,25 +75,48 @@
          hub(\"hub\", parents = [\"archive\"], address = \"{at}\")\nrelay(memory_mb = 64)\n",
         archive.address()
     );
-    let _hub =
-        foldmux_hub::start("hub", evaluate("bench.star", text).expect("sound"), listener).expect("a hub");
+    let _hub = foldmux_hub::start(
+        "hub",
+        evaluate("bench.star", text).expect("sound"),
+        listener,
+    )
+    .expect("a hub");
     println!(
         "{} cores, {THREADS} connections, parts of {LENGTH} bytes, {TIME:?} each",
         thread::available_parallelism().map_or(0, |n| n.get())
     );
-    println!("{:<28} {:>8} {:>10} {:>9} {:>9} {:>9}", "", "rate", "answered", "p50 us", "p99 us", "max us");
+    println!(
+        "{:<28} {:>8} {:>10} {:>9} {:>9} {:>9}",
+        "", "rate", "answered", "p50 us", "p99 us", "max us"
+    );
     for rate in [500.0, 2_000.0, 100_000.0] {
-        let name =
-            |what: &str| if rate > 50_000.0 { format!("{what}, all it can") } else { what.to_string() };
+        let name = |what: &str| {
+            if rate > 50_000.0 {
+                format!("{what}, all it can")
+            } else {
+                what.to_string()
+            }
+        };
         let row = |what: &str, at, object: &(dyn Fn(u64) -> u64 + Sync)| {
             let (h, answered) = load(at, rate, object);
             let [p50, p99] = [0.5, 0.99].map(|q| h.value_at_quantile(q));
-            println!("{:<28} {rate:>8.0} {answered:>10.0} {p50:>9} {p99:>9} {:>9}", name(what), h.max());
+            println!(
+                "{:<28} {rate:>8.0} {answered:>10.0} {p50:>9} {p99:>9} {:>9}",
+                name(what),
+                h.max()
+            );
             (p50, p99)
         };
-        let direct = row("straight to the stand-in", archive.address(), &|n| n % OBJECTS);
-        (0..OBJECTS)
-            .for_each(|o| drop(Client::connect(at, TIME).expect("a hub").get(&path("sheet", o, 0), "")));
+        let direct = row("straight to the stand-in", archive.address(), &|n| {
+            n % OBJECTS
+        });
+        (0..OBJECTS).for_each(|o| {
+            drop(
+                Client::connect(at, TIME)
+                    .expect("a hub")
+                    .get(&path("sheet", o, 0), ""),
+            )
+        });
         let hit = row("over the hub, hit", at, &|n| n % OBJECTS);
         let first = 1_000_000 * rate as u64;
         let miss = row("over the hub, miss", at, &|n| first + n);
@@ -96,12 +129,33 @@
         );
     }
     let before = resident();
-    let mut ledger = Ledger::new(Limits { fetches: 10_000, waits: 20_000, lease: 1, attempts: 3 });
-    let present = Stamp { epoch: 1, digest: 1 };
+    let mut ledger = Ledger::new(Limits {
+        fetches: 10_000,
+        waits: 20_000,
+        lease: 1,
+        attempts: 3,
+    });
+    let present = Stamp {
+        epoch: 1,
+        digest: 1,
+    };
     for object in 0..10_000 {
         for _ in 0..2 {
-            let key = Key { class: 0, object, part: 0 };
-            ledger.want(0, Want { key, arrival: Arrival::BEGINS, present, born_after: 0, until: 1 });
+            let key = Key {
+                class: 0,
+                object,
+                part: 0,
+            };
+            ledger.want(
+                0,
+                Want {
+                    key,
+                    arrival: Arrival::BEGINS,
+                    present,
+                    born_after: 0,
+                    until: 1,
+                },
+            );
         }
     }
     let grown = resident().saturating_sub(before);
--- a/hub/src/book.rs
+++ b/hub/src/book.rs
@@ -68,14 +68,24 @@
 }
 
 fn paces(hierarchy: &Hierarchy) -> HashMap<Arc<str>, f64> {
-    hierarchy.nodes.iter().map(|(name, place)| (name.clone(), place.fills_per_s)).collect()
+    hierarchy
+        .nodes
+        .iter()
+        .map(|(name, place)| (name.clone(), place.fills_per_s))
+        .collect()
 }
 
 impl Book {
     pub fn new(me: &str, hierarchy: Hierarchy, limits: Limits) -> Result<Book, Refused> {
         let (tree, overlap) = (hierarchy.tree.clone(), hierarchy.overlap_ms * 1_000);
         let node = Node::new(me, tree, overlap, limits, hierarchy.cold, paces(&hierarchy))?;
-        Ok(Book { state: Mutex::new(State { node, hierarchy, flights: HashMap::new() }) })
+        Ok(Book {
+            state: Mutex::new(State {
+                node,
+                hierarchy,
+                flights: HashMap::new(),
+            }),
+        })
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -89,18 +99,26 @@
     /// Former trees held, fetches under way, those who wait, sources known.
     pub fn sizes(&self) -> [usize; 4] {
         let state = self.state();
-        let ((former, sources), (fetches, waits)) = (state.node.sizes(), state.node.ledger().size());
+        let ((former, sources), (fetches, waits)) =
+            (state.node.sizes(), state.node.ledger().size());
         [former, fetches, waits, sources]
     }
 
     /// A new tree; nothing changes where it is refused.
     pub fn rewire(&self, now: Time, hierarchy: Hierarchy) -> Result<Taken, Refused> {
         let mut state = self.state();
-        let taken = state.node.rewire(now, hierarchy.tree.clone(), paces(&hierarchy))?;
+        let taken = state
+            .node
+            .rewire(now, hierarchy.tree.clone(), paces(&hierarchy))?;
         if taken == Taken::New {
             // Addresses of nodes that only a former tree names stay until its fills are over.
             let mut nodes = std::mem::take(&mut state.hierarchy.nodes);
-            nodes.extend(hierarchy.nodes.iter().map(|(name, place)| (name.clone(), *place)));
+            nodes.extend(
+                hierarchy
+                    .nodes
+                    .iter()
+                    .map(|(name, place)| (name.clone(), *place)),
+            );
             let formers: Vec<_> = state.node.wiring().usable_former(now).cloned().collect();
             let known = |name: &str| hierarchy.tree.find(name).is_some();
             nodes.retain(|name, _| known(name) || formers.iter().any(|f| f.find(name).is_some()));
@@ -123,11 +141,22 @@
             Turn::Lead(id, wait) => {
                 let flight = Arc::new(Flight::default());
                 state.flights.insert(id, flight.clone());
-                Entry::Lead(id, Waiting { book: self, wait, flight })
+                Entry::Lead(
+                    id,
+                    Waiting {
+                        book: self,
+                        wait,
+                        flight,
+                    },
+                )
             }
             Turn::Join(id, wait) => {
                 let flight = state.flights[&id].clone();
-                Entry::Join(Waiting { book: self, wait, flight })
+                Entry::Join(Waiting {
+                    book: self,
+                    wait,
+                    flight,
+                })
             }
             Turn::Full => Entry::Full,
         };
@@ -136,7 +165,10 @@
 
     fn leave(&self, wait: WaitId) {
         let mut state = self.state();
-        let left = state.node.leave(wait).and_then(|id| state.flights.remove(&id));
+        let left = state
+            .node
+            .leave(wait)
+            .and_then(|id| state.flights.remove(&id));
         drop(state);
         left.iter().for_each(|flight| flight.call_off());
     }
@@ -150,11 +182,18 @@
         tally: &Tally,
     ) -> Result<Target, Verdict> {
         let mut state = self.state();
-        let State { node, hierarchy, .. } = &mut *state;
+        let State {
+            node, hierarchy, ..
+        } = &mut *state;
         let passed: Vec<&str> = fill.way.passed(&hierarchy.domain).collect();
         let mut used: Vec<&str> = fill.past.iter().map(String::as_str).collect();
         used.extend(tried.iter().map(|name| &**name));
-        let seeking = Seeking { object: fill.key.object, lane: fill.lane, passed: &passed, tried: &used };
+        let seeking = Seeking {
+            object: fill.key.object,
+            lane: fill.lane,
+            passed: &passed,
+            tried: &used,
+        };
         let choice = node.choose(now, &seeking).map_err(|none| match none {
             NoWay::Loop => Verdict::Loop,
             NoWay::Cold => Verdict::Full,
@@ -164,11 +203,24 @@
             add(&tally.loops_avoided);
         }
         (0..choice.held_back).for_each(|_| add(&tally.cold_held_back));
-        let address = hierarchy.nodes.get(&choice.name).and_then(|place| place.address);
-        Ok(Target { address: address.ok_or(Verdict::Failed)?, choice })
+        let address = hierarchy
+            .nodes
+            .get(&choice.name)
+            .and_then(|place| place.address);
+        Ok(Target {
+            address: address.ok_or(Verdict::Failed)?,
+            choice,
+        })
     }
 
-    pub fn hear(&self, now: Time, unix_ms: u64, name: &Arc<str>, word: Word, since_ms: Option<u64>) {
+    pub fn hear(
+        &self,
+        now: Time,
+        unix_ms: u64,
+        name: &Arc<str>,
+        word: Word,
+        since_ms: Option<u64>,
+    ) {
         self.state().node.hear(now, unix_ms, name, word, since_ms);
     }
 
@@ -189,18 +241,28 @@
 
     /// How long somebody still waits for a fetch (us); none where nobody does.
     pub fn left(&self, now: Time, fill: &Fill) -> Option<Time> {
-        self.state().node.ledger().until(fill.id)?.checked_sub(now).filter(|left| *left > 0)
+        self.state()
+            .node
+            .ledger()
+            .until(fill.id)?
+            .checked_sub(now)
+            .filter(|left| *left > 0)
     }
 
     /// Where a write goes: by its object's way, past the nodes that it has passed. One, and no other.
     pub fn first(&self, object: u64, way: &Way) -> Option<(SocketAddr, Stamp)> {
         let state = self.state();
         let tree = state.node.present();
-        let passed: Vec<Ix> =
-            way.passed(&state.hierarchy.domain).filter_map(|name| tree.find(name)).collect();
+        let passed: Vec<Ix> = way
+            .passed(&state.hierarchy.domain)
+            .filter_map(|name| tree.find(name))
+            .collect();
         let me = state.node.wiring().me(tree);
         let ix = *tree.next(me, object, |ix| !passed.contains(&ix)).first()?;
-        Some((state.hierarchy.nodes.get(tree.name(ix))?.address?, tree.stamp()))
+        Some((
+            state.hierarchy.nodes.get(tree.name(ix))?.address?,
+            tree.stamp(),
+        ))
     }
 
     pub fn beat(&self, now: Time, fill: &Fill, attempt: u32) {
@@ -226,11 +288,18 @@
     /// Former trees whose time is over are let go of; addresses that nothing here uses any more.
     pub fn look(&self, now: Time) -> Vec<SocketAddr> {
         let mut state = self.state();
-        let State { node, hierarchy, .. } = &mut *state;
+        let State {
+            node, hierarchy, ..
+        } = &mut *state;
         let drained = node.look(now);
-        let addresses = drained.iter().filter_map(|name| hierarchy.nodes.get(name)?.address).collect();
+        let addresses = drained
+            .iter()
+            .filter_map(|name| hierarchy.nodes.get(name)?.address)
+            .collect();
         if node.sizes().0 == 0 {
-            hierarchy.nodes.retain(|name, _| hierarchy.tree.find(name).is_some());
+            hierarchy
+                .nodes
+                .retain(|name, _| hierarchy.tree.find(name).is_some());
         }
         addresses
     }
--- a/hub/src/exchange.rs
+++ b/hub/src/exchange.rs
@@ -70,15 +70,28 @@
     if !fill.flight.hold(attempt, stream) {
         return (End::Off, None);
     }
-    let off = |end| if end != End::Whole && fill.flight.called_off() { End::Off } else { end };
-    let Some(head) = head(hub, fill, target, tried) else { return (End::Off, None) };
+    let off = |end| {
+        if end != End::Whole && fill.flight.called_off() {
+            End::Off
+        } else {
+            end
+        }
+    };
+    let Some(head) = head(hub, fill, target, tried) else {
+        return (End::Off, None);
+    };
     if write_all(stream, &[head.as_bytes()], Instant::now() + lease).is_err() {
         return (off(End::Unreached), None);
     }
     let mut buffer = vec![0; MOST_HEAD + CHUNK];
     let (mut filled, mut told) = (0, Told::default());
-    let read =
-        read_head(stream, &mut buffer, &mut filled, Instant::now() + lease, &mut |n, v| told.field(n, v));
+    let read = read_head(
+        stream,
+        &mut buffer,
+        &mut filled,
+        Instant::now() + lease,
+        &mut |n, v| told.field(n, v),
+    );
     let (response, length) = match read {
         Ok(read) => read,
         // Closed before a byte: where the connection was idle before, it never took the request.
@@ -86,8 +99,19 @@
         Err(_) => return (off(End::Failed), None),
     };
     let hold_only = target.choice.hold_only;
-    let (end, whole) =
-        take(hub, fill, attempt, hold_only, stream, &mut buffer, filled, &told, &response, length, lease);
+    let (end, whole) = take(
+        hub,
+        fill,
+        attempt,
+        hold_only,
+        stream,
+        &mut buffer,
+        filled,
+        &told,
+        &response,
+        length,
+        lease,
+    );
     // Guards against an end shutting a connection that is another fetch's by then.
     fill.flight.release(attempt);
     if whole && response.reusable {
@@ -113,7 +137,9 @@
 ) -> (End, bool) {
     let start = response.body.start;
     // Without a length told before, nobody who waits could be told one.
-    let Length::Known(length) = length else { return (End::Failed, false) };
+    let Length::Known(length) = length else {
+        return (End::Failed, false);
+    };
     let end = match (response.status, response.untouched) {
         (200, _) => None,
         (404, _) if hold_only => Some(End::Lacks),
@@ -125,14 +151,22 @@
     if let Some(end) = end {
         return (end, filled - start == length);
     }
-    let Some(born_ms) = told.born_ms.filter(|_| length <= PART_MOST) else { return (End::Failed, false) };
+    let Some(born_ms) = told.born_ms.filter(|_| length <= PART_MOST) else {
+        return (End::Failed, false);
+    };
     if born_ms < fill.born_after {
         // Guards against a copy from before a purge coming back from a node that was not told of it yet.
         return (End::TooOld, false);
     }
-    let meta = Meta { tag: told.tag.clone(), born_ms, length };
+    let meta = Meta {
+        tag: told.tag.clone(),
+        born_ms,
+        length,
+    };
     let keep = |copy| hub.keep(fill.key, fill.born_after, copy);
-    let Some(have) = fill.flight.head(attempt, meta, keep) else { return (End::Off, false) };
+    let Some(have) = fill.flight.head(attempt, meta, keep) else {
+        return (End::Off, false);
+    };
     let (mut skip, mut at) = (have, 0);
     let mut pass = |bytes: &[u8], at: &mut usize| {
         let bytes = &bytes[..bytes.len().min(length - *at)];
@@ -173,17 +207,34 @@
     }
     field("Via-Wait", &left.max(1));
     if fill.born_after > 0 {
-        field("X-Max-Age-Ms", &hub.unix_ms().saturating_sub(fill.born_after).max(1));
+        field(
+            "X-Max-Age-Ms",
+            &hub.unix_ms().saturating_sub(fill.born_after).max(1),
+        );
     }
-    field("X-Flags", if target.choice.hold_only { &"shallow" } else { &"coalesce" });
+    field(
+        "X-Flags",
+        if target.choice.hold_only {
+            &"shallow"
+        } else {
+            &"coalesce"
+        },
+    );
     field("CDN-Loop", &fill.way.with(&hub.signer, fill.key.object));
     let solo = if target.choice.solo { ";solo" } else { "" };
     // So that a node that stands in for one that failed does not ask that one again.
     let mut past: Vec<&str> = fill.past.iter().map(String::as_str).collect();
     past.extend(tried.iter().map(|name| &**name));
     past.truncate(8);
-    let past = if past.is_empty() { String::new() } else { format!(";past={}", past.join("+")) };
-    field("Hub-Tree", &format_args!("{}{solo}{past}", target.choice.stamp));
+    let past = if past.is_empty() {
+        String::new()
+    } else {
+        format!(";past={}", past.join("+"))
+    };
+    field(
+        "Hub-Tree",
+        &format_args!("{}{solo}{past}", target.choice.stamp),
+    );
     head.push_str("\r\n");
     Some(head)
 }
--- a/hub/src/fetch.rs
+++ b/hub/src/fetch.rs
@@ -21,7 +21,8 @@
         let target = match hub.book.choose(hub.now(), fill, &tried, &hub.tally) {
             Ok(target) => target,
             Err(none_left) => {
-                hub.book.done(fill, attempt, Some(verdict.unwrap_or(none_left)));
+                hub.book
+                    .done(fill, attempt, Some(verdict.unwrap_or(none_left)));
                 return;
             }
         };
@@ -30,7 +31,9 @@
             add(&hub.tally.archive_fetches);
         }
         // Guards against a fault in one try leaving all who wait without an end.
-        let ended = catch_unwind(AssertUnwindSafe(|| ask(hub, fill, &target, attempt, &tried)));
+        let ended = catch_unwind(AssertUnwindSafe(|| {
+            ask(hub, fill, &target, attempt, &tried)
+        }));
         let (end, since) = ended.unwrap_or((End::Failed, None));
         fill.flight.release(attempt);
         let word = match end {
@@ -40,8 +43,10 @@
             End::Failed => Some(Word::Failed),
             End::Off => None,
         };
-        word.iter()
-            .for_each(|word| hub.book.hear(hub.now(), hub.unix_ms(), &target.choice.name, *word, since));
+        word.iter().for_each(|word| {
+            hub.book
+                .hear(hub.now(), hub.unix_ms(), &target.choice.name, *word, since)
+        });
         verdict = match end {
             End::Whole => {
                 hub.book.done(fill, attempt, None);
@@ -68,7 +73,10 @@
             tried.push(target.choice.name.clone());
         }
         tracing::debug!(source = %target.choice.name, ?end, object = %format_args!("{:016x}", fill.key.object), "a try failed");
-        match hub.book.failed(hub.now(), fill, attempt, verdict.unwrap_or(Verdict::Failed)) {
+        match hub
+            .book
+            .failed(hub.now(), fill, attempt, verdict.unwrap_or(Verdict::Failed))
+        {
             Next::Again(next) => attempt = next,
             Next::Over | Next::Stale => return,
         }
@@ -76,7 +84,13 @@
 }
 
 /// One try at one source; whatever it held is given back when this returns.
-fn ask(hub: &Hub, fill: &Fill, target: &Target, attempt: u32, tried: &[Arc<str>]) -> (End, Option<u64>) {
+fn ask(
+    hub: &Hub,
+    fill: &Fill,
+    target: &Target,
+    attempt: u32,
+    tried: &[Arc<str>],
+) -> (End, Option<u64>) {
     // A source that has nodes above it may need their leases before it answers.
     let lease = hub.lease * (1 + target.choice.height as u32);
     let idle = hub.links.idle(target.address);
--- a/hub/src/flight.rs
+++ b/hub/src/flight.rs
@@ -55,7 +55,10 @@
     /// The copy, if it is whole now.
     fn whole(&self) -> Option<Copy> {
         let meta = self.meta.clone().filter(|m| m.length == self.have)?;
-        Some(Copy { meta, chunks: self.chunks.clone() })
+        Some(Copy {
+            meta,
+            chunks: self.chunks.clone(),
+        })
     }
 }
 
@@ -119,7 +122,8 @@
         }
         // The tag says that two copies are the same; without one nothing does. What is told of the copy's birth stays
         // the earlier time, as some of its bytes are that old.
-        let same = |m: &Meta| m.tag == meta.tag && m.length == meta.length && m.born_ms <= meta.born_ms;
+        let same =
+            |m: &Meta| m.tag == meta.tag && m.length == meta.length && m.born_ms <= meta.born_ms;
         let same = !meta.tag.is_empty() && state.meta.as_deref().is_some_and(same);
         if !same {
             state.series += 1;
@@ -176,7 +180,9 @@
         let socket = state.socket.take();
         if state.whole().is_none() {
             state.off = true;
-            socket.iter().for_each(|socket| drop(socket.shutdown(Shutdown::Both)));
+            socket
+                .iter()
+                .for_each(|socket| drop(socket.shutdown(Shutdown::Both)));
         }
         self.changed.notify_all();
     }
@@ -216,7 +222,11 @@
                 }
             }
             if let Some(verdict) = state.end {
-                return if cursor.series.is_some() { Look::BrokenOff } else { Look::Ended(verdict) };
+                return if cursor.series.is_some() {
+                    Look::BrokenOff
+                } else {
+                    Look::Ended(verdict)
+                };
             }
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
--- a/hub/src/flight/tests.rs
+++ b/hub/src/flight/tests.rs
@@ -4,7 +4,11 @@
 use std::time::Duration;
 
 fn meta(tag: &str, length: usize) -> Meta {
-    Meta { tag: tag.into(), born_ms: 7, length }
+    Meta {
+        tag: tag.into(),
+        born_ms: 7,
+        length,
+    }
 }
 
 fn soon() -> Instant {
@@ -22,7 +26,17 @@
     // The try breaks off; what it says later is nothing.
     flight.next(1);
     assert!(!flight.chunk(0, b"xx", |_| ()) && flight.head(0, meta("a", 4), |_| ()).is_none());
-    assert_eq!(flight.head(1, Meta { born_ms: 9, ..meta("a", 4) }, |_| ()), Some(2));
+    assert_eq!(
+        flight.head(
+            1,
+            Meta {
+                born_ms: 9,
+                ..meta("a", 4)
+            },
+            |_| ()
+        ),
+        Some(2)
+    );
     let mut kept = None;
     assert!(flight.chunk(1, b"cd", |copy| kept = Some(copy)));
     assert!(matches!(flight.look(&mut begun, soon()), Look::Chunks(c) if &*c[0] == b"cd"));
@@ -42,10 +56,16 @@
 #[test]
 fn nobody_waits_past_its_time_and_an_end_wakes_all() {
     let flight = Arc::new(Flight::default());
-    assert!(matches!(flight.look(&mut Cursor::default(), Instant::now()), Look::Late));
+    assert!(matches!(
+        flight.look(&mut Cursor::default(), Instant::now()),
+        Look::Late
+    ));
     let waits = flight.clone();
     let waiter = std::thread::spawn(move || {
-        matches!(waits.look(&mut Cursor::default(), soon()), Look::Ended(Verdict::Missing))
+        matches!(
+            waits.look(&mut Cursor::default(), soon()),
+            Look::Ended(Verdict::Missing)
+        )
     });
     flight.end(Verdict::Missing);
     flight.end(Verdict::Failed);
--- a/hub/src/links.rs
+++ b/hub/src/links.rs
@@ -22,7 +22,10 @@
 
 impl Links {
     pub fn new(most: usize) -> Links {
-        Links { idle: Mutex::default(), most }
+        Links {
+            idle: Mutex::default(),
+            most,
+        }
     }
 
     /// A connection that was used before, if one is alive.
@@ -45,16 +48,22 @@
     pub fn give_back(&self, address: SocketAddr, stream: Arc<TcpStream>) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         if idle.values().map(Vec::len).sum::<usize>() >= self.most {
-            idle.values_mut().for_each(|held| held.retain(|(_, since)| since.elapsed() < KEEP));
+            idle.values_mut()
+                .for_each(|held| held.retain(|(_, since)| since.elapsed() < KEEP));
             idle.retain(|_, held| !held.is_empty());
         }
         if idle.values().map(Vec::len).sum::<usize>() < self.most {
-            idle.entry(address).or_default().push((stream, Instant::now()));
+            idle.entry(address)
+                .or_default()
+                .push((stream, Instant::now()));
         }
     }
 
     /// A source that takes no more fills from here.
     pub fn close(&self, address: SocketAddr) {
-        self.idle.lock().unwrap_or_else(PoisonError::into_inner).remove(&address);
+        self.idle
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .remove(&address);
     }
 }
--- a/hub/src/purges.rs
+++ b/hub/src/purges.rs
@@ -28,7 +28,9 @@
 
 /// Follows the journal for as long as the hub is there.
 pub fn follow(hub: &Weak<Hub>, address: SocketAddr) {
-    let Some(mut backoff) = hub.upgrade().map(|hub| backoff(&hub.name)) else { return };
+    let Some(mut backoff) = hub.upgrade().map(|hub| backoff(&hub.name)) else {
+        return;
+    };
     let (mut pos, mut buffer) = (0, vec![0; ANSWER]);
     let mut link = None;
     loop {
@@ -61,7 +63,9 @@
         *pos = entry.pos;
         if let Some(Expire { name, stamp, .. }) = &entry.expire {
             // A group, or a name that can't be read, may be any object here.
-            let object = name.as_deref().and_then(|name| u64::from_str_radix(name, 16).ok());
+            let object = name
+                .as_deref()
+                .and_then(|name| u64::from_str_radix(name, 16).ok());
             hub.purge(object, *stamp);
         }
     }
@@ -80,15 +84,17 @@
         None => dial(address, PATIENCE, &|_| true).map_err(|e| format!("{address}: {e}"))?,
     };
     let until = Instant::now() + wait + PATIENCE;
-    let ask =
-        format!("GET /journal?tail={pos}&max_wait={} HTTP/1.1\r\nHost: {address}\r\n\r\n", wait.as_millis());
+    let ask = format!(
+        "GET /journal?tail={pos}&max_wait={} HTTP/1.1\r\nHost: {address}\r\n\r\n",
+        wait.as_millis()
+    );
     write_all(&stream, &[ask.as_bytes()], until).map_err(|e| format!("not asked: {e:?}"))?;
     let answer = read_response(&stream, buffer, until).map_err(|e| format!("no answer: {e:?}"))?;
     if answer.status != 200 {
         return Err(format!("status {}", answer.status));
     }
-    let feed =
-        simd_json::serde::from_slice(&mut buffer[answer.body]).map_err(|e| format!("no events: {e}"))?;
+    let feed = simd_json::serde::from_slice(&mut buffer[answer.body])
+        .map_err(|e| format!("no events: {e}"))?;
     if answer.reusable {
         *link = Some(stream);
     }
--- a/hub/src/reply.rs
+++ b/hub/src/reply.rs
@@ -28,21 +28,38 @@
 impl What {
     pub(crate) fn of(fields: &RequestFields, meta: &Meta) -> What {
         let same = |text: &str| {
-            let bare = |t: &str| t.trim().trim_start_matches("W/").trim_matches('"').to_string();
-            !meta.tag.is_empty() && text.split(',').any(|t| bare(t) == bare(&meta.tag) || t.trim() == "*")
+            let bare = |t: &str| {
+                t.trim()
+                    .trim_start_matches("W/")
+                    .trim_matches('"')
+                    .to_string()
+            };
+            !meta.tag.is_empty()
+                && text
+                    .split(',')
+                    .any(|t| bare(t) == bare(&meta.tag) || t.trim() == "*")
         };
         if fields.none_match.as_deref().is_some_and(same) {
             return What::Same;
         }
-        let Some(range) = &fields.range else { return What::All };
+        let Some(range) = &fields.range else {
+            return What::All;
+        };
         if fields.if_range.as_deref().is_some_and(|tag| !same(tag)) {
             return What::All;
         }
         // One range of bytes; a list of them, or another unit, may be answered whole (RFC 9110, 14.2).
-        let Some(spec) = range.strip_prefix("bytes=").filter(|s| !s.contains(',')) else { return What::All };
-        let Some((first, last)) = spec.trim().split_once('-') else { return What::All };
+        let Some(spec) = range.strip_prefix("bytes=").filter(|s| !s.contains(',')) else {
+            return What::All;
+        };
+        let Some((first, last)) = spec.trim().split_once('-') else {
+            return What::All;
+        };
         let number = |text: &str| {
-            text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse::<usize>().ok()).flatten()
+            text.bytes()
+                .all(|b| b.is_ascii_digit())
+                .then(|| text.parse::<usize>().ok())
+                .flatten()
         };
         let length = meta.length;
         match (number(first), number(last)) {
@@ -64,12 +81,18 @@
             What::Same => ("304 Not Modified", String::new(), None),
             What::All => ("200 OK", String::new(), Some(0..length)),
             What::Part(range) => {
-                let more = format!("Content-Range: bytes {}-{}/{length}\r\n", range.start, range.end - 1);
+                let more = format!(
+                    "Content-Range: bytes {}-{}/{length}\r\n",
+                    range.start,
+                    range.end - 1
+                );
                 ("206 Partial Content", more, Some(range.clone()))
             }
-            What::Unsatisfiable => {
-                ("416 Range Not Satisfiable", format!("Content-Range: bytes */{length}\r\n"), None)
-            }
+            What::Unsatisfiable => (
+                "416 Range Not Satisfiable",
+                format!("Content-Range: bytes */{length}\r\n"),
+                None,
+            ),
         };
         let mut fields = more;
         if !meta.tag.is_empty() {
@@ -77,7 +100,11 @@
         }
         let _ = write!(fields, "X-Born-Ms: {}\r\n", meta.born_ms);
         if !matches!(self, What::Same) {
-            let _ = write!(fields, "Content-Length: {}\r\n", range.as_ref().map_or(0, Range::len));
+            let _ = write!(
+                fields,
+                "Content-Length: {}\r\n",
+                range.as_ref().map_or(0, Range::len)
+            );
         }
         let head = reply.head(status, &fields);
         write_all(reply.stream, &[head.as_bytes()], Instant::now() + SLOW)?;
@@ -105,18 +132,32 @@
 
 impl Reply<'_> {
     pub(crate) fn head(&self, status: &str, fields: &str) -> String {
-        let close = if self.keep { "" } else { "Connection: close\r\n" };
-        format!("HTTP/1.1 {status}\r\nHub-Since: {}\r\n{fields}{close}\r\n", self.hub.since_ms)
+        let close = if self.keep {
+            ""
+        } else {
+            "Connection: close\r\n"
+        };
+        format!(
+            "HTTP/1.1 {status}\r\nHub-Since: {}\r\n{fields}{close}\r\n",
+            self.hub.since_ms
+        )
     }
 
     pub(crate) fn whole(&self, status: &str, fields: &str, body: &[u8]) -> bool {
-        let head = self.head(status, &format!("{fields}Content-Length: {}\r\n", body.len()));
+        let head = self.head(
+            status,
+            &format!("{fields}Content-Length: {}\r\n", body.len()),
+        );
         let body = if self.head_only { &[] } else { body };
         write_all(self.stream, &[head.as_bytes(), body], Instant::now() + SLOW).is_ok() && self.keep
     }
 
     pub(crate) fn text(&self, text: &str) -> bool {
-        self.whole("200 OK", "Content-Type: text/plain; charset=utf-8\r\n", text.as_bytes())
+        self.whole(
+            "200 OK",
+            "Content-Type: text/plain; charset=utf-8\r\n",
+            text.as_bytes(),
+        )
     }
 
     pub(crate) fn bare(&self, status: &str, fields: &str) -> bool {
@@ -125,14 +166,25 @@
 
     /// An error of ours, with its type (RFC 9209, 2.3).
     pub(crate) fn error(&self, status: &str, kind: &str, details: &str) -> bool {
-        let details = if details.is_empty() { String::new() } else { format!("; details=\"{details}\"") };
+        let details = if details.is_empty() {
+            String::new()
+        } else {
+            format!("; details=\"{details}\"")
+        };
         let Hub { name, domain, .. } = self.hub;
-        self.bare(status, &format!("Proxy-Status: {name}.{domain}; error={kind}{details}\r\n"))
+        self.bare(
+            status,
+            &format!("Proxy-Status: {name}.{domain}; error={kind}{details}\r\n"),
+        )
     }
 
     /// Turned away, with proof that nothing ran, and when to come back.
     pub(crate) fn refuse(&self, status: &str, kind: &str, details: &str) -> bool {
-        let details = if details.is_empty() { String::new() } else { format!("; details=\"{details}\"") };
+        let details = if details.is_empty() {
+            String::new()
+        } else {
+            format!("; details=\"{details}\"")
+        };
         let Hub { name, domain, .. } = self.hub;
         self.bare(
             status,
--- a/hub/src/reply/tests.rs
+++ b/hub/src/reply/tests.rs
@@ -4,7 +4,11 @@
 
 #[test]
 fn a_range_is_what_the_standard_says() {
-    let meta = Meta { tag: "\"a\"".into(), born_ms: 1, length: 10 };
+    let meta = Meta {
+        tag: "\"a\"".into(),
+        born_ms: 1,
+        length: 10,
+    };
     let of = |range: &str, if_range: Option<&str>| {
         let asked = RequestFields {
             range: Some(range.into()),
@@ -34,9 +38,15 @@
         assert_eq!(of(range, None), what, "{range}");
     }
     assert_eq!(
-        (of("bytes=0-0", Some("\"a\"")), of("bytes=0-0", Some("\"b\""))),
+        (
+            of("bytes=0-0", Some("\"a\"")),
+            of("bytes=0-0", Some("\"b\""))
+        ),
         ("0..1".into(), "all".into())
     );
-    let asked = RequestFields { none_match: Some("b, W/\"a\"".into()), ..RequestFields::default() };
+    let asked = RequestFields {
+        none_match: Some("b, W/\"a\"".into()),
+        ..RequestFields::default()
+    };
     assert!(matches!(What::of(&asked, &meta), What::Same));
 }
--- a/hub/src/request_fields.rs
+++ b/hub/src/request_fields.rs
@@ -29,10 +29,13 @@
             if !self.way.is_empty() {
                 self.way.extend_from_slice(b", ");
             }
-            self.way.extend_from_slice(&value[..value.len().min(BYTES_MOST + 1)]);
+            self.way
+                .extend_from_slice(&value[..value.len().min(BYTES_MOST + 1)]);
             return;
         }
-        let Ok(text) = std::str::from_utf8(value) else { return };
+        let Ok(text) = std::str::from_utf8(value) else {
+            return;
+        };
         let mut number = |what| text.parse().map_err(|_| self.unusable = Some(what)).ok();
         if is("via-wait") {
             self.wait_ms = number("Via-Wait is no number");
@@ -58,7 +61,9 @@
 
     /// How the fill comes here, and whom it was sent past. What can't be read counts as solo: that never waits.
     pub(crate) fn arrival(&self) -> (Arrival, Vec<String>) {
-        let Some(text) = &self.tree else { return (Arrival::BEGINS, vec![]) };
+        let Some(text) = &self.tree else {
+            return (Arrival::BEGINS, vec![]);
+        };
         let mut parts = text.split(';').map(str::trim);
         let stamp = parts.next().and_then(Stamp::parse);
         let (mut solo, mut past) = (stamp.is_none(), vec![]);
@@ -79,10 +84,18 @@
     let named = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_' || b == b'.';
     let digits = |t: &str| !t.is_empty() && t.len() < 10 && t.bytes().all(|b| b.is_ascii_digit());
     let hex = |t: &str| t.len() == 16 && t.bytes().all(|b| b.is_ascii_hexdigit());
-    let fits =
-        !class.is_empty() && class.len() <= 64 && class.bytes().all(named) && hex(object) && digits(part);
-    (fits && parts.next().is_none())
-        .then(|| Some((class, u64::from_str_radix(object, 16).ok()?, part.parse().ok()?)))?
+    let fits = !class.is_empty()
+        && class.len() <= 64
+        && class.bytes().all(named)
+        && hex(object)
+        && digits(part);
+    (fits && parts.next().is_none()).then(|| {
+        Some((
+            class,
+            u64::from_str_radix(object, 16).ok()?,
+            part.parse().ok()?,
+        ))
+    })?
 }
 
 #[cfg(test)]
--- a/hub/src/request_fields/tests.rs
+++ b/hub/src/request_fields/tests.rs
@@ -4,7 +4,10 @@
 
 #[test]
 fn a_path_names_class_object_and_part() {
-    assert_eq!(parse_path("/v2/q/sheet/00000000000000ff/3"), Some(("sheet", 255, 3)));
+    assert_eq!(
+        parse_path("/v2/q/sheet/00000000000000ff/3"),
+        Some(("sheet", 255, 3))
+    );
     for bad in [
         "/v2/q/sheet/ff/3",
         "/v2/q/sheet/00000000000000ff/-3",
@@ -22,11 +25,18 @@
 #[test]
 fn what_a_fill_says_of_its_tree_is_read_or_it_is_solo() {
     let of = |text: Option<&str>| {
-        RequestFields { tree: text.map(str::to_string), ..RequestFields::default() }.arrival()
+        RequestFields {
+            tree: text.map(str::to_string),
+            ..RequestFields::default()
+        }
+        .arrival()
     };
     assert_eq!(of(None).0, Arrival::BEGINS);
     let (arrival, past) = of(Some("4-0000abcd;solo;past=east+south"));
-    assert_eq!((arrival.stamp.unwrap().epoch, arrival.solo, past.len()), (4, true, 2));
+    assert_eq!(
+        (arrival.stamp.unwrap().epoch, arrival.solo, past.len()),
+        (4, true, 2)
+    );
     assert!(!of(Some("4-0000abcd")).0.solo);
     assert!(of(Some("nonsense")).0.solo && of(Some("")).0.solo);
 }
--- a/hub/src/run.rs
+++ b/hub/src/run.rs
@@ -30,7 +30,9 @@
 
 /// Serves on this listener as the node `name` of the operator's tree.
 pub fn start(name: &str, operator: Operator, listener: TcpListener) -> Result<Running, String> {
-    let hierarchy = operator.hierarchy.ok_or("the operator's file has no hierarchy")?;
+    let hierarchy = operator
+        .hierarchy
+        .ok_or("the operator's file has no hierarchy")?;
     let relay = operator.relay.unwrap_or_default();
     let steps = hierarchy.tree.tallest() as u64 + 2;
     let lease = Duration::from_millis(relay.lease_ms);
@@ -46,7 +48,9 @@
     let bytes = relay.memory_mb * 1024 * 1024;
     let copies = Cache::with_weighter((bytes / 16_384).max(16) as usize, bytes, Bytes);
     let address = listener.local_addr().map_err(|e| e.to_string())?;
-    let since_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
+    let since_ms = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_millis() as u64);
     let hub = Arc::new(Hub {
         name: name.to_string(),
         domain,
@@ -89,8 +93,13 @@
 }
 
 fn spawn(name: &str, body: impl FnOnce() + Send + 'static) -> Result<(), String> {
-    let thread = thread::Builder::new().name(name.to_string()).stack_size(STACK);
-    thread.spawn(body).map(drop).map_err(|e| format!("thread {name}: {e}"))
+    let thread = thread::Builder::new()
+        .name(name.to_string())
+        .stack_size(STACK);
+    thread
+        .spawn(body)
+        .map(drop)
+        .map_err(|e| format!("thread {name}: {e}"))
 }
 
 /// One connection's place, given back however its thread ends.
@@ -98,7 +107,11 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.0.sockets.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.1);
+        self.0
+            .sockets
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .remove(&self.1);
         self.0.open.fetch_sub(1, Ordering::SeqCst);
     }
 }
@@ -122,10 +135,14 @@
             add(&hub.tally.connections_refused);
             let full = "HTTP/1.1 503 Service Unavailable\r\nSrv-Untouched: 1\r\nRetry-After: 1\r\n\
                         Content-Length: 0\r\nConnection: close\r\n\r\n";
-            let _ = foldmux_http1::io::write_all(&stream, &[full.as_bytes()], Instant::now() + SWEEP);
+            let _ =
+                foldmux_http1::io::write_all(&stream, &[full.as_bytes()], Instant::now() + SWEEP);
             continue;
         }
-        hub.sockets.lock().unwrap_or_else(PoisonError::into_inner).insert(number, stream.clone());
+        hub.sockets
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .insert(number, stream.clone());
         let own = hub.clone();
         let _ = spawn("connection", move || {
             let _place = place;
@@ -146,8 +163,14 @@
             let (fetches, waits) = (self.hub.book.sizes()[1], self.hub.book.sizes()[2]);
             if fetches + waits == 0 {
                 // Only idle ones are left.
-                let sockets = self.hub.sockets.lock().unwrap_or_else(PoisonError::into_inner);
-                sockets.values().for_each(|socket| drop(socket.shutdown(Shutdown::Read)));
+                let sockets = self
+                    .hub
+                    .sockets
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner);
+                sockets
+                    .values()
+                    .for_each(|socket| drop(socket.shutdown(Shutdown::Read)));
             }
             thread::sleep(Duration::from_millis(5));
         }
@@ -157,19 +180,31 @@
     pub fn kill(&self) {
         self.hub.leaving.store(true, Ordering::SeqCst);
         let _ = TcpStream::connect_timeout(&self.address, Duration::from_millis(200));
-        let sockets = self.hub.sockets.lock().unwrap_or_else(PoisonError::into_inner);
-        sockets.values().for_each(|socket| drop(socket.shutdown(Shutdown::Both)));
+        let sockets = self
+            .hub
+            .sockets
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        sockets
+            .values()
+            .for_each(|socket| drop(socket.shutdown(Shutdown::Both)));
     }
 }
 
 /// `foldmux hub`: serves until a signal ends it; SIGHUP reads the operator's file again.
 pub fn run(name: &str, file: &Path) -> Result<(), String> {
     use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
-    let mut signals =
-        signal_hook::iterator::Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|e| e.to_string())?;
+    let mut signals = signal_hook::iterator::Signals::new([SIGTERM, SIGINT, SIGHUP])
+        .map_err(|e| e.to_string())?;
     let operator = foldmux_operator::load(file).map_err(|faults| faults.join("; "))?;
-    let place = operator.hierarchy.as_ref().and_then(|h| h.nodes.get(name)).copied();
-    let at = place.and_then(|p| p.address).ok_or(format!("{name} has no address in {}", file.display()))?;
+    let place = operator
+        .hierarchy
+        .as_ref()
+        .and_then(|h| h.nodes.get(name))
+        .copied();
+    let at = place
+        .and_then(|p| p.address)
+        .ok_or(format!("{name} has no address in {}", file.display()))?;
     let listener = TcpListener::bind(at).map_err(|e| format!("listening on {at}: {e}"))?;
     let running = start(name, operator, listener)?;
     tracing::info!(node = name, address = %running.address, tree = %running.hub.book.stamp(), "hub serves");
@@ -179,11 +214,18 @@
         }
         let taken = foldmux_operator::load(file)
             .map_err(|faults| faults.join("; "))
-            .and_then(|o| o.hierarchy.ok_or_else(|| "the file has no hierarchy".to_string()))
+            .and_then(|o| {
+                o.hierarchy
+                    .ok_or_else(|| "the file has no hierarchy".to_string())
+            })
             .and_then(|hierarchy| running.hub.rewire(hierarchy));
         match taken {
-            Ok(Taken::New) => tracing::info!(tree = %running.hub.book.stamp(), "a new tree is in service"),
-            Ok(Taken::Same) => tracing::info!(tree = %running.hub.book.stamp(), "the tree stays as it is"),
+            Ok(Taken::New) => {
+                tracing::info!(tree = %running.hub.book.stamp(), "a new tree is in service")
+            }
+            Ok(Taken::Same) => {
+                tracing::info!(tree = %running.hub.book.stamp(), "the tree stays as it is")
+            }
             Err(why) => tracing::error!(%why, "the tree can't be taken; all stays as it was"),
         }
     }
--- a/hub/src/serve.rs
+++ b/hub/src/serve.rs
@@ -34,21 +34,37 @@
     loop {
         let mut fields = RequestFields::default();
         let (first, rest) = (Instant::now() + IDLE, || Instant::now() + REST);
-        let read =
-            read_request(stream, &mut buffer, &mut filled, first, rest, &mut |n, v| fields.field(n, v));
+        let read = read_request(
+            stream,
+            &mut buffer,
+            &mut filled,
+            first,
+            rest,
+            &mut |n, v| fields.field(n, v),
+        );
         let request = match read {
             Ok(request) => request,
             Err(Unread::Ended) => return,
             Err(unread) => {
                 add(&hub.tally.malformed);
                 let (status, why) = match unread {
-                    Unread::TooLong => ("431 Request Header Fields Too Large", "http_request_error"),
+                    Unread::TooLong => {
+                        ("431 Request Header Fields Too Large", "http_request_error")
+                    }
                     Unread::LengthRequired => ("411 Length Required", "http_request_error"),
-                    Unread::Broken(Broken::TimedOut) => ("408 Request Timeout", "http_request_error"),
+                    Unread::Broken(Broken::TimedOut) => {
+                        ("408 Request Timeout", "http_request_error")
+                    }
                     Unread::Broken(_) => return,
                     _ => ("400 Bad Request", "http_request_error"),
                 };
-                let _ = Reply { hub, stream, keep: false, head_only: false }.error(status, why, "");
+                let _ = Reply {
+                    hub,
+                    stream,
+                    keep: false,
+                    head_only: false,
+                }
+                .error(status, why, "");
                 // What is still on its way is read, so that the answer is not lost to a reset.
                 return drain(stream);
             }
@@ -83,14 +99,22 @@
 ) -> bool {
     let arrived = Instant::now();
     let head_only = request.method == "HEAD";
-    let reply = Reply { hub, stream, keep: request.keep, head_only };
+    let reply = Reply {
+        hub,
+        stream,
+        keep: request.keep,
+        head_only,
+    };
     if request.method == "GET" && request.path == "/v2/state" && request.length == 0 {
         return reply.text(&hub.state());
     }
     add(&hub.tally.asked);
     let bad = |status: &str, why: &str| {
         add(&hub.tally.malformed);
-        let fits = Reply { keep: request.keep && request.length == 0, ..reply };
+        let fits = Reply {
+            keep: request.keep && request.length == 0,
+            ..reply
+        };
         fits.error(status, "http_request_error", why)
     };
     if request.length > BODY_MOST {
@@ -121,16 +145,26 @@
         add(&hub.tally.loops_found);
         return reply.refuse("502 Bad Gateway", "proxy_loop_detected", "");
     }
-    let wait = fields.wait_ms.unwrap_or(hub.relay.wait_ms).min(hub.relay.wait_ms);
+    let wait = fields
+        .wait_ms
+        .unwrap_or(hub.relay.wait_ms)
+        .min(hub.relay.wait_ms);
     let until = arrived + Duration::from_millis(wait);
-    if request.length > 0 || fields.token.is_some() || hub.relay.writes.iter().any(|w| w == class_name) {
+    if request.length > 0
+        || fields.token.is_some()
+        || hub.relay.writes.iter().any(|w| w == class_name)
+    {
         add(&hub.tally.writes);
         return pass_on(&reply, request, fields, &way, object, until, buffer, filled);
     }
     let Some(class) = hub.class(class_name) else {
         return bad("400 Bad Request", "there are too many classes");
     };
-    let key = Key { class, object, part };
+    let key = Key {
+        class,
+        object,
+        part,
+    };
     let born_after = match fields.max_age_ms {
         0 => 0,
         age => hub.unix_ms().saturating_sub(age),
@@ -146,12 +180,28 @@
     }
     let (arrival, past) = fields.arrival();
     let now = hub.now();
-    let (entry, lane) = hub.book.want(now, key, arrival, born_after, now + wait * 1_000);
+    let (entry, lane) = hub
+        .book
+        .want(now, key, arrival, born_after, now + wait * 1_000);
     let waiting = match entry {
         Entry::Join(waiting) => waiting,
         Entry::Lead(id, waiting) => {
-            let (flight, path, via) = (waiting.flight.clone(), request.path.clone(), fields.via.clone());
-            let fill = Fill { id, key, path, via, way, lane, born_after, past, flight };
+            let (flight, path, via) = (
+                waiting.flight.clone(),
+                request.path.clone(),
+                fields.via.clone(),
+            );
+            let fill = Fill {
+                id,
+                key,
+                path,
+                via,
+                way,
+                lane,
+                born_after,
+                past,
+                flight,
+            };
             match hub.held(key, born_after) {
                 // Guards against a second fetch for what came between the look at the copies and the ledger.
                 Some(copy) => {
--- a/hub/src/state.rs
+++ b/hub/src/state.rs
@@ -65,7 +65,9 @@
     }
 
     pub fn unix_ms(&self) -> u64 {
-        SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
+        SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_millis() as u64)
     }
 
     /// A class's number; none where there are too many.
@@ -83,18 +85,27 @@
 
     /// A purge that this hub was told of: no fill that comes from here on is answered from an older copy.
     pub fn purge(&self, object: Option<u64>, stamp_ms: u64) {
-        self.fences.lock().unwrap_or_else(PoisonError::into_inner).purge(object, stamp_ms);
+        self.fences
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .purge(object, stamp_ms);
         add(&self.tally.purges);
     }
 
     /// When a copy must have been born at the earliest for a fill that allows so much, by the purges told here.
     pub fn bound(&self, object: u64, born_after: u64) -> u64 {
-        self.fences.lock().unwrap_or_else(PoisonError::into_inner).oldest(object).max(born_after)
+        self.fences
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .oldest(object)
+            .max(born_after)
     }
 
     /// The copy that is held, if it is young enough.
     pub fn held(&self, key: Key, born_after: u64) -> Option<Arc<Copy>> {
-        self.copies.get(&key).filter(|copy| copy.meta.born_ms >= born_after)
+        self.copies
+            .get(&key)
+            .filter(|copy| copy.meta.born_ms >= born_after)
     }
 
     /// Keeps a copy; never an older one in a younger one's place.
@@ -105,7 +116,9 @@
     }
 
     pub fn rewire(&self, hierarchy: Hierarchy) -> Result<Taken, String> {
-        self.book.rewire(self.now(), hierarchy).map_err(|refused| refused.to_string())
+        self.book
+            .rewire(self.now(), hierarchy)
+            .map_err(|refused| refused.to_string())
     }
 
     /// What `GET /v2/state` tells.
--- a/hub/src/threads.rs
+++ b/hub/src/threads.rs
@@ -19,10 +19,15 @@
 /// Gives a fetch to a thread that is idle, or to a new one; where there is none to be had, all who wait are told
 /// at once. The ledger bounds the fetches, and so the threads.
 pub(crate) fn fetch(hub: &Arc<Hub>, fill: Fill, attempt: u32) {
-    hub.fills.lock().unwrap_or_else(PoisonError::into_inner).insert(fill.id, fill.clone());
+    hub.fills
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .insert(fill.id, fill.clone());
     let job = (fill.clone(), attempt);
     let idler = idle(hub).pop();
-    let Some(job) = idler.map_or(Some(job.clone()), |idle| idle.send(job).err().map(|back| back.0)) else {
+    let Some(job) = idler.map_or(Some(job.clone()), |idle| {
+        idle.send(job).err().map(|back| back.0)
+    }) else {
         return;
     };
     let (own, (sender, jobs)) = (hub.clone(), bounded(1));
@@ -36,14 +41,26 @@
             idle(&own).push(sender.clone());
             next = jobs.recv_timeout(IDLE_THREAD).ok();
             if next.is_none() {
-                let listed = idle(&own).extract_if(.., |idle| idle.same_channel(&sender)).count() > 0;
+                let listed = idle(&own)
+                    .extract_if(.., |idle| idle.same_channel(&sender))
+                    .count()
+                    > 0;
                 // Guards against a job that was on its way as the wait ended: who took this thread off the list
                 // is about to send it.
-                next = if listed { None } else { jobs.recv_timeout(IDLE_THREAD).ok() };
+                next = if listed {
+                    None
+                } else {
+                    jobs.recv_timeout(IDLE_THREAD).ok()
+                };
             }
         }
     };
-    if thread::Builder::new().name("fetch".into()).stack_size(STACK).spawn(body).is_err() {
+    if thread::Builder::new()
+        .name("fetch".into())
+        .stack_size(STACK)
+        .spawn(body)
+        .is_err()
+    {
         let _ = Ended(hub, fill.id);
         hub.book.done(&fill, attempt, Some(Verdict::Full));
     }
@@ -57,13 +74,21 @@
 pub(crate) fn sweep(hub: &Arc<Hub>) {
     let now = hub.now();
     for (id, attempt) in hub.book.lapsed(now) {
-        let fill = hub.fills.lock().unwrap_or_else(PoisonError::into_inner).get(&id).cloned();
+        let fill = hub
+            .fills
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .get(&id)
+            .cloned();
         let Some(fill) = fill else { continue };
         if let Next::Again(next) = hub.book.failed(now, &fill, attempt, Verdict::Late) {
             fetch(hub, fill, next);
         }
     }
-    hub.book.look(now).into_iter().for_each(|address| hub.links.close(address));
+    hub.book
+        .look(now)
+        .into_iter()
+        .for_each(|address| hub.links.close(address));
 }
 
 /// The end of a fetch's thread, however it ends.
@@ -71,6 +96,10 @@
 
 impl Drop for Ended<'_> {
     fn drop(&mut self) {
-        self.0.fills.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.1);
+        self.0
+            .fills
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .remove(&self.1);
     }
 }
--- a/hub/src/wait.rs
+++ b/hub/src/wait.rs
@@ -14,14 +14,22 @@
 const LOOK: Duration = Duration::from_millis(50);
 
 /// Passes a fetch's bytes on as they come. The place in the ledger is given back when `waiting` is dropped.
-pub(crate) fn wait_for(reply: &Reply, fields: &RequestFields, waiting: &Waiting, until: Instant) -> bool {
+pub(crate) fn wait_for(
+    reply: &Reply,
+    fields: &RequestFields,
+    waiting: &Waiting,
+    until: Instant,
+) -> bool {
     let hub = reply.hub;
     let (mut cursor, mut wanted, mut begun) = (Cursor::default(), None, false);
     let mut at = 0;
     loop {
         // Once begun, the time is that of the bytes on their way, not of the one who waits.
         let end = if begun { until + SLOW } else { until };
-        match waiting.flight.look(&mut cursor, end.min(Instant::now() + LOOK)) {
+        match waiting
+            .flight
+            .look(&mut cursor, end.min(Instant::now() + LOOK))
+        {
             Look::Head(meta) => {
                 begun = true;
                 let what = What::of(fields, &meta);
@@ -39,8 +47,12 @@
                     let to = range.end.clamp(at, at + chunk.len()) - at;
                     at += chunk.len();
                     if from < to
-                        && write_all(reply.stream, &[&chunk[from..to]], end.max(Instant::now() + LOOK))
-                            .is_err()
+                        && write_all(
+                            reply.stream,
+                            &[&chunk[from..to]],
+                            end.max(Instant::now() + LOOK),
+                        )
+                        .is_err()
                     {
                         return broken_off(hub);
                     }
--- a/hub/src/writes.rs
+++ b/hub/src/writes.rs
@@ -48,9 +48,22 @@
         return reply.refuse("503 Service Unavailable", "connection_refused", "");
     };
     let mut head = format!("GET {} HTTP/1.1\r\n", request.path);
-    let _ = write!(head, "Host: {address}\r\nContent-Length: {}\r\n", body.len());
-    let _ = write!(head, "Via-Wait: {}\r\n", left(Instant::now()).as_millis().max(1));
-    let _ = write!(head, "CDN-Loop: {}\r\nHub-Tree: {};solo\r\n", way.with(&hub.signer, object), stamp);
+    let _ = write!(
+        head,
+        "Host: {address}\r\nContent-Length: {}\r\n",
+        body.len()
+    );
+    let _ = write!(
+        head,
+        "Via-Wait: {}\r\n",
+        left(Instant::now()).as_millis().max(1)
+    );
+    let _ = write!(
+        head,
+        "CDN-Loop: {}\r\nHub-Tree: {};solo\r\n",
+        way.with(&hub.signer, object),
+        stamp
+    );
     if !fields.via.is_empty() {
         let _ = write!(head, "Via-Id: {}\r\n", fields.via);
     }
@@ -60,7 +73,11 @@
     head.push_str("Connection: close\r\n\r\n");
     if write_all(&stream, &[head.as_bytes(), &body], until).is_err() {
         add(&hub.tally.failed);
-        return reply.error("500 Internal Server Error", "connection_terminated", "it may have run");
+        return reply.error(
+            "500 Internal Server Error",
+            "connection_terminated",
+            "it may have run",
+        );
     }
     let mut bytes = vec![0; PART_MOST];
     match read_response(&stream, &mut bytes, until) {
--- a/hub/tests/common/mod.rs
+++ b/hub/tests/common/mod.rs
@@ -15,7 +15,11 @@
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
 /// Three hubs, each below the archive.
-pub const THREE: Wiring = &[("east", &["archive"]), ("north", &["archive"]), ("south", &["archive"])];
+pub const THREE: Wiring = &[
+    ("east", &["archive"]),
+    ("north", &["archive"]),
+    ("south", &["archive"]),
+];
 /// Bounds that no test reaches by itself.
 pub const WIDE: &str =
     "relay(connections = 2000, fetches = 1000, waits = 4000, lease_ms = 2000, wait_ms = 20000)";
@@ -37,14 +41,31 @@
     }
 
     /// `others`: nodes that are not ours, by their addresses.
-    pub fn with(archive: Source, wiring: Wiring, settings: &str, others: &[(&str, SocketAddr)]) -> Rig {
-        let own = wiring.iter().filter(|(name, _)| !others.iter().any(|o| o.0 == *name));
-        let listeners: Vec<(String, TcpListener)> =
-            own.map(|(name, _)| (name.to_string(), TcpListener::bind("127.0.0.1:0").unwrap())).collect();
+    pub fn with(
+        archive: Source,
+        wiring: Wiring,
+        settings: &str,
+        others: &[(&str, SocketAddr)],
+    ) -> Rig {
+        let own = wiring
+            .iter()
+            .filter(|(name, _)| !others.iter().any(|o| o.0 == *name));
+        let listeners: Vec<(String, TcpListener)> = own
+            .map(|(name, _)| (name.to_string(), TcpListener::bind("127.0.0.1:0").unwrap()))
+            .collect();
         let mut places = vec![("archive".to_string(), archive.address())];
-        places.extend(listeners.iter().map(|(name, l)| (name.clone(), l.local_addr().unwrap())));
+        places.extend(
+            listeners
+                .iter()
+                .map(|(name, l)| (name.clone(), l.local_addr().unwrap())),
+        );
         places.extend(others.iter().map(|(name, at)| (name.to_string(), *at)));
-        let mut rig = Rig { archive, hubs: Vec::new(), places, settings: settings.to_string() };
+        let mut rig = Rig {
+            archive,
+            hubs: Vec::new(),
+            places,
+            settings: settings.to_string(),
+        };
         for (name, listener) in listeners {
             let operator = evaluate("rig.star", rig.script(1, wiring)).unwrap();
             rig.hubs.push(start(&name, operator, listener).unwrap());
@@ -53,11 +74,16 @@
     }
 
     pub fn script(&self, epoch: u64, wiring: Wiring) -> String {
-        let mut text = format!("hierarchy(epoch = {epoch}, domain = \"fill.example\", overlap_ms = 2000)\n");
+        let mut text =
+            format!("hierarchy(epoch = {epoch}, domain = \"fill.example\", overlap_ms = 2000)\n");
         let at = |name: &str| self.places.iter().find(|p| p.0 == name).unwrap().1;
         text += &format!("archive(\"archive\", address = \"{}\")\n", at("archive"));
         // Paces are told only where cold starts are looked at: all hubs here have just started.
-        let pace = if self.settings.contains("cold_start") { 40 } else { 0 };
+        let pace = if self.settings.contains("cold_start") {
+            40
+        } else {
+            0
+        };
         for (name, parents) in wiring {
             let address = at(name);
             text += &format!(
@@ -71,7 +97,11 @@
     pub fn rewire(&self, epoch: u64, wiring: Wiring, told: &[&str]) {
         let operator = evaluate("rig.star", self.script(epoch, wiring)).unwrap();
         let hierarchy = operator.hierarchy.unwrap();
-        for hub in self.hubs.iter().filter(|hub| told.contains(&hub.hub.name.as_str())) {
+        for hub in self
+            .hubs
+            .iter()
+            .filter(|hub| told.contains(&hub.hub.name.as_str()))
+        {
             hub.hub.rewire(hierarchy.clone()).unwrap();
         }
     }
@@ -81,13 +111,22 @@
     }
 
     pub fn get(&self, name: &str, object: u64, fields: &str) -> Answer {
-        client::get(self.hub(name).address, &client::path("sheet", object, 0), fields, PATIENCE)
-            .unwrap_or_else(|e| panic!("{name} gave no answer: {e:?}"))
+        client::get(
+            self.hub(name).address,
+            &client::path("sheet", object, 0),
+            fields,
+            PATIENCE,
+        )
+        .unwrap_or_else(|e| panic!("{name} gave no answer: {e:?}"))
     }
 
     /// A count of one hub, or of all together.
     pub fn count(&self, name: &str, of: impl Fn(&foldmux_hub::tally::Tally) -> u64) -> u64 {
-        self.hubs.iter().filter(|hub| name == "*" || hub.hub.name == name).map(|hub| of(&hub.hub.tally)).sum()
+        self.hubs
+            .iter()
+            .filter(|hub| name == "*" || hub.hub.name == name)
+            .map(|hub| of(&hub.hub.tally))
+            .sum()
     }
 
     /// Waits until nothing is under way: every place was given back.
@@ -121,12 +160,20 @@
 /// No name is on a fill's way twice, as the archive sees it.
 pub fn no_node_twice(log: &[Ask]) {
     for ask in log {
-        let mut names: Vec<&str> =
-            ask.field("cdn-loop").split(',').filter_map(|e| e.trim().split(';').next()).collect();
+        let mut names: Vec<&str> = ask
+            .field("cdn-loop")
+            .split(',')
+            .filter_map(|e| e.trim().split(';').next())
+            .collect();
         let all = names.len();
         names.sort();
         names.dedup();
-        assert_eq!(names.len(), all, "a node twice on {}", ask.field("cdn-loop"));
+        assert_eq!(
+            names.len(),
+            all,
+            "a node twice on {}",
+            ask.field("cdn-loop")
+        );
     }
 }
 
@@ -149,7 +196,10 @@
         let each = &each;
         let threads: Vec<_> = (0..n)
             .map(|i| {
-                thread::Builder::new().stack_size(256 * 1024).spawn_scoped(scope, move || each(i)).unwrap()
+                thread::Builder::new()
+                    .stack_size(256 * 1024)
+                    .spawn_scoped(scope, move || each(i))
+                    .unwrap()
             })
             .collect();
         threads.into_iter().map(|t| t.join().unwrap()).collect()
--- a/hub/tests/journal.rs
+++ b/hub/tests/journal.rs
@@ -14,12 +14,18 @@
 
 /// Length of a copy.
 const LENGTH: usize = 10_000;
-const HUBS: [&str; 8] = ["east", "west", "north", "south", "hill", "vale", "port", "mill"];
+const HUBS: [&str; 8] = [
+    "east", "west", "north", "south", "hill", "vale", "port", "mill",
+];
 
 fn hubs(journal: &TcpListener) -> Rig {
     let settings = format!("relay(journal = \"{}\")", journal.local_addr().unwrap());
     let wiring: Vec<(&str, &[&str])> = HUBS.iter().map(|name| (*name, &["archive"][..])).collect();
-    Rig::new(Source::start(|_| Act::give(100, Duration::ZERO)), &wiring, &settings)
+    Rig::new(
+        Source::start(|_| Act::give(100, Duration::ZERO)),
+        &wiring,
+        &settings,
+    )
 }
 
 /// The next poll, and when it came.
@@ -68,15 +74,21 @@
     let settings = WIDE.replace(')', &format!(", journal = \"{}\")", journal.address()));
     let rig = Rig::new(archive, &[("east", &["archive"])], &settings);
     assert!((0..3).all(|object| rig.get("east", object, "").body == body(object, 0, 1, LENGTH)));
-    until("a moment passes", || unix_ms() > rig.get("east", 2, "").born_ms() + 2);
+    until("a moment passes", || {
+        unix_ms() > rig.get("east", 2, "").born_ms() + 2
+    });
     version.store(2, Ordering::SeqCst);
     journal.tell(&foldmux_standins::journal::purged(0, unix_ms()));
-    until("it is told", || load(&rig.hub("east").hub.tally.purges) == 1);
+    until("it is told", || {
+        load(&rig.hub("east").hub.tally.purges) == 1
+    });
     // No bound in the fill, and yet: the purged one is new, the others are still held.
     assert_eq!(rig.get("east", 0, "").body, body(0, 0, 2, LENGTH));
     assert_eq!(rig.get("east", 1, "").body, body(1, 0, 1, LENGTH));
     // A group may be any object here: all of them count.
     journal.tell(&format!(r#""expire":{{"set":17,"stamp":{}}}"#, unix_ms()));
-    until("it is told", || load(&rig.hub("east").hub.tally.purges) == 2);
+    until("it is told", || {
+        load(&rig.hub("east").hub.tally.purges) == 2
+    });
     assert_eq!(rig.get("east", 1, "").body, body(1, 0, 2, LENGTH));
 }
