--- a/hub/tests/rewiring.rs
+++ b/hub/tests/rewiring.rs
@@ -23,13 +23,21 @@
         if i == 32 {
             for epoch in 2..22u64 {
                 let wiring = if epoch % 2 == 0 { after } else { before };
-                let order = if epoch % 4 < 2 { ["south", "east"] } else { ["east", "south"] };
+                let order = if epoch % 4 < 2 {
+                    ["south", "east"]
+                } else {
+                    ["east", "south"]
+                };
                 rig.rewire(epoch, wiring, &order[..1]);
                 let seen = served.load(Ordering::SeqCst);
-                until("traffic meets the two trees", || served.load(Ordering::SeqCst) > seen + 60);
+                until("traffic meets the two trees", || {
+                    served.load(Ordering::SeqCst) > seen + 60
+                });
                 rig.rewire(epoch, wiring, &order[1..]);
                 let seen = served.load(Ordering::SeqCst);
-                until("traffic meets the new tree", || served.load(Ordering::SeqCst) > seen + 30);
+                until("traffic meets the new tree", || {
+                    served.load(Ordering::SeqCst) > seen + 30
+                });
             }
             return over.store(true, Ordering::SeqCst);
         }
@@ -49,10 +57,16 @@
     });
     let log = rig.archive.asked.log();
     no_node_twice(&log);
-    assert!(log.iter().all(|a| a.field("cdn-loop").split(',').count() <= 2));
+    assert!(log
+        .iter()
+        .all(|a| a.field("cdn-loop").split(',').count() <= 2));
     // One fetch for each object, and one more at most for each of its two fills that were under way as the trees
     // differed.
-    assert!(rig.archive.asked.most().0 <= 3, "{:?}", rig.archive.asked.most());
+    assert!(
+        rig.archive.asked.most().0 <= 3,
+        "{:?}",
+        rig.archive.asked.most()
+    );
     rig.settled();
     assert!(rig.hubs.iter().all(|hub| hub.hub.book.sizes()[0] <= 4));
 }
@@ -65,14 +79,23 @@
         &[("east", &["south", "archive"]), ("south", &["archive"])],
         WIDE,
     );
-    rig.rewire(2, &[("east", &["archive"]), ("south", &["east", "archive"])], &["south"]);
+    rig.rewire(
+        2,
+        &[("east", &["archive"]), ("south", &["east", "archive"])],
+        &["south"],
+    );
     for object in 0..60 {
         let answers = all(8, |i| rig.get(["east", "south"][i % 2], object, ""));
-        assert!(answers.iter().all(|a| a.status == 200 && a.body == body(object, 0, 1, LENGTH)));
+        assert!(answers
+            .iter()
+            .all(|a| a.status == 200 && a.body == body(object, 0, 1, LENGTH)));
         assert!(rig.archive.asked.of(object, 0) <= 2);
     }
     no_node_twice(&rig.archive.asked.log());
-    assert!(rig.count("*", |t| load(&t.loops_avoided)) > 0, "the two trees never met");
+    assert!(
+        rig.count("*", |t| load(&t.loops_avoided)) > 0,
+        "the two trees never met"
+    );
     rig.settled();
 }
 
@@ -91,7 +114,9 @@
     }
     // Both hold version 1. Half of the loop is there; the purge; the other half.
     rig.rewire(2, after, &["south"]);
-    until("a moment passes", || unix_ms() > rig.get("east", 0, "").born_ms() + 50);
+    until("a moment passes", || {
+        unix_ms() > rig.get("east", 0, "").born_ms() + 50
+    });
     version.store(2, Ordering::SeqCst);
     let purged = unix_ms();
     let over = AtomicBool::new(false);
@@ -99,7 +124,11 @@
         if i == 16 {
             for epoch in 3..9u64 {
                 let asked = rig.archive.asked.total();
-                let told: &[&str] = if epoch % 2 == 0 { &["south"] } else { &["east"] };
+                let told: &[&str] = if epoch % 2 == 0 {
+                    &["south"]
+                } else {
+                    &["east"]
+                };
                 rig.rewire(epoch, if epoch % 2 == 0 { after } else { before }, told);
                 until("fills go on", || {
                     rig.archive.asked.total() > asked || rig.archive.asked.most().1 >= 40
@@ -111,8 +140,11 @@
             for object in (0..40u64).filter(|o| o % 16 == i as u64) {
                 // Who was told of the purge says how old a copy may be, as the edge proxies do.
                 let age = (unix_ms() - purged).max(1);
-                let answer =
-                    rig.get(["east", "south"][(i + round) % 2], object, &format!("X-Max-Age-Ms: {age}\r\n"));
+                let answer = rig.get(
+                    ["east", "south"][(i + round) % 2],
+                    object,
+                    &format!("X-Max-Age-Ms: {age}\r\n"),
+                );
                 assert_eq!(answer.status, 200);
                 assert!(answer.born_ms() >= purged, "a copy from before the purge");
                 assert_eq!(answer.body, body(object, 0, 2, LENGTH));
@@ -126,27 +158,48 @@
 #[test]
 fn rewired_ten_times_in_a_row_it_holds_bounded_state_and_lets_go_of_it() {
     let (a, b): (common::Wiring, common::Wiring) = (
-        &[("east", &["south", "archive"]), ("south", &["archive"]), ("north", &["archive"])],
-        &[("east", &["north", "archive"]), ("south", &["archive"]), ("north", &["archive"])],
+        &[
+            ("east", &["south", "archive"]),
+            ("south", &["archive"]),
+            ("north", &["archive"]),
+        ],
+        &[
+            ("east", &["north", "archive"]),
+            ("south", &["archive"]),
+            ("north", &["archive"]),
+        ],
     );
     let rig = Rig::new(archive(LENGTH, ARCHIVE_PAUSE), a, WIDE);
     let hub = &rig.hub("east").hub;
     for epoch in 2..12 {
-        rig.rewire(epoch, if epoch % 2 == 0 { b } else { a }, &["east", "south", "north"]);
+        rig.rewire(
+            epoch,
+            if epoch % 2 == 0 { b } else { a },
+            &["east", "south", "north"],
+        );
         let answers = all(10, |i| rig.get("east", epoch * 100 + i as u64, ""));
         assert!(answers.iter().all(|answer| answer.status == 200));
         let [former, fetches, waits, sources] = hub.book.sizes();
-        assert!(former <= 4 && fetches <= 10 && waits <= 10 && sources <= 4, "{:?}", hub.book.sizes());
+        assert!(
+            former <= 4 && fetches <= 10 && waits <= 10 && sources <= 4,
+            "{:?}",
+            hub.book.sizes()
+        );
     }
     until("former trees are let go of", || hub.book.sizes()[0] == 0);
     rig.settled();
     // An older tree, and another under the same number, are refused with a reason and change nothing.
     let stamp = hub.book.stamp();
     let refused = |epoch, wiring| {
-        let operator = foldmux_operator::script::evaluate("t.star", rig.script(epoch, wiring)).unwrap();
+        let operator =
+            foldmux_operator::script::evaluate("t.star", rig.script(epoch, wiring)).unwrap();
         hub.rewire(operator.hierarchy.unwrap()).unwrap_err()
     };
-    assert!(refused(5, a).contains("older than epoch 11"), "{}", refused(5, a));
+    assert!(
+        refused(5, a).contains("older than epoch 11"),
+        "{}",
+        refused(5, a)
+    );
     assert!(refused(11, b).contains("in service with another tree"));
     assert_eq!(hub.book.stamp(), stamp);
 }
@@ -154,9 +207,16 @@
 #[test]
 fn after_a_rewiring_new_shields_fetch_from_the_former_ones_and_not_from_the_archive() {
     let names = ["east", "north", "south"];
-    let before: common::Wiring = &[("east", &["archive"]), ("north", &["archive"]), ("south", &["archive"])];
-    let after: common::Wiring =
-        &[("east", &["archive"]), ("north", &["archive"]), ("south", &["north", "archive"])];
+    let before: common::Wiring = &[
+        ("east", &["archive"]),
+        ("north", &["archive"]),
+        ("south", &["archive"]),
+    ];
+    let after: common::Wiring = &[
+        ("east", &["archive"]),
+        ("north", &["archive"]),
+        ("south", &["north", "archive"]),
+    ];
     let rig = Rig::new(archive(LENGTH, ARCHIVE_PAUSE), before, WIDE);
     for object in 0..30 {
         rig.get("east", object, "");
@@ -165,7 +225,10 @@
     rig.rewire(2, after, &names);
     for object in 0..30 {
         // Each hub was told; what south shielded is with others now, who ask it first.
-        assert_eq!(rig.get("north", object, "").body, body(object, 0, 1, LENGTH));
+        assert_eq!(
+            rig.get("north", object, "").body,
+            body(object, 0, 1, LENGTH)
+        );
     }
     assert_eq!(rig.archive.asked.most(), (1, 30));
 }
--- a/pure/fair/benches/decide.rs
+++ b/pure/fair/benches/decide.rs
@@ -16,7 +16,10 @@
     };
     let mut queue = Queue::new(setup);
     let names: Vec<String> = (0..tenants).map(|n| format!("tenant-{n}")).collect();
-    let named: BTreeMap<_, _> = names.iter().map(|n| (n.as_str().into(), Weight::ONE)).collect();
+    let named: BTreeMap<_, _> = names
+        .iter()
+        .map(|n| (n.as_str().into(), Weight::ONE))
+        .collect();
     queue.retune(0, &named, Weight::ONE);
     (queue, names)
 }
@@ -33,9 +36,19 @@
         draw
     };
     let mut enter = |queue: &mut Queue, held: &mut VecDeque<Place>, now| {
-        let (tenant, cost) = (&names[next() as usize % names.len()], 5_000 + next() % 200_000);
+        let (tenant, cost) = (
+            &names[next() as usize % names.len()],
+            5_000 + next() % 200_000,
+        );
         id += 1;
-        let wish = Wish { id, tenant, cost, slow: cost > 100_000, latest: u64::MAX, repeat: false };
+        let wish = Wish {
+            id,
+            tenant,
+            cost,
+            slow: cost > 100_000,
+            latest: u64::MAX,
+            repeat: false,
+        };
         match queue.enter(now, &wish) {
             Entered::Now(place) => held.push_back(place),
             Entered::Waits(_) => {}
--- a/pure/fair/src/books.rs
+++ b/pure/fair/src/books.rs
@@ -21,7 +21,13 @@
         self.now = self.now.max(now);
         while let Some((due, at)) = self.due.first().copied().filter(|(due, _)| *due < self.now) {
             self.due.remove(&(due, at));
-            let Some(run) = self.runs.get_mut(at).filter(|run| run.charged < CHARGE_MOST) else { continue };
+            let Some(run) = self
+                .runs
+                .get_mut(at)
+                .filter(|run| run.charged < CHARGE_MOST)
+            else {
+                continue;
+            };
             let more = run.charged;
             run.charged += more;
             let (flow, lane, next) = (run.flow, run.lane, run.began.saturating_add(run.charged));
@@ -41,11 +47,18 @@
         let told = what(self, at);
         let flow = &mut self.flows[at as usize];
         let (is, bucket, weight) = (flow.active(), flow.bucket, flow.weight.0);
-        let of_weight = if bucket { self.tenants.unnamed.0 > 0 } else { weight > 0 };
+        let of_weight = if bucket {
+            self.tenants.unnamed.0 > 0
+        } else {
+            weight > 0
+        };
         let quick = flow.lanes[QUICK].len > 0 && of_weight;
         let stands = (flow.waiting() > 0).then_some((stand(flow.weight, flow.tag, at), quick));
         let stood = std::mem::replace(&mut flow.listed, stands);
-        let (ready, quicks) = (&mut self.ready[bucket as usize], &mut self.quick[bucket as usize]);
+        let (ready, quicks) = (
+            &mut self.ready[bucket as usize],
+            &mut self.quick[bucket as usize],
+        );
         if stood.map(|s| s.0) != stands.map(|s| s.0) {
             stood.iter().for_each(|(key, _)| {
                 ready.remove(key);
@@ -81,7 +94,9 @@
         let flow = &mut self.flows[at as usize];
         flow.forgive(lane, time);
         if flow.bucket && !planted(Fault::EachNameAWeight) {
-            self.group = self.group.saturating_sub(per_weight(time, self.tenants.unnamed));
+            self.group = self
+                .group
+                .saturating_sub(per_weight(time, self.tenants.unnamed));
         }
     }
 
@@ -107,7 +122,11 @@
         self.tenants.unnamed = unnamed;
         // They stand among the quick, or not, by what the unnamed weigh.
         (0..self.tenants.buckets()).for_each(|at| self.change(at, |_, _| ()));
-        let known: Vec<_> = self.tenants.named().map(|(name, at)| (name.clone(), at)).collect();
+        let known: Vec<_> = self
+            .tenants
+            .named()
+            .map(|(name, at)| (name.clone(), at))
+            .collect();
         for (name, at) in known {
             match named.get(&name) {
                 Some(weight) => self.weigh(at, *weight),
@@ -120,7 +139,10 @@
         }
         for (name, weight) in named {
             if self.tenants.named().all(|(known, _)| known != name) {
-                let at = self.flows.insert(Flow { weight: *weight, ..Flow::default() }) as u32;
+                let at = self.flows.insert(Flow {
+                    weight: *weight,
+                    ..Flow::default()
+                }) as u32;
                 self.tenants.add(name.clone(), at);
             }
         }
@@ -143,7 +165,11 @@
     }
 
     pub(crate) fn let_go(&mut self, at: u32) {
-        if self.flows.get(at as usize).is_some_and(|flow| flow.retired && !flow.active()) {
+        if self
+            .flows
+            .get(at as usize)
+            .is_some_and(|flow| flow.retired && !flow.active())
+        {
             self.flows.remove(at as usize);
         }
     }
@@ -153,7 +179,11 @@
         self.clock(now);
         let at = self.tenants.find_key(key);
         self.change(at, |queue, at| {
-            let most = if planted(Fault::EveryDigestBelieved) { Time::MAX } else { most };
+            let most = if planted(Fault::EveryDigestBelieved) {
+                Time::MAX
+            } else {
+                most
+            };
             // One that is away pays too: it may be busy elsewhere all the time.
             let charge = |tag: &mut Virtual, now: Virtual, weight| {
                 let charged = (*tag).max(now) + per_weight(time, weight);
@@ -164,7 +194,11 @@
             charge(&mut flow.tag, now, flow.weight);
             if flow.bucket {
                 let class = queue.tenants.group_class();
-                charge(&mut queue.group, queue.virtual_now[class], queue.tenants.unnamed);
+                charge(
+                    &mut queue.group,
+                    queue.virtual_now[class],
+                    queue.tenants.unnamed,
+                );
             }
         });
     }
@@ -175,11 +209,19 @@
         let wants = |flow: &Flow| (flow.running + flow.waiting()).min(WANTS_MOST) as u32 * 1_000;
         for at in 0..self.tenants.buckets() {
             let flow = &self.flows[at as usize];
-            uses.push(Use { tenant: at as u64, used: flow.used, wants: wants(flow) });
+            uses.push(Use {
+                tenant: at as u64,
+                used: flow.used,
+                wants: wants(flow),
+            });
         }
         for (name, at) in self.tenants.named() {
             let flow = &self.flows[at as usize];
-            uses.push(Use { tenant: key(name), used: flow.used, wants: wants(flow) });
+            uses.push(Use {
+                tenant: key(name),
+                used: flow.used,
+                wants: wants(flow),
+            });
         }
         uses.retain(|u| u.used > 0 || u.wants > 0);
         uses.sort_by_key(|u| (std::cmp::Reverse(u.wants), u.tenant));
--- a/pure/fair/src/digest.rs
+++ b/pure/fair/src/digest.rs
@@ -63,15 +63,39 @@
 
 impl Heard {
     /// Whom to charge here for what, by what came. `slots`: of the pool.
-    pub fn hear(&mut self, now: Time, from: &Peer, mut digest: Digest, slots: u16) -> Vec<(u64, Time)> {
+    pub fn hear(
+        &mut self,
+        now: Time,
+        from: &Peer,
+        mut digest: Digest,
+        slots: u16,
+    ) -> Vec<(u64, Time)> {
         digest.uses.truncate(MOST);
-        let wants = digest.uses.iter().filter(|u| u.wants > 0).map(|u| (u.tenant, u.wants)).collect();
+        let wants = digest
+            .uses
+            .iter()
+            .filter(|u| u.wants > 0)
+            .map(|u| (u.tenant, u.wants))
+            .collect();
         let Digest { life, held, uses } = digest;
-        let used = || uses.iter().map(|u| (u.tenant, u.used)).collect::<BTreeMap<u64, Time>>();
+        let used = || {
+            uses.iter()
+                .map(|u| (u.tenant, u.used))
+                .collect::<BTreeMap<u64, Time>>()
+        };
         let Some(known) = self.peers.get_mut(from).filter(|known| known.life == life) else {
             // The first of a life: from here it counts.
             if self.peers.len() < PEERS || self.peers.contains_key(from) {
-                self.peers.insert(from.clone(), Known { life, at: now, held, used: used(), wants });
+                self.peers.insert(
+                    from.clone(),
+                    Known {
+                        life,
+                        at: now,
+                        held,
+                        used: used(),
+                        wants,
+                    },
+                );
             }
             return Vec::new();
         };
@@ -91,7 +115,10 @@
         if sum <= could || planted(Fault::EveryDigestBelieved) {
             return charges;
         }
-        charges.into_iter().map(|(t, time)| (t, (time as u128 * could / sum) as Time)).collect()
+        charges
+            .into_iter()
+            .map(|(t, time)| (t, (time as u128 * could / sum) as Time))
+            .collect()
     }
 
     pub fn gone(&mut self, peer: &Peer) {
@@ -100,7 +127,8 @@
 
     /// Those heard of lately.
     pub fn fleet(&mut self, now: Time) -> Vec<Process> {
-        self.peers.retain(|_, known| now < known.at.saturating_add(STALE));
+        self.peers
+            .retain(|_, known| now < known.at.saturating_add(STALE));
         let process = |(peer, known): (&Peer, &Known)| Process {
             peer: peer.clone(),
             held: known.held as usize,
--- a/pure/fair/src/division.rs
+++ b/pure/fair/src/division.rs
@@ -36,7 +36,11 @@
     let (mut left, mut parts) = (slots, vec![0.0; tenants.len()]);
     for at in order {
         let (weight, wants) = tenants[at];
-        let part = if weights > 0.0 { (left * weight / weights).clamp(0.0, wants) } else { 0.0 };
+        let part = if weights > 0.0 {
+            (left * weight / weights).clamp(0.0, wants)
+        } else {
+            0.0
+        };
         parts[at] = part;
         left -= part;
         weights -= weight;
@@ -58,16 +62,34 @@
     let mut want: BTreeMap<u64, f64> = BTreeMap::new();
     let told = fleet.iter().flat_map(|process| &process.wants);
     told.for_each(|(tenant, n)| *want.entry(*tenant).or_default() += slots_of(*n));
-    let nameless = want.keys().filter(|tenant| weight(**tenant).is_none()).count().max(1);
+    let nameless = want
+        .keys()
+        .filter(|tenant| weight(**tenant).is_none())
+        .count()
+        .max(1);
     // One of no weight still gets what no other wants.
-    let weigh = |tenant: u64| weight(tenant).map_or(unnamed as f64 / nameless as f64, |w| w as f64).max(1e-9);
-    let tenants: Vec<(f64, f64)> = want.iter().map(|(tenant, n)| (weigh(*tenant), *n)).collect();
+    let weigh = |tenant: u64| {
+        weight(tenant)
+            .map_or(unnamed as f64 / nameless as f64, |w| w as f64)
+            .max(1e-9)
+    };
+    let tenants: Vec<(f64, f64)> = want
+        .iter()
+        .map(|(tenant, n)| (weigh(*tenant), *n))
+        .collect();
     let parts = fair(slots as f64, &tenants);
-    let rate: BTreeMap<u64, f64> =
-        want.iter().zip(&parts).map(|((tenant, n), part)| (*tenant, part / n)).collect();
+    let rate: BTreeMap<u64, f64> = want
+        .iter()
+        .zip(&parts)
+        .map(|((tenant, n), part)| (*tenant, part / n))
+        .collect();
     let idle = (slots as f64 - parts.iter().sum::<f64>()).max(0.0) / fleet.len() as f64;
     let of = |process: &Process| {
-        let own: f64 = process.wants.iter().map(|(tenant, n)| slots_of(*n) * rate[tenant]).sum();
+        let own: f64 = process
+            .wants
+            .iter()
+            .map(|(tenant, n)| slots_of(*n) * rate[tenant])
+            .sum();
         (own + idle).max(wants(process).min(floor(slots, fleet.len()) as f64))
     };
     let exact: Vec<f64> = fleet.iter().map(of).collect();
@@ -75,7 +97,14 @@
     // What is left over goes to the largest remainders; who holds such a slot keeps it until another has the better of it
     // by so much: slots would else be under way at each small change of wants.
     let mut order: Vec<usize> = (0..fleet.len()).collect();
-    let claim = |at: usize| exact[at].fract() + if fleet[at].held > whole[at] { STAYS } else { 0.0 };
+    let claim = |at: usize| {
+        exact[at].fract()
+            + if fleet[at].held > whole[at] {
+                STAYS
+            } else {
+                0.0
+            }
+    };
     order.sort_by(|a, b| claim(*b).total_cmp(&claim(*a)).then(a.cmp(b)));
     let left = slots.saturating_sub(whole.iter().sum());
     order.into_iter().take(left).for_each(|at| whole[at] += 1);
--- a/pure/fair/src/flow.rs
+++ b/pure/fair/src/flow.rs
@@ -102,7 +102,11 @@
 }
 
 pub fn per_weight(time: Time, weight: Weight) -> Virtual {
-    let time = if planted(Fault::ChargeByCount) { 1_000 } else { time };
+    let time = if planted(Fault::ChargeByCount) {
+        1_000
+    } else {
+        time
+    };
     // The division of 64 bits is several times as quick; all but sums of years fit.
     match time.checked_mul(1_000) {
         Some(thousandths) => (thousandths / weight.0.max(1)) as Virtual,
--- a/pure/fair/src/holder.rs
+++ b/pure/fair/src/holder.rs
@@ -84,17 +84,31 @@
     pub fn step(&mut self, now: Time, seats: &Change, short: usize) -> Vec<Word> {
         self.own.retain(|_, own| now < own.until);
         let mut words = Vec::new();
-        let over: Vec<u64> =
-            self.claims.iter().filter(|(_, c)| now >= c.sent + PATIENCE).map(|c| *c.0).collect();
+        let over: Vec<u64> = self
+            .claims
+            .iter()
+            .filter(|(_, c)| now >= c.sent + PATIENCE)
+            .map(|c| *c.0)
+            .collect();
         for number in over.iter().copied() {
             words.extend(self.give_up(number));
         }
         let renews = now >= self.renewed.saturating_add(self.lease / 3) && !self.own.is_empty();
-        let pending: BTreeSet<u16> = self.claims.values().flat_map(|c| c.fresh.iter().copied()).collect();
+        let pending: BTreeSet<u16> = self
+            .claims
+            .values()
+            .flat_map(|c| c.fresh.iter().copied())
+            .collect();
         let short = short.saturating_sub(pending.len());
-        let free = self.offered.iter().filter(|s| !self.own.contains_key(s) && !pending.contains(s));
+        let free = self
+            .offered
+            .iter()
+            .filter(|s| !self.own.contains_key(s) && !pending.contains(s));
         let fresh: BTreeSet<u16> = free.take(short).copied().collect();
-        let asks = short > 0 && self.asked.is_none_or(|asked| now >= asked.saturating_add(ASK_AGAIN));
+        let asks = short > 0
+            && self
+                .asked
+                .is_none_or(|asked| now >= asked.saturating_add(ASK_AGAIN));
         // What is dealt to one that wants none is idle, while others wait for it.
         let enough = short == 0 && std::mem::take(&mut self.dealt);
         if !renews && fresh.is_empty() && !asks && !enough {
@@ -111,20 +125,42 @@
             self.renewed = now;
             slots.extend(self.own.keys());
         }
-        let (number, more) = (self.number(), (short - fresh.len()).min(u16::MAX as usize) as u16);
+        let (number, more) = (
+            self.number(),
+            (short - fresh.len()).min(u16::MAX as usize) as u16,
+        );
         self.dealt = more > 0;
         if !slots.is_empty() {
-            let votes = slots.iter().map(|slot| (*slot, seats.votes(now, &self.key))).collect();
-            self.claims.insert(number, Claim { sent: now, votes, fresh });
+            let votes = slots
+                .iter()
+                .map(|slot| (*slot, seats.votes(now, &self.key)))
+                .collect();
+            self.claims.insert(
+                number,
+                Claim {
+                    sent: now,
+                    votes,
+                    fresh,
+                },
+            );
         }
-        words.push(Word::Claim { life: self.life, number, slots, more });
+        words.push(Word::Claim {
+            life: self.life,
+            number,
+            slots,
+            more,
+        });
         words
     }
 
     /// A claim counts no more; what single replicas granted of it, and was not won, is free.
     fn give_up(&mut self, number: u64) -> Option<Word> {
         let claim = self.claims.remove(&number)?;
-        let slots: Vec<u16> = claim.fresh.into_iter().filter(|slot| !self.own.contains_key(slot)).collect();
+        let slots: Vec<u16> = claim
+            .fresh
+            .into_iter()
+            .filter(|slot| !self.own.contains_key(slot))
+            .collect();
         self.free(slots)
     }
 
@@ -135,7 +171,11 @@
             claim.fresh.retain(|slot| !slots.contains(slot));
         });
         let life = self.life;
-        (!slots.is_empty()).then(|| Word::Free { life, number: self.number(), slots })
+        (!slots.is_empty()).then(|| Word::Free {
+            life,
+            number: self.number(),
+            slots,
+        })
     }
 
     /// A replica's answer: what is held by it, and what goes to each replica.
@@ -145,24 +185,41 @@
         from: &Peer,
         (number, slots, refused): (u64, &[u16], &[u16]),
     ) -> (Vec<Won>, Option<Word>) {
-        let Some(claim) = self.claims.get_mut(&number) else { return (Vec::new(), None) };
-        let count = if planted(Fault::GrantersClock) { now } else { claim.sent };
+        let Some(claim) = self.claims.get_mut(&number) else {
+            return (Vec::new(), None);
+        };
+        let count = if planted(Fault::GrantersClock) {
+            now
+        } else {
+            claim.sent
+        };
         let held = Held::new(count, self.lease, self.drift);
         let (mut won, mut lost) = (Vec::new(), Vec::new());
         for slot in slots {
-            let Some(votes) = claim.votes.get_mut(slot) else { continue };
+            let Some(votes) = claim.votes.get_mut(slot) else {
+                continue;
+            };
             let one = votes.grant(from) && planted(Fault::OneSeatIsEnough);
             if (votes.won() || one) && held.holds(now) {
                 claim.fresh.remove(slot);
-                let own = self.own.entry(*slot).or_insert(Own { turn: number, until: 0 });
+                let own = self.own.entry(*slot).or_insert(Own {
+                    turn: number,
+                    until: 0,
+                });
                 if held.until() > own.until {
                     own.until = held.until();
-                    won.push(Won { slot: *slot, turn: own.turn, until: own.until });
+                    won.push(Won {
+                        slot: *slot,
+                        turn: own.turn,
+                        until: own.until,
+                    });
                 }
             }
         }
         for slot in refused {
-            let Some(votes) = claim.votes.get_mut(slot) else { continue };
+            let Some(votes) = claim.votes.get_mut(slot) else {
+                continue;
+            };
             if votes.refuse(from) && votes.lost() && claim.fresh.contains(slot) {
                 lost.push(*slot);
             }
--- a/pure/fair/src/lanes.rs
+++ b/pure/fair/src/lanes.rs
@@ -33,7 +33,12 @@
 
 impl Default for Lane {
     fn default() -> Lane {
-        Lane { first: NONE, last: NONE, len: 0, cost: 0 }
+        Lane {
+            first: NONE,
+            last: NONE,
+            len: 0,
+            cost: 0,
+        }
     }
 }
 
@@ -72,8 +77,22 @@
     ) -> Ticket {
         self.serial += 1;
         let serial = self.serial;
-        let (before, after) = if ahead { (NONE, lane.first) } else { (lane.last, NONE) };
-        let at = self.slab.insert(Waiting { id, flow, slow, cost, latest, since, serial, before, after });
+        let (before, after) = if ahead {
+            (NONE, lane.first)
+        } else {
+            (lane.last, NONE)
+        };
+        let at = self.slab.insert(Waiting {
+            id,
+            flow,
+            slow,
+            cost,
+            latest,
+            since,
+            serial,
+            before,
+            after,
+        });
         self.link(lane, before, Some(at), after);
         lane.len += 1;
         lane.cost = lane.cost.saturating_add(cost);
@@ -93,7 +112,9 @@
     }
 
     pub fn find(&self, ticket: Ticket) -> Option<&Waiting> {
-        self.slab.get(ticket.at).filter(|waiting| waiting.serial == ticket.serial)
+        self.slab
+            .get(ticket.at)
+            .filter(|waiting| waiting.serial == ticket.serial)
     }
 
     /// The first of a lane.
--- a/pure/fair/src/local.rs
+++ b/pure/fair/src/local.rs
@@ -77,7 +77,15 @@
     /// `stock`: empty where the fleet hands slots out, else this process's own.
     pub fn new(key: PoolKey, setup: Setup, figures: Figures, stock: Stock) -> Local {
         let (queue, longest) = (Queue::new(Setup { slots: 0, ..setup }), setup.longest);
-        Local { key, queue, figures, stock, longest, waiting: Slab::new(), gave: Vec::new() }
+        Local {
+            key,
+            queue,
+            figures,
+            stock,
+            longest,
+            waiting: Slab::new(),
+            gave: Vec::new(),
+        }
     }
 
     /// Slots as they are now, before anything goes by them.
@@ -88,15 +96,42 @@
 
     pub fn enter(&mut self, now: Time, request: &Request) -> Asked {
         self.count(now);
-        let Request { id, tenant, class, size_kb, source, deadline, repeat } = *request;
-        let shape = Shape { class, size_kb, source, tenant: self.queue.tenant(tenant) };
+        let Request {
+            id,
+            tenant,
+            class,
+            size_kb,
+            source,
+            deadline,
+            repeat,
+        } = *request;
+        let shape = Shape {
+            class,
+            size_kb,
+            source,
+            tenant: self.queue.tenant(tenant),
+        };
         let Foretold { cost, slow } = self.figures.foretell(&shape);
         // It should end by its deadline; one that is foretold to take all of its time may try.
         let latest = deadline.saturating_sub(cost).max(now);
         let own = self.waiting.vacant_key();
-        match self.queue.enter(now, &Wish { id: own as u64, tenant, cost, slow, latest, repeat }) {
+        match self.queue.enter(
+            now,
+            &Wish {
+                id: own as u64,
+                tenant,
+                cost,
+                slow,
+                latest,
+                repeat,
+            },
+        ) {
             Entered::Now(place) => match self.stock.take(now, self.longest) {
-                Some(taken) => Asked::Now(InUse { place, taken, shape }),
+                Some(taken) => Asked::Now(InUse {
+                    place,
+                    taken,
+                    shape,
+                }),
                 None => {
                     self.queue.ended(now, place);
                     Asked::Refused(crate::refuse::LEAST)
@@ -118,7 +153,14 @@
             Next::Start { id, place } => {
                 let (id, shape) = self.waiting.remove(id as usize);
                 match self.stock.take(now, self.longest) {
-                    Some(taken) => Some(Then::Start(id, InUse { place, taken, shape })),
+                    Some(taken) => Some(Then::Start(
+                        id,
+                        InUse {
+                            place,
+                            taken,
+                            shape,
+                        },
+                    )),
                     None => {
                         self.queue.ended(now, place);
                         Some(Then::Late(id))
@@ -129,7 +171,11 @@
     }
 
     pub fn ended(&mut self, now: Time, used: InUse) {
-        let InUse { place, taken, shape } = used;
+        let InUse {
+            place,
+            taken,
+            shape,
+        } = used;
         let took = self.queue.ended(now, place);
         self.figures.see(&shape, took);
         self.gave.extend(self.stock.put(taken));
@@ -148,14 +194,20 @@
     /// What the fleet says.
     pub fn told(&mut self, now: Time, told: Told) {
         match told {
-            Told::Held { pool, slot, turn, until } if pool == self.key => self.stock.held(slot, turn, until),
+            Told::Held {
+                pool,
+                slot,
+                turn,
+                until,
+            } if pool == self.key => self.stock.held(slot, turn, until),
             Told::Most { pool, most } if pool == self.key => {
                 let gave = self.stock.keep(most as usize);
                 self.gave.extend(gave);
             }
             Told::Used { pool, by } if pool == self.key => {
                 let most = DEBT.saturating_mul(self.stock.size(now, 0).max(1) as Time);
-                by.into_iter().for_each(|(tenant, time)| self.queue.used_elsewhere(now, tenant, time, most));
+                by.into_iter()
+                    .for_each(|(tenant, time)| self.queue.used_elsewhere(now, tenant, time, most));
             }
             _ => {}
         }
@@ -165,12 +217,19 @@
     /// What the fleet is to hear: slots that are held no more; asked for after each call.
     pub fn gave(&mut self) -> Option<Ask> {
         let gave = std::mem::take(&mut self.gave);
-        (!gave.is_empty()).then_some(Ask::Gave { pool: self.key, gave })
+        (!gave.is_empty()).then_some(Ask::Gave {
+            pool: self.key,
+            gave,
+        })
     }
 
     /// What it should hear now and then, and when something begins to wait.
     pub fn uses(&self, now: Time) -> Ask {
-        Ask::Uses { pool: self.key, at: now, uses: self.queue.uses(MOST) }
+        Ask::Uses {
+            pool: self.key,
+            at: now,
+            uses: self.queue.uses(MOST),
+        }
     }
 
     pub fn retune(&mut self, now: Time, named: &BTreeMap<Arc<str>, Weight>, unnamed: Weight) {
--- a/pure/fair/src/message.rs
+++ b/pure/fair/src/message.rs
@@ -47,11 +47,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ask {
     /// What this process's tenants used and want, at a time on the clock of whoever asks: ends of leases are told on it.
-    Uses { pool: PoolKey, at: Time, uses: Vec<Use> },
+    Uses {
+        pool: PoolKey,
+        at: Time,
+        uses: Vec<Use>,
+    },
     /// Slots that it holds no more.
     Gave { pool: PoolKey, gave: Vec<Gave> },
     /// What tenants weigh, by their keys, from now on, in thousandths; and all that are not named together.
-    Weights { pool: PoolKey, named: Vec<(u64, u64)>, unnamed: u64 },
+    Weights {
+        pool: PoolKey,
+        named: Vec<(u64, u64)>,
+        unnamed: u64,
+    },
     /// It leaves: no more slots are claimed.
     Leaving { pool: PoolKey },
 }
@@ -59,7 +67,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Told {
     /// A slot is held until then, on the clock of whoever asks.
-    Held { pool: PoolKey, slot: u16, turn: u64, until: Time },
+    Held {
+        pool: PoolKey,
+        slot: u16,
+        turn: u64,
+        until: Time,
+    },
     /// Called back: no more than so many are to be held.
     Most { pool: PoolKey, most: u16 },
     /// Slot time that tenants got by other processes.
--- a/pure/fair/src/pool.rs
+++ b/pure/fair/src/pool.rs
@@ -72,7 +72,10 @@
     pub fn offer(&mut self, now: Time, out: &mut Acts<FleetSlots>) {
         if self.replica.wanted() {
             for (to, slots) in self.replica.offers(now) {
-                let message = Message { pool: self.setup.key, word: Word::Vacant { slots } };
+                let message = Message {
+                    pool: self.setup.key,
+                    word: Word::Vacant { slots },
+                };
                 out.push(Do::Send { to, message });
             }
         }
@@ -81,11 +84,18 @@
     /// A slot, with its end on the clock of whoever asks: none before it has asked.
     pub fn told_held(&self, Won { slot, turn, until }: Won) -> Option<Told> {
         let until = until as i128 - self.ahead?;
-        Some(Told::Held { pool: self.setup.key, slot, turn, until: until.max(0) as Time })
+        Some(Told::Held {
+            pool: self.setup.key,
+            slot,
+            turn,
+            until: until.max(0) as Time,
+        })
     }
 
     pub fn claim(&mut self, now: Time, seats: &Change) -> Vec<Word> {
-        let short = self.ahead.map_or(0, |_| self.target.saturating_sub(self.holder.held()));
+        let short = self
+            .ahead
+            .map_or(0, |_| self.target.saturating_sub(self.holder.held()));
         self.holder.step(now, seats, short)
     }
 
@@ -113,23 +123,50 @@
     pub fn digest(&mut self) -> Digest {
         self.wanted_told = self.wanted();
         let held = self.holder.held().min(u16::MAX as usize) as u16;
-        Digest { life: self.holder.life, held, uses: self.uses.clone() }
+        Digest {
+            life: self.holder.life,
+            held,
+            uses: self.uses.clone(),
+        }
     }
 
     /// This process's part, and what others lack of theirs.
     pub fn divide(&mut self, now: Time, own: &Peer) -> (usize, usize) {
-        let own_wants = self.uses.iter().filter(|u| u.wants > 0).map(|u| (u.tenant, u.wants)).collect();
+        let own_wants = self
+            .uses
+            .iter()
+            .filter(|u| u.wants > 0)
+            .map(|u| (u.tenant, u.wants))
+            .collect();
         let mut fleet = self.heard.fleet(now);
-        fleet.push(Process { peer: own.clone(), held: self.holder.held(), wants: own_wants });
+        fleet.push(Process {
+            peer: own.clone(),
+            held: self.holder.held(),
+            wants: own_wants,
+        });
         fleet.sort_by(|a, b| a.peer.cmp(&b.peer));
-        let PoolSetup { slots, weights, unnamed, .. } = &self.setup;
-        let parts = targets(*slots as usize, &fleet, |tenant| weights.get(&tenant).copied(), *unnamed);
+        let PoolSetup {
+            slots,
+            weights,
+            unnamed,
+            ..
+        } = &self.setup;
+        let parts = targets(
+            *slots as usize,
+            &fleet,
+            |tenant| weights.get(&tenant).copied(),
+            *unnamed,
+        );
         let (mut target, mut short) = (0, 0);
         for (process, part) in fleet.iter().zip(parts) {
             match process.peer == *own {
                 true => target = part,
                 // One that only lacks spare slots calls nothing back.
-                false => short += part.min(wants(process).ceil() as usize).saturating_sub(process.held),
+                false => {
+                    short += part
+                        .min(wants(process).ceil() as usize)
+                        .saturating_sub(process.held)
+                }
             }
         }
         (target, short)
--- a/pure/fair/src/queue.rs
+++ b/pure/fair/src/queue.rs
@@ -53,7 +53,11 @@
         let tenants = Tenants::new(setup.buckets, setup.unnamed);
         let mut flows = Slab::new();
         (0..tenants.buckets()).for_each(|_| {
-            flows.insert(Flow { weight: Weight::ONE, bucket: true, ..Flow::default() });
+            flows.insert(Flow {
+                weight: Weight::ONE,
+                bucket: true,
+                ..Flow::default()
+            });
         });
         Queue {
             setup,
@@ -106,7 +110,14 @@
             }
             let ahead = wish.repeat && planted(Fault::RepeatPassesOthers);
             let who = (wish.id, at, wish.slow);
-            Entered::Waits(queue.lanes.push(&mut flow.lanes[lane], who, cost, wish.latest, now, ahead))
+            Entered::Waits(queue.lanes.push(
+                &mut flow.lanes[lane],
+                who,
+                cost,
+                wish.latest,
+                now,
+                ahead,
+            ))
         })
     }
 
@@ -127,12 +138,28 @@
         let more = if flow.active() { 0 } else { 1 };
         let (weight, weights) = self.weights_with(flow, more);
         let now = self.virtual_now[flow.class()];
-        let start = if flow.waiting() == 0 { flow.tag.max(now) } else { flow.tag };
-        let standing =
-            Standing { start, now, ahead: flow.ahead(lane), weight, weights, slots: self.setup.slots };
+        let start = if flow.waiting() == 0 {
+            flow.tag.max(now)
+        } else {
+            flow.tag
+        };
+        let standing = Standing {
+            start,
+            now,
+            ahead: flow.ahead(lane),
+            weight,
+            weights,
+            slots: self.setup.slots,
+        };
         let wait = refuse::wait(&standing);
         let late = refuse::away(self.now, wait, wish.latest);
-        let room = refuse::room(self.lanes.len(), self.setup.waiting, flow.waiting(), weight, weights);
+        let room = refuse::room(
+            self.lanes.len(),
+            self.setup.waiting,
+            flow.waiting(),
+            weight,
+            weights,
+        );
         late.or_else(|| (!room).then_some(wait.max(refuse::LEAST)))
     }
 
@@ -152,7 +179,10 @@
             if first.latest < queue.now {
                 return Some(Next::Late { id: first.id });
             }
-            Some(Next::Start { id: first.id, place: queue.begin(at, lane, first.cost) })
+            Some(Next::Start {
+                id: first.id,
+                place: queue.begin(at, lane, first.cost),
+            })
         })
     }
 
@@ -180,7 +210,11 @@
     }
 
     fn begin(&mut self, at: u32, lane: usize, cost: Time) -> Place {
-        let most = if planted(Fault::NoBoundOnCredit) { Time::MAX } else { self.setup.longest };
+        let most = if planted(Fault::NoBoundOnCredit) {
+            Time::MAX
+        } else {
+            self.setup.longest
+        };
         let flow = &mut self.flows[at as usize];
         let start = |tag: &mut Virtual, now: &mut Virtual, weight| {
             *tag = (*tag).max(now.saturating_sub(per_weight(most, weight)));
@@ -190,12 +224,21 @@
         start(&mut flow.tag, &mut self.virtual_now[class], flow.weight);
         if flow.bucket {
             let class = self.tenants.group_class();
-            start(&mut self.group, &mut self.virtual_now[class], self.tenants.unnamed);
+            start(
+                &mut self.group,
+                &mut self.virtual_now[class],
+                self.tenants.unnamed,
+            );
         }
         flow.started(lane, most);
         self.charge(at, lane, cost);
         self.slow += (lane == SLOW) as usize;
-        let run = self.runs.insert(Run { flow: at, lane, began: self.now, charged: cost });
+        let run = self.runs.insert(Run {
+            flow: at,
+            lane,
+            began: self.now,
+            charged: cost,
+        });
         self.due.insert((self.now.saturating_add(cost), run));
         Place(run)
     }
@@ -203,7 +246,15 @@
     /// A slot is free again; how long it was held.
     pub fn ended(&mut self, now: Time, place: Place) -> Time {
         self.clock(now);
-        let Some(Run { flow: at, lane, began, charged }) = self.runs.try_remove(place.0) else { return 0 };
+        let Some(Run {
+            flow: at,
+            lane,
+            began,
+            charged,
+        }) = self.runs.try_remove(place.0)
+        else {
+            return 0;
+        };
         self.due.remove(&(began.saturating_add(charged), place.0));
         let took = (self.now - began).max(1);
         self.slow -= (lane == SLOW) as usize;
@@ -223,10 +274,14 @@
 
     /// One that waits no more: its client left, or it was told elsewhere that its time is over.
     pub fn leave(&mut self, ticket: Ticket) -> bool {
-        let Some(waiting) = self.lanes.find(ticket).copied() else { return false };
+        let Some(waiting) = self.lanes.find(ticket).copied() else {
+            return false;
+        };
         let lane = waiting.slow as usize;
         self.change(waiting.flow, |queue, at| {
-            queue.lanes.remove(&mut queue.flows[at as usize].lanes[lane], ticket);
+            queue
+                .lanes
+                .remove(&mut queue.flows[at as usize].lanes[lane], ticket);
         });
         self.let_go(waiting.flow);
         true
--- a/pure/fair/src/replica.rs
+++ b/pure/fair/src/replica.rs
@@ -47,20 +47,34 @@
             true => Memory::whole(now),
             false => Memory::fresh(now, &[lease], drift),
         };
-        Replica { lease, memory, slots: vec![None; slots as usize], wanting: BTreeMap::new() }
+        Replica {
+            lease,
+            memory,
+            slots: vec![None; slots as usize],
+            wanting: BTreeMap::new(),
+        }
     }
 
     fn running(&self, now: Time) -> impl Iterator<Item = &Lease> {
-        self.slots.iter().flatten().filter(move |lease| lease.granted.runs(now))
+        self.slots
+            .iter()
+            .flatten()
+            .filter(move |lease| lease.granted.runs(now))
     }
 
     fn vacant_at(&self, now: Time, slot: usize) -> bool {
-        self.slots.get(slot).is_some_and(|at| at.as_ref().is_none_or(|lease| !lease.granted.runs(now)))
+        self.slots
+            .get(slot)
+            .is_some_and(|at| at.as_ref().is_none_or(|lease| !lease.granted.runs(now)))
     }
 
     /// The most that one may hold while others want: each of them keeps its floor.
     fn most(&self, from: &Peer, now: Time) -> usize {
-        let others = self.wanting.iter().filter(|(peer, until)| *peer != from && now < **until).count();
+        let others = self
+            .wanting
+            .iter()
+            .filter(|(peer, until)| *peer != from && now < **until)
+            .count();
         self.slots.len() - others * floor(self.slots.len(), others + 1)
     }
 
@@ -73,15 +87,22 @@
         more: u16,
     ) -> Said {
         if !self.memory.speaks(now) {
-            return Said { refused: slots.to_vec(), ..Said::default() };
+            return Said {
+                refused: slots.to_vec(),
+                ..Said::default()
+            };
         }
         if more == 0 {
             self.wanting.remove(from);
         } else if self.wanting.len() < PEERS || self.wanting.contains_key(from) {
-            self.wanting.insert(from.clone(), now.saturating_add(WANTING));
+            self.wanting
+                .insert(from.clone(), now.saturating_add(WANTING));
         }
         let most = self.most(from, now);
-        let mut held = self.running(now).filter(|lease| lease.holder == *from).count();
+        let mut held = self
+            .running(now)
+            .filter(|lease| lease.holder == *from)
+            .count();
         let mut said = Said::default();
         for slot in slots.iter().take(self.slots.len()) {
             let Some(at) = self.slots.get_mut(*slot as usize) else {
@@ -101,7 +122,12 @@
                 }
                 None if held < most => {
                     let granted = Granted::new(now, self.lease);
-                    *at = Some(Lease { holder: from.clone(), life, number, granted });
+                    *at = Some(Lease {
+                        holder: from.clone(),
+                        life,
+                        number,
+                        granted,
+                    });
                     held += 1;
                     said.granted.push(*slot);
                 }
@@ -114,17 +140,31 @@
 
     /// Vacant slots for one of those who want: they are dealt out in turn, so that no two go for the same.
     fn offer(&self, now: Time, to: &Peer, most: usize) -> Vec<u16> {
-        let wanting: Vec<&Peer> = self.wanting.iter().filter(|w| now < *w.1).map(|w| w.0).collect();
-        let Some(own) = wanting.iter().position(|peer| *peer == to) else { return Vec::new() };
+        let wanting: Vec<&Peer> = self
+            .wanting
+            .iter()
+            .filter(|w| now < *w.1)
+            .map(|w| w.0)
+            .collect();
+        let Some(own) = wanting.iter().position(|peer| *peer == to) else {
+            return Vec::new();
+        };
         let vacant = (0..self.slots.len()).filter(|slot| self.vacant_at(now, *slot));
-        vacant.filter(|slot| slot % wanting.len() == own).take(most).map(|slot| slot as u16).collect()
+        vacant
+            .filter(|slot| slot % wanting.len() == own)
+            .take(most)
+            .map(|slot| slot as u16)
+            .collect()
     }
 
     pub fn free(&mut self, from: &Peer, (life, number): (u64, u64), slots: &[u16]) {
         for slot in slots {
-            let Some(at) = self.slots.get_mut(*slot as usize) else { continue };
+            let Some(at) = self.slots.get_mut(*slot as usize) else {
+                continue;
+            };
             let own = |lease: &&mut Lease| lease.holder == *from && lease.life == life;
-            let later = |lease: &&mut Lease| lease.number < number || planted(Fault::LateFreeCounts);
+            let later =
+                |lease: &&mut Lease| lease.number < number || planted(Fault::LateFreeCounts);
             if at.as_mut().filter(own).filter(later).is_some() {
                 *at = None;
             }
@@ -137,7 +177,10 @@
         if !self.memory.speaks(now) {
             return Vec::new();
         }
-        let offers = self.wanting.keys().map(|peer| (peer.clone(), self.offer(now, peer, self.slots.len())));
+        let offers = self
+            .wanting
+            .keys()
+            .map(|peer| (peer.clone(), self.offer(now, peer, self.slots.len())));
         offers.filter(|(_, slots)| !slots.is_empty()).collect()
     }
 
--- a/pure/fair/src/slots.rs
+++ b/pure/fair/src/slots.rs
@@ -41,10 +41,30 @@
 
 impl FleetSlots {
     pub fn new(now: Time, setup: FleetSetup) -> FleetSlots {
-        let FleetSetup { own, life, peers, seats, drift, pools } = setup;
-        let pools = pools.into_iter().map(|setup| (setup.key, Pool::new(now, life, drift, setup))).collect();
-        let peers = peers.into_iter().filter(|peer| *peer != own).map(|peer| (peer, true)).collect();
-        FleetSlots { own, peers, seats, pools, due: now }
+        let FleetSetup {
+            own,
+            life,
+            peers,
+            seats,
+            drift,
+            pools,
+        } = setup;
+        let pools = pools
+            .into_iter()
+            .map(|setup| (setup.key, Pool::new(now, life, drift, setup)))
+            .collect();
+        let peers = peers
+            .into_iter()
+            .filter(|peer| *peer != own)
+            .map(|peer| (peer, true))
+            .collect();
+        FleetSlots {
+            own,
+            peers,
+            seats,
+            pools,
+            due: now,
+        }
     }
 
     /// A change of the list of replicas is asked by both lists for one window.
@@ -55,8 +75,14 @@
     fn to_seats(&self, now: Time, pool: PoolKey, words: Vec<Word>, out: &mut Acts<Self>) {
         for word in words {
             for to in self.seats.asked(now, &pool.to_le_bytes()) {
-                let message = Message { pool, word: word.clone() };
-                out.push(Do::Send { to: to.clone(), message });
+                let message = Message {
+                    pool,
+                    word: word.clone(),
+                };
+                out.push(Do::Send {
+                    to: to.clone(),
+                    message,
+                });
             }
         }
     }
@@ -65,7 +91,9 @@
         let keys: Vec<PoolKey> = self.pools.keys().copied().collect();
         for key in keys {
             let sits = self.seats.sits(now, &key.to_le_bytes(), &self.own);
-            let Some(pool) = self.pools.get_mut(&key) else { continue };
+            let Some(pool) = self.pools.get_mut(&key) else {
+                continue;
+            };
             if sits {
                 pool.offer(now, out);
             }
@@ -74,18 +102,28 @@
             pool.target = if pool.leaving { 0 } else { target };
             let words = pool.claim(now, &self.seats);
             let back = held.saturating_sub(target).min(short_elsewhere);
-            let most = if back > 0 { (held - back) as u16 } else { u16::MAX };
+            let most = if back > 0 {
+                (held - back) as u16
+            } else {
+                u16::MAX
+            };
             if pool.most.replace(most) != Some(most) {
                 out.push(Do::Tell(Told::Most { pool: key, most }));
             }
             let often = if pool.news { STEP } else { DIGEST };
-            if pool.told.is_none_or(|told| now >= told.saturating_add(often)) {
+            if pool
+                .told
+                .is_none_or(|told| now >= told.saturating_add(often))
+            {
                 pool.told = Some(now);
                 pool.news = false;
                 let digest = pool.digest();
                 for (to, _) in self.peers.iter().filter(|(_, alive)| **alive) {
                     let word = Word::Digest(digest.clone());
-                    out.push(Do::Send { to: to.clone(), message: Message { pool: key, word } });
+                    out.push(Do::Send {
+                        to: to.clone(),
+                        message: Message { pool: key, word },
+                    });
                 }
             }
             self.to_seats(now, key, words, out);
@@ -102,23 +140,56 @@
     fn heard(&mut self, now: Time, from: &Peer, message: Message, out: &mut Acts<Self>) {
         let Message { pool: key, word } = message;
         let sits = self.seats.sits(now, &key.to_le_bytes(), &self.own);
-        let Some(pool) = self.pools.get_mut(&key) else { return };
+        let Some(pool) = self.pools.get_mut(&key) else {
+            return;
+        };
         match word {
-            Word::Claim { life, number, slots, more } if sits => {
+            Word::Claim {
+                life,
+                number,
+                slots,
+                more,
+            } if sits => {
                 let said = pool.replica.claim(now, from, (life, number), &slots, more);
                 let (slots, refused, vacant) = (said.granted, said.refused, said.vacant);
-                let word = Word::Granted { life, number, slots, refused, vacant };
-                out.push(Do::Send { to: from.clone(), message: Message { pool: key, word } });
+                let word = Word::Granted {
+                    life,
+                    number,
+                    slots,
+                    refused,
+                    vacant,
+                };
+                out.push(Do::Send {
+                    to: from.clone(),
+                    message: Message { pool: key, word },
+                });
             }
-            Word::Free { life, number, slots } if sits => {
+            Word::Free {
+                life,
+                number,
+                slots,
+            } if sits => {
                 pool.replica.free(from, (life, number), &slots);
                 pool.offer(now, out);
             }
-            Word::Granted { life, number, slots, refused, vacant } if life == pool.holder.life => {
+            Word::Granted {
+                life,
+                number,
+                slots,
+                refused,
+                vacant,
+            } if life == pool.holder.life => {
                 let (won, word) = pool.holder.granted(now, from, (number, &slots, &refused));
                 pool.holder.vacant(vacant);
-                out.extend(won.into_iter().filter_map(|won| pool.told_held(won)).map(Do::Tell));
-                let words = word.into_iter().chain(pool.claim(now, &self.seats)).collect();
+                out.extend(
+                    won.into_iter()
+                        .filter_map(|won| pool.told_held(won))
+                        .map(Do::Tell),
+                );
+                let words = word
+                    .into_iter()
+                    .chain(pool.claim(now, &self.seats))
+                    .collect();
                 self.to_seats(now, key, words, out);
             }
             Word::Vacant { slots } => {
@@ -139,22 +210,34 @@
     fn ask(&mut self, now: Time, ask: Ask, out: &mut Acts<Self>) {
         match ask {
             Ask::Uses { pool, at, uses } => {
-                let Some(pool) = self.pools.get_mut(&pool) else { return };
+                let Some(pool) = self.pools.get_mut(&pool) else {
+                    return;
+                };
                 pool.uses(now, at, uses);
             }
             Ask::Gave { pool: key, gave } => {
-                let Some(pool) = self.pools.get_mut(&key) else { return };
+                let Some(pool) = self.pools.get_mut(&key) else {
+                    return;
+                };
                 let word = pool.holder.gave(&gave);
                 pool.news = true;
                 self.to_seats(now, key, word.into_iter().collect(), out);
             }
-            Ask::Weights { pool, named, unnamed } => {
-                let Some(pool) = self.pools.get_mut(&pool) else { return };
+            Ask::Weights {
+                pool,
+                named,
+                unnamed,
+            } => {
+                let Some(pool) = self.pools.get_mut(&pool) else {
+                    return;
+                };
                 pool.setup.weights = named.into_iter().collect();
                 pool.setup.unnamed = unnamed;
             }
             Ask::Leaving { pool: key } => {
-                let Some(pool) = self.pools.get_mut(&key) else { return };
+                let Some(pool) = self.pools.get_mut(&key) else {
+                    return;
+                };
                 pool.leaving = true;
                 out.push(Do::Tell(Told::Most { pool: key, most: 0 }));
             }
@@ -162,9 +245,14 @@
     }
 
     fn peer(&mut self, _: Time, peer: &Peer, alive: bool, _: &mut Acts<Self>) {
-        self.peers.get_mut(peer).into_iter().for_each(|own| *own = alive);
+        self.peers
+            .get_mut(peer)
+            .into_iter()
+            .for_each(|own| *own = alive);
         if !alive {
-            self.pools.values_mut().for_each(|pool| pool.heard.gone(peer));
+            self.pools
+                .values_mut()
+                .for_each(|pool| pool.heard.gone(peer));
         }
     }
 
--- a/pure/fair/src/slow.rs
+++ b/pure/fair/src/slow.rs
@@ -12,7 +12,11 @@
 const SOURCES: usize = 256;
 /// What an error moves: mostly the tenant's figure, so that one whose requests take long is taken for what it is before its
 /// class is. In logarithms, as the factors multiply.
-const FADE: Fade = Fade { tenant: 1.0 / 8.0, source: 1.0 / 32.0, class: 1.0 / 32.0 };
+const FADE: Fade = Fade {
+    tenant: 1.0 / 8.0,
+    source: 1.0 / 32.0,
+    class: 1.0 / 32.0,
+};
 /// How far a source or a tenant may move what is foretold: eight times.
 const FAR: f64 = 2.08;
 
@@ -53,7 +57,13 @@
 impl Figures {
     pub fn new(classes: usize, slow_over: Time, longest: Time) -> Figures {
         let classes = vec![[None; SIZES]; classes.max(1)];
-        Figures { slow_over, longest, classes, sources: vec![0.0; SOURCES], tenants: Vec::new() }
+        Figures {
+            slow_over,
+            longest,
+            classes,
+            sources: vec![0.0; SOURCES],
+            tenants: Vec::new(),
+        }
     }
 
     fn size(size_kb: f64) -> usize {
@@ -77,7 +87,11 @@
     }
 
     fn factors(&self, shape: &Shape) -> f64 {
-        let tenant = self.tenants.get(shape.tenant as usize).copied().unwrap_or_default();
+        let tenant = self
+            .tenants
+            .get(shape.tenant as usize)
+            .copied()
+            .unwrap_or_default();
         self.sources[shape.source as usize % SOURCES] + tenant
     }
 
@@ -85,7 +99,10 @@
         let time = (self.base(shape) + self.factors(shape)).exp();
         // A new class may take just as long as is still quick.
         let cost = (time * (1.0 + 1e-9)).clamp(1.0, self.longest.max(1) as f64) as Time;
-        Foretold { cost, slow: cost > self.slow_over }
+        Foretold {
+            cost,
+            slow: cost > self.slow_over,
+        }
     }
 
     /// How long it took.
--- a/pure/fair/src/stock.rs
+++ b/pure/fair/src/stock.rs
@@ -51,7 +51,11 @@
         if self.given.get(&slot).is_some_and(|given| turn <= *given) {
             return;
         }
-        let own = self.slots.entry(slot).or_insert(Slot { turn, until, used: false });
+        let own = self.slots.entry(slot).or_insert(Slot {
+            turn,
+            until,
+            used: false,
+        });
         let was = own.until;
         own.turn = own.turn.max(turn);
         own.until = own.until.max(until);
@@ -66,7 +70,11 @@
         let end = now.saturating_add(need);
         let short = match planted(Fault::UsedPastItsLease) {
             true => 0,
-            false => self.idle.iter().take_while(|(until, _)| *until < end).count(),
+            false => self
+                .idle
+                .iter()
+                .take_while(|(until, _)| *until < end)
+                .count(),
         };
         self.slots.len() - short
     }
@@ -87,7 +95,11 @@
         }
         self.idle.remove(&(until, slot));
         self.slots.get_mut(&slot)?.used = true;
-        let until = if planted(Fault::UsedPastItsLease) { Time::MAX } else { until };
+        let until = if planted(Fault::UsedPastItsLease) {
+            Time::MAX
+        } else {
+            until
+        };
         Some(Taken { slot, until })
     }
 
@@ -96,17 +108,25 @@
         let own = self.slots.get_mut(&taken.slot)?;
         own.used = false;
         self.idle.insert((own.until, taken.slot));
-        self.most.is_some_and(|most| self.slots.len() > most).then(|| self.give(taken.slot))?
+        self.most
+            .is_some_and(|most| self.slots.len() > most)
+            .then(|| self.give(taken.slot))?
     }
 
     fn give(&mut self, slot: u16) -> Option<Gave> {
         if planted(Fault::SlotReturnedTwice) {
-            return self.slots.get(&slot).map(|own| Gave { slot, turn: own.turn });
+            return self.slots.get(&slot).map(|own| Gave {
+                slot,
+                turn: own.turn,
+            });
         }
         let own = self.slots.remove(&slot)?;
         self.idle.remove(&(own.until, slot));
         self.given.insert(slot, own.turn);
-        Some(Gave { slot, turn: own.turn })
+        Some(Gave {
+            slot,
+            turn: own.turn,
+        })
     }
 
     /// Holds no more than these from now on; the idle ones beyond them are given back at once.
@@ -114,12 +134,19 @@
         self.most = Some(most);
         let over = self.slots.len().saturating_sub(most);
         let idle: Vec<u16> = self.idle.iter().map(|(_, slot)| *slot).take(over).collect();
-        idle.into_iter().filter_map(|slot| self.give(slot)).collect()
+        idle.into_iter()
+            .filter_map(|slot| self.give(slot))
+            .collect()
     }
 
     /// Idle slots whose lease is over are gone; those in use go when they are put back.
     pub fn expire(&mut self, now: Time) {
-        while let Some((until, slot)) = self.idle.first().copied().filter(|(until, _)| *until <= now) {
+        while let Some((until, slot)) = self
+            .idle
+            .first()
+            .copied()
+            .filter(|(until, _)| *until <= now)
+        {
             self.idle.remove(&(until, slot));
             self.slots.remove(&slot);
         }
@@ -127,7 +154,10 @@
 
     /// Slots that are surely held, none other may hold them; and whether in use.
     pub fn surely(&self, now: Time) -> impl Iterator<Item = (u16, bool)> + '_ {
-        self.slots.iter().filter(move |(_, s)| now < s.until).map(|(at, s)| (*at, s.used))
+        self.slots
+            .iter()
+            .filter(move |(_, s)| now < s.until)
+            .map(|(at, s)| (*at, s.used))
     }
 }
 
--- a/pure/fair/src/stock/tests.rs
+++ b/pure/fair/src/stock/tests.rs
@@ -8,7 +8,16 @@
     stock.held(3, 1, 1_000);
     assert_eq!((stock.size(0, 900), stock.size(200, 900)), (1, 0));
     let taken = stock.take(0, 900).unwrap();
-    assert_eq!((&taken, stock.take(0, 1)), (&Taken { slot: 3, until: 1_000 }, None));
+    assert_eq!(
+        (&taken, stock.take(0, 1)),
+        (
+            &Taken {
+                slot: 3,
+                until: 1_000
+            },
+            None
+        )
+    );
     assert_eq!(stock.keep(0), [], "it is in use");
     assert_eq!(stock.put(taken), Some(Gave { slot: 3, turn: 1 }));
     stock.held(3, 1, 9_000);
--- a/pure/fair/src/tenants.rs
+++ b/pure/fair/src/tenants.rs
@@ -48,7 +48,10 @@
 /// A name as digests carry it: the same in every process.
 pub fn key(name: &str) -> u64 {
     let hash = blake3::hash(name.as_bytes());
-    hash.as_bytes().iter().take(8).fold(0, |key, byte| key << 8 | *byte as u64)
+    hash.as_bytes()
+        .iter()
+        .take(8)
+        .fold(0, |key, byte| key << 8 | *byte as u64)
 }
 
 /// The flow of a name: those of the buckets come first, and stay.
@@ -63,7 +66,12 @@
 impl Tenants {
     /// `buckets`: at least one.
     pub fn new(buckets: u32, unnamed: Weight) -> Tenants {
-        Tenants { buckets: buckets.max(1), named: HashMap::new(), keys: HashMap::new(), unnamed }
+        Tenants {
+            buckets: buckets.max(1),
+            named: HashMap::new(),
+            keys: HashMap::new(),
+            unnamed,
+        }
     }
 
     pub fn buckets(&self) -> u32 {
@@ -71,7 +79,10 @@
     }
 
     pub fn find(&self, name: &str) -> u32 {
-        self.named.get(name).copied().unwrap_or_else(|| self.bucket(key(name)))
+        self.named
+            .get(name)
+            .copied()
+            .unwrap_or_else(|| self.bucket(key(name)))
     }
 
     /// By which virtual time the unnamed go together: one of no weight is served where nothing else waits.
@@ -85,7 +96,10 @@
 
     /// As [`Tenants::find`], of a digest's key: that of a name, or of a bucket ([`Tenants::key_of`]).
     pub fn find_key(&self, key: u64) -> u32 {
-        self.keys.get(&key).copied().unwrap_or_else(|| self.bucket(key))
+        self.keys
+            .get(&key)
+            .copied()
+            .unwrap_or_else(|| self.bucket(key))
     }
 
     pub fn named(&self) -> impl Iterator<Item = (&Arc<str>, u32)> {
--- a/pure/fair/tests/common/checks.rs
+++ b/pure/fair/tests/common/checks.rs
@@ -13,8 +13,12 @@
 
 /// Slot time over weight, of tenants that wait at all times; and slots in use.
 pub fn shares(one: &One, of: std::ops::Range<usize>) -> Check {
-    let per: Vec<f64> = of.map(|at| one.time[at] as f64 / one.tenants[at].weight).collect();
-    must(jain(&per) >= 0.98, || format!("Jain {:.3}: {per:?}", jain(&per)))?;
+    let per: Vec<f64> = of
+        .map(|at| one.time[at] as f64 / one.tenants[at].weight)
+        .collect();
+    must(jain(&per) >= 0.98, || {
+        format!("Jain {:.3}: {per:?}", jain(&per))
+    })?;
     let busy = one.busy.0 as f64 / one.busy.1.max(1) as f64;
     must(busy >= 0.98, || format!("{busy:.3} of the slots in use"))
 }
@@ -22,7 +26,10 @@
 /// Equal weights, costs of 10 to 200 ms: charged by time and not by count.
 pub fn by_time() -> Check {
     let takes = [(5_000, 15_000), (50_000, 150_000), (100_000, 300_000)];
-    let tenants = (0..6).map(|n| Tenant { slow: false, ..Tenant::new(&format!("t{n}"), 20, takes[n % 3]) });
+    let tenants = (0..6).map(|n| Tenant {
+        slow: false,
+        ..Tenant::new(&format!("t{n}"), 20, takes[n % 3])
+    });
     let mut one = One::new(8, tenants.collect(), 7);
     one.run(60_000_000);
     shares(&one, 0..6)
@@ -30,8 +37,14 @@
 
 /// One that is foretold a millisecond and takes half a second has no more than its share.
 pub fn foretold_wrongly() -> Check {
-    let mut tenants: Vec<_> = (0..4).map(|n| Tenant::new(&format!("t{n}"), 20, (20_000, 60_000))).collect();
-    tenants.push(Tenant { foretold: 1_000, slow: false, ..Tenant::new("liar", 40, (400_000, 600_000)) });
+    let mut tenants: Vec<_> = (0..4)
+        .map(|n| Tenant::new(&format!("t{n}"), 20, (20_000, 60_000)))
+        .collect();
+    tenants.push(Tenant {
+        foretold: 1_000,
+        slow: false,
+        ..Tenant::new("liar", 40, (400_000, 600_000))
+    });
     let mut one = One::new(8, tenants, 7);
     one.run(60_000_000);
     shares(&one, 0..5)
@@ -62,7 +75,9 @@
     });
     one.run(66_000_000);
     let got = one.time[0] - before;
-    must(got > 9_000_000, || format!("its neighbour got {got} us of 36 s of slot time"))
+    must(got > 9_000_000, || {
+        format!("its neighbour got {got} us of 36 s of slot time")
+    })
 }
 
 /// Twenty tenants of slow ones, one of quick: while it waits they have half of the slots.
@@ -72,16 +87,27 @@
     let mut one = One::new(8, tenants, 3);
     one.run(60_000_000);
     let all: Time = one.time.iter().sum();
-    must(one.time[0] * 100 >= all * 45, || format!("quick ones got {} of {all}", one.time[0]))
+    must(one.time[0] * 100 >= all * 45, || {
+        format!("quick ones got {} of {all}", one.time[0])
+    })
 }
 
 /// Whoever invents names takes from the unnamed alone.
 pub fn invented_names() -> Check {
-    let inventor = Tenant { renames: true, ..Tenant::new("x", 200, (20_000, 40_000)) };
-    let mut both = One::new(8, vec![Tenant::new("named", 40, (20_000, 40_000)), inventor], 5);
+    let inventor = Tenant {
+        renames: true,
+        ..Tenant::new("x", 200, (20_000, 40_000))
+    };
+    let mut both = One::new(
+        8,
+        vec![Tenant::new("named", 40, (20_000, 40_000)), inventor],
+        5,
+    );
     both.run(30_000_000);
     let all = both.time[0] + both.time[1];
-    must(both.time[0] * 100 >= all * 45, || format!("the named got {} of {all}", both.time[0]))
+    must(both.time[0] * 100 >= all * 45, || {
+        format!("the named got {} of {all}", both.time[0])
+    })
 }
 
 /// A fleet under kills, pauses and cuts, all wanting more than there is: never over the cap, and in the end all slots are
@@ -97,7 +123,14 @@
         patience: 3_000_000,
         from: 3_000_000,
     };
-    let plan = Plan { processes: 5, slots: 16, seed, loss: 0.02, delay: (200, delay), ..Plan::default() };
+    let plan = Plan {
+        processes: 5,
+        slots: 16,
+        seed,
+        loss: 0.02,
+        delay: (200, delay),
+        ..Plan::default()
+    };
     let mut world = World::new(plan, vec![stream]);
     world.run(5_000_000);
     for round in 0..12 {
@@ -128,9 +161,18 @@
     world.cut.clear();
     world.run(world.now + 3 * LEASE);
     must(world.overrun == 0, || format!("{} overruns", world.overrun))?;
-    let held: usize = world.processes.iter().map(|p| p.local.slots(p.clock(world.now))).sum();
-    must(held >= 15, || format!("{held} of 16 slots are held in the end"))?;
-    must(world.most_running <= 16 && world.figures[0].served > 100, || format!("{:?}", world.figures[0]))
+    let held: usize = world
+        .processes
+        .iter()
+        .map(|p| p.local.slots(p.clock(world.now)))
+        .sum();
+    must(held >= 15, || {
+        format!("{held} of 16 slots are held in the end")
+    })?;
+    must(
+        world.most_running <= 16 && world.figures[0].served > 100,
+        || format!("{:?}", world.figures[0]),
+    )
 }
 
 /// What one process says of a tenant pushes it back for no longer than it lies, and a little.
@@ -146,17 +188,31 @@
         patience: 3_000_000,
         from: 3_000_000,
     };
-    let plan = Plan { processes: 3, slots: 12, ..Plan::default() };
+    let plan = Plan {
+        processes: 3,
+        slots: 12,
+        ..Plan::default()
+    };
     let mut world = World::new(plan, vec![stream("victim"), stream("other")]);
     world.run(5_000_000);
     let mut lie = 0;
     for _ in 0..20 {
         lie += 1_000_000_000;
-        world.digest_from(1, 0, digest::Use { tenant: key("victim"), used: lie, wants: 1 });
+        world.digest_from(
+            1,
+            0,
+            digest::Use {
+                tenant: key("victim"),
+                used: lie,
+                wants: 1,
+            },
+        );
         world.run(world.now + 100_000);
     }
     let before = world.figures[0].slot_time;
     world.run(world.now + 4_000_000);
     let got = world.figures[0].slot_time - before;
-    must(got > 8_000_000, || format!("4 s after the lies the victim got {got} us of slot time"))
+    must(got > 8_000_000, || {
+        format!("4 s after the lies the victim got {got} us of slot time")
+    })
 }
--- a/pure/fair/tests/common/mod.rs
+++ b/pure/fair/tests/common/mod.rs
@@ -41,7 +41,15 @@
 impl Default for Plan {
     fn default() -> Plan {
         let (loss, delay, waiting) = (0.0, (200, 2_000), 20_000);
-        Plan { processes: 1, slots: 16, fair: true, seed: 1, loss, delay, waiting }
+        Plan {
+            processes: 1,
+            slots: 16,
+            fair: true,
+            seed: 1,
+            loss,
+            delay,
+            waiting,
+        }
     }
 }
 
@@ -59,11 +67,24 @@
 }
 
 enum Event {
-    Deliver { to: usize, from: usize, life: u64, message: Box<Message> },
+    Deliver {
+        to: usize,
+        from: usize,
+        life: u64,
+        message: Box<Message>,
+    },
     Tick(usize),
     Arrive(usize),
-    End { process: usize, life: u64, id: u64 },
-    Known { process: usize, life: u64, id: u64 },
+    End {
+        process: usize,
+        life: u64,
+        id: u64,
+    },
+    Known {
+        process: usize,
+        life: u64,
+        id: u64,
+    },
 }
 
 /// One request, from where it stands at the client.
@@ -108,7 +129,10 @@
             now: 1_000,
             processes: Vec::new(),
             figures: streams.iter().map(|_| Figure::default()).collect(),
-            weights: streams.iter().map(|s| (s.tenant.as_str().into(), Weight::of(s.weight))).collect(),
+            weights: streams
+                .iter()
+                .map(|s| (s.tenant.as_str().into(), Weight::of(s.weight)))
+                .collect(),
             streams,
             behind: BTreeMap::new(),
             running: 0,
@@ -125,7 +149,10 @@
             plan,
         };
         for at in 0..world.plan.processes {
-            let (offset, ppm) = (world.rng.u64(0..1_000_000_000), world.rng.i64(-9_000..9_000));
+            let (offset, ppm) = (
+                world.rng.u64(0..1_000_000_000),
+                world.rng.i64(-9_000..9_000),
+            );
             let process = world.process(at, offset, ppm);
             world.processes.push(process);
             world.at(1_000, Event::Tick(at));
@@ -147,7 +174,11 @@
         let slow_over = if self.plan.fair { 100_000 } else { Time::MAX };
         let figures = Figures::new(2, slow_over, LONGEST);
         let alone = self.plan.processes == 1;
-        let stock = if alone { Stock::own(self.plan.slots) } else { Stock::default() };
+        let stock = if alone {
+            Stock::own(self.plan.slots)
+        } else {
+            Stock::default()
+        };
         let mut local = Local::new(POOL, setup, figures, stock);
         let mut process = Process {
             fleet: None,
@@ -166,10 +197,27 @@
         if !alone {
             let peers: Vec<Peer> = (0..self.plan.processes.max(3)).map(peer).collect();
             let seats = Change::settled(Seats::new(peers.clone()).expect("three at least"));
-            let weights = self.weights.iter().map(|(name, w)| (key(name), w.0)).collect();
-            let pool = PoolSetup { key: POOL, slots: self.plan.slots, lease: LEASE, weights, unnamed: 1_000 };
+            let weights = self
+                .weights
+                .iter()
+                .map(|(name, w)| (key(name), w.0))
+                .collect();
+            let pool = PoolSetup {
+                key: POOL,
+                slots: self.plan.slots,
+                lease: LEASE,
+                weights,
+                unnamed: 1_000,
+            };
             let drift = Drift::percent(1.0).expect("a drift");
-            let setup = FleetSetup { own: peer(at), life, peers, seats, drift, pools: vec![pool] };
+            let setup = FleetSetup {
+                own: peer(at),
+                life,
+                peers,
+                seats,
+                drift,
+                pools: vec![pool],
+            };
             process.fleet = Some(FleetSlots::new(now, setup));
         }
         process
@@ -182,7 +230,8 @@
     }
 
     pub fn run(&mut self, until: Time) {
-        while let Some(Reverse((time, id))) = self.heap.peek().copied().filter(|e| e.0 .0 <= until) {
+        while let Some(Reverse((time, id))) = self.heap.peek().copied().filter(|e| e.0 .0 <= until)
+        {
             self.heap.pop();
             self.count(time);
             self.now = self.now.max(time);
@@ -200,12 +249,27 @@
                 self.tick(at);
                 self.at(self.now + 10_000, Event::Tick(at));
             }
-            Event::Deliver { to, from, life, message } => {
+            Event::Deliver {
+                to,
+                from,
+                life,
+                message,
+            } => {
                 if self.cut.contains(&(from, to)) || self.processes[to].life != life {
                 } else if !self.awake(to) {
-                    self.later(to, Event::Deliver { to, from, life, message });
+                    self.later(
+                        to,
+                        Event::Deliver {
+                            to,
+                            from,
+                            life,
+                            message,
+                        },
+                    );
                 } else if self.processes[to].up {
-                    self.fleet(to, |fleet, now, out| fleet.heard(now, &peer(from), *message, out));
+                    self.fleet(to, |fleet, now, out| {
+                        fleet.heard(now, &peer(from), *message, out)
+                    });
                 }
             }
             Event::Arrive(stream) => self.arrive(stream),
@@ -227,10 +291,16 @@
     }
 
     /// Calls a process's fleet side, and does what it wants done.
-    fn fleet(&mut self, at: usize, call: impl FnOnce(&mut FleetSlots, Time, &mut Acts<FleetSlots>)) {
+    fn fleet(
+        &mut self,
+        at: usize,
+        call: impl FnOnce(&mut FleetSlots, Time, &mut Acts<FleetSlots>),
+    ) {
         let now = self.processes[at].clock(self.now);
         let mut out = Vec::new();
-        let Some(fleet) = self.processes[at].fleet.as_mut() else { return };
+        let Some(fleet) = self.processes[at].fleet.as_mut() else {
+            return;
+        };
         call(fleet, now, &mut out);
         for act in out {
             match act {
--- a/pure/fair/tests/common/one.rs
+++ b/pure/fair/tests/common/one.rs
@@ -24,7 +24,16 @@
 impl Tenant {
     pub fn new(name: &str, open: usize, takes: (Time, Time)) -> Tenant {
         let (slow, foretold) = (takes.1 > 100_000, (takes.0 + takes.1) / 2);
-        Tenant { name: name.into(), weight: 1.0, open, from: 0, foretold, takes, slow, renames: false }
+        Tenant {
+            name: name.into(),
+            weight: 1.0,
+            open,
+            from: 0,
+            foretold,
+            takes,
+            slow,
+            renames: false,
+        }
     }
 }
 
@@ -50,17 +59,28 @@
 
 pub fn setup(slots: usize) -> Setup {
     let (waiting, buckets) = (1_000_000, 64);
-    Setup { slots, slow_share: 0.5, longest: 1_000_000, waiting, buckets, unnamed: Weight::ONE }
+    Setup {
+        slots,
+        slow_share: 0.5,
+        longest: 1_000_000,
+        waiting,
+        buckets,
+        unnamed: Weight::ONE,
+    }
 }
 
 impl One {
     pub fn new(slots: usize, tenants: Vec<Tenant>, seed: u64) -> One {
         let mut queue = Queue::new(setup(slots));
         let weights = tenants.iter().filter(|t| !t.renames);
-        let weights = weights.map(|t| (t.name.as_str().into(), Weight::of(t.weight))).collect();
+        let weights = weights
+            .map(|t| (t.name.as_str().into(), Weight::of(t.weight)))
+            .collect();
         queue.retune(0, &weights, Weight::ONE);
-        let asks =
-            tenants.iter().enumerate().flat_map(|(at, t)| (0..t.open).map(move |_| Reverse((t.from, at))));
+        let asks = tenants
+            .iter()
+            .enumerate()
+            .flat_map(|(at, t)| (0..t.open).map(move |_| Reverse((t.from, at))));
         One {
             queue,
             now: 0,
@@ -83,8 +103,19 @@
     pub fn ask(&mut self, at: usize, repeat: bool) -> u64 {
         self.next += 1;
         let (id, t) = (self.next, &self.tenants[at]);
-        let name = if t.renames { format!("{}-{}", t.name, id % 60) } else { t.name.clone() };
-        let wish = Wish { id, tenant: &name, cost: t.foretold, slow: t.slow, latest: Time::MAX, repeat };
+        let name = if t.renames {
+            format!("{}-{}", t.name, id % 60)
+        } else {
+            t.name.clone()
+        };
+        let wish = Wish {
+            id,
+            tenant: &name,
+            cost: t.foretold,
+            slow: t.slow,
+            latest: Time::MAX,
+            repeat,
+        };
         match self.queue.enter(self.now, &wish) {
             Entered::Now(place) => {
                 self.came.insert(id, (at, self.now));
--- a/pure/fair/tests/common/tenants.rs
+++ b/pure/fair/tests/common/tenants.rs
@@ -30,7 +30,10 @@
 pub fn percentile(values: &[Time], percent: usize) -> Time {
     let mut values = values.to_vec();
     values.sort_unstable();
-    values.get((values.len() * percent / 100).min(values.len().saturating_sub(1))).copied().unwrap_or(0)
+    values
+        .get((values.len() * percent / 100).min(values.len().saturating_sub(1)))
+        .copied()
+        .unwrap_or(0)
 }
 
 pub fn jain(values: &[f64]) -> f64 {
@@ -47,7 +50,11 @@
 impl World {
     pub(super) fn arrive_next(&mut self, stream: usize, first: bool) {
         let s = &self.streams[stream];
-        let start = if first { self.now.max(s.from) } else { self.now };
+        let start = if first {
+            self.now.max(s.from)
+        } else {
+            self.now
+        };
         if s.rate > 0.0 {
             let gap = -(1.0 - self.rng.f64()).ln() / s.rate * 1e6;
             self.at(start + gap as Time, Event::Arrive(stream));
@@ -59,8 +66,11 @@
 
     pub(super) fn arrive(&mut self, stream: usize) {
         let s = self.streams[stream].clone();
-        let by =
-            if s.rate > 0.0 { self.rng.usize(..s.by.len()) } else { self.figures[stream].asked % s.by.len() };
+        let by = if s.rate > 0.0 {
+            self.rng.usize(..s.by.len())
+        } else {
+            self.figures[stream].asked % s.by.len()
+        };
         self.ask_at(stream, s.by[by], false);
         if s.rate > 0.0 {
             self.arrive_next(stream, false);
@@ -88,7 +98,16 @@
             repeat,
         };
         let asked = self.processes[at].local.enter(now, &request);
-        self.open.insert(id, Open { stream, process: at, came: self.now, takes, started: false });
+        self.open.insert(
+            id,
+            Open {
+                stream,
+                process: at,
+                came: self.now,
+                takes,
+                started: false,
+            },
+        );
         match asked {
             Asked::Now(used) => self.start(at, id, used),
             Asked::Waits(ticket) => {
@@ -116,7 +135,14 @@
         self.overrun += (self.behind[&slot] > 1) as usize;
         let life = self.processes[at].life;
         self.processes[at].used.insert(id, used);
-        self.at(self.now + takes, Event::End { process: at, life, id: id << 16 | slot as u64 });
+        self.at(
+            self.now + takes,
+            Event::End {
+                process: at,
+                life,
+                id: id << 16 | slot as u64,
+            },
+        );
     }
 
     /// What ran has ended; its process hears of it once it is awake.
@@ -125,16 +151,22 @@
             return self.over(id, false);
         }
         if !self.awake(at) {
-            return self.later(at, Event::Known { process: at, life, id });
+            return self.later(
+                at,
+                Event::Known {
+                    process: at,
+                    life,
+                    id,
+                },
+            );
         }
         let now = self.processes[at].clock(self.now);
         if let Some(used) = self.processes[at].used.remove(&id) {
             self.processes[at].local.ended(now, used);
         }
-        let served = self
-            .open
-            .get(&id)
-            .is_some_and(|o| self.now - o.came <= self.streams[o.stream].patience + o.takes.min(LONGEST));
+        let served = self.open.get(&id).is_some_and(|o| {
+            self.now - o.came <= self.streams[o.stream].patience + o.takes.min(LONGEST)
+        });
         self.over(id, served);
         self.go_on(at);
     }
@@ -145,7 +177,9 @@
     }
 
     fn over(&mut self, id: u64, served: bool) {
-        let Some(open) = self.open.remove(&id) else { return };
+        let Some(open) = self.open.remove(&id) else {
+            return;
+        };
         let figure = &mut self.figures[open.stream];
         figure.served += served as usize;
         figure.refused += !served as usize;
@@ -182,7 +216,9 @@
         if !self.processes[at].up {
             return;
         }
-        let uses: Ask = self.processes[at].local.uses(self.processes[at].clock(self.now));
+        let uses: Ask = self.processes[at]
+            .local
+            .uses(self.processes[at].clock(self.now));
         self.fleet(at, |fleet, now, out| {
             fleet.ask(now, uses, out);
             fleet.tick(now, out);
@@ -207,33 +243,64 @@
         let (least, most) = self.plan.delay;
         let life = self.processes[to].life;
         // Now and then one comes twice, the second time late.
-        let copies = if self.plan.loss > 0.0 && self.rng.f64() < 0.02 { 2 } else { 1 };
+        let copies = if self.plan.loss > 0.0 && self.rng.f64() < 0.02 {
+            2
+        } else {
+            1
+        };
         for copy in 0..copies {
-            let delay = if from == to { 1 } else { self.rng.u64(least..=most) } + copy * 300_000;
+            let delay = if from == to {
+                1
+            } else {
+                self.rng.u64(least..=most)
+            } + copy * 300_000;
             let message = Box::new(message.clone());
-            self.at(self.now + delay, Event::Deliver { to, from, life, message });
+            self.at(
+                self.now + delay,
+                Event::Deliver {
+                    to,
+                    from,
+                    life,
+                    message,
+                },
+            );
         }
     }
 
     /// What `from` tells `to` of its use.
     pub fn digest_from(&mut self, from: usize, to: usize, told: foldmux_fair::digest::Use) {
         let life = 99;
-        let digest = foldmux_fair::digest::Digest { life, held: 1, uses: vec![told] };
-        let message = Message { pool: POOL, word: foldmux_fair::message::Word::Digest(digest) };
-        self.fleet(to, |fleet, now, out| fleet.heard(now, &peer(from), message, out));
+        let digest = foldmux_fair::digest::Digest {
+            life,
+            held: 1,
+            uses: vec![told],
+        };
+        let message = Message {
+            pool: POOL,
+            word: foldmux_fair::message::Word::Digest(digest),
+        };
+        self.fleet(to, |fleet, now, out| {
+            fleet.heard(now, &peer(from), message, out)
+        });
     }
 
     /// It gives back what is idle, and claims no more.
     pub fn leave(&mut self, at: usize) {
-        self.fleet(at, |fleet, now, out| fleet.ask(now, Ask::Leaving { pool: POOL }, out));
+        self.fleet(at, |fleet, now, out| {
+            fleet.ask(now, Ask::Leaving { pool: POOL }, out)
+        });
     }
 
     /// Killed: all that waits or runs there is lost to its client; what runs behind goes on to its end.
     pub fn kill(&mut self, at: usize) {
         self.processes[at].up = false;
         self.processes[at].life = 0;
-        let lost: Vec<u64> =
-            self.open.iter().filter(|(_, o)| o.process == at && !o.started).map(|o| *o.0).collect();
+        let lost: Vec<u64> = self
+            .open
+            .iter()
+            .filter(|(_, o)| o.process == at && !o.started)
+            .map(|o| *o.0)
+            .collect();
         lost.into_iter().for_each(|id| self.over(id, false));
     }
 
--- a/pure/fair/tests/holds.rs
+++ b/pure/fair/tests/holds.rs
@@ -64,7 +64,10 @@
 
 #[test]
 fn one_of_no_weight_is_served_where_nothing_else_waits() {
-    let idle = Tenant { weight: 0.0, ..Tenant::new("idle", 20, (20_000, 40_000)) };
+    let idle = Tenant {
+        weight: 0.0,
+        ..Tenant::new("idle", 20, (20_000, 40_000))
+    };
     let mut one = One::new(4, vec![idle, Tenant::new("t", 0, (20_000, 40_000))], 2);
     one.run(1_000_000);
     assert!(one.time[0] > 3_900_000, "alone it has all: {}", one.time[0]);
@@ -73,22 +76,37 @@
     });
     let before = one.time[0];
     one.run(3_000_000);
-    assert!(one.time[0] - before < 200_000, "only what ran ended: {}", one.time[0] - before);
+    assert!(
+        one.time[0] - before < 200_000,
+        "only what ran ended: {}",
+        one.time[0] - before
+    );
     assert!(percentile(&one.waits[1][..1], 99) <= 40_000);
 }
 
 #[test]
 fn weights_that_change_while_requests_wait_hold_from_then_on() {
-    let tenants = (0..2).map(|n| Tenant::new(&format!("t{n}"), 40, (20_000, 40_000))).collect();
+    let tenants = (0..2)
+        .map(|n| Tenant::new(&format!("t{n}"), 40, (20_000, 40_000)))
+        .collect();
     let mut one = One::new(4, tenants, 2);
     one.run(10_000_000);
     let before = one.time.clone();
     let weights = |pairs: &[(&str, f64)]| -> BTreeMap<_, _> {
-        pairs.iter().map(|(name, w)| ((*name).into(), Weight::of(*w))).collect()
+        pairs
+            .iter()
+            .map(|(name, w)| ((*name).into(), Weight::of(*w)))
+            .collect()
     };
-    one.queue.retune(one.now, &weights(&[("t0", 3.0), ("t1", 1.0), ("new", 1.0)]), Weight::ONE);
+    one.queue.retune(
+        one.now,
+        &weights(&[("t0", 3.0), ("t1", 1.0), ("new", 1.0)]),
+        Weight::ONE,
+    );
     one.run(30_000_000);
-    let got: Vec<f64> = (0..2).map(|at| (one.time[at] - before[at]) as f64).collect();
+    let got: Vec<f64> = (0..2)
+        .map(|at| (one.time[at] - before[at]) as f64)
+        .collect();
     assert!((2.85..3.15).contains(&(got[0] / got[1])), "{got:?}");
     // Both names go, with their requests in the queue: all are served, in the order of the unnamed.
     one.queue.retune(one.now, &weights(&[]), Weight::ONE);
@@ -103,7 +121,14 @@
     let mut held = Vec::new();
     for id in 0..3_000 {
         let tenant = ["a", "b", "c"][id as usize % 3];
-        let wish = Wish { id, tenant, cost: 10_000, slow: id % 2 == 0, latest: u64::MAX, repeat: false };
+        let wish = Wish {
+            id,
+            tenant,
+            cost: 10_000,
+            slow: id % 2 == 0,
+            latest: u64::MAX,
+            repeat: false,
+        };
         if let Entered::Now(place) = queue.enter(500, &wish) {
             held.push(place);
         }
@@ -111,7 +136,10 @@
     let mut started = held.len();
     while let Some(place) = held.pop() {
         assert!(held.len() < 3);
-        assert_eq!(queue.ended(if started % 2 == 0 { 500 } else { 3 }, place), 1);
+        assert_eq!(
+            queue.ended(if started % 2 == 0 { 500 } else { 3 }, place),
+            1
+        );
         while let Some(Next::Start { place, .. }) = queue.next(500) {
             started += 1;
             held.push(place);
--- a/pure/fair/tests/leases.rs
+++ b/pure/fair/tests/leases.rs
@@ -31,7 +31,12 @@
     type Transition = Step;
 
     fn init_state() -> BoxedStrategy<Model> {
-        any::<u64>().prop_map(|seed| Model { up: [true; PROCESSES], seed }).boxed()
+        any::<u64>()
+            .prop_map(|seed| Model {
+                up: [true; PROCESSES],
+                seed,
+            })
+            .boxed()
     }
 
     fn transitions(_: &Model) -> BoxedStrategy<Step> {
@@ -84,7 +89,13 @@
             from: 1_000,
         };
         let slots = SLOTS as u16;
-        let plan = Plan { processes: PROCESSES, slots, seed: model.seed, loss: 0.03, ..Plan::default() };
+        let plan = Plan {
+            processes: PROCESSES,
+            slots,
+            seed: model.seed,
+            loss: 0.03,
+            ..Plan::default()
+        };
         let mut world = World::new(plan, vec![stream]);
         world.run(4_000_000);
         world
@@ -129,7 +140,11 @@
         // One or two are on their way from one to another now and then.
         let held = (0..40).map(|_| {
             world.run(world.now + 50_000);
-            world.processes.iter().map(|p| p.local.stock().surely(p.clock(world.now)).count()).sum::<usize>()
+            world
+                .processes
+                .iter()
+                .map(|p| p.local.stock().surely(p.clock(world.now)).count())
+                .sum::<usize>()
         });
         let held = held.max().unwrap_or(0);
         assert_eq!((held, world.overrun), (SLOTS, 0), "slots that came back");
--- a/pure/fair/tests/neighbours.rs
+++ b/pure/fair/tests/neighbours.rs
@@ -9,7 +9,11 @@
 /// Eight neighbours of quick requests, half of the pool together; each comes by two processes.
 fn neighbours(processes: usize) -> Vec<Stream> {
     let rate = SLOTS as f64 * 0.5 / 8.0 / 0.020;
-    let by = |n: usize| (0..2.min(processes)).map(|k| (n * 2 + k) % processes).collect();
+    let by = |n: usize| {
+        (0..2.min(processes))
+            .map(|k| (n * 2 + k) % processes)
+            .collect()
+    };
     let stream = |n: usize| Stream {
         tenant: format!("quick-{n}"),
         weight: 1.0,
@@ -28,7 +32,16 @@
     let rate = times * SLOTS as f64 / 9.0 / 0.6;
     let by = (0..processes).collect();
     let (takes, patience) = (HEAVY, 3_000_000);
-    Stream { tenant: "heavy".into(), weight: 1.0, by, rate, open: 0, takes, patience, from: 4_000_000 }
+    Stream {
+        tenant: "heavy".into(),
+        weight: 1.0,
+        by,
+        rate,
+        open: 0,
+        takes,
+        patience,
+        from: 4_000_000,
+    }
 }
 
 struct Seen {
@@ -47,7 +60,15 @@
     if times > 0.0 {
         streams.push(heavy(processes, times));
     }
-    let mut world = World::new(Plan { processes, slots: SLOTS, fair, ..Plan::default() }, streams);
+    let mut world = World::new(
+        Plan {
+            processes,
+            slots: SLOTS,
+            fair,
+            ..Plan::default()
+        },
+        streams,
+    );
     world.run(5_000_000);
     let first = world.busy;
     world.run(16_000_000);
@@ -59,7 +80,8 @@
         worth: sum(|f| f.served) / sum(|f| f.asked),
         slow: world.figures.get(8).map_or(0, |f| f.served),
         overrun: world.overrun,
-        busy: [(0.0, 0.0), first].map(|(used, had)| (world.busy.0 - used) / (world.busy.1 - had).max(1.0)),
+        busy: [(0.0, 0.0), first]
+            .map(|(used, had)| (world.busy.0 - used) / (world.busy.1 - had).max(1.0)),
         spare: world.spare.map(|spare| spare / world.busy.1.max(1.0)),
     }
 }
@@ -79,8 +101,16 @@
         // Slots are under way or idle in so small a part, though they go to where one waits; 0.963 at 16 before each
         // process told at once what it wants and seats dealt to no one that wants none.
         assert!(fair.busy[0] >= 0.97, "{:?}", fair.busy);
-        assert!(fair.worth >= 0.95 * alone.worth, "{} of {}", fair.worth, alone.worth);
-        assert!(fifo.worth < 0.7 * alone.worth, "the load is one that first come, first served fails");
+        assert!(
+            fair.worth >= 0.95 * alone.worth,
+            "{} of {}",
+            fair.worth,
+            alone.worth
+        );
+        assert!(
+            fifo.worth < 0.7 * alone.worth,
+            "the load is one that first come, first served fails"
+        );
     }
 }
 
--- a/pure/fair/tests/planted.rs
+++ b/pure/fair/tests/planted.rs
@@ -31,16 +31,28 @@
 
 #[test]
 fn faults_of_the_leases_are_found() {
-    found(Fault::SlotReturnedTwice, |seed| fleet_keeps_its_cap(seed, 2_000, false));
-    found(Fault::OneSeatIsEnough, |seed| fleet_keeps_its_cap(seed, 2_000, false));
-    found(Fault::FreshSeatGrants, |seed| fleet_keeps_its_cap(seed, 2_000, true));
-    found(Fault::UsedPastItsLease, |seed| fleet_keeps_its_cap(seed, 2_000, false));
+    found(Fault::SlotReturnedTwice, |seed| {
+        fleet_keeps_its_cap(seed, 2_000, false)
+    });
+    found(Fault::OneSeatIsEnough, |seed| {
+        fleet_keeps_its_cap(seed, 2_000, false)
+    });
+    found(Fault::FreshSeatGrants, |seed| {
+        fleet_keeps_its_cap(seed, 2_000, true)
+    });
+    found(Fault::UsedPastItsLease, |seed| {
+        fleet_keeps_its_cap(seed, 2_000, false)
+    });
 }
 
 #[test]
 fn faults_that_need_a_slow_line_are_found() {
-    found(Fault::GrantersClock, |seed| fleet_keeps_its_cap(seed, 90_000, false));
-    found(Fault::LateFreeCounts, |seed| fleet_keeps_its_cap(seed, 90_000, false));
+    found(Fault::GrantersClock, |seed| {
+        fleet_keeps_its_cap(seed, 90_000, false)
+    });
+    found(Fault::LateFreeCounts, |seed| {
+        fleet_keeps_its_cap(seed, 90_000, false)
+    });
 }
 
 #[test]
--- a/pure/figures/src/rates.rs
+++ b/pure/figures/src/rates.rs
@@ -16,7 +16,10 @@
 
 impl Rate {
     pub fn over(over: f64) -> Rate {
-        Rate { over, ..Rate::default() }
+        Rate {
+            over,
+            ..Rate::default()
+        }
     }
 
     pub fn add(&mut self, now: Time, work: f64) {
@@ -67,7 +70,10 @@
 
     /// Moves from `before` by this part of the way to the sample.
     pub fn add(&mut self, now: Time, before: f64, sample: f64, part: f64) {
-        *self = Heard { value: Some(before + part * (sample - before)), at: now };
+        *self = Heard {
+            value: Some(before + part * (sample - before)),
+            at: now,
+        };
     }
 }
 
--- a/pure/figures/src/rates/tests.rs
+++ b/pure/figures/src/rates/tests.rs
@@ -9,7 +9,11 @@
         rate.add(1_000_000 + k * 50_000, 0.5);
     }
     let now = 11_000_000;
-    assert!((rate.get(now) - 10.0e-6).abs() < 0.5e-6, "{}", rate.get(now));
+    assert!(
+        (rate.get(now) - 10.0e-6).abs() < 0.5e-6,
+        "{}",
+        rate.get(now)
+    );
     assert!(rate.get(now + 60_000_000) < 1.0e-6);
 }
 
--- a/pure/hierarchy/benches/decision.rs
+++ b/pure/hierarchy/benches/decision.rs
@@ -10,12 +10,21 @@
 }
 
 fn tree() -> Tree {
-    let node = |name: String, kind, parents: Vec<String>| Proposed { name, kind, parents };
+    let node = |name: String, kind, parents: Vec<String>| Proposed {
+        name,
+        kind,
+        parents,
+    };
     let mut nodes = vec![node("archive".into(), Kind::Archive, vec![])];
     nodes.extend((0..60).map(|h| node(format!("hub-{h}"), Kind::Hub, vec!["archive".into()])));
     let parents = |l: usize| vec![format!("hub-{}", l % 60), format!("hub-{}", (l + 7) % 60)];
     nodes.extend((0..2_000).map(|l| node(format!("office-{l}"), Kind::Location, parents(l))));
-    Tree::check(&Draft { epoch: 1, nodes, ..Draft::default() }).expect("a sound tree")
+    Tree::check(&Draft {
+        epoch: 1,
+        nodes,
+        ..Draft::default()
+    })
+    .expect("a sound tree")
 }
 
 #[divan::bench]
@@ -42,9 +51,18 @@
 #[divan::bench]
 fn want_join_and_leave(bencher: divan::Bencher) {
     let present = tree().stamp();
-    let mut ledger = Ledger::new(Limits { fetches: 20_000, waits: 40_000, lease: 1_000_000, attempts: 3 });
+    let mut ledger = Ledger::new(Limits {
+        fetches: 20_000,
+        waits: 40_000,
+        lease: 1_000_000,
+        attempts: 3,
+    });
     let want = |object| Want {
-        key: Key { class: 0, object, part: 0 },
+        key: Key {
+            class: 0,
+            object,
+            part: 0,
+        },
         arrival: Arrival::BEGINS,
         present,
         born_after: 0,
--- a/pure/hierarchy/src/cold.rs
+++ b/pure/hierarchy/src/cold.rs
@@ -73,7 +73,14 @@
 impl Gate {
     pub fn new(rule: Rule, start: Start, index: usize, callers: usize) -> Gate {
         let callers = callers.max(1) as u64;
-        Gate { rule, index: index as u64 % callers, callers, start, sent: VecDeque::new(), turn: 0 }
+        Gate {
+            rule,
+            index: index as u64 % callers,
+            callers,
+            start,
+            sent: VecDeque::new(),
+            turn: 0,
+        }
     }
 
     pub fn start(&self) -> Start {
@@ -97,7 +104,11 @@
         if !self.cold(now) {
             return true;
         }
-        while self.sent.front().is_some_and(|s| s.0 + self.rule.window <= now) {
+        while self
+            .sent
+            .front()
+            .is_some_and(|s| s.0 + self.rule.window <= now)
+        {
             self.sent.pop_front();
         }
         let share = self.rule.budget(self.start, now) / self.callers as f64;
--- a/pure/hierarchy/src/cold/tests.rs
+++ b/pure/hierarchy/src/cold/tests.rs
@@ -3,11 +3,19 @@
 use super::*;
 use proptest::prelude::*;
 
-const RULE: Rule = Rule { from: 0.067, over: 21_000_000, breaks_at: 2.0, window: 3_000_000, safety: 0.8 };
+const RULE: Rule = Rule {
+    from: 0.067,
+    over: 21_000_000,
+    breaks_at: 2.0,
+    window: 3_000_000,
+    safety: 0.8,
+};
 
 /// The most that was asked of a hub in any window, over what it bears at that moment.
 fn worst(rule: Rule, start: Start, sent: &[(Time, f64)]) -> f64 {
-    let bears = |at: Time| rule.breaks_at * rule.part(at - start.at) * start.full * rule.window as f64 / 1e6;
+    let bears = |at: Time| {
+        rule.breaks_at * rule.part(at - start.at) * start.full * rule.window as f64 / 1e6
+    };
     let mut worst: f64 = 0.0;
     let (mut from, mut sum) = (0, 0.0);
     for &(at, work) in sent {
@@ -50,7 +58,10 @@
 
 #[test]
 fn a_warm_hub_and_one_that_started_long_ago_are_not_held_back() {
-    let start = Start { at: 1_000_000, full: 1.0 };
+    let start = Start {
+        at: 1_000_000,
+        full: 1.0,
+    };
     let mut gate = Gate::new(RULE, start, 0, 4);
     assert!((0..100).all(|_| gate.take(start.at + RULE.over, 50.0)));
     let mut long_ago = Gate::new(RULE, Start { at: 0, ..start }, 0, 4);
@@ -59,12 +70,21 @@
 
 #[test]
 fn a_start_that_becomes_known_gives_no_second_part_in_the_same_window() {
-    let start = Start { at: 1_000_000, full: 100.0 };
+    let start = Start {
+        at: 1_000_000,
+        full: 100.0,
+    };
     let mut gate = Gate::new(RULE, start, 0, 1);
     let given = |gate: &mut Gate, now| (0..1_000).filter(|_| gate.take(now, 1.0)).count();
     let first = given(&mut gate, start.at);
     assert!(first > 10 && given(&mut gate, start.at + 1) == 0);
-    gate.learn(Start { at: start.at + 10, ..start });
+    gate.learn(Start {
+        at: start.at + 10,
+        ..start
+    });
     assert_eq!(given(&mut gate, start.at + 20), 0);
-    assert!(given(&mut gate, start.at + 20 + RULE.window) > first, "with what it has warmed since");
+    assert!(
+        given(&mut gate, start.at + 20 + RULE.window) > first,
+        "with what it has warmed since"
+    );
 }
--- a/pure/hierarchy/src/epochs.rs
+++ b/pure/hierarchy/src/epochs.rs
@@ -69,7 +69,12 @@
         if tree.find(me).is_none() {
             return Err(Refused::Without(me.to_string()));
         }
-        Ok(Wiring { me: me.to_string(), present: Arc::new(tree), former: VecDeque::new(), overlap })
+        Ok(Wiring {
+            me: me.to_string(),
+            present: Arc::new(tree),
+            former: VecDeque::new(),
+            overlap,
+        })
     }
 
     pub fn present(&self) -> &Arc<Tree> {
@@ -78,7 +83,8 @@
 
     /// This node's place in a tree that was taken here.
     pub fn me(&self, tree: &Tree) -> Ix {
-        tree.find(&self.me).expect("no tree without this node is taken")
+        tree.find(&self.me)
+            .expect("no tree without this node is taken")
     }
 
     /// News of a tree, whenever and however often it comes. A refusal changes nothing.
@@ -94,18 +100,27 @@
         match tree.instead_of() {
             // Guards against a step back that was meant for another state of things.
             Some(named) if new.epoch <= present.epoch && named != present.epoch => {
-                return Err(Refused::NotInService { named, present: present.epoch });
+                return Err(Refused::NotInService {
+                    named,
+                    present: present.epoch,
+                });
             }
             None if new.epoch == present.epoch => return Err(Refused::Clash { epoch: new.epoch }),
             None if new.epoch < present.epoch => {
-                return Err(Refused::Older { proposed: new.epoch, present: present.epoch });
+                return Err(Refused::Older {
+                    proposed: new.epoch,
+                    present: present.epoch,
+                });
             }
             _ => {}
         }
         // Taken again while it is former: it is present now, and no more than that.
         self.former.retain(|f| f.tree.stamp() != new);
         let before = std::mem::replace(&mut self.present, Arc::new(tree));
-        self.former.push_back(Former { tree: before, until: now.saturating_add(self.overlap) });
+        self.former.push_back(Former {
+            tree: before,
+            until: now.saturating_add(self.overlap),
+        });
         while self.former.len() > FORMER_MOST {
             self.former.pop_front();
         }
@@ -117,29 +132,41 @@
         if self.present.stamp() == stamp {
             return Some(&self.present);
         }
-        self.former.iter().find(|f| f.tree.stamp() == stamp && now < f.until).map(|f| &f.tree)
+        self.former
+            .iter()
+            .find(|f| f.tree.stamp() == stamp && now < f.until)
+            .map(|f| &f.tree)
     }
 
     /// Whether a fill that began here under `stamp` may still use a node as its source: always by the tree in
     /// service, else by its own tree until that is over.
     pub fn may_use(&self, now: Time, stamp: Stamp, source: &str) -> bool {
-        let by = |tree: &Tree| tree.find(source).is_some_and(|to| tree.allows(self.me(tree), to));
+        let by = |tree: &Tree| {
+            tree.find(source)
+                .is_some_and(|to| tree.allows(self.me(tree), to))
+        };
         by(&self.present) || self.under(now, stamp).is_some_and(|tree| by(tree))
     }
 
     /// Lets go of former trees whose time is over; the names that no tree here lets this node use any more, so
     /// that connections to them can be closed.
     pub fn look(&mut self, now: Time) -> Vec<Arc<str>> {
-        let (over, kept): (Vec<Former>, Vec<Former>) =
-            std::mem::take(&mut self.former).into_iter().partition(|f| f.until <= now);
+        let (over, kept): (Vec<Former>, Vec<Former>) = std::mem::take(&mut self.former)
+            .into_iter()
+            .partition(|f| f.until <= now);
         self.former = kept.into();
         let mut drained: Vec<Arc<str>> = Vec::new();
         for former in over {
             let from = self.me(&former.tree);
-            let used = former.tree.nodes().filter(|(to, _)| former.tree.allows(from, *to));
+            let used = former
+                .tree
+                .nodes()
+                .filter(|(to, _)| former.tree.allows(from, *to));
             for (_, node) in used {
-                let still =
-                    |tree: &Tree| tree.find(&node.name).is_some_and(|to| tree.allows(self.me(tree), to));
+                let still = |tree: &Tree| {
+                    tree.find(&node.name)
+                        .is_some_and(|to| tree.allows(self.me(tree), to))
+                };
                 let kept = still(&self.present) || self.former.iter().any(|f| still(&f.tree));
                 if !kept && !drained.contains(&node.name) {
                     drained.push(node.name.clone());
@@ -151,7 +178,11 @@
 
     /// Former trees that may still be used, the latest first.
     pub fn usable_former(&self, now: Time) -> impl Iterator<Item = &Arc<Tree>> {
-        self.former.iter().rev().filter(move |f| now < f.until).map(|f| &f.tree)
+        self.former
+            .iter()
+            .rev()
+            .filter(move |f| now < f.until)
+            .map(|f| &f.tree)
     }
 
     /// Former trees that are held.
--- a/pure/hierarchy/src/epochs/tests.rs
+++ b/pure/hierarchy/src/epochs/tests.rs
@@ -17,7 +17,13 @@
         node("south", Kind::Hub, &["archive"]),
         node("office", Kind::Location, &[office]),
     ];
-    Tree::check(&Draft { epoch, instead_of, nodes, skip: false }).unwrap()
+    Tree::check(&Draft {
+        epoch,
+        instead_of,
+        nodes,
+        skip: false,
+    })
+    .unwrap()
 }
 
 #[test]
@@ -37,11 +43,23 @@
 #[test]
 fn an_older_tree_is_taken_only_by_name() {
     let mut wiring = Wiring::new("office", tree(5, "east", None), OVERLAP).unwrap();
-    let older = Refused::Older { proposed: 4, present: 5 };
+    let older = Refused::Older {
+        proposed: 4,
+        present: 5,
+    };
     assert_eq!(wiring.take(1, tree(4, "south", None)), Err(older.clone()));
-    assert_eq!(wiring.take(1, tree(5, "south", None)), Err(Refused::Clash { epoch: 5 }));
-    let not_in_service = Refused::NotInService { named: 3, present: 5 };
-    assert_eq!(wiring.take(1, tree(4, "south", Some(3))), Err(not_in_service));
+    assert_eq!(
+        wiring.take(1, tree(5, "south", None)),
+        Err(Refused::Clash { epoch: 5 })
+    );
+    let not_in_service = Refused::NotInService {
+        named: 3,
+        present: 5,
+    };
+    assert_eq!(
+        wiring.take(1, tree(4, "south", Some(3))),
+        Err(not_in_service)
+    );
     assert_eq!(wiring.take(1, tree(5, "east", None)), Ok(Taken::Same));
     assert_eq!(wiring.present().epoch(), 5);
     assert_eq!(wiring.take(1, tree(4, "south", Some(5))), Ok(Taken::New));
--- a/pure/hierarchy/src/fence.rs
+++ b/pure/hierarchy/src/fence.rs
@@ -40,7 +40,11 @@
 
     /// The oldest birth that will do for an object.
     pub fn oldest(&self, object: u64) -> u64 {
-        self.objects.get(&object).copied().unwrap_or(0).max(self.floor)
+        self.objects
+            .get(&object)
+            .copied()
+            .unwrap_or(0)
+            .max(self.floor)
     }
 
     pub fn len(&self) -> usize {
--- a/pure/hierarchy/src/ledger.rs
+++ b/pure/hierarchy/src/ledger.rs
@@ -71,7 +71,11 @@
             return Turn::Full;
         }
         let lane = want.arrival.lane(want.present);
-        let joined = if want.arrival.solo { None } else { self.joinable(&want, lane) };
+        let joined = if want.arrival.solo {
+            None
+        } else {
+            self.joinable(&want, lane)
+        };
         if let Some(id) = joined {
             self.counts.joined += 1;
             let fetch = self.fetches.get_mut(&id).expect("a lead is under way");
@@ -88,7 +92,15 @@
         self.next += 1;
         let lease_until = now.saturating_add(self.limits.lease);
         let (key, born_after) = (want.key, want.born_after);
-        let fetch = Fetch { key, lane, born_after, waits: 1, until: want.until, attempt: 0, lease_until };
+        let fetch = Fetch {
+            key,
+            lane,
+            born_after,
+            waits: 1,
+            until: want.until,
+            attempt: 0,
+            lease_until,
+        };
         self.fetches.insert(id, fetch);
         self.ends.push(Reverse((lease_until, id)));
         // In its lane's place also where one was there whose copy may be too old: later ones join the newer.
@@ -144,7 +156,9 @@
 
     /// A try's source failed. Those who wait go on with one more try, not one each.
     pub fn failed(&mut self, now: Time, id: FetchId, attempt: u32) -> Next {
-        let Limits { lease, attempts, .. } = self.limits;
+        let Limits {
+            lease, attempts, ..
+        } = self.limits;
         let Some(fetch) = self.fetches.get_mut(&id).filter(|f| f.attempt == attempt) else {
             return Next::Stale;
         };
@@ -205,7 +219,8 @@
         // Guards against ends of leases piling up behind fetches that are long over.
         if self.ends.len() > 64 && self.ends.len() > 4 * self.fetches.len() {
             let fetches = &self.fetches;
-            self.ends.retain(|Reverse((_, id))| fetches.contains_key(id));
+            self.ends
+                .retain(|Reverse((_, id))| fetches.contains_key(id));
         }
     }
 }
--- a/pure/hierarchy/src/ledger/types.rs
+++ b/pure/hierarchy/src/ledger/types.rs
@@ -42,7 +42,10 @@
 
 impl Arrival {
     /// A fill that begins at this node.
-    pub const BEGINS: Arrival = Arrival { stamp: None, solo: false };
+    pub const BEGINS: Arrival = Arrival {
+        stamp: None,
+        solo: false,
+    };
 
     /// The lane in which it goes on from a node that goes by `present`.
     pub fn lane(&self, present: Stamp) -> Lane {
--- a/pure/hierarchy/src/node.rs
+++ b/pure/hierarchy/src/node.rs
@@ -47,7 +47,13 @@
         paces: HashMap<Arc<str>, f64>,
     ) -> Result<Node, Refused> {
         let (wiring, ledger) = (Wiring::new(me, tree, overlap)?, Ledger::new(limits));
-        Ok(Node { wiring, ledger, sources: HashMap::new(), paces, cold })
+        Ok(Node {
+            wiring,
+            ledger,
+            sources: HashMap::new(),
+            paces,
+            cold,
+        })
     }
 
     /// The tree in service.
@@ -71,7 +77,12 @@
     }
 
     /// A new tree, and the paces that come with it; nothing changes where it is refused.
-    pub fn rewire(&mut self, now: Time, tree: Tree, paces: HashMap<Arc<str>, f64>) -> Result<Taken, Refused> {
+    pub fn rewire(
+        &mut self,
+        now: Time,
+        tree: Tree,
+        paces: HashMap<Arc<str>, f64>,
+    ) -> Result<Taken, Refused> {
         let taken = self.wiring.take(now, tree)?;
         if taken == Taken::New {
             self.paces = paces;
@@ -89,7 +100,16 @@
         until: Time,
     ) -> (Turn, Lane) {
         let present = self.wiring.present().stamp();
-        let turn = self.ledger.want(now, Want { key, arrival, present, born_after, until });
+        let turn = self.ledger.want(
+            now,
+            Want {
+                key,
+                arrival,
+                present,
+                born_after,
+                until,
+            },
+        );
         (turn, arrival.lane(present))
     }
 
@@ -119,11 +139,21 @@
     }
 
     /// What a try says of its source. `since_ms`: when the source started, if it says so; `unix_ms`: now.
-    pub fn hear(&mut self, now: Time, unix_ms: u64, name: &Arc<str>, word: Word, since_ms: Option<u64>) {
+    pub fn hear(
+        &mut self,
+        now: Time,
+        unix_ms: u64,
+        name: &Arc<str>,
+        word: Word,
+        since_ms: Option<u64>,
+    ) {
         let source = self.sources.entry(name.clone()).or_default();
         source.health.hear(now, word);
         let learn = |source: &mut Source, at: Time| {
-            source.gate.iter_mut().for_each(|gate| gate.learn(Start { at, ..gate.start() }));
+            source
+                .gate
+                .iter_mut()
+                .for_each(|gate| gate.learn(Start { at, ..gate.start() }));
         };
         if matches!(word, Word::Unreached | Word::Failed) {
             // It may come back as a new start: until it says which, it counts as one.
@@ -134,7 +164,14 @@
             source.since_ms = since;
             let age = unix_ms.saturating_sub(since).saturating_mul(1_000);
             // Guards against one that started before this node's clock counting as started with it.
-            learn(source, if age >= self.cold.over { 0 } else { now.saturating_sub(age).max(1) });
+            learn(
+                source,
+                if age >= self.cold.over {
+                    0
+                } else {
+                    now.saturating_sub(age).max(1)
+                },
+            );
         }
     }
 
--- a/pure/hierarchy/src/node/choose.rs
+++ b/pure/hierarchy/src/node/choose.rs
@@ -64,7 +64,12 @@
         let solo = began.is_none();
         let tree = began.unwrap_or_else(|| self.wiring.present().clone());
         let me = self.wiring.me(&tree);
-        let places = |names: &[&str]| names.iter().filter_map(|name| tree.find(name)).collect::<Vec<Ix>>();
+        let places = |names: &[&str]| {
+            names
+                .iter()
+                .filter_map(|name| tree.find(name))
+                .collect::<Vec<Ix>>()
+        };
         let (passed, tried) = (places(seeking.passed), places(seeking.tried));
         let sources = &self.sources;
         let well = |ix: Ix| {
@@ -81,7 +86,11 @@
             next = tree.next(me, seeking.object, open);
         }
         if next.is_empty() {
-            return Err(if all.is_empty() { NoWay::Tried } else { NoWay::Loop });
+            return Err(if all.is_empty() {
+                NoWay::Tried
+            } else {
+                NoWay::Loop
+            });
         }
         let (stamp, mut held_back) = (tree.stamp(), 0);
         for ix in next {
@@ -98,7 +107,16 @@
                 continue;
             }
             let height = tree.height(ix);
-            return Ok(Choice { name, archive, height, stamp, solo, hold_only: false, avoided, held_back });
+            return Ok(Choice {
+                name,
+                archive,
+                height,
+                stamp,
+                solo,
+                hold_only: false,
+                avoided,
+                held_back,
+            });
         }
         Err(NoWay::Cold)
     }
@@ -120,11 +138,22 @@
             let well = self.sources.get(&name).is_none_or(|s| s.health.well(now));
             let used = seeking.passed.contains(&&*name) || seeking.tried.contains(&&*name);
             // A look counts at a hub that started lately as a fill does.
-            let Some(ix) = tree.find(&name).filter(|ix| *ix != me && well && !used) else { continue };
+            let Some(ix) = tree.find(&name).filter(|ix| *ix != me && well && !used) else {
+                continue;
+            };
             if self.gate_of(now, tree, me, ix) {
                 let (stamp, solo, hold_only) = (tree.stamp(), true, true);
                 let (archive, height, held_back) = (false, 0, 0);
-                return Some(Choice { name, archive, height, stamp, solo, hold_only, avoided, held_back });
+                return Some(Choice {
+                    name,
+                    archive,
+                    height,
+                    stamp,
+                    solo,
+                    hold_only,
+                    avoided,
+                    held_back,
+                });
             }
         }
         None
@@ -133,9 +162,14 @@
     /// Whether a source may be given one more fill now, as far as its start allows.
     fn gate_of(&mut self, now: Time, tree: &Tree, me: Ix, ix: Ix) -> bool {
         let name = tree.name(ix);
-        let Some(full) = self.paces.get(name).copied().filter(|full| *full > 0.0) else { return true };
+        let Some(full) = self.paces.get(name).copied().filter(|full| *full > 0.0) else {
+            return true;
+        };
         let source = self.sources.entry(name.clone()).or_default();
-        let start = Start { at: now.max(1), full };
+        let start = Start {
+            at: now.max(1),
+            full,
+        };
         // Its callers are known to all from the tree, and so is each one's turn.
         let gate = source.gate.get_or_insert_with(|| {
             let (turn, callers) = tree.turn(ix, me);
--- a/pure/hierarchy/src/plan.rs
+++ b/pure/hierarchy/src/plan.rs
@@ -34,17 +34,30 @@
     let mut hubs = Vec::new();
     let mut at = tree.find(name);
     while let Some(from) = at {
-        at = tree.next(from, object, |_| true).first().copied().filter(|to| *to != tree.archive());
+        at = tree
+            .next(from, object, |_| true)
+            .first()
+            .copied()
+            .filter(|to| *to != tree.archive());
         hubs.extend(at.map(|hub| tree.name(hub).clone()));
     }
     hubs
 }
 
 pub fn plan(old: &Tree, new: &Tree) -> Plan {
-    let names = |tree: &Tree| tree.nodes().map(|(_, n)| n.name.clone()).collect::<Vec<_>>();
+    let names = |tree: &Tree| {
+        tree.nodes()
+            .map(|(_, n)| n.name.clone())
+            .collect::<Vec<_>>()
+    };
     let parents = |tree: &Tree, name: &str| {
-        let ix = tree.find(name).map(|ix| tree.node(ix).parents.clone()).unwrap_or_default();
-        ix.into_iter().map(|p| tree.name(p).clone()).collect::<Vec<_>>()
+        let ix = tree
+            .find(name)
+            .map(|ix| tree.node(ix).parents.clone())
+            .unwrap_or_default();
+        ix.into_iter()
+            .map(|p| tree.name(p).clone())
+            .collect::<Vec<_>>()
     };
     let rewired = new
         .nodes()
@@ -59,7 +72,9 @@
         .collect();
     let share = |n: u64, of: u64| if of == 0 { 0.0 } else { n as f64 / of as f64 };
     let shield = |tree: &Tree, object| tree.shield(object).map(|ix| tree.name(ix).clone());
-    let moved = (0..SAMPLE).filter(|o| shield(old, *o) != shield(new, *o)).count() as u64;
+    let moved = (0..SAMPLE)
+        .filter(|o| shield(old, *o) != shield(new, *o))
+        .count() as u64;
     let locations: Vec<Arc<str>> = new
         .of_kind(Kind::Location)
         .map(|(_, n)| n.name.clone())
@@ -68,10 +83,19 @@
     // Fewer objects for each location where there are many: the figure needs no more.
     let each = (SAMPLE / locations.len().max(1) as u64).max(64);
     let other = |name: &Arc<str>, o: u64| hubs_on_way(old, name, o) != hubs_on_way(new, name, o);
-    let ways = locations.iter().map(|name| (0..each).filter(|o| other(name, *o)).count() as u64).sum();
+    let ways = locations
+        .iter()
+        .map(|name| (0..each).filter(|o| other(name, *o)).count() as u64)
+        .sum();
     Plan {
-        came: names(new).into_iter().filter(|n| old.find(n).is_none()).collect(),
-        went: names(old).into_iter().filter(|n| new.find(n).is_none()).collect(),
+        came: names(new)
+            .into_iter()
+            .filter(|n| old.find(n).is_none())
+            .collect(),
+        went: names(old)
+            .into_iter()
+            .filter(|n| new.find(n).is_none())
+            .collect(),
         rewired,
         shields_moved: share(moved, SAMPLE),
         ways_moved: share(ways, each * locations.len() as u64),
--- a/pure/hierarchy/src/plan/tests.rs
+++ b/pure/hierarchy/src/plan/tests.rs
@@ -9,22 +9,40 @@
         kind,
         parents: parents.iter().map(|p| p.to_string()).collect(),
     };
-    let mut nodes = vec![node("archive", Kind::Archive, &[]), node("office", Kind::Location, office)];
+    let mut nodes = vec![
+        node("archive", Kind::Archive, &[]),
+        node("office", Kind::Location, office),
+    ];
     nodes.extend(hubs.iter().map(|h| node(h, Kind::Hub, &["archive"])));
-    Tree::check(&Draft { epoch, nodes, ..Draft::default() }).unwrap()
+    Tree::check(&Draft {
+        epoch,
+        nodes,
+        ..Draft::default()
+    })
+    .unwrap()
 }
 
 #[test]
 fn a_plan_counts_what_moves() {
     let old = tree(1, &["east", "south", "north"], &["east"]);
     let same = plan(&old, &tree(2, &["east", "south", "north"], &["east"]));
-    assert_eq!((same.rewired.len(), same.shields_moved, same.ways_moved), (0, 0.0, 0.0));
+    assert_eq!(
+        (same.rewired.len(), same.shields_moved, same.ways_moved),
+        (0, 0.0, 0.0)
+    );
     // The office turned to another hub: its ways move, where that hub is on them; no shield does.
     let turned = plan(&old, &tree(2, &["east", "south", "north"], &["south"]));
-    assert_eq!((turned.rewired[0].name.as_ref(), turned.shields_moved), ("office", 0.0));
+    assert_eq!(
+        (turned.rewired[0].name.as_ref(), turned.shields_moved),
+        ("office", 0.0)
+    );
     assert_eq!(turned.ways_moved, 1.0);
     // A hub less: its third of the objects has another shield.
     let less = plan(&old, &tree(2, &["east", "south"], &["east"]));
     assert_eq!(less.went, ["north".into()]);
-    assert!((0.30..0.37).contains(&less.shields_moved), "{}", less.shields_moved);
+    assert!(
+        (0.30..0.37).contains(&less.shields_moved),
+        "{}",
+        less.shields_moved
+    );
 }
--- a/pure/hierarchy/src/route.rs
+++ b/pure/hierarchy/src/route.rs
@@ -31,11 +31,20 @@
     /// The hub that fetches an object from the archive for all; none where no hub asks the archive.
     pub fn shield(&self, object: u64) -> Option<Ix> {
         let object = spread(object);
-        self.tops().iter().copied().max_by_key(|ix| self.rank(object, *ix))
+        self.tops()
+            .iter()
+            .copied()
+            .max_by_key(|ix| self.rank(object, *ix))
     }
 
     /// The best top hubs for an object that may still be used, of those that rank before `below`.
-    fn shields(&self, object: u64, below: Option<Ix>, may: &impl Fn(Ix) -> bool, found: &mut Vec<Ix>) {
+    fn shields(
+        &self,
+        object: u64,
+        below: Option<Ix>,
+        may: &impl Fn(Ix) -> bool,
+        found: &mut Vec<Ix>,
+    ) {
         let object = spread(object);
         let bound = below.map(|ix| self.rank(object, ix));
         // One pass, without sorting: the two best that may be used.
@@ -45,7 +54,10 @@
             if rank <= bound || rank <= best[SHIELDS_TRIED - 1] || !may(ix) {
                 continue;
             }
-            let at = best.iter().position(|b| *b < rank).unwrap_or(SHIELDS_TRIED - 1);
+            let at = best
+                .iter()
+                .position(|b| *b < rank)
+                .unwrap_or(SHIELDS_TRIED - 1);
             best[at..].rotate_right(1);
             best[at] = rank;
         }
@@ -64,7 +76,10 @@
                 self.shields(object, Some(from), &may, &mut found);
             }
             _ => {
-                let hubs = node.parents.iter().filter(|p| **p != self.archive() && may(**p));
+                let hubs = node
+                    .parents
+                    .iter()
+                    .filter(|p| **p != self.archive() && may(**p));
                 found.extend(hubs);
                 if node.parents.last() == Some(&self.archive()) {
                     // Guards against each hub that may ask the archive doing so by itself: the shield first.
--- a/pure/hierarchy/src/route/tests.rs
+++ b/pure/hierarchy/src/route/tests.rs
@@ -13,7 +13,12 @@
     nodes.extend((0..n).map(|h| proposed(format!("hub-{h}"), Kind::Hub, &["archive"])));
     nodes.push(proposed("low".into(), Kind::Hub, &["hub-0", "archive"]));
     nodes.push(proposed("office".into(), Kind::Location, &["low", "hub-1"]));
-    Tree::check(&Draft { epoch, nodes, ..Draft::default() }).unwrap()
+    Tree::check(&Draft {
+        epoch,
+        nodes,
+        ..Draft::default()
+    })
+    .unwrap()
 }
 
 #[test]
@@ -36,8 +41,12 @@
     for object in 0..500 {
         let shield = tree.shield(object).unwrap();
         let rest = |ix| ix != shield;
-        let firsts: Vec<Ix> =
-            tree.tops().iter().filter(|h| **h != shield).map(|h| tree.next(*h, object, rest)[0]).collect();
+        let firsts: Vec<Ix> = tree
+            .tops()
+            .iter()
+            .filter(|h| **h != shield)
+            .map(|h| tree.next(*h, object, rest)[0])
+            .collect();
         // The stand-in goes to the archive, all others to the stand-in.
         let stand_in = firsts.iter().find(|f| **f != tree.archive()).unwrap();
         assert_eq!(firsts.iter().filter(|f| *f == stand_in).count(), 10);
@@ -49,7 +58,10 @@
 fn lower_nodes_go_by_their_parents_then_over_the_shield() {
     let tree = hubs(4, 1);
     let ix = |name| tree.find(name).unwrap();
-    assert_eq!(tree.next(ix("office"), 9, |_| true), [ix("low"), ix("hub-1")]);
+    assert_eq!(
+        tree.next(ix("office"), 9, |_| true),
+        [ix("low"), ix("hub-1")]
+    );
     let low = tree.next(ix("low"), 9, |_| true);
     assert_eq!((low[0], low.last()), (ix("hub-0"), Some(&tree.archive())));
     assert!(low.contains(&tree.shield(9).unwrap()) || tree.shield(9) == Some(ix("hub-0")));
@@ -65,5 +77,8 @@
     let moved = (0..objects)
         .filter(|o| all.name(all.shield(*o).unwrap()) != less.name(less.shield(*o).unwrap()))
         .count();
-    assert!((moved as f64) < 1.2 / 20.0 * objects as f64, "{moved} of {objects}");
+    assert!(
+        (moved as f64) < 1.2 / 20.0 * objects as f64,
+        "{moved} of {objects}"
+    );
 }
--- a/pure/hierarchy/src/tree.rs
+++ b/pure/hierarchy/src/tree.rs
@@ -76,7 +76,10 @@
         if !digits(epoch) || !digits(digest) || digest.len() != 8 {
             return None;
         }
-        Some(Stamp { epoch: epoch.parse().ok()?, digest: u32::from_str_radix(digest, 16).ok()? })
+        Some(Stamp {
+            epoch: epoch.parse().ok()?,
+            digest: u32::from_str_radix(digest, 16).ok()?,
+        })
     }
 }
 
@@ -147,7 +150,10 @@
 
     /// All nodes, in the order of their names.
     pub fn nodes(&self) -> impl Iterator<Item = (Ix, &Node)> {
-        self.nodes.iter().enumerate().map(|(at, node)| (Ix(at as u16), node))
+        self.nodes
+            .iter()
+            .enumerate()
+            .map(|(at, node)| (Ix(at as u16), node))
     }
 
     /// The nodes of one kind.
@@ -157,13 +163,18 @@
 
     /// The nodes that may ask this one: those that name it as a parent, and for a top hub all that go over a shield.
     pub fn callers(&self, ix: Ix) -> impl Iterator<Item = Ix> + '_ {
-        self.nodes().filter(move |(at, _)| self.allows(*at, ix)).map(|(at, _)| at)
+        self.nodes()
+            .filter(move |(at, _)| self.allows(*at, ix))
+            .map(|(at, _)| at)
     }
 
     /// A caller's place among all that may ask a node, and how many they are.
     pub fn turn(&self, ix: Ix, caller: Ix) -> (usize, usize) {
         let callers: Vec<Ix> = self.callers(ix).collect();
-        (callers.iter().position(|c| *c == caller).unwrap_or(0), callers.len())
+        (
+            callers.iter().position(|c| *c == caller).unwrap_or(0),
+            callers.len(),
+        )
     }
 }
 
--- a/pure/hierarchy/src/tree/check.rs
+++ b/pure/hierarchy/src/tree/check.rs
@@ -1,6 +1,8 @@
 //! The checks that make a tree of a draft.
 
-use super::{Draft, Fault, Ix, Kind, Node, Proposed, Stamp, Tree, NAME_MOST, NODES_MOST, PARENTS_MOST};
+use super::{
+    Draft, Fault, Ix, Kind, Node, Proposed, Stamp, Tree, NAME_MOST, NODES_MOST, PARENTS_MOST,
+};
 use crate::mix;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -29,9 +31,15 @@
         for proposed in &draft.nodes {
             check_node(draft, proposed, &by_name, &sorted, &mut faults);
         }
-        let archives: Vec<&Proposed> = draft.nodes.iter().filter(|n| n.kind == Kind::Archive).collect();
+        let archives: Vec<&Proposed> = draft
+            .nodes
+            .iter()
+            .filter(|n| n.kind == Kind::Archive)
+            .collect();
         if archives.len() != 1 && !draft.nodes.is_empty() {
-            faults.push(Fault::Archives(archives.iter().map(|n| n.name.clone()).collect()));
+            faults.push(Fault::Archives(
+                archives.iter().map(|n| n.name.clone()).collect(),
+            ));
         }
         if !faults.is_empty() {
             return Err(faults);
@@ -39,20 +47,37 @@
         let archive = by_name[archives[0].name.as_str()];
         let nodes = resolve_parents(&sorted, &by_name);
         let order = parents_first(&nodes).map_err(|circle| {
-            let names = circle.iter().map(|ix| nodes[ix.0 as usize].name.to_string()).collect();
+            let names = circle
+                .iter()
+                .map(|ix| nodes[ix.0 as usize].name.to_string())
+                .collect();
             vec![Fault::Cycle(names)]
         })?;
         let tops = top_hubs(&nodes, archive);
         let heights = heights(&nodes, archive, &order);
-        let stamp = Stamp { epoch: draft.epoch, digest: digest(&nodes) };
-        Ok(Tree { stamp, instead_of: draft.instead_of, nodes, archive, tops, heights, by_name })
+        let stamp = Stamp {
+            epoch: draft.epoch,
+            digest: digest(&nodes),
+        };
+        Ok(Tree {
+            stamp,
+            instead_of: draft.instead_of,
+            nodes,
+            archive,
+            tops,
+            heights,
+            by_name,
+        })
     }
 }
 
 fn index_by_name(sorted: &[&Proposed], faults: &mut Vec<Fault>) -> ByName {
     let mut by_name: ByName = HashMap::with_capacity(sorted.len());
     for (at, proposed) in sorted.iter().enumerate() {
-        if by_name.insert(proposed.name.as_str().into(), Ix(at as u16)).is_some() {
+        if by_name
+            .insert(proposed.name.as_str().into(), Ix(at as u16))
+            .is_some()
+        {
             faults.push(Fault::Twice(proposed.name.clone()));
         }
     }
@@ -63,7 +88,11 @@
     let node = |p: &&Proposed| Node {
         name: p.name.as_str().into(),
         kind: p.kind,
-        parents: p.parents.iter().map(|parent| by_name[parent.as_str()]).collect(),
+        parents: p
+            .parents
+            .iter()
+            .map(|parent| by_name[parent.as_str()])
+            .collect(),
         seed: hash(p.name.bytes()),
     };
     sorted.iter().map(node).collect()
@@ -71,7 +100,9 @@
 
 /// Hubs whose only parent is the archive.
 fn top_hubs(nodes: &[Node], archive: Ix) -> Vec<Ix> {
-    let top = |ix: &Ix| nodes[ix.0 as usize].kind == Kind::Hub && nodes[ix.0 as usize].parents == [archive];
+    let top = |ix: &Ix| {
+        nodes[ix.0 as usize].kind == Kind::Hub && nodes[ix.0 as usize].parents == [archive]
+    };
     (0..nodes.len() as u16).map(Ix).filter(top).collect()
 }
 
@@ -96,7 +127,11 @@
     sorted: &[&Proposed],
     faults: &mut Vec<Fault>,
 ) {
-    let Proposed { name, kind, parents } = proposed;
+    let Proposed {
+        name,
+        kind,
+        parents,
+    } = proposed;
     if !valid_name(name) {
         faults.push(Fault::Name(name.clone()));
     }
@@ -122,15 +157,23 @@
             }
             // Guards against a hub that has the archive first and a lower hub behind it: the way over the shield
             // and back down would be a circle that no list of parents shows.
-            Kind::Archive if at + 1 < parents.len() => faults.push(Fault::ArchiveNotLast(name.clone())),
+            Kind::Archive if at + 1 < parents.len() => {
+                faults.push(Fault::ArchiveNotLast(name.clone()))
+            }
             _ => {}
         }
     }
 }
 
 fn valid_name(name: &str) -> bool {
-    let inner = name.bytes().all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-');
-    inner && !name.is_empty() && name.len() <= NAME_MOST && !name.starts_with('-') && !name.ends_with('-')
+    let inner = name
+        .bytes()
+        .all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-');
+    inner
+        && !name.is_empty()
+        && name.len() <= NAME_MOST
+        && !name.starts_with('-')
+        && !name.ends_with('-')
 }
 
 /// All nodes, each after its parents; or a circle of parents, from a node back to itself. All parents count, as each
@@ -180,7 +223,9 @@
 
 /// FNV-1a, spread: for placing, not for secrets.
 fn hash(bytes: impl Iterator<Item = u8>) -> u64 {
-    mix(bytes.fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ b as u64).wrapping_mul(0x100_0000_01b3)))
+    mix(bytes.fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ b as u64).wrapping_mul(0x100_0000_01b3)
+    }))
 }
 
 /// Guards against two trees under one number, told to two nodes: their fills must not be taken for each other's.
--- a/pure/hierarchy/src/tree/draft.rs
+++ b/pure/hierarchy/src/tree/draft.rs
@@ -69,9 +69,9 @@
             Fault::EpochZero | Fault::Empty | Fault::TooManyNodes(_) => None,
             Fault::Archives(names) | Fault::Cycle(names) => names.first().map(String::as_str),
             Fault::Name(node) | Fault::Twice(node) | Fault::ArchiveHasParents(node) => Some(node),
-            Fault::Parentless(node, _) | Fault::TooManyParents(node, _) | Fault::ParentTwice(node, _) => {
-                Some(node)
-            }
+            Fault::Parentless(node, _)
+            | Fault::TooManyParents(node, _)
+            | Fault::ParentTwice(node, _) => Some(node),
             Fault::Unknown(node, _) | Fault::ParentIsLocation(node, _) => Some(node),
             Fault::Skips(node) | Fault::ArchiveNotLast(node) => Some(node),
         }
--- a/pure/hierarchy/src/way.rs
+++ b/pure/hierarchy/src/way.rs
@@ -40,7 +40,9 @@
 
 impl Hop {
     fn tag(&self) -> Option<&str> {
-        self.rest.split(';').find_map(|p| p.trim().strip_prefix("m="))
+        self.rest
+            .split(';')
+            .find_map(|p| p.trim().strip_prefix("m="))
     }
 }
 
@@ -72,10 +74,14 @@
             let known = |b: u8| b.is_ascii_alphanumeric() || b"-._~:[]!#$%&'*+^`|".contains(&b);
             let printable = |b: u8| (b' '..=b'~').contains(&b) || b == b'\t';
             let rest_fits = rest.trim_start().is_empty() || rest.trim_start().starts_with(';');
-            if id.is_empty() || !id.bytes().all(known) || !rest.bytes().all(printable) || !rest_fits {
+            if id.is_empty() || !id.bytes().all(known) || !rest.bytes().all(printable) || !rest_fits
+            {
                 return Err(Fault::Malformed);
             }
-            hops.push(Hop { id: id.to_ascii_lowercase(), rest: rest.trim().to_string() });
+            hops.push(Hop {
+                id: id.to_ascii_lowercase(),
+                rest: rest.trim().to_string(),
+            });
         }
         Ok(Way { hops })
     }
@@ -87,7 +93,9 @@
     /// The names under a domain that the fill has passed, whoever says so. One that is wrongly there costs the
     /// fill that source and no more.
     pub fn passed<'a>(&'a self, domain: &'a str) -> impl Iterator<Item = &'a str> {
-        self.hops.iter().filter_map(move |h| h.id.strip_suffix(domain)?.strip_suffix('.'))
+        self.hops
+            .iter()
+            .filter_map(move |h| h.id.strip_suffix(domain)?.strip_suffix('.'))
     }
 
     pub fn names(&self, domain: &str, name: &str) -> bool {
@@ -119,20 +127,31 @@
     /// `key`: random, made at this start.
     pub fn new(name: &str, domain: &str, key: &[u8; 32]) -> Signer {
         let mac = Hmac::new_from_slice(key).expect("any length of key will do");
-        Signer { id: format!("{name}.{domain}"), mac }
+        Signer {
+            id: format!("{name}.{domain}"),
+            mac,
+        }
     }
 
     fn tag(&self, object: u64) -> String {
         let mut mac = self.mac.clone();
         mac.update(self.id.as_bytes());
         mac.update(&object.to_be_bytes());
-        mac.finalize().into_bytes()[..TAG / 2].iter().map(|b| format!("{b:02x}")).collect()
+        mac.finalize().into_bytes()[..TAG / 2]
+            .iter()
+            .map(|b| format!("{b:02x}"))
+            .collect()
     }
 
     /// Whether this very start sent the fill on before. Guards against an entry under this node's name that
     /// somebody else wrote, or a former start: that is no loop.
     pub fn sent(&self, way: &Way, object: u64) -> bool {
-        let mut own = way.hops.iter().filter(|h| h.id == self.id).filter_map(Hop::tag).peekable();
+        let mut own = way
+            .hops
+            .iter()
+            .filter(|h| h.id == self.id)
+            .filter_map(Hop::tag)
+            .peekable();
         own.peek().is_some() && {
             let tag = self.tag(object);
             own.any(|theirs| theirs == tag)
--- a/pure/hierarchy/src/way/tests.rs
+++ b/pure/hierarchy/src/way/tests.rs
@@ -19,24 +19,31 @@
     assert_eq!(way.passed(DOMAIN).collect::<Vec<_>>(), ["east", "south"]);
     // A former start's entry, and one that somebody made up, are hops and no loop.
     assert!(!signer("east", 9).sent(&way, 7));
-    let forged = Way::parse(format!("east.{DOMAIN};m=0123456789abcdef, east.{DOMAIN}").as_bytes()).unwrap();
+    let forged =
+        Way::parse(format!("east.{DOMAIN};m=0123456789abcdef, east.{DOMAIN}").as_bytes()).unwrap();
     assert!(!east.sent(&forged, 7) && forged.names(DOMAIN, "east"));
 }
 
 #[test]
 fn other_cdns_entries_are_read_and_passed_on() {
-    let value = "foo123.foocdn.example, barcdn.example; trace=\"abcdef\", AnotherCDN; abc=123; def=\"456\"";
+    let value =
+        "foo123.foocdn.example, barcdn.example; trace=\"abcdef\", AnotherCDN; abc=123; def=\"456\"";
     let way = Way::parse(value.as_bytes()).unwrap();
     assert_eq!((way.hops(), way.passed(DOMAIN).count()), (3, 0));
     let on = way.with(&signer("east", 1), 7);
-    assert!(on.starts_with("foo123.foocdn.example, barcdn.example; trace=\"abcdef\", anothercdn; abc=123"));
+    assert!(on.starts_with(
+        "foo123.foocdn.example, barcdn.example; trace=\"abcdef\", anothercdn; abc=123"
+    ));
     assert_eq!(Way::parse(b"a,, ,b").unwrap().hops(), 2);
 }
 
 #[test]
 fn what_cannot_be_read_is_refused() {
     assert_eq!(Way::parse(&vec![b'a'; 60_000]), Err(Fault::TooLong));
-    assert_eq!(Way::parse(vec!["a"; HOPS_MOST + 1].join(",").as_bytes()), Err(Fault::TooManyHops));
+    assert_eq!(
+        Way::parse(vec!["a"; HOPS_MOST + 1].join(",").as_bytes()),
+        Err(Fault::TooManyHops)
+    );
     for bad in [&b"a b"[..], b"\xff", b";m=1", b"a\0", b"a;m=\x07", b"a@b"] {
         assert_eq!(Way::parse(bad), Err(Fault::Malformed), "{bad:?}");
     }
--- a/pure/hierarchy/tests/network/fills.rs
+++ b/pure/hierarchy/tests/network/fills.rs
@@ -15,17 +15,36 @@
 
     pub fn take(&mut self, message: Message) {
         match message {
-            Message::Answer { back: Who::Client(number), got } => {
+            Message::Answer {
+                back: Who::Client(number),
+                got,
+            } => {
                 if self.clients.insert(number, Some(got)).flatten().is_some() {
                     self.faults.push("a second answer".to_string());
                 }
             }
-            Message::Answer { back: Who::Hub { hub, fetch, attempt }, got } => match got {
+            Message::Answer {
+                back:
+                    Who::Hub {
+                        hub,
+                        fetch,
+                        attempt,
+                    },
+                got,
+            } => match got {
                 true if self.hubs[hub].node.done(fetch, attempt) => self.end(hub, fetch, true),
                 true => {}
                 false => self.failed(hub, fetch, attempt),
             },
-            Message::Ask { hub, key, arrival, way, past, hold_only, back } => {
+            Message::Ask {
+                hub,
+                key,
+                arrival,
+                way,
+                past,
+                hold_only,
+                back,
+            } => {
                 if way.contains(&hub) {
                     self.faults.push(format!("{hub} twice on {way:?}"));
                 }
@@ -38,10 +57,21 @@
                 match turn {
                     Turn::Full => self.send(Message::Answer { back, got: false }),
                     Turn::Join(id, wait) => {
-                        self.hubs[hub].fetches.get_mut(&id).unwrap().waits.push((wait, back));
+                        self.hubs[hub]
+                            .fetches
+                            .get_mut(&id)
+                            .unwrap()
+                            .waits
+                            .push((wait, back));
                     }
                     Turn::Lead(id, wait) => {
-                        let fetch = Fetch { key, lane, way, tried: past, waits: vec![(wait, back)] };
+                        let fetch = Fetch {
+                            key,
+                            lane,
+                            way,
+                            tried: past,
+                            waits: vec![(wait, back)],
+                        };
                         self.hubs[hub].fetches.insert(id, fetch);
                         self.seek(hub, id, 0);
                     }
@@ -58,12 +88,21 @@
         let (passed, tried) = (names(&fetch.way), names(&fetch.tried));
         let passed: Vec<&str> = passed.iter().map(String::as_str).collect();
         let tried: Vec<&str> = tried.iter().map(String::as_str).collect();
-        let seeking = Seeking { object: fetch.key.object, lane: fetch.lane, passed: &passed, tried: &tried };
+        let seeking = Seeking {
+            object: fetch.key.object,
+            lane: fetch.lane,
+            passed: &passed,
+            tried: &tried,
+        };
         let Ok(choice) = state.node.choose(now, &seeking) else {
             assert!(state.node.done(id, attempt));
             return self.end(hub, id, false);
         };
-        let back = Who::Hub { hub, fetch: id, attempt };
+        let back = Who::Hub {
+            hub,
+            fetch: id,
+            attempt,
+        };
         let lost = self.lost > 0 && self.draw(100) < self.lost;
         let fetch = self.hubs[hub].fetches.get_mut(&id).unwrap();
         if choice.archive {
@@ -77,9 +116,20 @@
         fetch.tried.push(to);
         let (key, past) = (fetch.key, fetch.tried.clone());
         let way = fetch.way.iter().copied().chain([hub]).collect();
-        let arrival = Arrival { stamp: Some(choice.stamp), solo: choice.solo };
+        let arrival = Arrival {
+            stamp: Some(choice.stamp),
+            solo: choice.solo,
+        };
         if !lost {
-            self.send(Message::Ask { hub: to, key, arrival, way, past, hold_only: choice.hold_only, back });
+            self.send(Message::Ask {
+                hub: to,
+                key,
+                arrival,
+                way,
+                past,
+                hold_only: choice.hold_only,
+                back,
+            });
         }
     }
 
--- a/pure/hierarchy/tests/network/net.rs
+++ b/pure/hierarchy/tests/network/net.rs
@@ -8,8 +8,19 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 pub const HUBS: usize = 5;
-pub const LIMITS: Limits = Limits { fetches: 64, waits: 512, lease: 4_000, attempts: 6 };
-const RULE: Rule = Rule { from: 0.1, over: 1, breaks_at: 2.0, window: 1, safety: 1.0 };
+pub const LIMITS: Limits = Limits {
+    fetches: 64,
+    waits: 512,
+    lease: 4_000,
+    attempts: 6,
+};
+const RULE: Rule = Rule {
+    from: 0.1,
+    over: 1,
+    breaks_at: 2.0,
+    window: 1,
+    safety: 1.0,
+};
 
 pub fn name(h: usize) -> String {
     format!("h{h}")
@@ -17,25 +28,40 @@
 
 /// A tree from numbers: hub h goes by hubs that stand before it in an order, or by the archive alone.
 pub fn tree(epoch: u64, order: &[usize], picks: &[u8]) -> Tree {
-    let node = |name: String, kind, parents: Vec<String>| Proposed { name, kind, parents };
+    let node = |name: String, kind, parents: Vec<String>| Proposed {
+        name,
+        kind,
+        parents,
+    };
     let mut nodes = vec![node("archive".into(), Kind::Archive, vec![])];
     for (at, &h) in order.iter().enumerate() {
         let pick = picks[h] as usize;
-        let mut parents: Vec<String> =
-            (0..pick % 3).filter(|_| at > 0).map(|n| name(order[(pick / 3 + n) % at])).collect();
+        let mut parents: Vec<String> = (0..pick % 3)
+            .filter(|_| at > 0)
+            .map(|n| name(order[(pick / 3 + n) % at]))
+            .collect();
         parents.dedup();
         if parents.is_empty() || pick.is_multiple_of(2) {
             parents.push("archive".into());
         }
         nodes.push(node(name(h), Kind::Hub, parents));
     }
-    Tree::check(&Draft { epoch, nodes, ..Draft::default() }).expect("sound by the order")
+    Tree::check(&Draft {
+        epoch,
+        nodes,
+        ..Draft::default()
+    })
+    .expect("sound by the order")
 }
 
 #[derive(Clone, Copy, Debug)]
 pub enum Who {
     Client(usize),
-    Hub { hub: usize, fetch: FetchId, attempt: u32 },
+    Hub {
+        hub: usize,
+        fetch: FetchId,
+        attempt: u32,
+    },
 }
 
 #[derive(Clone, Debug)]
@@ -103,8 +129,10 @@
     }
 
     pub fn draw(&mut self, below: u64) -> u64 {
-        self.random =
-            self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.random = self
+            .random
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.random >> 33) % below
     }
 
@@ -117,13 +145,29 @@
     pub fn client(&mut self, hub: usize, object: u64) {
         let number = self.clients.len();
         self.clients.insert(number, None);
-        let key = Key { class: 0, object, part: 0 };
+        let key = Key {
+            class: 0,
+            object,
+            part: 0,
+        };
         let (arrival, back) = (Arrival::BEGINS, Who::Client(number));
-        self.send(Message::Ask { hub, key, arrival, way: vec![], past: vec![], hold_only: false, back });
+        self.send(Message::Ask {
+            hub,
+            key,
+            arrival,
+            way: vec![],
+            past: vec![],
+            hold_only: false,
+            back,
+        });
     }
 
     pub fn step(&mut self) -> bool {
-        let due = self.hubs.iter().filter_map(|h| h.node.ledger().next_due()).min();
+        let due = self
+            .hubs
+            .iter()
+            .filter_map(|h| h.node.ledger().next_due())
+            .min();
         let first = self.queue.keys().next().copied();
         match (first, due) {
             (Some((at, _)), Some(due)) if due < at => self.lapse(due),
@@ -143,18 +187,18 @@
     fn look(&mut self) {
         for hub in &self.hubs {
             let mut lanes = HashSet::new();
-            if hub
-                .fetches
-                .values()
-                .any(|f| !f.waits.is_empty() && f.lane != Lane::Solo && !lanes.insert((f.key, f.lane)))
-            {
+            if hub.fetches.values().any(|f| {
+                !f.waits.is_empty() && f.lane != Lane::Solo && !lanes.insert((f.key, f.lane))
+            }) {
                 self.faults.push("two leaders in one lane".to_string());
             }
             let (fetches, waits) = hub.node.ledger().size();
             if fetches != hub.fetches.len()
                 || waits != hub.fetches.values().map(|f| f.waits.len()).sum::<usize>()
             {
-                self.faults.push(format!("the ledger has {fetches} fetches and {waits} waits"));
+                self.faults.push(format!(
+                    "the ledger has {fetches} fetches and {waits} waits"
+                ));
             }
         }
     }
@@ -174,8 +218,9 @@
         let tree = &self.trees[self.told[hub]];
         let dead = std::mem::replace(&mut self.hubs[hub], Hub::new(hub, tree, start));
         // What its fetches had asked others for is answered to nobody.
-        self.queue
-            .retain(|_, m| !matches!(m, Message::Answer { back: Who::Hub { hub: h, .. }, .. } if *h == hub));
+        self.queue.retain(
+            |_, m| !matches!(m, Message::Answer { back: Who::Hub { hub: h, .. }, .. } if *h == hub),
+        );
         for other in &mut self.hubs {
             for fetch in other.fetches.values_mut() {
                 let gone = |w: &(WaitId, Who)| matches!(w.1, Who::Hub { hub: h, .. } if h == hub);
@@ -185,10 +230,14 @@
             }
             other.fetches.retain(|_, f| !f.waits.is_empty());
         }
-        self.queue
-            .retain(|_, m| !matches!(m, Message::Ask { back: Who::Hub { hub: h, .. }, .. } if *h == hub));
+        self.queue.retain(
+            |_, m| !matches!(m, Message::Ask { back: Who::Hub { hub: h, .. }, .. } if *h == hub),
+        );
         for fetch in dead.fetches.into_values() {
-            fetch.waits.into_iter().for_each(|(_, back)| self.send(Message::Answer { back, got: false }));
+            fetch
+                .waits
+                .into_iter()
+                .for_each(|(_, back)| self.send(Message::Answer { back, got: false }));
         }
     }
 }
@@ -196,6 +245,11 @@
 impl Hub {
     fn new(h: usize, tree: &Tree, start: u64) -> Hub {
         let node = Node::new(&name(h), tree.clone(), 2_000, LIMITS, RULE, HashMap::new()).unwrap();
-        Hub { node, held: HashSet::new(), fetches: HashMap::new(), start }
+        Hub {
+            node,
+            held: HashSet::new(),
+            fetches: HashMap::new(),
+            start,
+        }
     }
 }
--- a/pure/limits/benches/limits.rs
+++ b/pure/limits/benches/limits.rs
@@ -18,13 +18,30 @@
         value: Route {
             name: format!("r{n}"),
             class: ["mix-video", "formula-card", "mix-record"][n % 3].to_string(),
-            matching: Match { zone: Some(format!("zone-{n}")), ..Match::default() },
-            layer: Layer { attempts: Some(2 + n as u64 % 3), keep: Some(2), ..Layer::default() },
+            matching: Match {
+                zone: Some(format!("zone-{n}")),
+                ..Match::default()
+            },
+            layer: Layer {
+                attempts: Some(2 + n as u64 % 3),
+                keep: Some(2),
+                ..Layer::default()
+            },
         },
     };
-    let places = Layer { concurrency: Some(Concurrency::Fixed { most: 1 }), ..Layer::default() };
-    let classes = vec![Said { at: "f.star:1".into(), value: ("mix-video".to_string(), places) }];
-    Draft { classes, routes: (0..routes).map(route).collect(), ..Draft::default() }
+    let places = Layer {
+        concurrency: Some(Concurrency::Fixed { most: 1 }),
+        ..Layer::default()
+    };
+    let classes = vec![Said {
+        at: "f.star:1".into(),
+        value: ("mix-video".to_string(), places),
+    }];
+    Draft {
+        classes,
+        routes: (0..routes).map(route).collect(),
+        ..Draft::default()
+    }
 }
 
 #[divan::bench(args = [1, 20, 200])]
@@ -33,7 +50,11 @@
     // The last route of the class: all before it are looked at.
     let zone = format!("zone-{}", (routes - 1) / 3 * 3);
     let standing = Standing::new(&table, &zone);
-    bencher.bench(|| standing.find(0, divan::black_box(""), "msgpack").map(|r| r.values.attempts));
+    bencher.bench(|| {
+        standing
+            .find(0, divan::black_box(""), "msgpack")
+            .map(|r| r.values.attempts)
+    });
 }
 
 /// As [`resolve`], where the routes differ by their callers: these are looked at one by one.
@@ -42,11 +63,18 @@
     let mut draft = draft(routes);
     for (n, said) in draft.routes.iter_mut().enumerate() {
         let caller = Some(format!("spiffe://partner-{n}.example/*"));
-        said.value.matching = Match { caller, ..Match::default() };
+        said.value.matching = Match {
+            caller,
+            ..Match::default()
+        };
     }
     let standing = Standing::new(&Table::new(&Account::default(), &draft), "zone-0");
     let caller = format!("spiffe://partner-{}.example/front/3", (routes - 1) / 3 * 3);
-    bencher.bench(|| standing.find(0, divan::black_box(&caller), "ext_proc").map(|r| r.values.attempts));
+    bencher.bench(|| {
+        standing
+            .find(0, divan::black_box(&caller), "ext_proc")
+            .map(|r| r.values.attempts)
+    });
 }
 
 #[divan::bench]
--- a/pure/limits/src/account.rs
+++ b/pure/limits/src/account.rs
@@ -15,7 +15,9 @@
 }
 
 /// From narrow to wide.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, schemars::JsonSchema)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, schemars::JsonSchema,
+)]
 #[serde(rename_all = "lowercase")]
 pub enum Group {
     Cell,
@@ -97,6 +99,8 @@
 
     /// Requests that the process has room for: half the descriptors, and a buffer of 256 KB each in 7/10 of the memory.
     pub fn room(&self) -> u64 {
-        (self.sockets / 2).min(self.memory_mb * 1024 * 7 / 10 / 256).max(1)
+        (self.sockets / 2)
+            .min(self.memory_mb * 1024 * 7 / 10 / 256)
+            .max(1)
     }
 }
--- a/pure/limits/src/adaptive.rs
+++ b/pure/limits/src/adaptive.rs
@@ -29,7 +29,14 @@
         let (least, most) = (least.max(1) as f64, most.max(least.max(1)) as f64);
         // Between both by their ratio: from the middle, a wide range would begin far over what a server bears, and take
         // its crowded pace for the usual one.
-        Adaptive { least, most, limit: (least * most).sqrt(), short: None, base: 0.0, from: None }
+        Adaptive {
+            least,
+            most,
+            limit: (least * most).sqrt(),
+            short: None,
+            base: 0.0,
+            from: None,
+        }
     }
 
     pub fn limit(&self) -> u64 {
--- a/pure/limits/src/adaptive/tests.rs
+++ b/pure/limits/src/adaptive/tests.rs
@@ -23,7 +23,11 @@
     let shrunk = adaptive.limit();
     assert!(shrunk < found && shrunk > 4, "{found} {shrunk}");
     serve(&mut adaptive, 20_000.0, 100.0, 20_000);
-    assert!(adaptive.limit() > shrunk, "{found} {shrunk} {}", adaptive.limit());
+    assert!(
+        adaptive.limit() > shrunk,
+        "{found} {shrunk} {}",
+        adaptive.limit()
+    );
 }
 
 #[test]
@@ -33,7 +37,11 @@
     let before = adaptive.limit();
     // All is five times as slow, whatever is open: no fewer requests would make it quicker.
     serve(&mut adaptive, 100_000.0, 1_000.0, 3_000);
-    assert!(adaptive.limit() > before / 4, "{before} -> {}", adaptive.limit());
+    assert!(
+        adaptive.limit() > before / 4,
+        "{before} -> {}",
+        adaptive.limit()
+    );
     serve(&mut adaptive, 100_000.0, 1_000.0, 20_000);
     assert!(adaptive.limit() > 100, "{}", adaptive.limit());
 }
@@ -46,7 +54,11 @@
     for _ in 0..10_000 {
         adaptive.ended(100, false, adaptive.limit());
     }
-    assert!(adaptive.limit() <= before, "{before} -> {}", adaptive.limit());
+    assert!(
+        adaptive.limit() <= before,
+        "{before} -> {}",
+        adaptive.limit()
+    );
 }
 
 proptest! {
--- a/pure/limits/src/bucket.rs
+++ b/pure/limits/src/bucket.rs
@@ -26,9 +26,15 @@
             held: b.burst as f64,
             earns: b.percent / 100.0,
             burst: b.burst as f64,
-            parent: b.parent.as_ref().and_then(|p| names.iter().position(|name| name == p)),
+            parent: b
+                .parent
+                .as_ref()
+                .and_then(|p| names.iter().position(|name| name == p)),
         };
-        Buckets { buckets: budgets.iter().map(bucket).collect(), names }
+        Buckets {
+            buckets: budgets.iter().map(bucket).collect(),
+            names,
+        }
     }
 
     pub fn find(&self, name: &str) -> Option<usize> {
--- a/pure/limits/src/bucket/tests.rs
+++ b/pure/limits/src/bucket/tests.rs
@@ -4,12 +4,20 @@
 use proptest::prelude::*;
 
 fn budget(name: &str, percent: f64, burst: u64, parent: Option<&str>) -> Budget {
-    Budget { name: name.into(), percent, burst, parent: parent.map(str::to_string) }
+    Budget {
+        name: name.into(),
+        percent,
+        burst,
+        parent: parent.map(str::to_string),
+    }
 }
 
 #[test]
 fn a_repeat_takes_from_its_bucket_and_all_above_or_from_none() {
-    let mut buckets = Buckets::new(&[budget("all", 10.0, 2, None), budget("video", 50.0, 9, Some("all"))]);
+    let mut buckets = Buckets::new(&[
+        budget("all", 10.0, 2, None),
+        budget("video", 50.0, 9, Some("all")),
+    ]);
     let video = buckets.find("video").unwrap();
     assert!(buckets.take(video) && buckets.take(video));
     assert!(!buckets.take(video), "the parent is empty");
@@ -17,7 +25,10 @@
     (0..10).for_each(|_| buckets.earn(video));
     assert!(buckets.take(video) && !buckets.take(video));
     // A circle, which no checked file has, ends.
-    let mut circle = Buckets::new(&[budget("a", 1.0, 1, Some("b")), budget("b", 1.0, 1, Some("a"))]);
+    let mut circle = Buckets::new(&[
+        budget("a", 1.0, 1, Some("b")),
+        budget("b", 1.0, 1, Some("a")),
+    ]);
     assert!(circle.take(0) && !circle.take(1));
 }
 
--- a/pure/limits/src/check.rs
+++ b/pure/limits/src/check.rs
@@ -8,7 +8,10 @@
 
 /// All that is wrong with a file; nothing of one that has a fault is taken.
 pub fn check(account: &Account, draft: &Draft) -> Vec<Fault> {
-    let mut faults = Faults { account, all: Vec::new() };
+    let mut faults = Faults {
+        account,
+        all: Vec::new(),
+    };
     faults.names(draft);
     faults.budgets(draft);
     if !faults.all.is_empty() {
@@ -17,7 +20,11 @@
     let table = Table::new(account, draft);
     let all: Vec<&Arc<Resolved>> = table.all().collect();
     // What nobody set is today's, and fine as it is.
-    let own: Vec<&Resolved> = all.iter().map(|r| &***r).filter(|r| !r.at.is_empty()).collect();
+    let own: Vec<&Resolved> = all
+        .iter()
+        .map(|r| &***r)
+        .filter(|r| !r.at.is_empty())
+        .collect();
     own.iter().for_each(|resolved| faults.single(resolved));
     faults.shadows(&table);
     if !faults.all.is_empty() {
@@ -51,8 +58,17 @@
 impl Faults<'_> {
     pub(crate) fn add(&mut self, check: Check, at: Vec<String>, what: String) {
         // One line says it once, though several routes inherit it.
-        if !self.all.iter().any(|fault| fault.check == check && fault.at == at) {
-            self.all.push(Fault { check, at, what, story: Vec::new() });
+        if !self
+            .all
+            .iter()
+            .any(|fault| fault.check == check && fault.at == at)
+        {
+            self.all.push(Fault {
+                check,
+                at,
+                what,
+                story: Vec::new(),
+            });
         }
     }
 }
--- a/pure/limits/src/explore.rs
+++ b/pure/limits/src/explore.rs
@@ -39,10 +39,20 @@
         Setting {
             step_ms,
             deadline: steps(values.deadline_ms),
-            attempt: steps(if values.attempt_ms > 0 { values.attempt_ms } else { values.deadline_ms }).max(1),
+            attempt: steps(if values.attempt_ms > 0 {
+                values.attempt_ms
+            } else {
+                values.deadline_ms
+            })
+            .max(1),
             attempts,
             pauses: (0..attempts)
-                .map(|n| [steps(values.pause_ms(n, 1.0)), steps(values.pause_ms(n, 0.0))])
+                .map(|n| {
+                    [
+                        steps(values.pause_ms(n, 1.0)),
+                        steps(values.pause_ms(n, 0.0)),
+                    ]
+                })
                 .collect(),
             queue_age: steps(values.queue_age_ms),
             believed: values.window_ms / step_ms,
@@ -92,7 +102,15 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        vec![State { now: 0, attempt: 0, tries: 0, sent: None, ran: None, twice: false, over: false }]
+        vec![State {
+            now: 0,
+            attempt: 0,
+            tries: 0,
+            sent: None,
+            ran: None,
+            twice: false,
+            over: false,
+        }]
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
@@ -106,7 +124,9 @@
             return;
         }
         // The module decides before the pause, by the window that it believes.
-        let allowed = state.sent.is_none_or(|sent| ((state.now - sent) as u64) < self.believed);
+        let allowed = state
+            .sent
+            .is_none_or(|sent| ((state.now - sent) as u64) < self.believed);
         if !allowed {
             return;
         }
@@ -120,7 +140,10 @@
             }
             let mut took = vec![1, self.attempt.div_ceil(2), self.attempt];
             took.dedup();
-            steps.extend(took.into_iter().map(|took| Step::Lost { pause, took: took.min(250) as u8 }));
+            steps.extend(took.into_iter().map(|took| Step::Lost {
+                pause,
+                took: took.min(250) as u8,
+            }));
             steps.push(Step::Untouched { pause });
             steps.push(Step::Served { pause });
         }
@@ -169,7 +192,9 @@
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always("no key runs twice", |_, state: &State| !state.twice)]
+        vec![Property::always("no key runs twice", |_, state: &State| {
+            !state.twice
+        })]
     }
 }
 
@@ -182,7 +207,12 @@
 }
 
 pub fn second_run(setting: &Setting) -> Found {
-    let checker = setting.clone().checker().target_state_count(STATES).spawn_bfs().join();
+    let checker = setting
+        .clone()
+        .checker()
+        .target_state_count(STATES)
+        .spawn_bfs()
+        .join();
     let states = checker.unique_state_count();
     let story = checker.discovery("no key runs twice").map(|path| {
         let ms = |steps: u64| steps * setting.step_ms;
--- a/pure/limits/src/explore/tests.rs
+++ b/pure/limits/src/explore/tests.rs
@@ -22,8 +22,16 @@
         (values.backoff_ms, values.backoff_most_ms, values.attempt_ms) = (900, 900, 700);
     });
     let story = found.story.expect("a second run");
-    assert!(story.last().unwrap().ends_with("it runs again"), "{story:#?}");
-    assert!(story.iter().any(|line| line.contains("sent after a pause of")), "{story:#?}");
+    assert!(
+        story.last().unwrap().ends_with("it runs again"),
+        "{story:#?}"
+    );
+    assert!(
+        story
+            .iter()
+            .any(|line| line.contains("sent after a pause of")),
+        "{story:#?}"
+    );
     // A shortest one: two lost attempts and the one too late, and no more.
     assert!(story.len() <= 5, "{story:#?}");
 }
--- a/pure/limits/src/export.rs
+++ b/pure/limits/src/export.rs
@@ -33,7 +33,11 @@
 
 pub fn file(table: &Table) -> File {
     let entry = |resolved: &Resolved| {
-        let Match { zone, caller, front } = resolved.matching.clone();
+        let Match {
+            zone,
+            caller,
+            front,
+        } = resolved.matching.clone();
         Entry {
             class: table.names[resolved.class].clone(),
             route: resolved.route.clone(),
@@ -41,12 +45,20 @@
             caller,
             front,
             values: resolved.values.clone(),
-            from: resolved.from.iter().map(|(field, at)| (field.to_string(), at.clone())).collect(),
+            from: resolved
+                .from
+                .iter()
+                .map(|(field, at)| (field.to_string(), at.clone()))
+                .collect(),
         }
     };
     File {
         version: 1,
-        budgets: table.budgets.iter().map(|said| said.value.clone()).collect(),
+        budgets: table
+            .budgets
+            .iter()
+            .map(|said| said.value.clone())
+            .collect(),
         limits: table.all().map(|resolved| entry(resolved)).collect(),
     }
 }
@@ -66,7 +78,11 @@
     out.push('\n');
     for field in FIELDS {
         let from = resolved.from.get(field).map_or("today", String::as_str);
-        let _ = writeln!(out, "  {field:<16} {:<14} {from}", resolved.values.text(field));
+        let _ = writeln!(
+            out,
+            "  {field:<16} {:<14} {from}",
+            resolved.values.text(field)
+        );
     }
     out
 }
@@ -94,7 +110,10 @@
                 for field in FIELDS {
                     let (was, is) = (resolved.values.text(field), other.values.text(field));
                     if was != is {
-                        lines.push(format!("changed  {} {field}: {was} -> {is}", title(old, resolved)));
+                        lines.push(format!(
+                            "changed  {} {field}: {was} -> {is}",
+                            title(old, resolved)
+                        ));
                     }
                 }
             }
@@ -107,11 +126,19 @@
         }
     }
     let text = |b: &Budget| {
-        let under = b.parent.as_ref().map(|p| format!(" under {p}")).unwrap_or_default();
+        let under = b
+            .parent
+            .as_ref()
+            .map(|p| format!(" under {p}"))
+            .unwrap_or_default();
         format!("{} percent, burst {}{under}", b.percent, b.burst)
     };
     for said in &old.budgets {
-        match new.budgets.iter().find(|other| other.value.name == said.value.name) {
+        match new
+            .budgets
+            .iter()
+            .find(|other| other.value.name == said.value.name)
+        {
             None => lines.push(format!("gone     budget {}", said.value.name)),
             Some(other) if other.value != said.value => {
                 lines.push(format!(
@@ -125,8 +152,16 @@
         }
     }
     for said in &new.budgets {
-        if !old.budgets.iter().any(|other| other.value.name == said.value.name) {
-            lines.push(format!("new      budget {}: {}", said.value.name, text(&said.value)));
+        if !old
+            .budgets
+            .iter()
+            .any(|other| other.value.name == said.value.name)
+        {
+            lines.push(format!(
+                "new      budget {}: {}",
+                said.value.name,
+                text(&said.value)
+            ));
         }
     }
     lines
--- a/pure/limits/src/fault.rs
+++ b/pure/limits/src/fault.rs
@@ -83,7 +83,13 @@
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let at = self.at.first().map(String::as_str).unwrap_or("the file");
-        write!(f, "{at}: [{}] {}: {}", self.check.name(), self.what, self.check.reason())?;
+        write!(
+            f,
+            "{at}: [{}] {}: {}",
+            self.check.name(),
+            self.what,
+            self.check.reason()
+        )?;
         if self.at.len() > 1 {
             write!(f, " (with {})", self.at[1..].join(", "))?;
         }
--- a/pure/limits/src/gate.rs
+++ b/pure/limits/src/gate.rs
@@ -54,21 +54,40 @@
 
 impl Gate {
     pub fn new(table: &Table) -> Gate {
-        let budgets: Vec<_> = table.budgets.iter().map(|said| said.value.clone()).collect();
+        let budgets: Vec<_> = table
+            .budgets
+            .iter()
+            .map(|said| said.value.clone())
+            .collect();
         let buckets = Buckets::new(&budgets);
         let lane = |resolved: &Arc<Resolved>| {
             let values = &resolved.values;
             let (fixed, adaptive) = match values.concurrency {
                 None => (None, None),
                 Some(Concurrency::Fixed { most }) => (Some(most), None),
-                Some(Concurrency::Adaptive { least, most }) => (None, Some(Adaptive::new(least, most))),
+                Some(Concurrency::Adaptive { least, most }) => {
+                    (None, Some(Adaptive::new(least, most)))
+                }
             };
             let waiting = Waiting::new(values.queue as usize, values.queue_age_ms * 1_000);
             let budget = values.budget.as_ref().and_then(|name| buckets.find(name));
-            (place(resolved), Lane { open: 0, fixed, adaptive, waiting, budget })
+            (
+                place(resolved),
+                Lane {
+                    open: 0,
+                    fixed,
+                    adaptive,
+                    waiting,
+                    budget,
+                },
+            )
         };
         let lanes = table.all().map(lane).collect();
-        Gate { lanes, buckets, fills: HashMap::new() }
+        Gate {
+            lanes,
+            buckets,
+            fills: HashMap::new(),
+        }
     }
 
     /// Another table takes this one's place: who is open or waits stays so, in lanes of the same name, and those of lanes
@@ -88,7 +107,9 @@
                             .map(|w| w.0),
                     );
                     while lane.room() {
-                        let Some(id) = lane.waiting.next(now) else { break };
+                        let Some(id) = lane.waiting.next(now) else {
+                            break;
+                        };
                         lane.open += 1;
                         admitted.push(id);
                     }
@@ -96,7 +117,15 @@
                 None => {
                     gone.extend(waiting.into_iter().map(|(id, _)| id));
                     if old.open > 0 {
-                        next.lanes.insert(name, Lane { fixed: Some(0), adaptive: None, budget: None, ..old });
+                        next.lanes.insert(
+                            name,
+                            Lane {
+                                fixed: Some(0),
+                                adaptive: None,
+                                budget: None,
+                                ..old
+                            },
+                        );
                     }
                 }
             }
@@ -107,7 +136,9 @@
     }
 
     pub fn admit(&mut self, now: Time, at: &Place, id: u64) -> Admitted {
-        let Some(lane) = self.lanes.get_mut(at) else { return Admitted::Now };
+        let Some(lane) = self.lanes.get_mut(at) else {
+            return Admitted::Now;
+        };
         if lane.waiting.is_empty() && lane.room() {
             lane.open += 1;
             return Admitted::Now;
@@ -137,12 +168,18 @@
 
     /// Those who have waited for too long.
     pub fn expired(&mut self, now: Time) -> Vec<u64> {
-        self.lanes.values_mut().flat_map(|lane| lane.waiting.expire(now)).collect()
+        self.lanes
+            .values_mut()
+            .flat_map(|lane| lane.waiting.expire(now))
+            .collect()
     }
 
     /// One that waits no more: its client left, or its time is over.
     pub fn left(&mut self, at: &Place, id: u64) {
-        self.lanes.get_mut(at).into_iter().for_each(|lane| lane.waiting.leave(id));
+        self.lanes
+            .get_mut(at)
+            .into_iter()
+            .for_each(|lane| lane.waiting.leave(id));
     }
 
     /// A first attempt is made.
@@ -162,7 +199,13 @@
 
     /// An attempt is wanted, numbered from 0: after which pause it may be made (ms), or none where it may not.
     /// `draw`: from 0 to 1.
-    pub fn attempt(&mut self, at: &Place, values: &Effective, number: u64, draw: f64) -> Option<u64> {
+    pub fn attempt(
+        &mut self,
+        at: &Place,
+        values: &Effective,
+        number: u64,
+        draw: f64,
+    ) -> Option<u64> {
         if number == 0 {
             self.first(at);
         } else if number >= values.attempts || !self.again(at) {
@@ -175,7 +218,9 @@
     pub fn heard(&mut self, at: &Place, elapsed: Time, served: bool) {
         if let Some(lane) = self.lanes.get_mut(at) {
             let open = lane.open;
-            lane.adaptive.iter_mut().for_each(|adaptive| adaptive.ended(elapsed, served, open));
+            lane.adaptive
+                .iter_mut()
+                .for_each(|adaptive| adaptive.ended(elapsed, served, open));
         }
     }
 
--- a/pure/limits/src/gate/tests.rs
+++ b/pure/limits/src/gate/tests.rs
@@ -14,10 +14,21 @@
         budget: Some("b".into()),
         ..Layer::default()
     };
-    let budget = Budget { name: "b".into(), percent: 10.0, burst: 2, parent: None };
-    let said = |value| Said { at: "f:1".to_string(), value };
+    let budget = Budget {
+        name: "b".into(),
+        percent: 10.0,
+        burst: 2,
+        parent: None,
+    };
+    let said = |value| Said {
+        at: "f:1".to_string(),
+        value,
+    };
     let draft = Draft {
-        classes: vec![Said { at: "f:2".into(), value: (class.to_string(), layer) }],
+        classes: vec![Said {
+            at: "f:2".into(),
+            value: (class.to_string(), layer),
+        }],
         budgets: vec![said(budget)],
         ..Draft::default()
     };
@@ -30,7 +41,15 @@
     let mut gate = Gate::new(&table);
     let at = place(&table.by_class[0][0]);
     let answers: Vec<Admitted> = (0..4).map(|id| gate.admit(0, &at, id)).collect();
-    assert_eq!(answers, [Admitted::Now, Admitted::Waits, Admitted::Waits, Admitted::Refused]);
+    assert_eq!(
+        answers,
+        [
+            Admitted::Now,
+            Admitted::Waits,
+            Admitted::Waits,
+            Admitted::Refused
+        ]
+    );
     assert_eq!((gate.ended(10, &at), gate.sizes()), (Some(1), [1, 1]));
     gate.left(&at, 2);
     assert_eq!((gate.ended(20, &at), gate.sizes()), (None, [0, 0]));
@@ -46,13 +65,27 @@
 fn a_flood_of_one_class_takes_no_place_of_another() {
     let layers = ["formula-card", "mix-record"].map(|class| {
         let concurrency = Some(Concurrency::Fixed { most: 5 });
-        Said { at: "f:1".to_string(), value: (class.to_string(), Layer { concurrency, ..Layer::default() }) }
+        Said {
+            at: "f:1".to_string(),
+            value: (
+                class.to_string(),
+                Layer {
+                    concurrency,
+                    ..Layer::default()
+                },
+            ),
+        }
     });
-    let draft = Draft { classes: layers.to_vec(), ..Draft::default() };
+    let draft = Draft {
+        classes: layers.to_vec(),
+        ..Draft::default()
+    };
     let table = Table::new(&Account::default(), &draft);
     let mut gate = Gate::new(&table);
     let [card, record] = [1, 2].map(|class| place(&table.by_class[class][0]));
-    let refused = (0..1_000).filter(|id| gate.admit(0, &card, *id) == Admitted::Refused).count();
+    let refused = (0..1_000)
+        .filter(|id| gate.admit(0, &card, *id) == Admitted::Refused)
+        .count();
     assert_eq!(refused, 995);
     assert!((0..5).all(|id| gate.admit(0, &record, 5_000 + id) == Admitted::Now));
 }
@@ -67,12 +100,18 @@
     });
     // Two places, and one in the line.
     let (gone, admitted) = gate.swap(5, &table(2, 1, "mix-video"));
-    assert_eq!((gone, admitted, gate.sizes()), (vec![2, 3], vec![1], [2, 0]));
+    assert_eq!(
+        (gone, admitted, gate.sizes()),
+        (vec![2, 3], vec![1], [2, 0])
+    );
     assert_eq!(gate.admit(5, &at, 9), Admitted::Waits);
     // The lane is gone from the table: its requests end in it.
     let (gone, _) = gate.swap(6, &table(2, 1, "mix-record"));
     assert_eq!((gone, gate.sizes()), (vec![9], [2, 0]));
-    assert_eq!((gate.ended(7, &at), gate.ended(8, &at), gate.sizes()), (None, None, [0, 0]));
+    assert_eq!(
+        (gate.ended(7, &at), gate.ended(8, &at), gate.sizes()),
+        (None, None, [0, 0])
+    );
 }
 
 #[derive(Clone, Copy, Debug)]
--- a/pure/limits/src/single.rs
+++ b/pure/limits/src/single.rs
@@ -7,7 +7,10 @@
 use crate::values::Concurrency;
 
 impl Faults<'_> {
-    #[expect(clippy::too_many_lines, reason = "a rule each for all fields; to be split by field")]
+    #[expect(
+        clippy::too_many_lines,
+        reason = "a rule each for all fields; to be split by field"
+    )]
     pub(crate) fn single(&mut self, resolved: &Resolved) {
         let (account, values) = (self.account, &resolved.values);
         let class = &account.classes[resolved.class];
@@ -22,41 +25,67 @@
             add(
                 Check::DeadlinePastAccount,
                 &["deadline_ms"],
-                format!("deadline {} ms, the account's {} ms", values.deadline_ms, class.deadline_ms),
+                format!(
+                    "deadline {} ms, the account's {} ms",
+                    values.deadline_ms, class.deadline_ms
+                ),
             );
         }
         if values.deadline_ms <= account.answer_slack_ms {
-            let what = format!("deadline {} ms, slack {} ms", values.deadline_ms, account.answer_slack_ms);
+            let what = format!(
+                "deadline {} ms, slack {} ms",
+                values.deadline_ms, account.answer_slack_ms
+            );
             add(Check::NoRoomForAnswer, &["deadline_ms"], what);
             // Nothing else of it fits into no time.
             return;
         }
         if values.attempt_ms > values.deadline_ms {
-            let what = format!("attempt {} ms, deadline {} ms", values.attempt_ms, values.deadline_ms);
-            add(Check::AttemptPastDeadline, &["attempt_ms", "deadline_ms"], what);
+            let what = format!(
+                "attempt {} ms, deadline {} ms",
+                values.attempt_ms, values.deadline_ms
+            );
+            add(
+                Check::AttemptPastDeadline,
+                &["attempt_ms", "deadline_ms"],
+                what,
+            );
         }
         if values.attempts == 0 {
             add(Check::NoAttempt, &["attempts"], "attempts 0".to_string());
         }
         if values.attempts > account.max_attempts {
-            let what = format!("attempts {}, maxAttempts {}", values.attempts, account.max_attempts);
+            let what = format!(
+                "attempts {}, maxAttempts {}",
+                values.attempts, account.max_attempts
+            );
             add(Check::TooManyAttempts, &["attempts"], what);
         }
-        if values.copies != 1 && !(values.copies > 1 && account.may_duplicate && class.repeat == Repeat::Free)
+        if values.copies != 1
+            && !(values.copies > 1 && account.may_duplicate && class.repeat == Repeat::Free)
         {
-            add(Check::CopiesAtOnce, &["copies"], format!("copies {}", values.copies));
+            add(
+                Check::CopiesAtOnce,
+                &["copies"],
+                format!("copies {}", values.copies),
+            );
         }
         if values.wait_ms > account.max_wait_ms.unwrap_or(0) {
-            let what =
-                format!("wait {} ms, maxRetryAfter {} ms", values.wait_ms, account.max_wait_ms.unwrap_or(0));
+            let what = format!(
+                "wait {} ms, maxRetryAfter {} ms",
+                values.wait_ms,
+                account.max_wait_ms.unwrap_or(0)
+            );
             add(Check::WaitPastAccount, &["wait_ms"], what);
         }
         let set = |field| resolved.from.get(field).is_some_and(|line| line != "today");
         match class.repeat {
             Repeat::Keyed(group) => {
                 if values.window_ms > class.window_ms {
-                    let what =
-                        format!("window {} ms, the archive's {} ms", values.window_ms, class.window_ms);
+                    let what = format!(
+                        "window {} ms, the archive's {} ms",
+                        values.window_ms, class.window_ms
+                    );
                     add(Check::WindowPastArchive, &["window_ms"], what);
                 }
                 if values.group > group {
@@ -68,25 +97,46 @@
                 }
             }
             _ if set("window_ms") || set("group") => {
-                add(Check::NotKeyed, &["window_ms", "group"], "a window or a group".to_string());
+                add(
+                    Check::NotKeyed,
+                    &["window_ms", "group"],
+                    "a window or a group".to_string(),
+                );
             }
             _ => {}
         }
         if class.repeat == Repeat::Once && values.attempts > 1 && set("attempts") {
-            add(Check::RepeatedOnce, &["attempts"], format!("attempts {}", values.attempts));
+            add(
+                Check::RepeatedOnce,
+                &["attempts"],
+                format!("attempts {}", values.attempts),
+            );
         }
         if values.stale_ms > account.purge_slack_ms {
-            let what = format!("stale {} ms, purgeSlack {} ms", values.stale_ms, account.purge_slack_ms);
+            let what = format!(
+                "stale {} ms, purgeSlack {} ms",
+                values.stale_ms, account.purge_slack_ms
+            );
             add(Check::StalePastPurge, &["stale_ms"], what);
         }
         if values.keep > 3 {
-            add(Check::RankOutOfRange, &["keep"], format!("keep {}", values.keep));
+            add(
+                Check::RankOutOfRange,
+                &["keep"],
+                format!("keep {}", values.keep),
+            );
         }
-        let backoff = ["backoff_ms", "backoff_factor", "backoff_most_ms", "jitter_percent"];
+        let backoff = [
+            "backoff_ms",
+            "backoff_factor",
+            "backoff_most_ms",
+            "jitter_percent",
+        ];
         let most = values.backoff_most_ms;
-        let shaped =
-            (1.0..=100.0).contains(&values.backoff_factor) && (0.0..=100.0).contains(&values.jitter_percent);
-        if !shaped || (most > 0 && most < values.backoff_ms) || (most > 0 && values.backoff_ms == 0) {
+        let shaped = (1.0..=100.0).contains(&values.backoff_factor)
+            && (0.0..=100.0).contains(&values.jitter_percent);
+        if !shaped || (most > 0 && most < values.backoff_ms) || (most > 0 && values.backoff_ms == 0)
+        {
             let what = format!(
                 "backoff {} ms, times {}, {} ms at most, less {} percent",
                 values.backoff_ms, values.backoff_factor, most, values.jitter_percent
@@ -94,11 +144,22 @@
             add(Check::BackoffShape, &backoff, what);
         }
         if values.backoff_ms >= values.deadline_ms {
-            let what = format!("backoff {} ms, deadline {} ms", values.backoff_ms, values.deadline_ms);
-            add(Check::BackoffPastDeadline, &["backoff_ms", "deadline_ms"], what);
+            let what = format!(
+                "backoff {} ms, deadline {} ms",
+                values.backoff_ms, values.deadline_ms
+            );
+            add(
+                Check::BackoffPastDeadline,
+                &["backoff_ms", "deadline_ms"],
+                what,
+            );
         }
         if values.queue > 0 && values.queue_age_ms == 0 {
-            add(Check::QueueWithoutAge, &["queue", "queue_age_ms"], format!("queue {}", values.queue));
+            add(
+                Check::QueueWithoutAge,
+                &["queue", "queue_age_ms"],
+                format!("queue {}", values.queue),
+            );
         }
         if values.queue == 0 && values.queue_age_ms > 0 {
             add(
@@ -108,15 +169,30 @@
             );
         }
         if values.queue > 0 && values.concurrency.is_none() {
-            add(Check::QueueWithoutPlaces, &["queue", "concurrency"], format!("queue {}", values.queue));
+            add(
+                Check::QueueWithoutPlaces,
+                &["queue", "concurrency"],
+                format!("queue {}", values.queue),
+            );
         }
         if values.queue_age_ms >= values.deadline_ms {
-            let what = format!("age {} ms, deadline {} ms", values.queue_age_ms, values.deadline_ms);
-            add(Check::AgePastDeadline, &["queue_age_ms", "deadline_ms"], what);
+            let what = format!(
+                "age {} ms, deadline {} ms",
+                values.queue_age_ms, values.deadline_ms
+            );
+            add(
+                Check::AgePastDeadline,
+                &["queue_age_ms", "deadline_ms"],
+                what,
+            );
         }
         match values.concurrency {
             Some(Concurrency::Adaptive { least, most }) if least == 0 || least > most => {
-                add(Check::PlacesShape, &["concurrency"], format!("places {least} to {most}"));
+                add(
+                    Check::PlacesShape,
+                    &["concurrency"],
+                    format!("places {least} to {most}"),
+                );
             }
             Some(places) if places.most() > account.room() => {
                 let what = format!("places {}, room for {}", places.most(), account.room());
@@ -136,23 +212,44 @@
             let pauses: u64 = (1..values.attempts).map(|n| values.pause_ms(n, 1.0)).sum();
             let begins = values.attempt_ms * (values.attempts - 1) + pauses;
             let keyed = matches!(class.repeat, Repeat::Keyed(_));
-            let end = if keyed { values.window_ms.min(values.deadline_ms) } else { values.deadline_ms };
+            let end = if keyed {
+                values.window_ms.min(values.deadline_ms)
+            } else {
+                values.deadline_ms
+            };
             if begins >= end && set("attempts") {
-                let what =
-                    format!("attempt {} begins after {begins} ms, the end is at {end} ms", values.attempts);
-                add(Check::NeverMade, &["attempts", "attempt_ms", "backoff_ms", "window_ms"], what);
+                let what = format!(
+                    "attempt {} begins after {begins} ms, the end is at {end} ms",
+                    values.attempts
+                );
+                add(
+                    Check::NeverMade,
+                    &["attempts", "attempt_ms", "backoff_ms", "window_ms"],
+                    what,
+                );
             }
         }
     }
 
     pub(crate) fn shadows(&mut self, table: &Table) {
         for routes in &table.by_class {
-            for (n, route) in routes.iter().enumerate().filter(|(_, route)| route.route.is_some()) {
-                let before = routes[..n].iter().find(|other| other.matching.covers(&route.matching));
+            for (n, route) in routes
+                .iter()
+                .enumerate()
+                .filter(|(_, route)| route.route.is_some())
+            {
+                let before = routes[..n]
+                    .iter()
+                    .find(|other| other.matching.covers(&route.matching));
                 if let Some(before) = before {
-                    let lines = [route, before].iter().filter_map(|r| r.at.last().cloned()).collect();
-                    let (name, by) =
-                        (route.route.clone().unwrap_or_default(), before.route.clone().unwrap_or_default());
+                    let lines = [route, before]
+                        .iter()
+                        .filter_map(|r| r.at.last().cloned())
+                        .collect();
+                    let (name, by) = (
+                        route.route.clone().unwrap_or_default(),
+                        before.route.clone().unwrap_or_default(),
+                    );
                     let what = format!("{}: route {name} is behind {by}", table.names[route.class]);
                     self.add(Check::ShadowedRoute, lines, what);
                 }
--- a/pure/limits/src/standing.rs
+++ b/pure/limits/src/standing.rs
@@ -28,7 +28,10 @@
             for resolved in routes.iter().filter(fit) {
                 let caller = resolved.matching.caller.clone();
                 let all = caller.is_none();
-                list.push(ByCaller { caller, resolved: resolved.clone() });
+                list.push(ByCaller {
+                    caller,
+                    resolved: resolved.clone(),
+                });
                 if all {
                     // Nothing comes to what is behind it.
                     break;
@@ -39,14 +42,22 @@
         let fronts = |routes: &Vec<Arc<Resolved>>| {
             std::array::from_fn(|n| list(routes, FRONTS.get(n).copied().unwrap_or_default()))
         };
-        Standing { by_class: table.by_class.iter().map(fronts).collect() }
+        Standing {
+            by_class: table.by_class.iter().map(fronts).collect(),
+        }
     }
 
     /// As [`Table::find`] in this proxy's zone.
     pub fn find(&self, class: usize, caller: &str, front: &str) -> Option<&Arc<Resolved>> {
-        let front = FRONTS.iter().position(|name| *name == front).unwrap_or(FRONTS.len());
+        let front = FRONTS
+            .iter()
+            .position(|name| *name == front)
+            .unwrap_or(FRONTS.len());
         let routes = &self.by_class.get(class)?[front];
-        routes.iter().find(|route| Match::part(&route.caller, caller)).map(|route| &route.resolved)
+        routes
+            .iter()
+            .find(|route| Match::part(&route.caller, caller))
+            .map(|route| &route.resolved)
     }
 }
 
--- a/pure/limits/src/table.rs
+++ b/pure/limits/src/table.rs
@@ -26,19 +26,23 @@
     }
 
     pub fn fits(&self, zone: &str, caller: &str, front: &str) -> bool {
-        Match::part(&self.zone, zone) && Match::part(&self.caller, caller) && Match::part(&self.front, front)
+        Match::part(&self.zone, zone)
+            && Match::part(&self.caller, caller)
+            && Match::part(&self.front, front)
     }
 
     /// Whether whatever fits the other fits this as well.
     pub fn covers(&self, other: &Match) -> bool {
-        let covers = |own: &Option<String>, other: &Option<String>| match (own.as_deref(), other.as_deref()) {
-            (None, _) => true,
-            (Some(_), None) => false,
-            (Some(own), Some(other)) => match own.strip_suffix('*') {
-                Some(begin) => other.trim_end_matches('*').starts_with(begin),
-                None => own == other,
-            },
-        };
+        let covers =
+            |own: &Option<String>, other: &Option<String>| match (own.as_deref(), other.as_deref())
+            {
+                (None, _) => true,
+                (Some(_), None) => false,
+                (Some(own), Some(other)) => match own.strip_suffix('*') {
+                    Some(begin) => other.trim_end_matches('*').starts_with(begin),
+                    None => own == other,
+                },
+            };
         covers(&self.zone, &other.zone)
             && covers(&self.caller, &other.caller)
             && covers(&self.front, &other.front)
@@ -120,16 +124,37 @@
     pub fn new(account: &Account, draft: &Draft) -> Table {
         let mut by_class = Vec::new();
         for (number, class) in account.classes.iter().enumerate() {
-            let from = FIELDS.iter().map(|field| (*field, "today".to_string())).collect();
+            let from = FIELDS
+                .iter()
+                .map(|field| (*field, "today".to_string()))
+                .collect();
             let values = Effective::today(account, class);
             let matching = Match::default();
-            let mut own = Resolved { class: number, route: None, at: Vec::new(), matching, values, from };
-            draft.defaults.iter().for_each(|said| put(&mut own, &said.at, &said.value));
-            for said in draft.classes.iter().filter(|said| said.value.0 == class.name) {
+            let mut own = Resolved {
+                class: number,
+                route: None,
+                at: Vec::new(),
+                matching,
+                values,
+                from,
+            };
+            draft
+                .defaults
+                .iter()
+                .for_each(|said| put(&mut own, &said.at, &said.value));
+            for said in draft
+                .classes
+                .iter()
+                .filter(|said| said.value.0 == class.name)
+            {
                 put(&mut own, &said.at, &said.value.1);
             }
             let mut all = Vec::new();
-            for said in draft.routes.iter().filter(|said| said.value.class == class.name) {
+            for said in draft
+                .routes
+                .iter()
+                .filter(|said| said.value.class == class.name)
+            {
                 let mut route = Resolved {
                     route: Some(said.value.name.clone()),
                     matching: said.value.matching.clone(),
@@ -141,13 +166,30 @@
             all.push(Arc::new(own));
             by_class.push(all);
         }
-        let names = account.classes.iter().map(|class| class.name.clone()).collect();
-        Table { names, by_class, budgets: draft.budgets.clone() }
+        let names = account
+            .classes
+            .iter()
+            .map(|class| class.name.clone())
+            .collect();
+        Table {
+            names,
+            by_class,
+            budgets: draft.budgets.clone(),
+        }
     }
 
     /// The values of a request. Once for each: they are its own until it ends, whatever is loaded meanwhile.
-    pub fn find(&self, class: usize, zone: &str, caller: &str, front: &str) -> Option<&Arc<Resolved>> {
-        self.by_class.get(class)?.iter().find(|resolved| resolved.matching.fits(zone, caller, front))
+    pub fn find(
+        &self,
+        class: usize,
+        zone: &str,
+        caller: &str,
+        front: &str,
+    ) -> Option<&Arc<Resolved>> {
+        self.by_class
+            .get(class)?
+            .iter()
+            .find(|resolved| resolved.matching.fits(zone, caller, front))
     }
 
     pub fn all(&self) -> impl Iterator<Item = &Arc<Resolved>> {
@@ -157,7 +199,9 @@
     /// A class's own, or one of its routes.
     pub fn named(&self, class: &str, route: Option<&str>) -> Option<&Arc<Resolved>> {
         let number = self.names.iter().position(|name| name == class)?;
-        self.by_class[number].iter().find(|resolved| resolved.route.as_deref() == route)
+        self.by_class[number]
+            .iter()
+            .find(|resolved| resolved.route.as_deref() == route)
     }
 }
 
--- a/pure/limits/src/wait.rs
+++ b/pure/limits/src/wait.rs
@@ -16,7 +16,12 @@
 impl Waiting {
     /// `age`: how long one may wait (us).
     pub fn new(most: usize, age: Time) -> Waiting {
-        Waiting { most, age, line: VecDeque::new(), over_since: None }
+        Waiting {
+            most,
+            age,
+            line: VecDeque::new(),
+            over_since: None,
+        }
     }
 
     pub fn len(&self) -> usize {
