--- a/pure/members/src/admission.rs
+++ b/pure/members/src/admission.rs
@@ -27,7 +27,11 @@
 
 impl Admission {
     pub fn new(most: usize) -> Admission {
-        Admission { most, names: BTreeSet::new(), fresh: Vec::new() }
+        Admission {
+            most,
+            names: BTreeSet::new(),
+            fresh: Vec::new(),
+        }
     }
 
     pub fn most(&self) -> usize {
@@ -70,17 +74,22 @@
             return Err(Refused::Unread);
         }
         let mut rest = &packet.0[..];
-        let read: Header<Who> = PostcardCodec.decode_header(&mut rest).map_err(|_| Refused::Unread)?;
+        let read: Header<Who> = PostcardCodec
+            .decode_header(&mut rest)
+            .map_err(|_| Refused::Unread)?;
         if read.src.name != *from {
             return Err(Refused::Forged);
         }
         if !self.lets(&read.src, &mut known) {
             return Err(Refused::Full);
         }
-        let above = |who: &Who| who.name == me.name && who.born != me.born && who.win_addr_conflict(me);
+        let above =
+            |who: &Who| who.name == me.name && who.born != me.born && who.win_addr_conflict(me);
         let mut rival = above(&read.dst).then(|| read.dst.clone());
         let mut out = Vec::with_capacity(packet.0.len());
-        PostcardCodec.encode_header(&read, &mut out).map_err(|_| Refused::Unread)?;
+        PostcardCodec
+            .encode_header(&read, &mut out)
+            .map_err(|_| Refused::Unread)?;
         if rest.is_empty() {
             return Ok((out, rival));
         }
@@ -90,12 +99,16 @@
         out.extend_from_slice(&[0, 0]);
         // The packet's size bounds the loop: an update that is not there is not read.
         for _ in 0..u16::from_be_bytes(*count) {
-            let member: Member<Who> = PostcardCodec.decode_member(&mut rest).map_err(|_| Refused::Unread)?;
+            let member: Member<Who> = PostcardCodec
+                .decode_member(&mut rest)
+                .map_err(|_| Refused::Unread)?;
             let who = member.id();
             if who.name == me.name && who != me {
                 rival = rival.or_else(|| above(who).then(|| who.clone()));
             } else if who == me || self.lets(who, &mut known) {
-                PostcardCodec.encode_member(&member, &mut out).map_err(|_| Refused::Unread)?;
+                PostcardCodec
+                    .encode_member(&member, &mut out)
+                    .map_err(|_| Refused::Unread)?;
                 kept += 1;
             }
         }
--- a/pure/members/src/lib.rs
+++ b/pure/members/src/lib.rs
@@ -53,7 +53,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             BadMembers::Name(name) => {
-                write!(f, "member {name} needs a name and a site of at most {NAME} bytes")
+                write!(
+                    f,
+                    "member {name} needs a name and a site of at most {NAME} bytes"
+                )
             }
             BadMembers::Pace => f.write_str("the round trip of members is 0"),
         }
--- a/pure/members/src/members.rs
+++ b/pure/members/src/members.rs
@@ -58,7 +58,12 @@
 }
 
 fn swim(me: Who, pace: Pace, rng: &mut SmallRng) -> Swim {
-    Foca::new(me, pace.config(), SmallRng::seed_from_u64(rng.random()), PostcardCodec)
+    Foca::new(
+        me,
+        pace.config(),
+        SmallRng::seed_from_u64(rng.random()),
+        PostcardCodec,
+    )
 }
 
 impl Members {
@@ -107,11 +112,15 @@
 
     fn others(&self) -> impl Iterator<Item = &Member<Who>> {
         let me = &self.foca.identity().name;
-        self.foca.iter_membership_state().filter(move |member| member.id().name != *me)
+        self.foca
+            .iter_membership_state()
+            .filter(move |member| member.id().name != *me)
     }
 
     fn alive(&self, peer: &Peer) -> bool {
-        self.foca.iter_members().any(|member| member.id().name == *peer)
+        self.foca
+            .iter_members()
+            .any(|member| member.id().name == *peer)
     }
 
     /// Whether a suspicion came to nothing. foca 2.0 sends the suspected its death notice also when it has refuted,
@@ -121,7 +130,14 @@
         if crate::planted::on(crate::planted::Fault::RefutedInVain) {
             return false;
         }
-        let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer else { return false };
+        let Timer::ChangeSuspectToDown {
+            member_id,
+            incarnation,
+            ..
+        } = timer
+        else {
+            return false;
+        };
         let suspected = Member::new(member_id.clone(), *incarnation, foca::State::Suspect);
         self.others().all(|member| *member != suspected)
     }
@@ -140,7 +156,9 @@
                 return;
             }
             let contact = some.swap_remove(self.rng.random_range(0..some.len()));
-            let done = self.foca.announce(Who::contact(&contact), &mut self.runtime);
+            let done = self
+                .foca
+                .announce(Who::contact(&contact), &mut self.runtime);
             Members::noted(&mut self.counts, done);
         }
     }
@@ -148,7 +166,8 @@
     fn leave(&mut self) {
         // Each that is known is told by this process itself; who misses it hears it from the others.
         let mut config = self.pace.config();
-        config.num_indirect_probes = NonZeroUsize::new(self.foca.num_members()).unwrap_or(NonZeroUsize::MIN);
+        config.num_indirect_probes =
+            NonZeroUsize::new(self.foca.num_members()).unwrap_or(NonZeroUsize::MIN);
         #[cfg(feature = "planted")]
         if crate::planted::on(crate::planted::Fault::LeavesUntold) {
             self.foca = swim(self.me().leaving(), self.pace, &mut self.rng);
@@ -156,7 +175,10 @@
         }
         let leaving = self.me().leaving();
         Members::noted(&mut self.counts, self.foca.set_config(config));
-        Members::noted(&mut self.counts, self.foca.change_identity(leaving, &mut self.runtime));
+        Members::noted(
+            &mut self.counts,
+            self.foca.change_identity(leaving, &mut self.runtime),
+        );
         Members::noted(&mut self.counts, self.foca.leave_cluster(&mut self.runtime));
     }
 }
--- a/pure/members/src/members/effects.rs
+++ b/pure/members/src/members/effects.rs
@@ -14,7 +14,10 @@
             self.notified(notification, out);
         }
         while let Some((to, data)) = self.runtime.to_send() {
-            out.push(Do::Send { to: to.name, message: Packet(data.to_vec()) });
+            out.push(Do::Send {
+                to: to.name,
+                message: Packet(data.to_vec()),
+            });
         }
         while let Some((after, timer)) = self.runtime.to_schedule() {
             let after = Time::try_from(after.as_micros()).unwrap_or(Time::MAX);
@@ -28,7 +31,9 @@
             OwnedNotification::MemberUp(new) if new.left => self.left(new, out),
             OwnedNotification::MemberUp(new) => self.came(new, out),
             // Who left and is back within one packet is renamed twice, and never *up* to foca.
-            OwnedNotification::Rename(_, new) if self.up.contains_key(&new.name) || self.alive(&new.name) => {
+            OwnedNotification::Rename(_, new)
+                if self.up.contains_key(&new.name) || self.alive(&new.name) =>
+            {
                 self.came(new, out)
             }
             OwnedNotification::MemberDown(old) if self.up.remove(&old.name).is_some() => {
@@ -63,7 +68,9 @@
         // One that left is dead to all at once, and nobody asks after it.
         if who.name != self.me().name {
             let down = Member::new(who, 0, foca::State::Down);
-            let done = self.foca.apply_many(std::iter::once(down), true, &mut self.runtime);
+            let done = self
+                .foca
+                .apply_many(std::iter::once(down), true, &mut self.runtime);
             Members::noted(&mut self.counts, done);
         }
     }
--- a/pure/members/src/members/part.rs
+++ b/pure/members/src/members/part.rs
@@ -16,8 +16,16 @@
         if self.me().left {
             return;
         }
-        let known = || self.foca.iter_membership_state().map(|member| member.id().name.clone()).collect();
-        match self.admission.admit(self.foca.identity(), from, &message, known) {
+        let known = || {
+            self.foca
+                .iter_membership_state()
+                .map(|member| member.id().name.clone())
+                .collect()
+        };
+        match self
+            .admission
+            .admit(self.foca.identity(), from, &message, known)
+        {
             Ok((packet, rival)) => {
                 if let Some(rival) = rival.filter(|rival| self.rival != Some(rival.born)) {
                     self.rival = Some(rival.born);
@@ -41,8 +49,11 @@
                     self.foca = swim(me, self.pace, &mut self.rng);
                 }
                 let me = self.me().name.clone();
-                self.contacts =
-                    contacts.into_iter().filter(|peer| *peer != me).take(self.admission.most()).collect();
+                self.contacts = contacts
+                    .into_iter()
+                    .filter(|peer| *peer != me)
+                    .take(self.admission.most())
+                    .collect();
                 self.join_at = Some(now.saturating_add(self.pace.join()));
                 self.announce();
             }
--- a/pure/members/src/pace.rs
+++ b/pure/members/src/pace.rs
@@ -47,7 +47,12 @@
 
     pub(crate) fn config(&self) -> Config {
         let span = |time: Time| Duration::from_micros(time);
-        let every = |time, num_members| Some(PeriodicParams { frequency: span(time), num_members });
+        let every = |time, num_members| {
+            Some(PeriodicParams {
+                frequency: span(time),
+                num_members,
+            })
+        };
         // News that one misses has it declare dead who has refuted. Each tells it so often; one of n misses it with
         // n / e^copies, for copies as below one in e^12, and with a fifth lost one in e^9.
         let copies = f64::from(self.size.max(2)).ln() + 12.0;
--- a/pure/members/src/timers.rs
+++ b/pure/members/src/timers.rs
@@ -67,7 +67,8 @@
     pub fn delay(&mut self, by: Time) {
         let all = std::mem::take(&mut self.set);
         self.order.clear();
-        all.into_values().for_each(|(at, timer)| self.put(at.saturating_add(by), timer));
+        all.into_values()
+            .for_each(|(at, timer)| self.put(at.saturating_add(by), timer));
     }
 
     pub fn clear(&mut self) {
--- a/pure/members/src/who.rs
+++ b/pure/members/src/who.rs
@@ -27,23 +27,42 @@
     /// `born` must be higher than in the life before, as the time of the start is by the calendar's clock.
     /// When that clock was set back, the process still comes in, by as many returns as it takes.
     pub fn new(name: Peer, site: &str, address: SocketAddr, born: u64) -> Who {
-        Who { name, site: site.into(), address, born, generation: born, left: false }
+        Who {
+            name,
+            site: site.into(),
+            address,
+            born,
+            generation: born,
+            left: false,
+        }
     }
 
     /// Someone of whom only the name is known: enough to announce oneself to.
     pub(crate) fn contact(name: &Peer) -> Who {
-        Who::new(name.clone(), "", SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)), 0)
+        Who::new(
+            name.clone(),
+            "",
+            SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
+            0,
+        )
     }
 
     pub(crate) fn leaving(&self) -> Who {
-        Who { left: true, ..self.clone() }
+        Who {
+            left: true,
+            ..self.clone()
+        }
     }
 
     /// The next generation. The steps double, so that a life that began too low passes the one before it in
     /// as many returns as the difference has bits.
     pub(crate) fn again(&self) -> Who {
         let step = (self.generation - self.born).clamp(1, 1 << 32);
-        Who { generation: self.generation.saturating_add(step), left: false, ..self.clone() }
+        Who {
+            generation: self.generation.saturating_add(step),
+            left: false,
+            ..self.clone()
+        }
     }
 
     pub(crate) fn fits(&self) -> bool {
@@ -56,7 +75,13 @@
 
     fn rank(&self) -> impl Ord + '_ {
         // What follows the first two only has everyone choose the same of two that should not both be.
-        (self.generation, self.left, self.born, self.address, &self.site)
+        (
+            self.generation,
+            self.left,
+            self.born,
+            self.address,
+            &self.site,
+        )
     }
 }
 
--- a/pure/members/tests/common/mod.rs
+++ b/pure/members/tests/common/mod.rs
@@ -40,7 +40,10 @@
             cut: BTreeSet::new(),
             loss: 0.0,
             sent: 0,
-            pace: Pace { rtt: 100 * MS, size: size as u32 },
+            pace: Pace {
+                rtt: 100 * MS,
+                size: size as u32,
+            },
             queue: BTreeMap::new(),
             rng: SmallRng::seed_from_u64(seed),
         }
@@ -59,7 +62,12 @@
     pub fn start(&mut self, i: usize, born: u64, contacts: &[usize]) {
         let address = format!("127.0.0.1:{}", 7000 + i).parse().unwrap();
         let me = Who::new(name(i), ["east", "west"][i % 2], address, born);
-        let setup = Setup { me, pace: self.pace, most: self.members.len(), seed: self.rng.random() };
+        let setup = Setup {
+            me,
+            pace: self.pace,
+            most: self.members.len(),
+            seed: self.rng.random(),
+        };
         self.members[i] = Some(Members::new(setup).unwrap());
         self.ask(i, Ask::Join(contacts.iter().map(|c| name(*c)).collect()));
     }
@@ -77,16 +85,28 @@
         self.now + i as u64 * 1_000_003
     }
 
-    fn drive(&mut self, i: usize, with: impl FnOnce(&mut Members, Time, &mut Vec<Do<Packet, Told>>)) {
+    fn drive(
+        &mut self,
+        i: usize,
+        with: impl FnOnce(&mut Members, Time, &mut Vec<Do<Packet, Told>>),
+    ) {
         let now = self.clock(i);
-        let Some(member) = &mut self.members[i] else { return };
+        let Some(member) = &mut self.members[i] else {
+            return;
+        };
         let mut out = Vec::new();
         with(member, now, &mut out);
-        assert!(member.waiting() <= 2 * self.told.len() + 8, "{} timers", member.waiting());
+        assert!(
+            member.waiting() <= 2 * self.told.len() + 8,
+            "{} timers",
+            member.waiting()
+        );
         for act in out {
             match act {
                 Do::Tell(told) => self.told[i].push((self.now, told)),
-                Do::Send { to, message } => self.send(i, to.as_str()[1..].parse().unwrap(), message),
+                Do::Send { to, message } => {
+                    self.send(i, to.as_str()[1..].parse().unwrap(), message)
+                }
             }
         }
     }
@@ -102,16 +122,23 @@
 
     /// Cuts each from each, both ways.
     pub fn part(&mut self, these: &[usize], those: &[usize]) {
-        for (a, b) in these.iter().flat_map(|a| those.iter().map(move |b| (*a, *b))) {
+        for (a, b) in these
+            .iter()
+            .flat_map(|a| those.iter().map(move |b| (*a, *b)))
+        {
             self.cut.extend([(a, b), (b, a)]);
         }
     }
 
     fn next_tick(&self) -> Option<(Time, usize)> {
         let due = |i: usize| {
-            self.members[i].as_ref()?.due().map(|due| due.saturating_sub(self.clock(i) - self.now))
+            self.members[i]
+                .as_ref()?
+                .due()
+                .map(|due| due.saturating_sub(self.clock(i) - self.now))
         };
-        let at = |i: usize| due(i).map(|due| (due.max(self.paused.get(&i).copied().unwrap_or(0)), i));
+        let at =
+            |i: usize| due(i).map(|due| (due.max(self.paused.get(&i).copied().unwrap_or(0)), i));
         (0..self.members.len()).filter_map(at).min()
     }
 
@@ -137,11 +164,16 @@
                 (_, Some(at)) if at <= end => {
                     self.now = self.now.max(at);
                     let (key, (from, to, packet)) = self.queue.pop_first().unwrap();
-                    match self.paused.get(&to).copied().filter(|until| *until > self.now) {
+                    match self
+                        .paused
+                        .get(&to)
+                        .copied()
+                        .filter(|until| *until > self.now)
+                    {
                         Some(until) => drop(self.queue.insert((until, key.1), (from, to, packet))),
-                        None => {
-                            self.drive(to, |member, now, out| member.heard(now, &name(from), packet, out))
-                        }
+                        None => self.drive(to, |member, now, out| {
+                            member.heard(now, &name(from), packet, out)
+                        }),
                     }
                 }
                 _ => return None,
@@ -150,11 +182,17 @@
     }
 
     pub fn running(&self) -> Vec<usize> {
-        (0..self.members.len()).filter(|i| self.members[*i].as_ref().is_some_and(|m| !m.me().left)).collect()
+        (0..self.members.len())
+            .filter(|i| self.members[*i].as_ref().is_some_and(|m| !m.me().left))
+            .collect()
     }
 
     pub fn seen(&self, i: usize, other: usize) -> Option<Seen> {
-        self.members[i].as_ref()?.seen().into_iter().find(|seen| seen.peer == name(other))
+        self.members[i]
+            .as_ref()?
+            .seen()
+            .into_iter()
+            .find(|seen| seen.peer == name(other))
     }
 
     /// Each that runs sees each that runs alive in its present generation, and nobody else.
@@ -166,13 +204,18 @@
             alive.len() + 1 == running.len()
                 && alive.iter().all(|seen| {
                     let other: usize = seen.peer.as_str()[1..].parse().unwrap();
-                    self.members[other].as_ref().is_some_and(|m| m.me().generation == seen.generation)
+                    self.members[other]
+                        .as_ref()
+                        .is_some_and(|m| m.me().generation == seen.generation)
                 })
         })
     }
 
     /// Who of those that run was told this of the peer.
     pub fn heard_of(&self, told: impl Fn(&Told) -> bool) -> usize {
-        self.running().iter().filter(|i| self.told[**i].iter().any(|(_, t)| told(t))).count()
+        self.running()
+            .iter()
+            .filter(|i| self.told[**i].iter().any(|(_, t)| told(t)))
+            .count()
     }
 }
--- a/pure/members/tests/door.rs
+++ b/pure/members/tests/door.rs
@@ -6,21 +6,46 @@
 use proptest::prelude::*;
 
 fn who(name: &str, born: u64) -> Who {
-    Who::new(Peer::new(name), "east", "127.0.0.1:7000".parse().unwrap(), born)
+    Who::new(
+        Peer::new(name),
+        "east",
+        "127.0.0.1:7000".parse().unwrap(),
+        born,
+    )
 }
 
 fn members(most: usize) -> Members {
-    Members::new(Setup { me: who("me", 100), pace: Pace { rtt: 1_000, size: 6 }, most, seed: 1 }).unwrap()
+    Members::new(Setup {
+        me: who("me", 100),
+        pace: Pace {
+            rtt: 1_000,
+            size: 6,
+        },
+        most,
+        seed: 1,
+    })
+    .unwrap()
 }
 
 fn packet(src: Who, of: &[Who]) -> Packet {
-    let header = Header { src, src_incarnation: 0, dst: who("me", 100), message: Message::Gossip };
+    let header = Header {
+        src,
+        src_incarnation: 0,
+        dst: who("me", 100),
+        message: Message::Gossip,
+    };
     let mut bytes = Vec::new();
     PostcardCodec.encode_header(&header, &mut bytes).unwrap();
     bytes.extend((of.len() as u16).to_be_bytes());
     for (i, who) in of.iter().enumerate() {
-        let state = if i % 2 == 0 { foca::State::Alive } else { foca::State::Down };
-        PostcardCodec.encode_member(&Member::new(who.clone(), i as u16, state), &mut bytes).unwrap();
+        let state = if i % 2 == 0 {
+            foca::State::Alive
+        } else {
+            foca::State::Down
+        };
+        PostcardCodec
+            .encode_member(&Member::new(who.clone(), i as u16, state), &mut bytes)
+            .unwrap();
     }
     Packet(bytes)
 }
@@ -36,42 +61,112 @@
     let mut members = members(10);
     hear(&mut members, "p", packet(who("p", 1), &[who("known", 1)]));
     for round in 0..2_000_u64 {
-        let of: Vec<Who> = (0..8).map(|i| who(&format!("x{}", round * 8 + i), round)).collect();
+        let of: Vec<Who> = (0..8)
+            .map(|i| who(&format!("x{}", round * 8 + i), round))
+            .collect();
         hear(&mut members, "p", packet(who("p", round), &of));
-        hear(&mut members, "p", packet(who("p", round), &[who("known", round), who("known", round)]));
+        hear(
+            &mut members,
+            "p",
+            packet(who("p", round), &[who("known", round), who("known", round)]),
+        );
     }
     assert_eq!(members.seen().len(), 10);
     assert!(members.waiting() <= 2 * 10 + 6, "{}", members.waiting());
-    assert_eq!(members.seen().iter().find(|seen| seen.peer.as_str() == "known").unwrap().generation, 1_999);
+    assert_eq!(
+        members
+            .seen()
+            .iter()
+            .find(|seen| seen.peer.as_str() == "known")
+            .unwrap()
+            .generation,
+        1_999
+    );
     hear(&mut members, "late", packet(who("late", 1), &[]));
-    assert_eq!(members.counts(), Counts { full: 1, ..Counts::default() });
+    assert_eq!(
+        members.counts(),
+        Counts {
+            full: 1,
+            ..Counts::default()
+        }
+    );
 }
 
 #[test]
 fn a_peer_speaks_for_itself_only() {
     let mut members = members(10);
     assert!(hear(&mut members, "p", packet(who("q", 1), &[])).is_empty());
-    assert_eq!(members.counts(), Counts { forged: 1, ..Counts::default() });
+    assert_eq!(
+        members.counts(),
+        Counts {
+            forged: 1,
+            ..Counts::default()
+        }
+    );
 }
 
 #[test]
 fn a_name_without_measure_is_no_member() {
     let long = "x".repeat(NAME + 1);
     let mut inside = members(10);
-    hear(&mut inside, "p", packet(who("p", 1), &[who(&long, 1), who("", 1), who("q", 1)]));
-    assert_eq!(inside.seen().iter().map(|seen| seen.peer.as_str().len()).max(), Some(1));
-    let setup = Setup { me: who(&long, 1), pace: Pace { rtt: 1, size: 1 }, most: 1, seed: 1 };
-    assert_eq!(Members::new(setup).err(), Some(BadMembers::Name(Peer::new(&long))));
+    hear(
+        &mut inside,
+        "p",
+        packet(who("p", 1), &[who(&long, 1), who("", 1), who("q", 1)]),
+    );
+    assert_eq!(
+        inside
+            .seen()
+            .iter()
+            .map(|seen| seen.peer.as_str().len())
+            .max(),
+        Some(1)
+    );
+    let setup = Setup {
+        me: who(&long, 1),
+        pace: Pace { rtt: 1, size: 1 },
+        most: 1,
+        seed: 1,
+    };
+    assert_eq!(
+        Members::new(setup).err(),
+        Some(BadMembers::Name(Peer::new(&long)))
+    );
 }
 
 #[test]
 fn another_under_this_name_is_told_once_and_never_declared_dead() {
     let mut members = members(10);
-    let told =
-        |out: Acts<Members>| out.into_iter().filter(|act| matches!(act, Do::Tell(Told::Rival(_)))).count();
-    assert_eq!(told(hear(&mut members, "p", packet(who("p", 1), &[who("me", 50)]))), 0, "an older life");
-    assert_eq!(told(hear(&mut members, "p", packet(who("p", 1), &[who("me", 900)]))), 1);
-    assert_eq!(told(hear(&mut members, "p", packet(who("p", 1), &[who("me", 900)]))), 0);
+    let told = |out: Acts<Members>| {
+        out.into_iter()
+            .filter(|act| matches!(act, Do::Tell(Told::Rival(_))))
+            .count()
+    };
+    assert_eq!(
+        told(hear(
+            &mut members,
+            "p",
+            packet(who("p", 1), &[who("me", 50)])
+        )),
+        0,
+        "an older life"
+    );
+    assert_eq!(
+        told(hear(
+            &mut members,
+            "p",
+            packet(who("p", 1), &[who("me", 900)])
+        )),
+        1
+    );
+    assert_eq!(
+        told(hear(
+            &mut members,
+            "p",
+            packet(who("p", 1), &[who("me", 900)])
+        )),
+        0
+    );
     assert!(members.seen().iter().all(|seen| seen.peer.as_str() != "me"));
     assert_eq!(members.me().generation, 100);
 }
--- a/pure/members/tests/fleet.rs
+++ b/pure/members/tests/fleet.rs
@@ -17,7 +17,10 @@
         let at = net.until(60 * SECOND, Net::converged).expect("all see all");
         worst = worst.max(at);
         for told in &net.told {
-            assert!(told.len() == 49 && told.iter().all(|(_, told)| matches!(told, Told::Up(_))), "{told:?}");
+            assert!(
+                told.len() == 49 && told.iter().all(|(_, told)| matches!(told, Told::Up(_))),
+                "{told:?}"
+            );
         }
     }
     println!("50 joined within {} ms", worst / MS);
@@ -31,7 +34,9 @@
     net.run(60 * SECOND);
     net.start(1, 1, &[]);
     net.start(2, 1, &[1]);
-    let at = net.until(net.now + 60 * SECOND, Net::converged).expect("found");
+    let at = net
+        .until(net.now + 60 * SECOND, Net::converged)
+        .expect("found");
     assert!(at <= 60 * SECOND + 4 * net.pace.join(), "{at}");
 }
 
@@ -44,14 +49,20 @@
         net.kill(7);
         let bound = net.pace.told_of_death();
         let down = |net: &Net| net.heard_of(|told| *told == Told::Down(name(7))) == 49;
-        let at = net.until(killed + bound, down).expect("down within the bound");
+        let at = net
+            .until(killed + bound, down)
+            .expect("down within the bound");
         worst = worst.max(at - killed);
         net.run(5 * SECOND);
         for i in net.running() {
             assert_eq!(net.told[i].len(), 1, "only that: {:?}", net.told[i]);
         }
     }
-    println!("down to 49 within {} ms, stated {}", worst / MS, Net::new(50, 0).pace.told_of_death() / MS);
+    println!(
+        "down to 49 within {} ms, stated {}",
+        worst / MS,
+        Net::new(50, 0).pace.told_of_death() / MS
+    );
 }
 
 #[test]
@@ -67,8 +78,13 @@
         }
         suspected += 1;
         net.run(10 * SECOND);
-        assert!(net.converged() && net.told.iter().all(Vec::is_empty), "nobody was told anything");
-        let refuted = (1..20).filter(|i| net.seen(*i, 0).unwrap().incarnation > 0).count();
+        assert!(
+            net.converged() && net.told.iter().all(Vec::is_empty),
+            "nobody was told anything"
+        );
+        let refuted = (1..20)
+            .filter(|i| net.seen(*i, 0).unwrap().incarnation > 0)
+            .count();
         assert_eq!(refuted, 19, "by incarnation, in the same generation");
         assert_eq!(net.members[0].as_ref().unwrap().counts().returns, 0);
     }
@@ -76,7 +92,8 @@
 }
 
 fn suspects(net: &Net, i: usize, other: usize) -> bool {
-    net.seen(i, other).is_some_and(|seen| seen.state == State::Suspect)
+    net.seen(i, other)
+        .is_some_and(|seen| seen.state == State::Suspect)
 }
 
 #[test]
@@ -86,13 +103,20 @@
         let before = net.now;
         net.start(3, 5_000_000, &[0, 9]);
         let restarted = |told: &Told| matches!(told, Told::Restarted(seen) if seen.peer == name(3));
-        let at = net.until(before + 10 * SECOND, |net| net.heard_of(restarted) == 19 && net.converged());
+        let at = net.until(before + 10 * SECOND, |net| {
+            net.heard_of(restarted) == 19 && net.converged()
+        });
         let took = at.expect("all know the new life") - before;
         assert!(took <= 2 * SECOND, "{took}");
         net.run(30 * SECOND);
         assert!(net.converged());
         for i in (0..20).filter(|i| *i != 3) {
-            assert_eq!(net.told[i].len(), 1, "never down, never back to the older: {:?}", net.told[i]);
+            assert_eq!(
+                net.told[i].len(),
+                1,
+                "never down, never back to the older: {:?}",
+                net.told[i]
+            );
         }
     }
 }
@@ -106,7 +130,11 @@
     let before = net.now;
     net.start(3, 1_000_000_000 - (1 << 28), &[0]);
     let at = net.until(before + 60 * SECOND, Net::converged).expect("in") - before;
-    println!("in after {} ms and {} returns", at / MS, net.members[3].as_ref().unwrap().counts().returns);
+    println!(
+        "in after {} ms and {} returns",
+        at / MS,
+        net.members[3].as_ref().unwrap().counts().returns
+    );
     assert!(at <= 10 * SECOND, "{at}");
 }
 
@@ -124,7 +152,8 @@
             net.run(5 * SECOND);
             assert!(net.converged() && net.heard_of(|told| matches!(told, Told::Down(_))) == 0);
             net.ask(4, Ask::Join(vec![name(9)]));
-            net.until(net.now + 10 * SECOND, Net::converged).expect("it may come again");
+            net.until(net.now + 10 * SECOND, Net::converged)
+                .expect("it may come again");
         }
     }
 }
@@ -136,7 +165,12 @@
         let mut net = Net::whole(20, seed);
         net.loss = 0.2;
         net.run(180 * SECOND);
-        downs += net.told.iter().flatten().filter(|(_, told)| matches!(told, Told::Down(_))).count();
+        downs += net
+            .told
+            .iter()
+            .flatten()
+            .filter(|(_, told)| matches!(told, Told::Down(_)))
+            .count();
         hours += 20.0 * 180.0 / 3600.0;
     }
     println!("{downs} told down in {hours:.0} process hours at 20 percent loss");
@@ -150,16 +184,28 @@
         let (these, those): (Vec<usize>, Vec<usize>) = (0..20).partition(|i| *i < 10);
         net.part(&these, &those);
         net.run(30 * SECOND);
-        assert!((0..20).all(|i| alive(&net, i) == 9), "each half sees its own");
+        assert!(
+            (0..20).all(|i| alive(&net, i) == 9),
+            "each half sees its own"
+        );
         net.cut.clear();
         let healed = net.now;
-        let at = net.until(healed + 60 * SECOND, Net::converged).expect("whole") - healed;
+        let at = net
+            .until(healed + 60 * SECOND, Net::converged)
+            .expect("whole")
+            - healed;
         assert!(at <= 10 * net.pace.period() * 3, "{at}");
     }
 }
 
 fn alive(net: &Net, i: usize) -> usize {
-    net.members[i].as_ref().unwrap().seen().iter().filter(|seen| seen.state.alive()).count()
+    net.members[i]
+        .as_ref()
+        .unwrap()
+        .seen()
+        .iter()
+        .filter(|seen| seen.state.alive())
+        .count()
 }
 
 #[test]
@@ -170,7 +216,8 @@
         net.paused.insert(5, net.now + pause);
         net.run(pause);
         assert_eq!(net.heard_of(|told| *told == Told::Down(name(5))), 19);
-        net.until(net.now + 20 * SECOND, Net::converged).expect("back");
+        net.until(net.now + 20 * SECOND, Net::converged)
+            .expect("back");
         net.run(10 * SECOND);
         assert!(net.told[5].is_empty(), "{:?}", net.told[5]);
     }
--- a/pure/members/tests/planted.rs
+++ b/pure/members/tests/planted.rs
@@ -14,7 +14,10 @@
     // The next life begins below: it may come in above the one before, never as it is.
     net.start(3, 4_999_999, &[0, 9]);
     net.run(5 * SECOND);
-    let above = |i: usize| net.seen(i, 3).is_some_and(|seen| seen.generation > 5_000_000);
+    let above = |i: usize| {
+        net.seen(i, 3)
+            .is_some_and(|seen| seen.generation > 5_000_000)
+    };
     if !(0..10).filter(|i| *i != 3).all(above) || !net.converged() {
         return Some("an older life came back");
     }
@@ -23,7 +26,13 @@
     if net.heard_of(|told| *told == Told::Left(name(4))) != 9 {
         return Some("a leave was not told");
     }
-    let returns = |net: &Net| net.members.iter().flatten().map(|member| member.counts().returns).sum::<u64>();
+    let returns = |net: &Net| {
+        net.members
+            .iter()
+            .flatten()
+            .map(|member| member.counts().returns)
+            .sum::<u64>()
+    };
     let before = returns(&net);
     net.paused.insert(0, net.now + 3 * net.pace.suspicion() / 4);
     net.run(10 * SECOND);
--- a/pure/members/tests/states.rs
+++ b/pure/members/tests/states.rs
@@ -21,14 +21,23 @@
 impl Says {
     fn who(self) -> Who {
         let address = "127.0.0.1:7000".parse().unwrap();
-        let mut who = Who::new(Peer::new(&format!("n{}", self.name)), "east", address, self.generation);
+        let mut who = Who::new(
+            Peer::new(&format!("n{}", self.name)),
+            "east",
+            address,
+            self.generation,
+        );
         who.left = self.left;
         who
     }
 
     fn member(self) -> Member<Who> {
         let states = [foca::State::Alive, foca::State::Suspect, foca::State::Down];
-        Member::new(self.who(), self.incarnation, states[usize::from(self.state)])
+        Member::new(
+            self.who(),
+            self.incarnation,
+            states[usize::from(self.state)],
+        )
     }
 
     fn alive(self) -> bool {
@@ -70,14 +79,28 @@
 
     /// One that left is dead, once all is read.
     fn settle(&mut self) {
-        self.0.values_mut().filter(|says| says.left).for_each(|says| says.state = 2);
+        self.0
+            .values_mut()
+            .filter(|says| says.left)
+            .for_each(|says| says.state = 2);
     }
 }
 
 fn says() -> impl Strategy<Value = Says> {
-    (1..6_u8, 1..4_u64, prop::bool::weighted(0.15), 0..3_u16, 0..3_u8).prop_map(
-        |(name, generation, left, incarnation, state)| Says { name, generation, left, incarnation, state },
+    (
+        1..6_u8,
+        1..4_u64,
+        prop::bool::weighted(0.15),
+        0..3_u16,
+        0..3_u8,
     )
+        .prop_map(|(name, generation, left, incarnation, state)| Says {
+            name,
+            generation,
+            left,
+            incarnation,
+            state,
+        })
 }
 
 impl ReferenceStateMachine for Model {
@@ -132,9 +155,11 @@
         let mut bytes = Vec::new();
         PostcardCodec.encode_header(&header, &mut bytes).unwrap();
         bytes.extend((of.len() as u16).to_be_bytes());
-        of.iter().for_each(|member| PostcardCodec.encode_member(member, &mut bytes).unwrap());
+        of.iter()
+            .for_each(|member| PostcardCodec.encode_member(member, &mut bytes).unwrap());
         let mut out = Vec::new();
-        self.members.heard(0, &header.src.name, Packet(bytes), &mut out);
+        self.members
+            .heard(0, &header.src.name, Packet(bytes), &mut out);
         let mut sent = Vec::new();
         for act in out {
             match act {
@@ -143,7 +168,9 @@
                 Do::Tell(Told::Down(peer) | Told::Left(peer)) => {
                     assert!(self.up.remove(&peer), "down, not up")
                 }
-                Do::Tell(Told::Restarted(seen)) => assert!(self.up.contains(&seen.peer), "restarted, not up"),
+                Do::Tell(Told::Restarted(seen)) => {
+                    assert!(self.up.contains(&seen.peer), "restarted, not up")
+                }
                 Do::Tell(Told::Rival(seen)) => panic!("nobody has this name: {seen:?}"),
             }
         }
@@ -156,15 +183,35 @@
     type Reference = Model;
 
     fn init_test(_: &Model) -> Real {
-        let me = Who::new(Peer::new("n0"), "east", "127.0.0.1:7000".parse().unwrap(), 1);
-        let setup = Setup { me, pace: Pace { rtt: 1_000, size: 6 }, most: 8, seed: 1 };
-        Real { members: Members::new(setup).unwrap(), up: BTreeSet::new(), generations: BTreeMap::new() }
+        let me = Who::new(
+            Peer::new("n0"),
+            "east",
+            "127.0.0.1:7000".parse().unwrap(),
+            1,
+        );
+        let setup = Setup {
+            me,
+            pace: Pace {
+                rtt: 1_000,
+                size: 6,
+            },
+            most: 8,
+            seed: 1,
+        };
+        Real {
+            members: Members::new(setup).unwrap(),
+            up: BTreeSet::new(),
+            generations: BTreeMap::new(),
+        }
     }
 
     fn apply(mut real: Real, model: &Model, step: Step) -> Real {
         match step {
             Step::Packet(from, of) => {
-                real.hear(from, &of.iter().map(|says| says.member()).collect::<Vec<_>>());
+                real.hear(
+                    from,
+                    &of.iter().map(|says| says.member()).collect::<Vec<_>>(),
+                );
             }
             Step::Myself(from, state) => {
                 let me = real.members.me().clone();
@@ -177,9 +224,15 @@
                         "it comes back in a next generation"
                     );
                 }
-                for Packet(bytes) in sent.into_iter().filter(|_| heeded && state == foca::State::Suspect) {
+                for Packet(bytes) in sent
+                    .into_iter()
+                    .filter(|_| heeded && state == foca::State::Suspect)
+                {
                     let header: Header<Who> = PostcardCodec.decode_header(&bytes[..]).unwrap();
-                    assert!(header.src == me && header.src_incarnation == 8, "it refutes: {header:?}");
+                    assert!(
+                        header.src == me && header.src_incarnation == 8,
+                        "it refutes: {header:?}"
+                    );
                 }
             }
         }
@@ -191,15 +244,36 @@
         assert_eq!(seen.len(), model.0.len());
         let name = |name: u8| Peer::new(&format!("n{name}"));
         for says in model.0.values() {
-            let seen = seen.iter().find(|seen| seen.peer == name(says.name)).expect("known");
+            let seen = seen
+                .iter()
+                .find(|seen| seen.peer == name(says.name))
+                .expect("known");
             let states = [State::Alive, State::Suspect, State::Down];
-            let state = if says.left { State::Left } else { states[usize::from(says.state)] };
-            assert_eq!((seen.generation, seen.state), (says.generation, state), "{says:?}");
-            assert!(says.left || seen.incarnation == says.incarnation, "{seen:?} {says:?}");
-            assert!(real.generations.get(&seen.peer).is_none_or(|before| *before <= seen.generation));
+            let state = if says.left {
+                State::Left
+            } else {
+                states[usize::from(says.state)]
+            };
+            assert_eq!(
+                (seen.generation, seen.state),
+                (says.generation, state),
+                "{says:?}"
+            );
+            assert!(
+                says.left || seen.incarnation == says.incarnation,
+                "{seen:?} {says:?}"
+            );
+            assert!(real
+                .generations
+                .get(&seen.peer)
+                .is_none_or(|before| *before <= seen.generation));
         }
-        let up: BTreeSet<Peer> =
-            model.0.values().filter(|says| says.alive()).map(|says| name(says.name)).collect();
+        let up: BTreeSet<Peer> = model
+            .0
+            .values()
+            .filter(|says| says.alive())
+            .map(|says| name(says.name))
+            .collect();
         assert_eq!(real.up, up, "told and seen agree");
     }
 }
--- a/pure/relay/src/asks.rs
+++ b/pure/relay/src/asks.rs
@@ -9,9 +9,17 @@
     /// The flow that has something to settle.
     pub(crate) fn asked(&mut self, now: Time, ask: Ask) -> Option<usize> {
         match ask {
-            Ask::Subscribe { ticket, stream, after, place } => {
+            Ask::Subscribe {
+                ticket,
+                stream,
+                after,
+                place,
+            } => {
                 let refuse = |why| Told::Refused { ticket, why };
-                let Some(f) = self.flow(&stream).filter(|f| !self.flows[*f].levels.is_empty()) else {
+                let Some(f) = self
+                    .flow(&stream)
+                    .filter(|f| !self.flows[*f].levels.is_empty())
+                else {
                     self.shared.tell(refuse(Refused::NoSuchStream));
                     return None;
                 };
@@ -25,7 +33,9 @@
                 }
                 self.by_reader.insert(ticket, f);
                 let ahead = self.flows[f].stream.ahead;
-                self.flows[f].readers.add(ticket, Reader::new(now, after, place, ahead));
+                self.flows[f]
+                    .readers
+                    .add(ticket, Reader::new(now, after, place, ahead));
                 self.shared.tell(Told::Opened { ticket });
                 self.settle(now, f);
                 self.pump_reader(now, f, ticket);
@@ -43,7 +53,11 @@
                 self.flows[f].readers.remove(&reader);
                 self.flows[f].readers.is_empty().then_some(f)
             }
-            Ask::Fed { stream, epoch, items } => {
+            Ask::Fed {
+                stream,
+                epoch,
+                items,
+            } => {
                 let f = self.flow(&stream)?;
                 self.flows[f].source.fed(now, epoch, items);
                 self.flows[f].levels.first_mut()?.role.healed();
@@ -61,7 +75,9 @@
             Ask::Leave => {
                 self.shared.leaving = true;
                 for level in self.flows.iter_mut().flat_map(|flow| &mut flow.levels) {
-                    level.role.step_aside(now, 0, &level.follower.candidates, &mut self.shared);
+                    level
+                        .role
+                        .step_aside(now, 0, &level.follower.candidates, &mut self.shared);
                 }
                 None
             }
--- a/pure/relay/src/context.rs
+++ b/pure/relay/src/context.rs
@@ -21,11 +21,21 @@
 impl Shared {
     pub fn new(setup: Setup) -> Shared {
         let draws = Xoshiro256PlusPlus::seed_from_u64(setup.seed);
-        Shared { dead: BTreeMap::new(), leaving: false, nonce: setup.life, draws, out: Vec::new(), setup }
+        Shared {
+            dead: BTreeMap::new(),
+            leaving: false,
+            nonce: setup.life,
+            draws,
+            out: Vec::new(),
+            setup,
+        }
     }
 
     pub fn send(&mut self, to: &Peer, message: Message) {
-        self.out.push(Do::Send { to: to.clone(), message });
+        self.out.push(Do::Send {
+            to: to.clone(),
+            message,
+        });
     }
 
     pub fn tell(&mut self, told: Told) {
--- a/pure/relay/src/election.rs
+++ b/pure/relay/src/election.rs
@@ -14,8 +14,14 @@
 
 impl Candidates {
     pub fn new<'a>(branch: &Branch, peers: impl IntoIterator<Item = &'a Peer>) -> Candidates {
-        let ranked = order::of(&branch.key(), peers).into_iter().cloned().collect();
-        Candidates { ranked, shunned: BTreeMap::new() }
+        let ranked = order::of(&branch.key(), peers)
+            .into_iter()
+            .cloned()
+            .collect();
+        Candidates {
+            ranked,
+            shunned: BTreeMap::new(),
+        }
     }
 
     pub fn has(&self, peer: &Peer) -> bool {
@@ -35,13 +41,18 @@
     }
 
     pub fn rank(&self, peer: &Peer) -> usize {
-        self.ranked.iter().position(|own| own == peer).unwrap_or(usize::MAX)
+        self.ranked
+            .iter()
+            .position(|own| own == peer)
+            .unwrap_or(usize::MAX)
     }
 
     /// The first that is not passed over, not among `but`, and seems alive.
     pub fn next(&self, now: Time, dead: &BTreeMap<Peer, ()>, but: &[&Peer]) -> Option<&Peer> {
         let fits = |peer: &&Peer| {
-            !self.shunned(now, peer) && !dead.contains_key(*peer) && !but.iter().any(|other| other == peer)
+            !self.shunned(now, peer)
+                && !dead.contains_key(*peer)
+                && !but.iter().any(|other| other == peer)
         };
         self.ranked.iter().find(fits)
     }
@@ -137,11 +148,20 @@
 
 impl Grants {
     pub fn new(start: Time, lease: Time, drift: Drift) -> Grants {
-        Grants { memory: Memory::fresh(start, &[lease], drift), granted: BTreeMap::new() }
+        Grants {
+            memory: Memory::fresh(start, &[lease], drift),
+            granted: BTreeMap::new(),
+        }
     }
 
     /// `None`: this seat may not speak yet. Else who holds it, if that is another.
-    pub fn claim(&mut self, now: Time, from: &Peer, branch: &Branch, lease: Time) -> Option<Option<Peer>> {
+    pub fn claim(
+        &mut self,
+        now: Time,
+        from: &Peer,
+        branch: &Branch,
+        lease: Time,
+    ) -> Option<Option<Peer>> {
         if !self.memory.speaks(now) {
             return None;
         }
@@ -153,14 +173,19 @@
                 granted.renew(now, lease);
             }
             _ => {
-                self.granted.insert(branch.clone(), (from.clone(), Granted::new(now, lease)));
+                self.granted
+                    .insert(branch.clone(), (from.clone(), Granted::new(now, lease)));
             }
         }
         Some(None)
     }
 
     pub fn let_go(&mut self, from: &Peer, branch: &Branch) {
-        if self.granted.get(branch).is_some_and(|(holder, _)| holder == from) {
+        if self
+            .granted
+            .get(branch)
+            .is_some_and(|(holder, _)| holder == from)
+        {
             self.granted.remove(branch);
         }
     }
--- a/pure/relay/src/flow.rs
+++ b/pure/relay/src/flow.rs
@@ -31,7 +31,10 @@
         }
         let wanted = wanted || flow.levels.iter().any(|level| level.follower.direct());
         if flow.source.want(wanted) {
-            self.shared.tell(Told::Source { stream: flow.stream.name.clone(), open: wanted });
+            self.shared.tell(Told::Source {
+                stream: flow.stream.name.clone(),
+                open: wanted,
+            });
         }
         for l in 0..flow.levels.len() {
             let (outer, inner) = flow.levels.split_at_mut(l);
@@ -45,7 +48,9 @@
                 role.pump(now, ring, None, &mut self.shared);
             }
         }
-        let Some(leaf) = flow.levels.last() else { return };
+        let Some(leaf) = flow.levels.last() else {
+            return;
+        };
         let ring = &leaf.follower.ring;
         if flow.pumped == ring.place() {
             return;
@@ -60,15 +65,26 @@
 
     fn end(&mut self, reader: u64) {
         self.by_reader.remove(&reader);
-        self.shared.tell(Told::Ended { reader, why: Ended::TooSlow });
+        self.shared.tell(Told::Ended {
+            reader,
+            why: Ended::TooSlow,
+        });
     }
 
     pub(crate) fn pump_reader(&mut self, now: Time, f: usize, reader: u64) {
         let flow = &mut self.flows[f];
-        let Some(leaf) = flow.levels.last() else { return };
+        let Some(leaf) = flow.levels.last() else {
+            return;
+        };
         let shared = &mut self.shared;
         let mut tell = |reader: &u64, run: Run| shared.tell(news(*reader, run));
-        if flow.readers.pump_one(now, &reader, &leaf.follower.ring, flow.stream.slow, &mut tell) {
+        if flow.readers.pump_one(
+            now,
+            &reader,
+            &leaf.follower.ring,
+            flow.stream.slow,
+            &mut tell,
+        ) {
             self.end(reader);
         }
     }
@@ -88,5 +104,9 @@
 
 fn news(reader: u64, run: Run) -> Told {
     let (first, events): (u64, Vec<Event>) = (run.first, run.events);
-    Told::News { reader, first, events }
+    Told::News {
+        reader,
+        first,
+        events,
+    }
 }
--- a/pure/relay/src/follow.rs
+++ b/pure/relay/src/follow.rs
@@ -92,18 +92,42 @@
             self.tick(now, shared);
         } else {
             let links = [self.now_by.take(), self.trial.take()];
-            links.into_iter().flatten().for_each(|link| self.leave(link, shared));
+            links
+                .into_iter()
+                .flatten()
+                .for_each(|link| self.leave(link, shared));
             self.direct = None;
         }
     }
 
     pub(crate) fn leave(&self, link: Link, shared: &mut Shared) {
-        shared.send(&link.peer, Message::Leave { branch: self.branch.clone(), nonce: link.nonce });
+        shared.send(
+            &link.peer,
+            Message::Leave {
+                branch: self.branch.clone(),
+                nonce: link.nonce,
+            },
+        );
     }
 
-    pub(crate) fn join(&self, now: Time, peer: Peer, late: Option<Peer>, shared: &mut Shared) -> Link {
+    pub(crate) fn join(
+        &self,
+        now: Time,
+        peer: Peer,
+        late: Option<Peer>,
+        shared: &mut Shared,
+    ) -> Link {
         let (branch, place, nonce) = (self.branch.clone(), self.ring.place(), shared.nonce());
-        shared.send(&peer, Message::Join { branch, nonce, place, late, last: self.tries >= 3 });
+        shared.send(
+            &peer,
+            Message::Join {
+                branch,
+                nonce,
+                place,
+                late,
+                last: self.tries >= 3,
+            },
+        );
         Link {
             peer,
             nonce,
@@ -131,12 +155,16 @@
     }
 
     fn silent(&self, now: Time) -> bool {
-        self.now_by.as_ref().is_none_or(|link| now >= link.heard + self.stream.patience)
+        self.now_by
+            .as_ref()
+            .is_none_or(|link| now >= link.heard + self.stream.patience)
     }
 
     /// What it waited for in its own numbers is longer ago than what a whole tells of: the source, asked from there, knows.
     pub(crate) fn stale(&self, now: Time) -> bool {
-        !self.stream.shared && self.ring.place().is_some() && now > self.contact + self.stream.window / 2
+        !self.stream.shared
+            && self.ring.place().is_some()
+            && now > self.contact + self.stream.window / 2
     }
 
     pub fn tick(&mut self, now: Time, shared: &mut Shared) {
@@ -151,8 +179,15 @@
             return;
         }
         // One that is asked at the start may ask the seats first.
-        let patience = if self.now_by.is_some() { beat(&self.stream) } else { self.stream.patience };
-        let in_vain = self.trial.as_ref().map_or(self.tries > 0, |link| now >= link.asked + patience);
+        let patience = if self.now_by.is_some() {
+            beat(&self.stream)
+        } else {
+            self.stream.patience
+        };
+        let in_vain = self
+            .trial
+            .as_ref()
+            .map_or(self.tries > 0, |link| now >= link.asked + patience);
         if in_vain && silent && !self.direct() {
             self.go_direct(now, shared);
         } else if self.tries == 0 || (in_vain && now >= self.next_try) {
@@ -169,7 +204,11 @@
     /// Drawn from a range that doubles: a fleet whose relays fell silent together does not come back in step.
     pub(crate) fn draw_next(&mut self, now: Time, shared: &mut Shared) {
         let most = (4 * self.stream.patience) << self.tries.min(5);
-        let wait = if planted(Fault::ReturnsInStep) { most } else { shared.draw(self.stream.patience, most) };
+        let wait = if planted(Fault::ReturnsInStep) {
+            most
+        } else {
+            shared.draw(self.stream.patience, most)
+        };
         self.next_try = now + wait;
     }
 
@@ -179,7 +218,10 @@
         }
         self.direct = Some(Reader::new(now, 0, self.ring.place(), u64::MAX));
         self.draw_next(now, shared);
-        shared.tell(Told::Relay { stream: self.stream.name.clone(), from: None });
+        shared.tell(Told::Relay {
+            stream: self.stream.name.clone(),
+            from: None,
+        });
     }
 
     /// The source has spoken, or the ring of its reading has more.
@@ -188,7 +230,9 @@
             return;
         }
         while let Some(reader) = self.direct.as_mut() {
-            let Ok(Some(run)) = reader.run(now, &source.ring, Slow::Skip) else { break };
+            let Ok(Some(run)) = reader.run(now, &source.ring, Slow::Skip) else {
+                break;
+            };
             // Its own place at the source is without a gap, however long it was away.
             self.contact = now;
             self.apply(now, run.events);
@@ -208,7 +252,11 @@
                 }
                 Event::From { .. } => {}
                 Event::Item { epoch, item } => drop(self.ring.put(now, epoch, item)),
-                Event::Whole { place, keyed, recent } => {
+                Event::Whole {
+                    place,
+                    keyed,
+                    recent,
+                } => {
                     self.ring.whole(now, place, keyed, recent);
                     if std::mem::take(&mut short) {
                         self.ring.cut_at(now);
@@ -241,7 +289,10 @@
     }
 
     pub fn due(&self) -> Option<Time> {
-        let link = self.now_by.as_ref().filter(|link| !link.over && self.trial.is_none());
+        let link = self
+            .now_by
+            .as_ref()
+            .filter(|link| !link.over && self.trial.is_none());
         let silent = link.map(|link| link.heard + self.stream.patience);
         let often = self.ticked + (beat(&self.stream) / 4).max(1);
         self.wanted.then(|| silent.unwrap_or(0).max(often))
--- a/pure/relay/src/links.rs
+++ b/pure/relay/src/links.rs
@@ -12,7 +12,13 @@
 
 impl Follower {
     /// The link that speaks; a relay on trial that speaks is the relay from here on.
-    fn link(&mut self, now: Time, from: &Peer, nonce: u64, shared: &mut Shared) -> Option<&mut Link> {
+    fn link(
+        &mut self,
+        now: Time,
+        from: &Peer,
+        nonce: u64,
+        shared: &mut Shared,
+    ) -> Option<&mut Link> {
         let speaks = |link: &Link| link.nonce == nonce && link.peer == *from;
         let stays = self.stays();
         let over = self.now_by.as_ref().is_some_and(|link| link.over);
@@ -21,7 +27,11 @@
             self.trial = Some(self.join(now, link.peer, None, shared));
             return None;
         }
-        if self.now_by.as_ref().is_some_and(|link| speaks(link) && !stays(link)) {
+        if self
+            .now_by
+            .as_ref()
+            .is_some_and(|link| speaks(link) && !stays(link))
+        {
             self.again(now, shared);
             return None;
         }
@@ -29,18 +39,31 @@
             let former = std::mem::replace(&mut self.now_by, self.trial.take());
             if let Some(link) = former {
                 if !over {
-                    shared.send(&link.peer, Message::Late { branch: self.branch.clone() });
+                    shared.send(
+                        &link.peer,
+                        Message::Late {
+                            branch: self.branch.clone(),
+                        },
+                    );
                 }
                 self.leave(link, shared);
             }
-            shared.tell(Told::Relay { stream: self.stream.name.clone(), from: Some(from.clone()) });
+            shared.tell(Told::Relay {
+                stream: self.stream.name.clone(),
+                from: Some(from.clone()),
+            });
         } else if planted(Fault::StaleTaken) && self.now_by.is_some() {
         } else if !self.now_by.as_ref().is_some_and(speaks) {
             return None;
         } else if let Some(link) = self.trial.take_if(|_| !over) {
             // It was late, not dead.
             self.leave(link, shared);
-            shared.send(from, Message::Late { branch: self.branch.clone() });
+            shared.send(
+                from,
+                Message::Late {
+                    branch: self.branch.clone(),
+                },
+            );
         }
         if self.stale(now) {
             self.ring.mark_gap();
@@ -67,7 +90,9 @@
         events: Vec<Event>,
         shared: &mut Shared,
     ) {
-        let Some(link) = self.link(now, from, nonce, shared) else { return };
+        let Some(link) = self.link(now, from, nonce, shared) else {
+            return;
+        };
         match first {
             first if first == link.told + 1 => {
                 link.told += events.iter().map(Event::span).sum::<u64>();
@@ -86,7 +111,9 @@
     }
 
     pub fn beaten(&mut self, now: Time, from: &Peer, nonce: u64, told: u64, shared: &mut Shared) {
-        let Some(link) = self.link(now, from, nonce, shared) else { return };
+        let Some(link) = self.link(now, from, nonce, shared) else {
+            return;
+        };
         if told > link.told {
             self.again(now, shared);
         } else {
@@ -99,7 +126,14 @@
         if let Some(link) = &mut self.now_by {
             link.acked = link.told;
             let (branch, nonce, told) = (self.branch.clone(), link.nonce, link.told);
-            shared.send(&link.peer, Message::Taken { branch, nonce, told });
+            shared.send(
+                &link.peer,
+                Message::Taken {
+                    branch,
+                    nonce,
+                    told,
+                },
+            );
         }
     }
 
@@ -107,11 +141,21 @@
     fn again(&mut self, now: Time, shared: &mut Shared) {
         if let Some(link) = self.now_by.take() {
             let heard = link.heard;
-            self.now_by = Some(Link { heard, ..self.join(now, link.peer, None, shared) });
+            self.now_by = Some(Link {
+                heard,
+                ..self.join(now, link.peer, None, shared)
+            });
         }
     }
 
-    pub fn elsewhere(&mut self, now: Time, from: &Peer, nonce: u64, to: Option<Peer>, shared: &mut Shared) {
+    pub fn elsewhere(
+        &mut self,
+        now: Time,
+        from: &Peer,
+        nonce: u64,
+        to: Option<Peer>,
+        shared: &mut Shared,
+    ) {
         let speaks = |link: &Link| link.nonce == nonce && link.peer == *from;
         self.candidates.shun(from, now + shared.setup.lease);
         if self.trial.as_ref().is_some_and(speaks) {
--- a/pure/relay/src/part.rs
+++ b/pure/relay/src/part.rs
@@ -40,7 +40,12 @@
 
 /// `helsinki/hub1/office3` for the three names.
 fn joined(names: &[Arc<str>]) -> Arc<str> {
-    names.iter().map(|name| &**name).collect::<Vec<_>>().join("/").into()
+    names
+        .iter()
+        .map(|name| &**name)
+        .collect::<Vec<_>>()
+        .join("/")
+        .into()
 }
 
 impl Relay {
@@ -51,15 +56,28 @@
             .find(|(peer, _)| *peer == setup.me)
             .map(|(_, p)| p.clone())
             .unwrap_or_default();
-        let all = setup.places.iter().flat_map(|(_, place)| (1..=place.len()).map(|n| joined(&place[..n])));
+        let all = setup
+            .places
+            .iter()
+            .flat_map(|(_, place)| (1..=place.len()).map(|n| joined(&place[..n])));
         let known = all.map(|place| (place, ())).collect();
         let level = |stream: &Stream, depth: usize| {
             let place = &own[..depth];
-            let branch = Branch { stream: stream.name.clone(), place: joined(place) };
-            let inside = setup.places.iter().filter(|(_, other)| other.starts_with(place));
+            let branch = Branch {
+                stream: stream.name.clone(),
+                place: joined(place),
+            };
+            let inside = setup
+                .places
+                .iter()
+                .filter(|(_, other)| other.starts_with(place));
             let candidates = Candidates::new(&branch, inside.map(|(peer, _)| peer));
             let follower = Follower::new(stream, branch.clone(), candidates);
-            Level { role: Role::new(stream, branch.clone(), setup.fed), follower, branch }
+            Level {
+                role: Role::new(stream, branch.clone(), setup.fed),
+                follower,
+                branch,
+            }
         };
         let flow = |stream: &Stream| Flow {
             source: Source::new(stream, now),
@@ -78,27 +96,50 @@
     }
 
     pub(crate) fn flow(&self, name: &str) -> Option<usize> {
-        self.flows.iter().position(|flow| &*flow.stream.name == name)
+        self.flows
+            .iter()
+            .position(|flow| &*flow.stream.name == name)
     }
 
     /// Its streams' place in the tree, for this process's branches.
     fn level(&self, branch: &Branch) -> Option<(usize, usize)> {
         let flow = self.flow(&branch.stream)?;
-        let level = self.flows[flow].levels.iter().position(|level| level.branch == *branch)?;
+        let level = self.flows[flow]
+            .levels
+            .iter()
+            .position(|level| level.branch == *branch)?;
         Some((flow, level))
     }
 
     fn seat(&mut self, now: Time, from: &Peer, message: &Message) -> bool {
         match message {
-            Message::Claim { branch, asked, lease } => {
-                let known = self.flow(&branch.stream).is_some() && self.known.contains_key(&branch.place);
+            Message::Claim {
+                branch,
+                asked,
+                lease,
+            } => {
+                let known =
+                    self.flow(&branch.stream).is_some() && self.known.contains_key(&branch.place);
                 let lease = (*lease).min(self.shared.setup.lease);
-                if !known || !self.shared.setup.seats.sits(&branch.key(), &self.shared.setup.me) {
+                if !known
+                    || !self
+                        .shared
+                        .setup
+                        .seats
+                        .sits(&branch.key(), &self.shared.setup.me)
+                {
                     return true;
                 }
                 if let Some(other) = self.grants.claim(now, from, branch, lease) {
                     let (branch, asked) = (branch.clone(), *asked);
-                    self.shared.send(from, Message::Granted { branch, asked, other });
+                    self.shared.send(
+                        from,
+                        Message::Granted {
+                            branch,
+                            asked,
+                            other,
+                        },
+                    );
                 }
                 true
             }
@@ -119,8 +160,22 @@
             Message::Granted { asked, other, .. } => {
                 role.granted(now, from, asked, other, &follower.candidates, shared);
             }
-            Message::Join { nonce, place, late, last, .. } => {
-                role.join(now, from, nonce, place, (late, last), &follower.candidates, shared);
+            Message::Join {
+                nonce,
+                place,
+                late,
+                last,
+                ..
+            } => {
+                role.join(
+                    now,
+                    from,
+                    nonce,
+                    place,
+                    (late, last),
+                    &follower.candidates,
+                    shared,
+                );
             }
             Message::Leave { nonce, .. } => role.leave(now, from, nonce),
             Message::Late { .. } => role.was_late(now, from, &follower.candidates, shared),
@@ -130,17 +185,24 @@
                 }
                 return None;
             }
-            Message::News { nonce, first, events, .. } => {
-                follower.news(now, from, nonce, first, events, shared)
-            }
+            Message::News {
+                nonce,
+                first,
+                events,
+                ..
+            } => follower.news(now, from, nonce, first, events, shared),
             Message::Beat { nonce, told, .. } => {
                 let (place, fed) = (follower.place(), follower.fed());
                 follower.beaten(now, from, nonce, told, shared);
-                if (place, fed) == (follower.place(), follower.fed()) && !self.flows[f].source.open() {
+                if (place, fed) == (follower.place(), follower.fed())
+                    && !self.flows[f].source.open()
+                {
                     return None;
                 }
             }
-            Message::Elsewhere { nonce, to, .. } => follower.elsewhere(now, from, nonce, to, shared),
+            Message::Elsewhere { nonce, to, .. } => {
+                follower.elsewhere(now, from, nonce, to, shared)
+            }
         }
         Some(())
     }
@@ -148,7 +210,10 @@
     /// Entries of all tables that grow with readers and those that are fed.
     pub fn entries(&self) -> usize {
         let flow = |flow: &Flow| {
-            let levels = flow.levels.iter().map(|l| l.role.feeds() + usize::from(l.role.open()));
+            let levels = flow
+                .levels
+                .iter()
+                .map(|l| l.role.feeds() + usize::from(l.role.open()));
             flow.readers.len() + usize::from(flow.source.open()) + levels.sum::<usize>()
         };
         self.by_reader.len() + self.grants.len() + self.flows.iter().map(flow).sum::<usize>()
@@ -156,8 +221,13 @@
 
     /// Whether this process relays a stream anywhere, by lease.
     pub fn relays(&self, now: Time, stream: &str) -> bool {
-        let flows = self.flows.iter().filter(|flow| &*flow.stream.name == stream);
-        flows.flat_map(|flow| &flow.levels).any(|level| level.role.holds(now))
+        let flows = self
+            .flows
+            .iter()
+            .filter(|flow| &*flow.stream.name == stream);
+        flows
+            .flat_map(|flow| &flow.levels)
+            .any(|level| level.role.holds(now))
     }
 }
 
@@ -186,7 +256,13 @@
     fn peer(&mut self, now: Time, peer: &Peer, alive: bool, out: &mut Acts<Self>) {
         if alive {
             self.shared.dead.remove(peer);
-        } else if self.shared.setup.places.iter().any(|(named, _)| named == peer) {
+        } else if self
+            .shared
+            .setup
+            .places
+            .iter()
+            .any(|(named, _)| named == peer)
+        {
             self.shared.dead.insert(peer.clone(), ());
             for f in 0..self.flows.len() {
                 for level in &mut self.flows[f].levels {
@@ -208,7 +284,10 @@
 
     fn due(&self) -> Option<Time> {
         let levels = self.flows.iter().flat_map(|flow| &flow.levels);
-        levels.flat_map(|level| [level.follower.due(), level.role.due()]).flatten().min()
+        levels
+            .flat_map(|level| [level.follower.due(), level.role.due()])
+            .flatten()
+            .min()
     }
 }
 
--- a/pure/relay/src/readers.rs
+++ b/pure/relay/src/readers.rs
@@ -30,7 +30,14 @@
 
 impl Reader {
     pub fn new(now: Time, after: u64, place: Option<Place>, ahead: u64) -> Reader {
-        Reader { place, told: after, taken: after, ahead: ahead.max(1), here: false, told_at: now }
+        Reader {
+            place,
+            told: after,
+            taken: after,
+            ahead: ahead.max(1),
+            here: false,
+            told_at: now,
+        }
     }
 
     pub fn told(&self) -> u64 {
@@ -60,9 +67,12 @@
         }
         let (first, mut events) = (self.told + 1, Vec::new());
         while !self.blocked() && events.len() < BATCH {
-            let Some((next, place)) = ring.next(now, self.place, slow == Slow::Latest) else { break };
+            let Some((next, place)) = ring.next(now, self.place, slow == Slow::Latest) else {
+                break;
+            };
             (self.place, self.here) = (Some(place), true);
-            let untold = |event: &Event| planted(Fault::GapUntold) && matches!(event, Event::Lost { .. });
+            let untold =
+                |event: &Event| planted(Fault::GapUntold) && matches!(event, Event::Lost { .. });
             events.extend(next.into_iter().filter(|event| !untold(event)));
             self.told = first - 1 + events.iter().map(Event::span).sum::<u64>();
         }
@@ -102,7 +112,10 @@
 
 impl<K: Ord + Clone> Readers<K> {
     pub fn new(most: usize) -> Readers<K> {
-        Readers { most, all: BTreeMap::new() }
+        Readers {
+            most,
+            all: BTreeMap::new(),
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -147,13 +160,22 @@
     }
 
     /// Tells each what it may be told now; those that are too slow for a stream that leaves nothing out are gone.
-    pub fn pump(&mut self, now: Time, ring: &Ring, slow: Slow, mut tell: impl FnMut(&K, Run)) -> Vec<K> {
+    pub fn pump(
+        &mut self,
+        now: Time,
+        ring: &Ring,
+        slow: Slow,
+        mut tell: impl FnMut(&K, Run),
+    ) -> Vec<K> {
         let mut ended = Vec::new();
         for (name, reader) in &mut self.all {
             if planted(Fault::SlowBlocks) && reader.blocked() {
                 break;
             }
-            if reader.feed(now, ring, slow, &mut |run| tell(name, run)).is_err() {
+            if reader
+                .feed(now, ring, slow, &mut |run| tell(name, run))
+                .is_err()
+            {
                 ended.push(name.clone());
             }
         }
@@ -170,8 +192,12 @@
         slow: Slow,
         tell: &mut impl FnMut(&K, Run),
     ) -> bool {
-        let Some(reader) = self.all.get_mut(name) else { return false };
-        let slow = reader.feed(now, ring, slow, &mut |run| tell(name, run)).is_err();
+        let Some(reader) = self.all.get_mut(name) else {
+            return false;
+        };
+        let slow = reader
+            .feed(now, ring, slow, &mut |run| tell(name, run))
+            .is_err();
         if slow {
             self.all.remove(name);
         }
--- a/pure/relay/src/ring.rs
+++ b/pure/relay/src/ring.rs
@@ -66,7 +66,10 @@
     }
 
     pub fn place(&self) -> Option<Place> {
-        self.epoch.map(|epoch| Place { epoch, number: self.last })
+        self.epoch.map(|epoch| Place {
+            epoch,
+            number: self.last,
+        })
     }
 
     pub fn len(&self) -> usize {
@@ -100,7 +103,10 @@
         }
         self.complete &= item.number == self.last + 1;
         self.last = item.number;
-        let kept = Kept { at: now.saturating_sub(item.age), item };
+        let kept = Kept {
+            at: now.saturating_sub(item.age),
+            item,
+        };
         self.remember(kept.clone());
         self.keep(kept);
         Put::New
@@ -108,7 +114,8 @@
 
     /// The bounds pushed out what is younger than the window: a whole does not have it.
     pub(crate) fn cut_short(&self, now: Time) -> bool {
-        self.evicted_at.is_some_and(|at| now.saturating_sub(at) <= self.window)
+        self.evicted_at
+            .is_some_and(|at| now.saturating_sub(at) <= self.window)
     }
 
     /// The whole that came is said to be short of what went before.
@@ -122,7 +129,9 @@
     }
 
     fn remember(&mut self, kept: Kept) {
-        let Some(key) = kept.item.key.clone().filter(|_| self.by_key) else { return };
+        let Some(key) = kept.item.key.clone().filter(|_| self.by_key) else {
+            return;
+        };
         let size = |kept: &Kept| kept.item.bytes.len();
         if let Some(old) = self.keyed.remove(&key) {
             self.keyed_bytes -= size(&old);
@@ -155,18 +164,32 @@
     }
 
     /// The whole, from one who has it. What is held stays: readers that have not had it yet get it in order.
-    pub fn whole(&mut self, now: Time, place: Place, keyed: Vec<Item>, mut recent: Vec<Item>) -> bool {
+    pub fn whole(
+        &mut self,
+        now: Time,
+        place: Place,
+        keyed: Vec<Item>,
+        mut recent: Vec<Item>,
+    ) -> bool {
         if !self.turn(place.epoch) || place.number < self.last {
             return false;
         }
         self.keyed.clear();
         (self.keyed_bytes, self.complete) = (0, true);
-        keyed.into_iter().for_each(|item| self.remember(Kept { at: now.saturating_sub(item.age), item }));
+        keyed.into_iter().for_each(|item| {
+            self.remember(Kept {
+                at: now.saturating_sub(item.age),
+                item,
+            })
+        });
         recent.sort_by_key(|item| item.number);
         for item in recent {
             if item.number > self.last && item.number <= place.number {
                 self.last = item.number;
-                self.keep(Kept { at: now.saturating_sub(item.age), item });
+                self.keep(Kept {
+                    at: now.saturating_sub(item.age),
+                    item,
+                });
             }
         }
         self.last = place.number;
--- a/pure/relay/src/role.rs
+++ b/pure/relay/src/role.rs
@@ -94,12 +94,23 @@
         // It carries on where there is no other.
         if (out && (next.is_some() || shared.leaving)) || !self.has_room(from) {
             let branch = self.branch.clone();
-            return shared.send(from, Message::Elsewhere { branch, nonce, to: next });
+            return shared.send(
+                from,
+                Message::Elsewhere {
+                    branch,
+                    nonce,
+                    to: next,
+                },
+            );
         }
         if self.claim.is_none() {
             self.over = None;
             self.since = now;
-            let wait = if late.is_none() { beat(&self.stream) } else { 0 };
+            let wait = if late.is_none() {
+                beat(&self.stream)
+            } else {
+                0
+            };
             self.speaks = now + wait;
             self.claim = Some(Claim::new(now, &self.branch, &shared.setup.seats));
             self.instead = None;
@@ -109,11 +120,13 @@
         if self.instead.is_none() {
             self.instead = late.map(|late| (late, now + 2 * shared.setup.lease));
         }
-        if planted(Fault::JoinsMove) && from != &me && candidates.rank(from) < candidates.rank(&me) {
+        if planted(Fault::JoinsMove) && from != &me && candidates.rank(from) < candidates.rank(&me)
+        {
             return self.hand_over(now, Some(from.clone()), shared);
         }
         self.empty = None;
-        self.fed.add(from.clone(), Reader::new(now, 0, place, self.stream.ahead));
+        self.fed
+            .add(from.clone(), Reader::new(now, 0, place, self.stream.ahead));
         self.nonces.insert(from.clone(), (nonce, now));
         self.pumped = None;
     }
@@ -150,7 +163,14 @@
         }
     }
 
-    pub fn taken(&mut self, now: Time, from: &Peer, nonce: u64, told: u64, shared: &mut Shared) -> bool {
+    pub fn taken(
+        &mut self,
+        now: Time,
+        from: &Peer,
+        nonce: u64,
+        told: u64,
+        shared: &mut Shared,
+    ) -> bool {
         match self.nonces.get_mut(from) {
             Some((own, heard)) if *own == nonce => {
                 *heard = now;
@@ -163,7 +183,14 @@
             Some((own, _)) if *own > nonce => false,
             _ => {
                 // It believes that it is fed from here: a former life of this process did.
-                shared.send(from, Message::Elsewhere { branch: self.branch.clone(), nonce, to: None });
+                shared.send(
+                    from,
+                    Message::Elsewhere {
+                        branch: self.branch.clone(),
+                        nonce,
+                        to: None,
+                    },
+                );
                 false
             }
         }
@@ -174,11 +201,27 @@
         if now < self.speaks || !self.open() {
             return;
         }
-        let Role { fed, nonces, branch, .. } = self;
+        let Role {
+            fed,
+            nonces,
+            branch,
+            ..
+        } = self;
         let mut tell = |peer: &Peer, run: crate::readers::Run| {
-            let Some((nonce, _)) = nonces.get(peer) else { return };
-            let first = if planted(Fault::Renumbers) { 1 } else { run.first };
-            let message = Message::News { branch: branch.clone(), nonce: *nonce, first, events: run.events };
+            let Some((nonce, _)) = nonces.get(peer) else {
+                return;
+            };
+            let first = if planted(Fault::Renumbers) {
+                1
+            } else {
+                run.first
+            };
+            let message = Message::News {
+                branch: branch.clone(),
+                nonce: *nonce,
+                first,
+                events: run.events,
+            };
             shared.send(peer, message);
         };
         match only {
@@ -201,8 +244,13 @@
             .map(|(peer, _)| peer.clone())
             .collect();
         gone.iter().for_each(|peer| self.drop_one(now, peer));
-        let lingered = self.empty.is_some_and(|at| now >= at + LINGER * shared.setup.lease);
-        if self.over.is_some_and(|until| now >= until || self.fed.is_empty()) {
+        let lingered = self
+            .empty
+            .is_some_and(|at| now >= at + LINGER * shared.setup.lease);
+        if self
+            .over
+            .is_some_and(|until| now >= until || self.fed.is_empty())
+        {
             return self.close();
         }
         if lingered && !planted(Fault::NeverCloses) {
@@ -218,16 +266,31 @@
             if !ready || now < self.speaks {
                 return;
             }
-            for (peer, reader) in self.fed.iter_mut().filter(|(_, reader)| now >= reader.told_at + beat / 2) {
-                let Some((nonce, _)) = self.nonces.get(peer) else { continue };
+            for (peer, reader) in self
+                .fed
+                .iter_mut()
+                .filter(|(_, reader)| now >= reader.told_at + beat / 2)
+            {
+                let Some((nonce, _)) = self.nonces.get(peer) else {
+                    continue;
+                };
                 let (branch, told) = (self.branch.clone(), reader.told());
-                shared.send(peer, Message::Beat { branch, nonce: *nonce, told });
+                shared.send(
+                    peer,
+                    Message::Beat {
+                        branch,
+                        nonce: *nonce,
+                        told,
+                    },
+                );
             }
         }
     }
 
     pub fn due(&self) -> Option<Time> {
         let claim = self.claim.as_ref().map(|claim| claim.next);
-        self.open().then(|| claim.into_iter().chain([self.beat_at]).min()).flatten()
+        self.open()
+            .then(|| claim.into_iter().chain([self.beat_at]).min())
+            .flatten()
     }
 }
--- a/pure/relay/src/source.rs
+++ b/pure/relay/src/source.rs
@@ -16,7 +16,13 @@
 
 impl Source {
     pub fn new(stream: &Stream, start: Time) -> Source {
-        Source { shared: stream.shared, start, ring: Ring::new(stream), open: false, fresh: false }
+        Source {
+            shared: stream.shared,
+            start,
+            ring: Ring::new(stream),
+            open: false,
+            fresh: false,
+        }
     }
 
     /// Opens or closes; whether that is a change.
@@ -48,7 +54,10 @@
             Some(place) if place.epoch != epoch => self.ring.cut_at(now),
             Some(_) => {}
         }
-        items.into_iter().filter(|item| self.ring.put(now, epoch, item.clone()) == Put::New).count()
+        items
+            .into_iter()
+            .filter(|item| self.ring.put(now, epoch, item.clone()) == Put::New)
+            .count()
     }
 
     pub fn failed(&mut self) {
--- a/pure/relay/tests/drawn.rs
+++ b/pure/relay/tests/drawn.rs
@@ -13,7 +13,11 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Tell { key: Option<u8>, gone: bool, times: u8 },
+    Tell {
+        key: Option<u8>,
+        gone: bool,
+        times: u8,
+    },
     Pass(u32),
     Subscribe(usize),
     Slow(usize),
@@ -52,7 +56,13 @@
     type Transition = Step;
 
     fn init_state() -> BoxedStrategy<Told> {
-        (any::<u64>(), 0..KINDS.len()).prop_map(|(seed, kind)| Told { seed, kind, up: [true; N] }).boxed()
+        (any::<u64>(), 0..KINDS.len())
+            .prop_map(|(seed, kind)| Told {
+                seed,
+                kind,
+                up: [true; N],
+            })
+            .boxed()
     }
 
     fn transitions(_: &Told) -> BoxedStrategy<Step> {
@@ -90,9 +100,11 @@
     fn preconditions(told: &Told, step: &Step) -> bool {
         match step {
             Step::Restart(i) => !told.up[*i],
-            Step::Subscribe(i) | Step::Slow(i) | Step::Kill(i) | Step::Leave(i) | Step::Pause(i) => {
-                told.up[*i]
-            }
+            Step::Subscribe(i)
+            | Step::Slow(i)
+            | Step::Kill(i)
+            | Step::Leave(i)
+            | Step::Pause(i) => told.up[*i],
             _ => true,
         }
     }
@@ -125,11 +137,16 @@
             }
             Step::Slow(i) => {
                 let reader = world.next_reader;
-                world.slow.insert(reader, reader.is_multiple_of(2).then_some(700 * MS));
+                world
+                    .slow
+                    .insert(reader, reader.is_multiple_of(2).then_some(700 * MS));
                 world.subscribe(i);
             }
             Step::Cancel(n) => {
-                let reader = world.readers.iter().filter(|(_, (i, _))| !world.processes[*i].paused);
+                let reader = world
+                    .readers
+                    .iter()
+                    .filter(|(_, (i, _))| !world.processes[*i].paused);
                 if let Some(reader) = reader.map(|(reader, _)| *reader).nth(n) {
                     world.cancel(reader);
                 }
@@ -145,7 +162,9 @@
                 world.cut.insert((a, b));
             }
             Step::CutSource(i, there) => {
-                world.cut.insert(if there { (i, SOURCE) } else { (SOURCE, i) });
+                world
+                    .cut
+                    .insert(if there { (i, SOURCE) } else { (SOURCE, i) });
             }
             Step::Heal => {
                 world.cut.clear();
@@ -155,7 +174,9 @@
             Step::NewEpoch => {
                 world.log.restart();
                 let (log, readers) = (&world.log, &mut world.readers);
-                readers.values_mut().for_each(|(_, model)| model.forget(log));
+                readers
+                    .values_mut()
+                    .for_each(|(_, model)| model.forget(log));
             }
         }
         world
--- a/pure/relay/tests/hard.rs
+++ b/pure/relay/tests/hard.rs
@@ -67,7 +67,12 @@
             world.kill(at);
             told(&mut world, 30);
             assert!(world.streams() <= 4, "{} streams", world.streams());
-            let longest = world.readers.values().map(|(_, model)| model.longest).max().unwrap();
+            let longest = world
+                .readers
+                .values()
+                .map(|(_, model)| model.longest)
+                .max()
+                .unwrap();
             assert!(longest <= 250 * MS, "{} ms", longest / MS);
             world.settle();
         }
@@ -97,15 +102,29 @@
     for (slow, first, shared) in KINDS {
         for seed in 0..4 {
             let mut world = running(seed, slow, first, shared);
-            let before = world.readers.values().map(|(_, model)| model.longest).max().unwrap();
+            let before = world
+                .readers
+                .values()
+                .map(|(_, model)| model.longest)
+                .max()
+                .unwrap();
             let at = relay(&world);
             world.most_open = 0;
             world.leave(at);
             told(&mut world, 50);
             assert!(!world.relays().contains(&at), "it relays no more");
-            let longest = world.readers.values().map(|(_, model)| model.longest).max().unwrap();
+            let longest = world
+                .readers
+                .values()
+                .map(|(_, model)| model.longest)
+                .max()
+                .unwrap();
             assert!(longest <= before + 50 * MS, "{} ms", longest / MS);
-            assert!(world.most_open <= 3, "{} streams: one more than sites, at most", world.most_open);
+            assert!(
+                world.most_open <= 3,
+                "{} streams: one more than sites, at most",
+                world.most_open
+            );
             world.settle();
         }
     }
@@ -118,7 +137,12 @@
         world.leave(i);
     }
     told(&mut world, 50);
-    let longest = world.readers.values().map(|(_, model)| model.longest).max().unwrap();
+    let longest = world
+        .readers
+        .values()
+        .map(|(_, model)| model.longest)
+        .max()
+        .unwrap();
     assert!(longest <= 250 * MS, "{} ms", longest / MS);
     world.settle();
 }
@@ -183,7 +207,9 @@
 
 #[test]
 pub fn a_second_level_feeds_offices_from_the_hub_and_the_hub_from_the_site() {
-    let places = ["a/h1/o1", "a/h1/o1", "a/h1/o2", "a/h1/o2", "a/h2/o1", "a/h2/o1", "b/h1/o1"];
+    let places = [
+        "a/h1/o1", "a/h1/o1", "a/h1/o2", "a/h1/o2", "a/h2/o1", "a/h2/o1", "b/h1/o1",
+    ];
     let mut world = World::new(9, stream(Slow::Skip, First::Live, true), &places);
     for i in 0..7 {
         world.subscribe(i);
--- a/pure/relay/tests/planted.rs
+++ b/pure/relay/tests/planted.rs
@@ -17,7 +17,10 @@
     let found = catch_unwind(test).is_err();
     plant(None);
     assert!(found, "{fault:?} is not found by {by}");
-    eprintln!("planted {fault:?}: found by {by} in {} ms", start.elapsed().as_millis());
+    eprintln!(
+        "planted {fault:?}: found by {by} in {} ms",
+        start.elapsed().as_millis()
+    );
 }
 
 macro_rules! faults {
--- a/pure/relay/tests/tables.rs
+++ b/pure/relay/tests/tables.rs
@@ -20,7 +20,10 @@
         world.cancel(reader);
     }
     world.pass(5_000 * MS);
-    assert_eq!((world.entries(), world.streams(), world.relays().len()), (0, 0, 0));
+    assert_eq!(
+        (world.entries(), world.streams(), world.relays().len()),
+        (0, 0, 0)
+    );
 }
 
 #[test]
@@ -42,8 +45,15 @@
     }
     world.publish(None, false);
     world.pass(20 * MS);
-    assert!(world.answers - answers <= 3, "{} answers of the source", world.answers - answers);
-    assert!(world.readers.values().all(|(_, model)| model.wholes == 1), "each has the whole");
+    assert!(
+        world.answers - answers <= 3,
+        "{} answers of the source",
+        world.answers - answers
+    );
+    assert!(
+        world.readers.values().all(|(_, model)| model.wholes == 1),
+        "each has the whole"
+    );
     world.settle();
 }
 
@@ -55,7 +65,10 @@
     world.pass(1_000 * MS);
     world.publish(None, false);
     world.pass(20 * MS);
-    assert_eq!((world.streams(), world.readers[&reader].1.came.len()), (1, 1));
+    assert_eq!(
+        (world.streams(), world.readers[&reader].1.came.len()),
+        (1, 1)
+    );
     world.cancel(reader);
     world.pass(2_000 * MS);
     assert_eq!((world.streams(), world.entries()), (0, 0));
@@ -79,7 +92,11 @@
     world.pass(10_000 * MS);
     for reader in quick {
         let model = &world.readers[&reader].1;
-        assert!(model.longest <= 30 * MS && model.losses == 0, "{} ms", model.longest / MS);
+        assert!(
+            model.longest <= 30 * MS && model.losses == 0,
+            "{} ms",
+            model.longest / MS
+        );
         model.has_all(&world.log, "a quick one");
     }
     (world, slowly, never)
@@ -133,7 +150,10 @@
             world.members_say(now[0], false);
             world.pass(3_000 * MS);
             let next = world.relays();
-            assert!(next.len() == 1 && next != now, "one, and another: {next:?} after {now:?}");
+            assert!(
+                next.len() == 1 && next != now,
+                "one, and another: {next:?} after {now:?}"
+            );
             world.pass(20_000 * MS);
             assert_eq!(world.relays(), next, "and then it stays");
             now = next;
@@ -163,7 +183,10 @@
             (now, moves) = (next, moves + 1);
         }
     }
-    assert!((1..=13).contains(&moves), "{moves} moves in 120 s, by the bound 12 and one");
+    assert!(
+        (1..=13).contains(&moves),
+        "{moves} moves in 120 s, by the bound 12 and one"
+    );
     world.settle();
 }
 
@@ -209,7 +232,14 @@
     world.publish(None, false);
     world.pass(2_000 * MS);
     for i in 0..4 {
-        world.ask(i, Ask::Fed { stream: "s".into(), epoch: 0, items: late.clone() });
+        world.ask(
+            i,
+            Ask::Fed {
+                stream: "s".into(),
+                epoch: 0,
+                items: late.clone(),
+            },
+        );
     }
     world.settle();
 }
--- a/pure/relay/tests/world/faults.rs
+++ b/pure/relay/tests/world/faults.rs
@@ -17,7 +17,10 @@
         self.kill(i);
         let life = self.processes[i].life + 1;
         let relay = Some(self.made(i, life));
-        let tail = Place { epoch: 0, number: 0 };
+        let tail = Place {
+            epoch: 0,
+            number: 0,
+        };
         let (paused, held, open, first) = (false, Vec::new(), false, false);
         self.processes[i] = Process {
             leaves: false,
@@ -102,7 +105,12 @@
             .collect();
         sites.sort();
         sites.dedup();
-        assert_eq!(self.streams(), sites.len(), "streams at the source, by {:?}", self.relays());
+        assert_eq!(
+            self.streams(),
+            sites.len(),
+            "streams at the source, by {:?}",
+            self.relays()
+        );
     }
 
     pub(super) fn made(&self, i: usize, life: u64) -> Relay {
--- a/pure/relay/tests/world/io.rs
+++ b/pure/relay/tests/world/io.rs
@@ -16,12 +16,19 @@
         }
         let (now, process) = (self.now, &mut self.processes[i]);
         let due = process.relay.as_ref().and_then(|relay| relay.due());
-        if let Some(due) = due.map(|due| due.max(now + 1)).filter(|due| *due < process.tick_at) {
+        if let Some(due) = due
+            .map(|due| due.max(now + 1))
+            .filter(|due| *due < process.tick_at)
+        {
             process.tick_at = due;
             let life = process.life;
             self.at(due, What::Tick(i, life));
         }
-        let open = self.processes.iter().filter(|p| p.open && p.relay.is_some()).count();
+        let open = self
+            .processes
+            .iter()
+            .filter(|p| p.open && p.relay.is_some())
+            .count();
         self.most_open = self.most_open.max(open);
     }
 
@@ -29,11 +36,17 @@
         self.sent += 1;
         let to: usize = to.as_str()[1..].parse().unwrap();
         let lost = self.loss > 0.0 && self.draws.random_bool(self.loss);
-        if from != to && (self.cut.contains(&(from, to)) || lost) || self.processes[to].relay.is_none() {
+        if from != to && (self.cut.contains(&(from, to)) || lost)
+            || self.processes[to].relay.is_none()
+        {
             return;
         }
         let last = self.last_sent.get(&(from, to)).copied().unwrap_or(0);
-        let delay = if from == to { 0 } else { self.drawn(MS / 2, 3 * MS) };
+        let delay = if from == to {
+            0
+        } else {
+            self.drawn(MS / 2, 3 * MS)
+        };
         let time = last.max(self.now + delay);
         self.last_sent.insert((from, to), time);
         let life = self.processes[to].life;
@@ -50,8 +63,14 @@
                     self.poll(i);
                 }
             }
-            Told::News { reader, first, events } => {
-                let Some((_, model)) = self.readers.get_mut(&reader) else { return };
+            Told::News {
+                reader,
+                first,
+                events,
+            } => {
+                let Some((_, model)) = self.readers.get_mut(&reader) else {
+                    return;
+                };
                 model.told(self.now, &self.log, first, events);
                 let (now, number) = (self.now, model.own);
                 match self.slow.get(&reader) {
@@ -83,7 +102,10 @@
             return self.at(self.now + LOST, What::Unfed(i, life, poll));
         }
         self.waiting.insert(i, (life, poll));
-        let end = Place { epoch: self.epoch(i), number: self.log.count() };
+        let end = Place {
+            epoch: self.epoch(i),
+            number: self.log.count(),
+        };
         if self.processes[i].tail != end || std::mem::take(&mut self.processes[i].first) {
             self.answer(i, life, poll);
         } else {
@@ -106,7 +128,11 @@
     /// The source tells something new.
     pub fn publish(&mut self, key: Option<&str>, gone: bool) {
         self.log.push(self.now, key, gone);
-        let waiting: Vec<_> = self.waiting.iter().map(|(i, (life, poll))| (*i, *life, *poll)).collect();
+        let waiting: Vec<_> = self
+            .waiting
+            .iter()
+            .map(|(i, (life, poll))| (*i, *life, *poll))
+            .collect();
         for (i, life, poll) in waiting {
             self.answer(i, life, poll);
         }
--- a/pure/relay/tests/world/mod.rs
+++ b/pure/relay/tests/world/mod.rs
@@ -99,7 +99,10 @@
     /// `places`: each process's, such as `a/hub1/office2`.
     pub fn new(seed: u64, stream: Stream, places: &[&str]) -> World {
         let named = |(i, place): (usize, &&str)| {
-            (Peer::new(&format!("n{i}")), place.split('/').map(Into::into).collect())
+            (
+                Peer::new(&format!("n{i}")),
+                place.split('/').map(Into::into).collect(),
+            )
         };
         let mut world = World {
             now: 0,
@@ -135,7 +138,10 @@
                 held: Vec::new(),
                 open: false,
                 first: false,
-                tail: Place { epoch: 0, number: 0 },
+                tail: Place {
+                    epoch: 0,
+                    number: 0,
+                },
                 poll: 0,
                 tick_at: Time::MAX,
             });
@@ -155,7 +161,9 @@
 
     /// Runs until then.
     pub fn run(&mut self, until: Time) {
-        while let Some(&Reverse((time, order))) = self.queue.peek().filter(|next| next.0 .0 <= until) {
+        while let Some(&Reverse((time, order))) =
+            self.queue.peek().filter(|next| next.0 .0 <= until)
+        {
             self.queue.pop();
             self.now = self.now.max(time);
             let what = self.whats.remove(&order).expect("queued");
@@ -172,7 +180,9 @@
         let (to, life) = match &what {
             What::Hear(_, to, life, _) => (*to, *life),
             What::Tick(to, life) => (*to, *life),
-            What::Answer(to, life, ..) | What::Quiet(to, life, _) | What::Unfed(to, life, _) => (*to, *life),
+            What::Answer(to, life, ..) | What::Quiet(to, life, _) | What::Unfed(to, life, _) => {
+                (*to, *life)
+            }
             What::Poll(from, life, poll) => return self.polled(*from, *life, *poll),
             What::Take(reader, number) => return self.take(*reader, *number),
         };
@@ -208,17 +218,34 @@
                     process.tail = Place { epoch, number: 0 };
                 }
                 process.tail.number = items.last().map_or(process.tail.number, |item| item.number);
-                relay.ask(now, Ask::Fed { stream: self.stream.name.clone(), epoch, items }, &mut out);
+                relay.ask(
+                    now,
+                    Ask::Fed {
+                        stream: self.stream.name.clone(),
+                        epoch,
+                        items,
+                    },
+                    &mut out,
+                );
                 self.poll(to);
             }
             What::Quiet(_, _, poll) => {
-                if poll == process.poll && process.open && self.waiting.get(&to) == Some(&(life, poll)) {
+                if poll == process.poll
+                    && process.open
+                    && self.waiting.get(&to) == Some(&(life, poll))
+                {
                     self.answer(to, life, poll);
                 }
             }
             What::Unfed(_, _, poll) => {
                 if poll == process.poll && process.open {
-                    relay.ask(now, Ask::Unfed { stream: self.stream.name.clone() }, &mut out);
+                    relay.ask(
+                        now,
+                        Ask::Unfed {
+                            stream: self.stream.name.clone(),
+                        },
+                        &mut out,
+                    );
                     self.poll(to);
                 }
             }
@@ -228,7 +255,9 @@
     }
 
     fn take(&mut self, reader: u64, number: u64) {
-        let Some((i, _)) = self.readers.get(&reader) else { return };
+        let Some((i, _)) = self.readers.get(&reader) else {
+            return;
+        };
         let i = *i;
         match self.processes[i].paused {
             true => self.processes[i].held.push(What::Take(reader, number)),
--- a/pure/relay/tests/world/model.rs
+++ b/pure/relay/tests/world/model.rs
@@ -21,16 +21,29 @@
     pub fn push(&mut self, now: Time, key: Option<&str>, gone: bool) {
         self.count += 1;
         let (number, bytes) = (self.count() + 1, self.count.to_le_bytes().as_slice().into());
-        self.told.push((now, Item { number, key: key.map(Into::into), gone, bytes, age: 0 }));
+        self.told.push((
+            now,
+            Item {
+                number,
+                key: key.map(Into::into),
+                gone,
+                bytes,
+                age: 0,
+            },
+        ));
     }
 
     pub fn items(&self, after: u64) -> Vec<Item> {
-        self.told[(after.min(self.count())) as usize..].iter().map(|(_, item)| item.clone()).collect()
+        self.told[(after.min(self.count())) as usize..]
+            .iter()
+            .map(|(_, item)| item.clone())
+            .collect()
     }
 
     /// The source starts again at 1.
     pub fn restart(&mut self) {
-        self.before.insert(self.epoch, std::mem::take(&mut self.told));
+        self.before
+            .insert(self.epoch, std::mem::take(&mut self.told));
         self.epoch += 1;
     }
 
@@ -125,8 +138,14 @@
         assert_eq!(first, self.own + 1, "its own numbers");
         for event in events {
             // What was over before it was told anything is none of its.
-            if let (None, Event::Item { epoch, .. } | Event::Whole { place: Place { epoch, .. }, .. }) =
-                (self.at, &event)
+            if let (
+                None,
+                Event::Item { epoch, .. }
+                | Event::Whole {
+                    place: Place { epoch, .. },
+                    ..
+                },
+            ) = (self.at, &event)
             {
                 let epoch = self.epoch(*epoch);
                 if epoch != self.since.0 {
@@ -153,10 +172,16 @@
                 self.came(now, log, epoch, &item);
                 match self.at {
                     Some((own, number)) if self.raw == Some(raw) => {
-                        assert!(item.number > number, "{} after {number} in epoch {own}", item.number);
+                        assert!(
+                            item.number > number,
+                            "{} after {number} in epoch {own}",
+                            item.number
+                        );
                         let passed = &log.of(epoch)[number as usize..item.number as usize - 1];
                         let again = |old: &Item| {
-                            log.of(epoch)[old.number as usize..].iter().any(|i| i.1.key == old.key)
+                            log.of(epoch)[old.number as usize..]
+                                .iter()
+                                .any(|i| i.1.key == old.key)
                         };
                         let conflated = |(_, old): &(Time, Item)| old.key.is_some() && again(old);
                         let latest = self.stream.slow == Slow::Latest;
@@ -180,28 +205,55 @@
                 if self.stream.first != First::Whole {
                     self.since = (self.epoch(place.epoch), place.number);
                 }
-                (self.at, self.raw) = (Some((self.epoch(place.epoch), place.number)), Some(place.epoch));
+                (self.at, self.raw) = (
+                    Some((self.epoch(place.epoch), place.number)),
+                    Some(place.epoch),
+                );
             }
-            Event::Lost { epoch: raw, from, to } => {
+            Event::Lost {
+                epoch: raw,
+                from,
+                to,
+            } => {
                 self.losses += 1;
                 let epoch = self.epoch(raw);
                 if let Some((_, number)) = self.at.filter(|_| self.raw == Some(raw)) {
-                    assert!(from > number, "{from} to {to:?} lost, and {number} had come");
+                    assert!(
+                        from > number,
+                        "{from} to {to:?} lost, and {number} had come"
+                    );
                 } else if let Some((own, _)) = self.at {
                     assert!(self.turned && (!self.stream.shared || epoch > own) && from == 1);
                 }
                 match to {
-                    Some(to) => (self.at, self.raw, self.turned) = (Some((epoch, to)), Some(raw), false),
+                    Some(to) => {
+                        (self.at, self.raw, self.turned) = (Some((epoch, to)), Some(raw), false)
+                    }
                     None => self.turned = true,
                 }
             }
-            Event::Whole { place, keyed, recent } => {
+            Event::Whole {
+                place,
+                keyed,
+                recent,
+            } => {
                 self.wholes += 1;
                 let (raw, epoch) = (place.epoch, self.epoch(place.epoch));
-                let told: BTreeMap<String, u64> =
-                    keyed.iter().map(|i| (i.key.as_ref().unwrap().to_string(), i.number)).collect();
-                assert_eq!(told, log.keyed(Place { epoch, number: place.number }), "the whole");
-                recent.iter().for_each(|item| self.came(now, log, epoch, item));
+                let told: BTreeMap<String, u64> = keyed
+                    .iter()
+                    .map(|i| (i.key.as_ref().unwrap().to_string(), i.number))
+                    .collect();
+                assert_eq!(
+                    told,
+                    log.keyed(Place {
+                        epoch,
+                        number: place.number
+                    }),
+                    "the whole"
+                );
+                recent
+                    .iter()
+                    .for_each(|item| self.came(now, log, epoch, item));
                 if let (Some(at), true) = (self.at, self.stream.shared) {
                     assert!(at <= (epoch, place.number), "a whole of before");
                     assert!(at.0 == epoch || self.turned, "an epoch's end untold");
@@ -219,9 +271,12 @@
             let (epoch, after) = self.since;
             let due = |epoch: u64, after: u64| {
                 let told = log.of(epoch)[after as usize..].iter();
-                told.filter(|(_, item)| item.key.is_none()).map(move |(_, item)| (epoch, item.number))
+                told.filter(|(_, item)| item.key.is_none())
+                    .map(move |(_, item)| (epoch, item.number))
             };
-            let missing: Vec<_> = due(epoch, after).filter(|item| !self.came.contains(item)).collect();
+            let missing: Vec<_> = due(epoch, after)
+                .filter(|item| !self.came.contains(item))
+                .collect();
             assert!(missing.is_empty(), "{who} never heard of {missing:?}");
         }
     }
--- a/pure/repeats/src/ledger.rs
+++ b/pure/repeats/src/ledger.rs
@@ -44,7 +44,9 @@
     /// As a store kept it, after a crash: what was out may have run, and may be running for as long as it could.
     pub fn restored(most: usize, entries: impl IntoIterator<Item = (Mark, Entry)>) -> Ledger {
         let mut ledger = Ledger::new(most);
-        entries.into_iter().for_each(|(key, entry)| ledger.put(key, entry));
+        entries
+            .into_iter()
+            .for_each(|(key, entry)| ledger.put(key, entry));
         ledger
     }
 
@@ -117,11 +119,21 @@
 
     /// Entries, and keys that are about to have one.
     fn full(&self) -> bool {
-        let new = self.asked.iter().filter(|key| !self.entries.contains_key(key)).count();
+        let new = self
+            .asked
+            .iter()
+            .filter(|key| !self.entries.contains_key(key))
+            .count();
         self.len() + new >= self.most
     }
 
-    fn judge(&self, now: Millis, key: Mark, rule: &Rule, shown: Option<&Token>) -> Result<Grant, Refusal> {
+    fn judge(
+        &self,
+        now: Millis,
+        key: Mark,
+        rule: &Rule,
+        shown: Option<&Token>,
+    ) -> Result<Grant, Refusal> {
         if shown.is_some_and(|token| token.key != key) {
             return Err(Refusal::OtherKey);
         }
@@ -130,33 +142,58 @@
         }
         let expires = now.saturating_add(rule.good_for);
         let entry = match (self.entries.get(&key), shown) {
-            (Some(entry), Some(token)) if token.attempt < entry.attempt => return Err(Refusal::Replayed),
+            (Some(entry), Some(token)) if token.attempt < entry.attempt => {
+                return Err(Refusal::Replayed)
+            }
             // Another attempt than the one that is known here: by both.
             (Some(entry), Some(token)) if !is_of(entry, token) => merged(entry, token, rule)?,
             (Some(entry), _) => *entry,
             // Of another instance, or from before a store was lost: by what the token says, which may have run.
             (None, Some(token)) => of_token(token, rule),
             (None, None) if self.full() => return Err(Refusal::Full),
-            (None, None) => return Ok(Grant::Anywhere { attempt: 0, first: now, expires }),
+            (None, None) => {
+                return Ok(Grant::Anywhere {
+                    attempt: 0,
+                    first: now,
+                    expires,
+                })
+            }
         };
         if !self.entries.contains_key(&key) && self.full() {
             return Err(Refusal::Full);
         }
         if entry.out && now < entry.quiet_at {
-            return Err(Refusal::Running { until: entry.quiet_at });
+            return Err(Refusal::Running {
+                until: entry.quiet_at,
+            });
         }
-        let attempt = entry.attempt.checked_add(1).filter(|n| *n < rule.attempts).ok_or(Refusal::TooMany)?;
+        let attempt = entry
+            .attempt
+            .checked_add(1)
+            .filter(|n| *n < rule.attempts)
+            .ok_or(Refusal::TooMany)?;
         // What was out and is heard of no more may have run.
-        let ran = entry.ran.or(entry.out.then_some((entry.handed, entry.group)));
+        let ran = entry
+            .ran
+            .or(entry.out.then_some((entry.handed, entry.group)));
         let Some((first, group)) = ran else {
-            return Ok(Grant::Anywhere { attempt, first: now, expires });
+            return Ok(Grant::Anywhere {
+                attempt,
+                first: now,
+                expires,
+            });
         };
         // The attempt must have arrived before the archive forgets the first run.
         let closes = first.saturating_add(rule.window);
         if now >= closes {
             return Err(Refusal::WindowOver);
         }
-        Ok(Grant::Within { attempt, group, first, expires: expires.min(closes) })
+        Ok(Grant::Within {
+            attempt,
+            group,
+            first,
+            expires: expires.min(closes),
+        })
     }
 
     /// The entry of an attempt that is handed out to a group, to be stored before it goes.
@@ -170,12 +207,28 @@
         request: Mark,
     ) -> Entry {
         let (attempt, ran, expires) = match *grant {
-            Grant::Anywhere { attempt, expires, .. } => (attempt, None, expires),
-            Grant::Within { attempt, group, first, expires } => (attempt, Some((first, group)), expires),
+            Grant::Anywhere {
+                attempt, expires, ..
+            } => (attempt, None, expires),
+            Grant::Within {
+                attempt,
+                group,
+                first,
+                expires,
+            } => (attempt, Some((first, group)), expires),
         };
         let quiet_at = expires.saturating_add(rule.runs_for);
         let forget_at = quiet_at.saturating_add(rule.remember);
-        let entry = Entry { attempt, out: true, quiet_at, ran, request, group, handed: now, forget_at };
+        let entry = Entry {
+            attempt,
+            out: true,
+            quiet_at,
+            ran,
+            request,
+            group,
+            handed: now,
+            forget_at,
+        };
         self.asked.remove(&key);
         self.put(key, entry);
         entry
@@ -183,12 +236,19 @@
 
     /// How an attempt ended; word of any but the last changes nothing. The entry, if it changed.
     pub fn ended(&mut self, key: Mark, attempt: u8, end: End) -> Option<Entry> {
-        let entry = self.entries.get(&key).filter(|e| e.out && e.attempt == attempt)?;
+        let entry = self
+            .entries
+            .get(&key)
+            .filter(|e| e.out && e.attempt == attempt)?;
         let ran = match end {
             End::NeverRan => entry.ran,
             End::MayHaveRun => entry.ran.or(Some((entry.handed, entry.group))),
         };
-        let entry = Entry { out: false, ran, ..*entry };
+        let entry = Entry {
+            out: false,
+            ran,
+            ..*entry
+        };
         self.put(key, entry);
         Some(entry)
     }
--- a/pure/repeats/src/ledger/decision.rs
+++ b/pure/repeats/src/ledger/decision.rs
@@ -23,9 +23,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Grant {
     /// The first, or all before it are proved not to have run: anywhere.
-    Anywhere { attempt: u8, first: Millis, expires: Millis },
+    Anywhere {
+        attempt: u8,
+        first: Millis,
+        expires: Millis,
+    },
     /// One may have run: only within its group.
-    Within { attempt: u8, group: u32, first: Millis, expires: Millis },
+    Within {
+        attempt: u8,
+        group: u32,
+        first: Millis,
+        expires: Millis,
+    },
 }
 
 /// Why no attempt may be handed out.
@@ -63,7 +72,9 @@
         match self {
             Refusal::Running { until } => write!(f, "an attempt may be running until {until}"),
             Refusal::Deciding => f.write_str("another request under this key is being placed"),
-            Refusal::WindowOver => f.write_str("an attempt may have run, and a repeat would run again"),
+            Refusal::WindowOver => {
+                f.write_str("an attempt may have run, and a repeat would run again")
+            }
             Refusal::TooMany => f.write_str("all attempts are used"),
             Refusal::Torn => f.write_str("attempts may have run in two groups"),
             Refusal::Unread => f.write_str("what was written of this key can't be read"),
--- a/pure/repeats/src/ledger/reconcile.rs
+++ b/pure/repeats/src/ledger/reconcile.rs
@@ -13,14 +13,23 @@
 /// is in two groups, no repeat is safe.
 pub(super) fn merged(entry: &Entry, token: &Token, rule: &Rule) -> Result<Entry, Refusal> {
     let other = of_token(token, rule);
-    let ran = entry.ran.or(entry.out.then_some((entry.handed, entry.group)));
+    let ran = entry
+        .ran
+        .or(entry.out.then_some((entry.handed, entry.group)));
     if ran.is_some_and(|(_, group)| group != token.group) {
         return Err(Refusal::Torn);
     }
     let first = ran.map_or(token.first, |(at, _)| at.min(token.first));
-    let quiet_at = other.quiet_at.max(if entry.out { entry.quiet_at } else { 0 });
+    let quiet_at = other
+        .quiet_at
+        .max(if entry.out { entry.quiet_at } else { 0 });
     let forget_at = other.forget_at.max(entry.forget_at);
-    Ok(Entry { ran: Some((first, token.group)), quiet_at, forget_at, ..other })
+    Ok(Entry {
+        ran: Some((first, token.group)),
+        quiet_at,
+        forget_at,
+        ..other
+    })
 }
 
 /// What a token alone tells: its attempt was handed out, and nothing is known of its end.
@@ -33,6 +42,9 @@
         request: token.request,
         group: token.group,
         handed: token.first,
-        forget_at: token.expires.saturating_add(rule.runs_for).saturating_add(rule.remember),
+        forget_at: token
+            .expires
+            .saturating_add(rule.runs_for)
+            .saturating_add(rule.remember),
     }
 }
--- a/pure/repeats/src/ledger/tests.rs
+++ b/pure/repeats/src/ledger/tests.rs
@@ -3,7 +3,13 @@
 use super::*;
 use proptest::prelude::*;
 
-const RULE: Rule = Rule { window: 2_000, attempts: 4, good_for: 200, runs_for: 300, remember: 10_000 };
+const RULE: Rule = Rule {
+    window: 2_000,
+    attempts: 4,
+    good_for: 200,
+    runs_for: 300,
+    remember: 10_000,
+};
 
 fn key(n: u8) -> Mark {
     Mark([n; 16])
@@ -11,7 +17,10 @@
 
 fn go(ledger: &mut Ledger, now: Millis, shown: Option<&Token>) -> Result<Grant, Refusal> {
     let grant = ledger.ask(now, key(1), &RULE, shown)?;
-    assert_eq!(ledger.ask(now, key(1), &RULE, shown), Err(Refusal::Deciding));
+    assert_eq!(
+        ledger.ask(now, key(1), &RULE, shown),
+        Err(Refusal::Deciding)
+    );
     ledger.hand(now, key(1), &RULE, &grant, 7, key(9));
     Ok(grant)
 }
@@ -19,15 +28,39 @@
 #[test]
 fn no_attempt_while_one_may_run_and_none_outside_group_or_window() {
     let mut ledger = Ledger::new(8);
-    assert_eq!(go(&mut ledger, 0, None), Ok(Grant::Anywhere { attempt: 0, first: 0, expires: 200 }));
-    assert_eq!(go(&mut ledger, 499, None), Err(Refusal::Running { until: 500 }));
+    assert_eq!(
+        go(&mut ledger, 0, None),
+        Ok(Grant::Anywhere {
+            attempt: 0,
+            first: 0,
+            expires: 200
+        })
+    );
+    assert_eq!(
+        go(&mut ledger, 499, None),
+        Err(Refusal::Running { until: 500 })
+    );
     // Nothing was heard of it: it may have run, in group 7.
-    let within = Grant::Within { attempt: 1, group: 7, first: 0, expires: 700 };
+    let within = Grant::Within {
+        attempt: 1,
+        group: 7,
+        first: 0,
+        expires: 700,
+    };
     assert_eq!(go(&mut ledger, 500, None), Ok(within));
-    assert_eq!(ledger.ended(key(1), 0, End::NeverRan), None, "not the last attempt");
+    assert_eq!(
+        ledger.ended(key(1), 0, End::NeverRan),
+        None,
+        "not the last attempt"
+    );
     assert!(ledger.ended(key(1), 1, End::MayHaveRun).is_some());
     // The last moment at which a repeat is dropped bounds how long an attempt is good.
-    let last = Grant::Within { attempt: 2, group: 7, first: 0, expires: 2_000 };
+    let last = Grant::Within {
+        attempt: 2,
+        group: 7,
+        first: 0,
+        expires: 2_000,
+    };
     assert_eq!(go(&mut ledger, 1_900, None), Ok(last));
     ledger.ended(key(1), 2, End::NeverRan);
     assert_eq!(go(&mut ledger, 2_000, None), Err(Refusal::WindowOver));
@@ -38,7 +71,11 @@
     let mut ledger = Ledger::new(8);
     go(&mut ledger, 0, None).unwrap();
     ledger.ended(key(1), 0, End::NeverRan);
-    let again = Grant::Anywhere { attempt: 1, first: 5_000, expires: 5_200 };
+    let again = Grant::Anywhere {
+        attempt: 1,
+        first: 5_000,
+        expires: 5_200,
+    };
     assert_eq!(go(&mut ledger, 5_000, None), Ok(again));
     for n in 1..4 {
         ledger.ended(key(1), n, End::NeverRan);
@@ -51,7 +88,14 @@
 fn a_key_whose_entry_can_t_be_read_is_refused_until_its_repeats_can_come_no_more() {
     let mut ledger = Ledger::new(8);
     ledger.fence(key(1), 10_000);
-    let token = Token { request: key(9), key: key(1), attempt: 3, group: 3, first: 9_000, expires: 9_900 };
+    let token = Token {
+        request: key(9),
+        key: key(1),
+        attempt: 3,
+        group: 3,
+        first: 9_000,
+        expires: 9_900,
+    };
     assert_eq!(go(&mut ledger, 0, None), Err(Refusal::Unread));
     assert_eq!(
         go(&mut ledger, 9_999, Some(&token)),
@@ -60,7 +104,11 @@
     );
     assert!(Refusal::Unread.may_have_run() && ledger.ask(9_999, key(2), &RULE, None).is_ok());
     assert!(go(&mut ledger, 10_000, None).is_ok());
-    assert_eq!(ledger.forgotten(), vec![key(1)], "its store lets go of it as well");
+    assert_eq!(
+        ledger.forgotten(),
+        vec![key(1)],
+        "its store lets go of it as well"
+    );
 }
 
 #[test]
@@ -68,23 +116,49 @@
     let mut ledger = Ledger::new(1);
     go(&mut ledger, 0, None).unwrap();
     assert_eq!(ledger.ask(1, key(2), &RULE, None), Err(Refusal::Full));
-    assert_eq!(go(&mut ledger, 1, None), Err(Refusal::Running { until: 500 }));
+    assert_eq!(
+        go(&mut ledger, 1, None),
+        Err(Refusal::Running { until: 500 })
+    );
     // Its time is over: the place is free.
     assert!(ledger.ask(10_500, key(2), &RULE, None).is_ok());
 }
 
 #[test]
 fn a_token_is_judged_by_what_is_known_and_else_by_what_it_says() {
-    let token =
-        |attempt, n| Token { request: key(9), key: key(n), attempt, group: 3, first: 1_000, expires: 1_200 };
+    let token = |attempt, n| Token {
+        request: key(9),
+        key: key(n),
+        attempt,
+        group: 3,
+        first: 1_000,
+        expires: 1_200,
+    };
     // Another instance handed it out; here nothing is known of it.
     let mut other = Ledger::new(8);
-    assert_eq!(go(&mut other, 1_100, Some(&token(0, 1))), Err(Refusal::Running { until: 1_500 }));
-    let within = Grant::Within { attempt: 1, group: 3, first: 1_000, expires: 1_700 };
+    assert_eq!(
+        go(&mut other, 1_100, Some(&token(0, 1))),
+        Err(Refusal::Running { until: 1_500 })
+    );
+    let within = Grant::Within {
+        attempt: 1,
+        group: 3,
+        first: 1_000,
+        expires: 1_700,
+    };
     assert_eq!(go(&mut other, 1_500, Some(&token(0, 1))), Ok(within));
-    assert_eq!(go(&mut other, 1_501, Some(&token(0, 1))), Err(Refusal::Replayed));
-    assert_eq!(go(&mut other, 1_501, Some(&token(1, 2))), Err(Refusal::OtherKey));
-    assert_eq!(go(&mut Ledger::new(8), 3_000, Some(&token(0, 1))), Err(Refusal::WindowOver));
+    assert_eq!(
+        go(&mut other, 1_501, Some(&token(0, 1))),
+        Err(Refusal::Replayed)
+    );
+    assert_eq!(
+        go(&mut other, 1_501, Some(&token(1, 2))),
+        Err(Refusal::OtherKey)
+    );
+    assert_eq!(
+        go(&mut Ledger::new(8), 3_000, Some(&token(0, 1))),
+        Err(Refusal::WindowOver)
+    );
 }
 
 #[test]
@@ -96,10 +170,17 @@
     ledger.let_go(key(1));
     assert!(ledger.ask(0, key(2), &RULE, None).is_ok() && ledger.asked() == 1);
     // What is forgotten is told once, for the store.
-    let grant = Grant::Anywhere { attempt: 0, first: 0, expires: 200 };
+    let grant = Grant::Anywhere {
+        attempt: 0,
+        first: 0,
+        expires: 200,
+    };
     ledger.hand(0, key(2), &RULE, &grant, 1, key(9));
     assert!(ledger.ask(20_000, key(3), &RULE, None).is_ok());
-    assert_eq!((ledger.forgotten(), ledger.forgotten()), (vec![key(2)], vec![]));
+    assert_eq!(
+        (ledger.forgotten(), ledger.forgotten()),
+        (vec![key(2)], vec![])
+    );
 }
 
 proptest! {
--- a/pure/repeats/src/token.rs
+++ b/pure/repeats/src/token.rs
@@ -81,12 +81,20 @@
 
     /// From now on another key signs; what the former ones signed is believed for `overlap` more.
     pub fn change(&mut self, now: Millis, overlap: Millis, number: u8, secret: &[u8]) {
-        self.held.retain(|held| held.number != number && held.until.is_none_or(|until| now < until));
+        self.held
+            .retain(|held| held.number != number && held.until.is_none_or(|until| now < until));
         for held in &mut self.held {
             held.until = Some(held.until.unwrap_or(now.saturating_add(overlap)));
         }
         let mac = Hmac::new_from_slice(secret).expect("any length of key will do");
-        self.held.insert(0, Held { number, mac, until: None });
+        self.held.insert(
+            0,
+            Held {
+                number,
+                mac,
+                until: None,
+            },
+        );
     }
 
     /// The keys of a file that was read again: the last of them signs, and all are believed without an end, so that a
@@ -129,12 +137,16 @@
             return Err(malformed);
         }
         let (body, theirs) = bytes.split_at(BODY);
-        let held = self.held.iter().find(|h| h.number == body[1] && h.until.is_none_or(|until| now < until));
+        let held = self
+            .held
+            .iter()
+            .find(|h| h.number == body[1] && h.until.is_none_or(|until| now < until));
         let held = held.ok_or((Bad::Foreign, None))?;
         let mut mac = held.mac.clone();
         mac.update(body);
         // In constant time, as the library does it.
-        mac.verify_truncated_left(theirs).map_err(|_| (Bad::Forged, None))?;
+        mac.verify_truncated_left(theirs)
+            .map_err(|_| (Bad::Forged, None))?;
         let mark = |at: usize| Mark(body[at..at + 16].try_into().expect("16 bytes"));
         let long = |at: usize| u64::from_be_bytes(body[at..at + 8].try_into().expect("8 bytes"));
         let token = Token {
--- a/pure/repeats/src/token/tests.rs
+++ b/pure/repeats/src/token/tests.rs
@@ -5,7 +5,14 @@
 
 fn token() -> Token {
     let (request, key) = (Mark::of("9b1f03aa5c7e2d41"), Mark::of("5c0f"));
-    Token { request, key, attempt: 2, group: 7, first: 1_000, expires: 3_000 }
+    Token {
+        request,
+        key,
+        attempt: 2,
+        group: 7,
+        first: 1_000,
+        expires: 3_000,
+    }
 }
 
 #[test]
@@ -14,8 +21,14 @@
     let text = keys.sign(&token());
     assert_eq!(Keys::new(1, b"secret").read(2_999, &text), Ok(token()));
     assert_eq!(keys.read(3_000, &text), Err((Bad::Expired, Some(token()))));
-    assert_eq!(Keys::new(1, b"other").read(0, &text), Err((Bad::Forged, None)));
-    assert_eq!(Keys::new(2, b"secret").read(0, &text), Err((Bad::Foreign, None)));
+    assert_eq!(
+        Keys::new(1, b"other").read(0, &text),
+        Err((Bad::Forged, None))
+    );
+    assert_eq!(
+        Keys::new(2, b"secret").read(0, &text),
+        Err((Bad::Foreign, None))
+    );
     for bad in ["", "!", &text[1..], &"A".repeat(TEXT_MOST + 4)] {
         assert_eq!(keys.read(0, bad), Err((Bad::Malformed, None)), "{bad}");
     }
@@ -24,7 +37,10 @@
 #[test]
 fn a_former_key_is_believed_for_the_overlap_and_no_longer() {
     let mut keys = Keys::new(1, b"one");
-    let text = keys.sign(&Token { expires: u64::MAX, ..token() });
+    let text = keys.sign(&Token {
+        expires: u64::MAX,
+        ..token()
+    });
     keys.change(100, 50, 2, b"two");
     assert!(keys.read(149, &text).is_ok());
     assert_eq!(keys.read(150, &text), Err((Bad::Foreign, None)));
@@ -36,12 +52,21 @@
 
 #[test]
 fn a_key_is_known_before_it_signs_and_believed_after_it_is_gone() {
-    let token = Token { expires: u64::MAX, ..token() };
+    let token = Token {
+        expires: u64::MAX,
+        ..token()
+    };
     let mut keys = Keys::new(1, b"one");
     keys.set(0, 50, &[(2, b"two"), (1, b"one")]);
     let by_one = keys.sign(&token);
-    assert!(Keys::new(1, b"one").read(0, &by_one).is_ok(), "the last of the file signs");
-    assert!(keys.read(0, &Keys::new(2, b"two").sign(&token)).is_ok(), "another instance was quicker");
+    assert!(
+        Keys::new(1, b"one").read(0, &by_one).is_ok(),
+        "the last of the file signs"
+    );
+    assert!(
+        keys.read(0, &Keys::new(2, b"two").sign(&token)).is_ok(),
+        "another instance was quicker"
+    );
     keys.set(10, 50, &[(1, b"one"), (2, b"two")]);
     assert!(Keys::new(2, b"two").read(10, &keys.sign(&token)).is_ok());
     keys.set(20, 50, &[(2, b"two")]);
--- a/pure/repeats/tests/states/main.rs
+++ b/pure/repeats/tests/states/main.rs
@@ -28,7 +28,12 @@
 
     fn init_test(_: &Model) -> Real {
         let (stored, tokens, granted) = Default::default();
-        Real { ledger: Ledger::new(MOST), stored, tokens, granted }
+        Real {
+            ledger: Ledger::new(MOST),
+            stored,
+            tokens,
+            granted,
+        }
     }
 
     fn apply(mut real: Real, model: &Model, step: Step) -> Real {
@@ -37,9 +42,19 @@
             Step::Wait(_) => {}
             Step::Ask(key, shown) => {
                 // Of a history that is forgotten by this ask a caller shows nothing: it asks no more by then.
-                let own = real.tokens.get(&key).filter(|_| model.keys.contains_key(&key));
+                let own = real
+                    .tokens
+                    .get(&key)
+                    .filter(|_| model.keys.contains_key(&key));
                 let (request, group) = (mark(8), 0);
-                let other = Token { key: mark(9), request, attempt: 0, group, first: now, expires: now };
+                let other = Token {
+                    key: mark(9),
+                    request,
+                    attempt: 0,
+                    group,
+                    first: now,
+                    expires: now,
+                };
                 let shown = match shown {
                     Shown::Nothing => None,
                     Shown::Last => own.and_then(|all| all.last().copied()),
@@ -57,13 +72,31 @@
             Step::Hand(key, group) => {
                 let grant = real.granted.remove(&key).expect("granted");
                 let (attempt, group, first, expires) = match grant {
-                    Grant::Anywhere { attempt, first, expires } => (attempt, group, first, expires),
-                    Grant::Within { attempt, group, first, expires } => (attempt, group, first, expires),
+                    Grant::Anywhere {
+                        attempt,
+                        first,
+                        expires,
+                    } => (attempt, group, first, expires),
+                    Grant::Within {
+                        attempt,
+                        group,
+                        first,
+                        expires,
+                    } => (attempt, group, first, expires),
                 };
                 let request = mark(100 + attempt);
-                let entry = real.ledger.hand(now, mark(key), &RULE, &grant, group, request);
+                let entry = real
+                    .ledger
+                    .hand(now, mark(key), &RULE, &grant, group, request);
                 real.stored.insert(mark(key), entry.to_bytes());
-                let token = Token { request, key: mark(key), attempt, group, first, expires };
+                let token = Token {
+                    request,
+                    key: mark(key),
+                    attempt,
+                    group,
+                    first,
+                    expires,
+                };
                 real.tokens.entry(key).or_default().push(token);
             }
             Step::LetGo(key) => {
@@ -72,13 +105,17 @@
             }
             Step::Ended(key, attempt, end) => {
                 let entry = real.ledger.ended(mark(key), attempt, end);
-                real.stored.extend(entry.map(|entry| (mark(key), entry.to_bytes())));
+                real.stored
+                    .extend(entry.map(|entry| (mark(key), entry.to_bytes())));
             }
             Step::Restart => {
                 let read = |bytes: &[u8]| Entry::from_bytes(bytes).expect("as it was written");
                 let entries = real.stored.iter().map(|(key, bytes)| (*key, read(bytes)));
                 real.ledger = Ledger::restored(MOST, entries);
-                model.fenced.iter().for_each(|(key, until)| real.ledger.fence(mark(*key), *until));
+                model
+                    .fenced
+                    .iter()
+                    .for_each(|(key, until)| real.ledger.fence(mark(*key), *until));
                 real.granted.clear();
             }
             Step::Fence(key, time) => real.ledger.fence(mark(key), now + time),
--- a/pure/repeats/tests/states/model.rs
+++ b/pure/repeats/tests/states/model.rs
@@ -6,7 +6,13 @@
 use proptest_state_machine::ReferenceStateMachine;
 use std::collections::BTreeMap;
 
-pub const RULE: Rule = Rule { window: 2_000, attempts: 4, good_for: 200, runs_for: 300, remember: 3_000 };
+pub const RULE: Rule = Rule {
+    window: 2_000,
+    attempts: 4,
+    good_for: 200,
+    runs_for: 300,
+    remember: 3_000,
+};
 pub const MOST: usize = 3;
 pub const KEYS: u8 = 5;
 
@@ -54,7 +60,10 @@
 impl Model {
     fn forget(&mut self) {
         let now = self.now;
-        self.keys.retain(|_, all| all.last().is_some_and(|last| last.quiet_at + RULE.remember > now));
+        self.keys.retain(|_, all| {
+            all.last()
+                .is_some_and(|last| last.quiet_at + RULE.remember > now)
+        });
         self.fenced.retain(|_, until| *until > now);
     }
 
@@ -70,9 +79,17 @@
         }
         let (now, expires) = (self.now, self.now + RULE.good_for);
         let Some(history) = self.keys.get(&key) else {
-            let new = self.asked.keys().filter(|key| !self.keys.contains_key(key)).count();
+            let new = self
+                .asked
+                .keys()
+                .filter(|key| !self.keys.contains_key(key))
+                .count();
             let full = self.keys.len() + self.fenced.len() + new >= MOST;
-            let first = Grant::Anywhere { attempt: 0, first: now, expires };
+            let first = Grant::Anywhere {
+                attempt: 0,
+                first: now,
+                expires,
+            };
             return if full { Err(Refusal::Full) } else { Ok(first) };
         };
         let last = history.last().expect("handed out");
@@ -81,16 +98,30 @@
             return Err(Refusal::Replayed);
         }
         if last.end.is_none() && now < last.quiet_at {
-            return Err(Refusal::Running { until: last.quiet_at });
+            return Err(Refusal::Running {
+                until: last.quiet_at,
+            });
         }
         if attempt >= RULE.attempts {
             return Err(Refusal::TooMany);
         }
-        let Some(ran) = history.iter().find(|attempt| attempt.end != Some(End::NeverRan)) else {
-            return Ok(Grant::Anywhere { attempt, first: now, expires });
+        let Some(ran) = history
+            .iter()
+            .find(|attempt| attempt.end != Some(End::NeverRan))
+        else {
+            return Ok(Grant::Anywhere {
+                attempt,
+                first: now,
+                expires,
+            });
         };
         let (first, group, closes) = (ran.handed, ran.group, ran.handed + RULE.window);
-        let within = Grant::Within { attempt, group, first, expires: expires.min(closes) };
+        let within = Grant::Within {
+            attempt,
+            group,
+            first,
+            expires: expires.min(closes),
+        };
         (now < closes).then_some(within).ok_or(Refusal::WindowOver)
     }
 }
@@ -100,12 +131,17 @@
     type Transition = Step;
 
     fn init_state() -> BoxedStrategy<Model> {
-        Just(Model { now: 1_000, ..Model::default() }).boxed()
+        Just(Model {
+            now: 1_000,
+            ..Model::default()
+        })
+        .boxed()
     }
 
     fn transitions(_: &Model) -> BoxedStrategy<Step> {
         use Shown::*;
-        let shown = prop_oneof![4 => Just(Nothing), 4 => Just(Last), 1 => Just(First), 1 => Just(OtherKey)];
+        let shown =
+            prop_oneof![4 => Just(Nothing), 4 => Just(Last), 1 => Just(First), 1 => Just(OtherKey)];
         let end = prop_oneof![Just(End::NeverRan), Just(End::MayHaveRun)];
         prop_oneof![
             6 => prop_oneof![1..250u64, 1..4_000u64].prop_map(Step::Wait),
@@ -125,7 +161,9 @@
             Step::LetGo(key) => model.asked.contains_key(key),
             // Whoever was granted one hands it out while it is good: what came before is remembered for longer than that.
             Step::Hand(key, _) => model.asked.get(key).is_some_and(|grant| match *grant {
-                Grant::Anywhere { expires, .. } | Grant::Within { expires, .. } => model.now < expires,
+                Grant::Anywhere { expires, .. } | Grant::Within { expires, .. } => {
+                    model.now < expires
+                }
             }),
             // A store holds of a key what can be read, or what can't.
             Step::Fence(key, _) => !known(key) && !model.asked.contains_key(key),
@@ -145,10 +183,18 @@
             Step::Hand(key, group) => {
                 // A repeat counts from the first that may have run when it was granted, also where the proof that none had
                 // comes before it is handed out.
-                let (number, handed, group, expires) = match model.asked.remove(&key).expect("granted") {
-                    Grant::Anywhere { attempt, expires, .. } => (attempt, model.now, group, expires),
-                    Grant::Within { attempt, group, first, expires } => (attempt, first, group, expires),
-                };
+                let (number, handed, group, expires) =
+                    match model.asked.remove(&key).expect("granted") {
+                        Grant::Anywhere {
+                            attempt, expires, ..
+                        } => (attempt, model.now, group, expires),
+                        Grant::Within {
+                            attempt,
+                            group,
+                            first,
+                            expires,
+                        } => (attempt, first, group, expires),
+                    };
                 let quiet_at = expires + RULE.runs_for;
                 model.keys.entry(key).or_default().push(Attempt {
                     number,
@@ -164,7 +210,9 @@
                     .keys
                     .get_mut(&key)
                     .filter(|all| all.last().is_some_and(|last| last.number == attempt));
-                let last = history.and_then(|all| all.last_mut()).filter(|last| last.end.is_none());
+                let last = history
+                    .and_then(|all| all.last_mut())
+                    .filter(|last| last.end.is_none());
                 last.into_iter().for_each(|last| last.end = Some(end));
             }
             Step::Restart => model.asked.clear(),
--- a/pure/reports/src/asking.rs
+++ b/pure/reports/src/asking.rs
@@ -47,7 +47,11 @@
 impl Asking {
     /// `price`: what the settings take off for one probe a request. `patience`: the longest wait for an answer (us).
     pub fn new(allowed: bool, price: f64, patience: Time) -> Asking {
-        let price = if price.is_finite() { price.max(0.0) } else { f64::MAX };
+        let price = if price.is_finite() {
+            price.max(0.0)
+        } else {
+            f64::MAX
+        };
         Asking {
             allowed,
             price,
@@ -67,7 +71,13 @@
     /// Whether to ask this server now; if so, the probe counts as out until it is answered or its time is over.
     pub fn ask(&mut self, now: Time, case: Case) -> bool {
         self.out.retain(|_, until| now < *until);
-        let Case { server, trust, uses, loss, ready } = case;
+        let Case {
+            server,
+            trust,
+            uses,
+            loss,
+            ready,
+        } = case;
         let room = self.out.len() < OUT && !self.out.contains_key(&server) && self.budget >= 1.0;
         if !self.allowed || !ready || !room || trust >= FAINT || uses.is_nan() || uses < 1.0 {
             return false;
--- a/pure/reports/src/ear.rs
+++ b/pure/reports/src/ear.rs
@@ -113,7 +113,10 @@
         let mut named = Vec::new();
         for (server, gone) in list {
             named.push(server.id);
-            let same = self.servers.get(&server.id).is_some_and(|known| known.boot == server.boot);
+            let same = self
+                .servers
+                .get(&server.id)
+                .is_some_and(|known| known.boot == server.boot);
             if gone || !same {
                 self.forget(server.id);
             }
@@ -122,12 +125,22 @@
             }
             if !gone {
                 let over = OVER * self.reports.lasts() as f64;
-                let new = Known { boot: server.boot, ready: false, sends: Rate::over(over), told: 1.0 };
+                let new = Known {
+                    boot: server.boot,
+                    ready: false,
+                    sends: Rate::over(over),
+                    told: 1.0,
+                };
                 self.servers.entry(server.id).or_insert(new).ready = server.ready;
             }
         }
         if full {
-            let gone: Vec<u32> = self.servers.keys().filter(|id| !named.contains(id)).copied().collect();
+            let gone: Vec<u32> = self
+                .servers
+                .keys()
+                .filter(|id| !named.contains(id))
+                .copied()
+                .collect();
             gone.into_iter().for_each(|id| self.forget(id));
         }
     }
@@ -144,7 +157,10 @@
 
     pub fn sent(&mut self, now: Time, server: u32) {
         self.reports.sent(server);
-        self.servers.get_mut(&server).into_iter().for_each(|known| known.sends.add(now, 1.0));
+        self.servers
+            .get_mut(&server)
+            .into_iter()
+            .for_each(|known| known.sends.add(now, 1.0));
     }
 
     /// An attempt ended; `refused`: turned away unseen; `lost`: no answer came in time, or an error.
@@ -171,7 +187,8 @@
             self.reports.doubt(now, server);
         }
         let after = self.reports.crowding(now, server);
-        self.asking.answered(server, (after - before).abs() >= CHANGE);
+        self.asking
+            .answered(server, (after - before).abs() >= CHANGE);
     }
 
     /// What is to be told and asked now: a look every quarter of the time between two reports.
@@ -187,11 +204,20 @@
             let back = crowding == 1.0 && known.told != 1.0;
             if (crowding - known.told).abs() >= STEP || back {
                 known.told = crowding;
-                out.push(Tell::Crowding { server, crowding: crowding as f32 });
+                out.push(Tell::Crowding {
+                    server,
+                    crowding: crowding as f32,
+                });
             }
             let uses = known.sends.get(now) * lasts as f64;
             let trust = self.reports.trust(now, server);
-            let case = Case { server, trust, uses, loss: self.loss, ready: known.ready };
+            let case = Case {
+                server,
+                trust,
+                uses,
+                loss: self.loss,
+                ready: known.ready,
+            };
             if self.asking.ask(now, case) {
                 out.push(Tell::Probe { server });
             }
--- a/pure/reports/src/fields.rs
+++ b/pure/reports/src/fields.rs
@@ -55,7 +55,13 @@
 
 impl Fields {
     pub fn new<S: AsRef<str>>(names: impl IntoIterator<Item = S>) -> Fields {
-        Fields(names.into_iter().take(NAMES).map(|name| meaning(name.as_ref().as_bytes())).collect())
+        Fields(
+            names
+                .into_iter()
+                .take(NAMES)
+                .map(|name| meaning(name.as_ref().as_bytes()))
+                .collect(),
+        )
     }
 
     /// The settings name no field of use: nothing is to be read.
@@ -70,9 +76,15 @@
         let mut values = [f32::NAN; NAMES];
         let mut seen = [false; NAMES];
         for part in text.split(|b| *b == b';').take(PARTS) {
-            let Some((name, value)) = part_of(part) else { continue };
-            let Some(wanted) = meaning(name) else { continue };
-            let Some(at) = self.0.iter().position(|known| *known == Some(wanted)) else { continue };
+            let Some((name, value)) = part_of(part) else {
+                continue;
+            };
+            let Some(wanted) = meaning(name) else {
+                continue;
+            };
+            let Some(at) = self.0.iter().position(|known| *known == Some(wanted)) else {
+                continue;
+            };
             // A second one makes both void: which of them counts is not known.
             values[at] = if seen[at] { f32::NAN } else { number(value) };
             seen[at] = true;
@@ -102,12 +114,17 @@
 /// Name and value of one field that is not over-long.
 fn part_of(part: &[u8]) -> Option<(&[u8], &[u8])> {
     let part = part.trim_ascii();
-    let colon = part.iter().position(|b| *b == b':').filter(|_| part.len() <= LONGEST)?;
+    let colon = part
+        .iter()
+        .position(|b| *b == b':')
+        .filter(|_| part.len() <= LONGEST)?;
     Some((part[..colon].trim_ascii(), part[colon + 1..].trim_ascii()))
 }
 
 fn number(value: &[u8]) -> f32 {
-    let told = std::str::from_utf8(value).ok().and_then(|text| text.parse::<f32>().ok());
+    let told = std::str::from_utf8(value)
+        .ok()
+        .and_then(|text| text.parse::<f32>().ok());
     told.filter(usable).unwrap_or(f32::NAN)
 }
 
--- a/pure/reports/src/fields/tests.rs
+++ b/pure/reports/src/fields/tests.rs
@@ -13,11 +13,29 @@
 #[test]
 fn a_report_is_read_by_the_settings_names_in_any_order() {
     let load = read("inflight:7;util:0.61");
-    assert_eq!(load, Load { util: Some(0.61), inflight: Some(7.0), ..Load::default() });
-    assert_eq!(read(" x1: 2 ; x0:0"), Load { hits: Some(0.0), link: Some(2.0), ..Load::default() });
+    assert_eq!(
+        load,
+        Load {
+            util: Some(0.61),
+            inflight: Some(7.0),
+            ..Load::default()
+        }
+    );
+    assert_eq!(
+        read(" x1: 2 ; x0:0"),
+        Load {
+            hits: Some(0.0),
+            link: Some(2.0),
+            ..Load::default()
+        }
+    );
     // In the simulator the values come by place alone.
     let other = Fields::new(["x1", "moon", "inflight"]);
-    let by_place = Load { link: Some(0.5), inflight: Some(3.0), ..Load::default() };
+    let by_place = Load {
+        link: Some(0.5),
+        inflight: Some(3.0),
+        ..Load::default()
+    };
     assert_eq!(other.load(&[0.5, 9.0, 3.0, 8.0]), by_place);
     assert_eq!(other.load(&[f32::INFINITY, 9.0]), Load::default());
     assert!(Fields::new([""; 40]).is_empty() && Fields::new(["moon"]).is_empty());
@@ -27,11 +45,20 @@
 fn a_field_has_one_meaning_under_both_of_its_words() {
     // The settings have the simulator's words, answers those of the sockets; guards against reading nothing.
     let fields = Fields::new(["cpu", "active", "x0", "x1"]);
-    let load = Load { util: Some(0.5), inflight: Some(7.0), hits: Some(0.25), link: Some(1.5) };
+    let load = Load {
+        util: Some(0.5),
+        inflight: Some(7.0),
+        hits: Some(0.25),
+        link: Some(1.5),
+    };
     assert_eq!(fields.load(&[0.5, 7.0, 0.25, 1.5]), load);
     assert_eq!(fields.read(b"util:0.5;inflight:7;x0:0.25;x1:1.5"), load);
     assert_eq!(fields.read(b"cpu:0.5;active:7;x0:0.25;x1:1.5"), load);
-    assert_eq!(fields.read(b"cpu:0.5;util:0.6"), Load::default(), "doubled under two words");
+    assert_eq!(
+        fields.read(b"cpu:0.5;util:0.6"),
+        Load::default(),
+        "doubled under two words"
+    );
 }
 
 #[test]
@@ -63,5 +90,8 @@
     }
     // What is behind so many fields is not looked at.
     assert!(read(&format!("{}util:0.5", "moon:1;".repeat(PARTS))).is_empty());
-    assert!(Fields::default().read(b"util:0.5").is_empty(), "the settings name none");
+    assert!(
+        Fields::default().read(b"util:0.5").is_empty(),
+        "the settings name none"
+    );
 }
--- a/pure/reports/src/heard.rs
+++ b/pure/reports/src/heard.rs
@@ -36,7 +36,10 @@
     /// `gap`: what lies between two reports of one server, until that is heard (us); nothing tells it, and the least aim is
     /// a time over which it matters.
     pub fn new(gap: f64) -> Reports {
-        Reports { told: BTreeMap::new(), gap: gap.max(1.0) }
+        Reports {
+            told: BTreeMap::new(),
+            gap: gap.max(1.0),
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -62,20 +65,38 @@
             self.gap += SMOOTH * (between.min(FADES * self.gap) - self.gap);
             doubted = before.doubted;
         } else if self.told.len() >= SERVERS {
-            let oldest = self.told.iter().min_by_key(|(_, told)| told.at).map(|(server, _)| *server);
+            let oldest = self
+                .told
+                .iter()
+                .min_by_key(|(_, told)| told.at)
+                .map(|(server, _)| *server);
             self.told.retain(|server, _| Some(*server) != oldest);
         }
-        self.told.insert(server, Told { load, at: now, since: 0, doubted });
+        self.told.insert(
+            server,
+            Told {
+                load,
+                at: now,
+                since: 0,
+                doubted,
+            },
+        );
     }
 
     pub fn sent(&mut self, server: u32) {
-        self.told.get_mut(&server).into_iter().for_each(|told| told.since += 1);
+        self.told
+            .get_mut(&server)
+            .into_iter()
+            .for_each(|told| told.since += 1);
     }
 
     /// An attempt ended. Work that a server turns away puts its report in doubt for as long as reports last: one that says
     /// it is idle and refuses draws nothing more.
     pub fn ended(&mut self, now: Time, server: u32, refused: bool) {
-        self.told.get_mut(&server).into_iter().for_each(|told| told.since -= 1);
+        self.told
+            .get_mut(&server)
+            .into_iter()
+            .for_each(|told| told.since -= 1);
         if refused {
             self.doubt(now, server);
         }
@@ -84,7 +105,10 @@
     /// For as long as reports last, this server's draws nothing.
     pub fn doubt(&mut self, now: Time, server: u32) {
         let until = now + self.lasts();
-        self.told.get_mut(&server).into_iter().for_each(|told| told.doubted = until);
+        self.told
+            .get_mut(&server)
+            .into_iter()
+            .for_each(|told| told.doubted = until);
     }
 
     /// The server went, or started anew.
@@ -99,7 +123,9 @@
 
     /// How far a server's report is believed: 1 when new, 0 once it says nothing or none came.
     pub fn trust(&self, now: Time, server: u32) -> f64 {
-        self.told.get(&server).map_or(0.0, |told| self.faded(now, told))
+        self.told
+            .get(&server)
+            .map_or(0.0, |told| self.faded(now, told))
     }
 
     fn faded(&self, now: Time, told: &Told) -> f64 {
@@ -113,15 +139,22 @@
 
     /// How busy servers are that are heard of, on average.
     pub fn average(&self, now: Time) -> f64 {
-        let heard = self.told.values().filter(|told| self.faded(now, told) > 0.0);
+        let heard = self
+            .told
+            .values()
+            .filter(|told| self.faded(now, told) > 0.0);
         mean(heard.filter_map(busy)).unwrap_or(0.0)
     }
 
     /// As [`Reports::crowding`], for many servers with one average.
     pub fn beside(&self, now: Time, server: u32, average: f64) -> f64 {
-        let Some(told) = self.told.get(&server) else { return 1.0 };
+        let Some(told) = self.told.get(&server) else {
+            return 1.0;
+        };
         let trust = self.faded(now, told);
-        let Some(own) = busy(told).filter(|_| trust > 0.0 && average > 0.0) else { return 1.0 };
+        let Some(own) = busy(told).filter(|_| trust > 0.0 && average > 0.0) else {
+            return 1.0;
+        };
         let crowding = 1.0 + trust * ((own / average).clamp(1.0 / FAR, FAR) - 1.0);
         if now < told.doubted {
             crowding.max(1.0)
@@ -139,7 +172,9 @@
 fn busy(told: &Told) -> Option<f64> {
     let Load { util, inflight, .. } = told.load;
     match (util.map(f64::from), inflight.map(f64::from)) {
-        (Some(util), Some(held)) => Some(util * (held + told.since as f64).max(0.0) / held.max(1.0)),
+        (Some(util), Some(held)) => {
+            Some(util * (held + told.since as f64).max(0.0) / held.max(1.0))
+        }
         (Some(util), None) => Some(util),
         (None, held) => held.map(|held| (held + told.since as f64).max(0.0)),
     }
--- a/pure/reports/src/host.rs
+++ b/pure/reports/src/host.rs
@@ -21,7 +21,12 @@
     /// None where the settings have neither reports nor probes: then a host does nothing more than without.
     pub fn new(setup: Setup, settings: &Settings) -> Option<Beside> {
         let ear = Ear::new(setup)?;
-        Some(Beside { ear, settings: settings.clone(), out: HashMap::new(), tells: Vec::new() })
+        Some(Beside {
+            ear,
+            settings: settings.clone(),
+            out: HashMap::new(),
+            tells: Vec::new(),
+        })
     }
 
     /// What the router is about to be fed.
@@ -30,16 +35,25 @@
             Event::Members { full, members } => {
                 let one = |member: &foldmux::interface::Member| {
                     let ready = member.state == State::Ready && self.settings.tier(member) == 0;
-                    let server = Server { id: member.cache.0, boot: member.boot, ready };
+                    let server = Server {
+                        id: member.cache.0,
+                        boot: member.boot,
+                        ready,
+                    };
                     (server, member.state == State::Gone)
                 };
                 self.ear.listed(*full, members.iter().map(one));
             }
             Event::Request(_) => self.ear.request(),
             Event::Outcome(report) => {
-                let Some(cache) = self.out.remove(&report.id) else { return };
+                let Some(cache) = self.out.remove(&report.id) else {
+                    return;
+                };
                 let refused = matches!(report.outcome, Outcome::Full | Outcome::ConnectFailed);
-                let lost = matches!(report.outcome, Outcome::Error | Outcome::TimedOut | Outcome::Reset);
+                let lost = matches!(
+                    report.outcome,
+                    Outcome::Error | Outcome::TimedOut | Outcome::Reset
+                );
                 self.ear.ended(now, cache.0, refused, lost);
             }
             Event::ClientGone { id } => drop(self.out.remove(id)),
--- a/pure/reports/tests/ear.rs
+++ b/pure/reports/tests/ear.rs
@@ -29,7 +29,11 @@
 }
 
 fn load(util: f32, inflight: f32) -> Load {
-    Load { util: Some(util), inflight: Some(inflight), ..Load::default() }
+    Load {
+        util: Some(util),
+        inflight: Some(inflight),
+        ..Load::default()
+    }
 }
 
 fn look(ear: &mut Ear, now: u64) -> Vec<Tell> {
@@ -47,38 +51,79 @@
 }
 
 fn probes(told: &[Tell]) -> Vec<u32> {
-    let one = |tell: &Tell| if let Tell::Probe { server } = *tell { Some(server) } else { None };
+    let one = |tell: &Tell| {
+        if let Tell::Probe { server } = *tell {
+            Some(server)
+        } else {
+            None
+        }
+    };
     told.iter().filter_map(one).collect()
 }
 
 #[test]
 fn nothing_is_kept_where_the_settings_have_neither_reports_nor_probes() {
     assert!(Ear::new(Setup::default()).is_none());
-    assert!(Ear::new(Setup { in_answers: true, ..Setup::default() }).is_none(), "no field is named");
-    assert!(Ear::new(Setup { in_answers: false, probes: false, ..setup() }).is_none());
-    assert!(Ear::new(Setup { in_answers: false, ..setup() }).is_some(), "probes alone");
     assert!(
-        Ear::new(Setup { in_answers: false, acted_on: false, ..setup() }).is_none(),
+        Ear::new(Setup {
+            in_answers: true,
+            ..Setup::default()
+        })
+        .is_none(),
+        "no field is named"
+    );
+    assert!(Ear::new(Setup {
+        in_answers: false,
+        probes: false,
+        ..setup()
+    })
+    .is_none());
+    assert!(
+        Ear::new(Setup {
+            in_answers: false,
+            ..setup()
+        })
+        .is_some(),
+        "probes alone"
+    );
+    assert!(
+        Ear::new(Setup {
+            in_answers: false,
+            acted_on: false,
+            ..setup()
+        })
+        .is_none(),
         "probes that nobody goes by"
     );
 }
 
 #[test]
 fn crowding_is_told_when_it_moved_and_goes_back_to_average_once_reports_stop() {
-    let mut ear = ear(Setup { probes: false, ..setup() });
+    let mut ear = ear(Setup {
+        probes: false,
+        ..setup()
+    });
     assert_eq!(look(&mut ear, START), []);
     (0..4).for_each(|id| ear.heard(START, id, load(if id == 2 { 0.9 } else { 0.3 }, 10.0)));
     ear.heard(START, 77, load(0.1, 1.0));
     let told = crowdings(&look(&mut ear, START + 80 * MS));
     assert_eq!(told.iter().map(|t| t.0).collect::<Vec<_>>(), [0, 1, 2, 3]);
     assert!(told[2].1 > 1.3 && told[0].1 < 0.9, "{told:?}");
-    assert_eq!(look(&mut ear, START + 81 * MS), [], "not before the next look");
+    assert_eq!(
+        look(&mut ear, START + 81 * MS),
+        [],
+        "not before the next look"
+    );
     let mut last = told;
     for step in 2..40 {
         last.extend(crowdings(&look(&mut ear, START + step * 80 * MS)));
     }
     for id in 0..4 {
-        assert_eq!(last.iter().rfind(|t| t.0 == id).unwrap().1, 1.0, "{id} is average in the end");
+        assert_eq!(
+            last.iter().rfind(|t| t.0 == id).unwrap().1,
+            1.0,
+            "{id} is average in the end"
+        );
     }
     assert!(last.len() < 60, "told in steps: {}", last.len());
 }
@@ -102,20 +147,54 @@
     let mut own = ear(setup());
     own.listed(false, [server(3, 0, false)].into_iter());
     let (now, asked) = busy(&mut own, START);
-    assert!(!asked.is_empty() && asked.iter().all(|id| *id < 3), "never one that drains: {asked:?}");
+    assert!(
+        !asked.is_empty() && asked.iter().all(|id| *id < 3),
+        "never one that drains: {asked:?}"
+    );
     // 1 was asked, then drains; what it answers says nothing any more, nor what a new process would be held to.
     own.listed(false, [server(1, 0, false)].into_iter());
     own.probed(now, 1, true, load(0.9, 90.0));
     own.probed(now, 0, true, load(0.3, 9.0));
     own.probed(now, 2, true, load(0.3, 9.0));
-    assert!(crowdings(&look(&mut own, now + 80 * MS)).is_empty(), "the others are alike, and 1 said nothing");
+    assert!(
+        crowdings(&look(&mut own, now + 80 * MS)).is_empty(),
+        "the others are alike, and 1 said nothing"
+    );
     own.listed(false, [server(1, now, true)].into_iter());
     own.probed(now, 9, true, load(0.9, 90.0));
     assert!(crowdings(&look(&mut own, now + 160 * MS)).is_empty());
     // Not allowed, or nobody goes by what is told: none at all. Dearer than it gains: a trickle.
-    assert_eq!(busy(&mut ear(Setup { probes: false, ..setup() }), START).1, []);
-    assert_eq!(busy(&mut ear(Setup { acted_on: false, ..setup() }), START).1, []);
-    let few = busy(&mut ear(Setup { price: 1e6, ..setup() }), START).1.len();
+    assert_eq!(
+        busy(
+            &mut ear(Setup {
+                probes: false,
+                ..setup()
+            }),
+            START
+        )
+        .1,
+        []
+    );
+    assert_eq!(
+        busy(
+            &mut ear(Setup {
+                acted_on: false,
+                ..setup()
+            }),
+            START
+        )
+        .1,
+        []
+    );
+    let few = busy(
+        &mut ear(Setup {
+            price: 1e6,
+            ..setup()
+        }),
+        START,
+    )
+    .1
+    .len();
     assert!(few < 8, "{few} of 400 requests");
 }
 
@@ -124,9 +203,16 @@
     let mut ear = ear(setup());
     (0..4).for_each(|id| ear.heard(START, id, load(if id == 2 { 0.9 } else { 0.3 }, 10.0)));
     assert_eq!(crowdings(&look(&mut ear, START)).len(), 4);
-    ear.listed(true, (0..4).filter(|id| *id != 2).map(|id| server(id, 0, true)));
+    ear.listed(
+        true,
+        (0..4).filter(|id| *id != 2).map(|id| server(id, 0, true)),
+    );
     let told = crowdings(&look(&mut ear, START + 80 * MS));
-    assert_eq!(told, [(0, 1.0), (1, 1.0), (3, 1.0)], "the three that are left are alike");
+    assert_eq!(
+        told,
+        [(0, 1.0), (1, 1.0), (3, 1.0)],
+        "the three that are left are alike"
+    );
     // Back under its id at another start: nothing of the former process is left.
     ear.listed(false, [server(2, START, true)].into_iter());
     assert_eq!(crowdings(&look(&mut ear, START + 160 * MS)), []);
--- a/pure/reports/tests/hard.rs
+++ b/pure/reports/tests/hard.rs
@@ -12,7 +12,11 @@
 }
 
 fn load(util: f32, inflight: f32) -> Load {
-    Load { util: Some(util), inflight: Some(inflight), ..Load::default() }
+    Load {
+        util: Some(util),
+        inflight: Some(inflight),
+        ..Load::default()
+    }
 }
 
 /// Four servers that each say the same.
@@ -37,11 +41,22 @@
         reports.sent(0);
         reports.heard(now, 0, load(0.2, 4.0));
     }
-    assert!(reports.trust(now, 0) < reports.trust(now, 1), "the others' reports are new, this one is not");
+    assert!(
+        reports.trust(now, 0) < reports.trust(now, 1),
+        "the others' reports are new, this one is not"
+    );
     // 14 held where it said 4: it is no idle server any more.
-    assert!(reports.crowding(now, 0) > 1.0, "{}", reports.crowding(now, 0));
+    assert!(
+        reports.crowding(now, 0) > 1.0,
+        "{}",
+        reports.crowding(now, 0)
+    );
     (0..10).for_each(|_| reports.ended(now, 0, false));
-    assert!(reports.crowding(now, 0) < 1.0, "what ended counts too: {}", reports.crowding(now, 0));
+    assert!(
+        reports.crowding(now, 0) < 1.0,
+        "what ended counts too: {}",
+        reports.crowding(now, 0)
+    );
 }
 
 #[test]
@@ -54,7 +69,11 @@
         reports.heard(now, 0, load(0.01, k as f32 / 1e3));
         reports.sent(0);
         reports.ended(now, 0, true);
-        assert!(reports.crowding(now, 0) >= 1.0, "{k}: {}", reports.crowding(now, 0));
+        assert!(
+            reports.crowding(now, 0) >= 1.0,
+            "{k}: {}",
+            reports.crowding(now, 0)
+        );
     }
     // Without a lie to go by it counts again as it says.
     now += reports.lasts() + 1;
@@ -78,29 +97,54 @@
     }
     assert_eq!((low, high), (1.0, 1.0));
     let long = START + 1_000 * reports.lasts();
-    assert!((0..4).all(|server| reports.crowding(long, server) == 1.0 && reports.trust(long, server) == 0.0));
-    assert_eq!(reports.crowding(long, 99), 1.0, "one never heard of is average too");
+    assert!((0..4)
+        .all(|server| reports.crowding(long, server) == 1.0 && reports.trust(long, server) == 0.0));
+    assert_eq!(
+        reports.crowding(long, 99),
+        1.0,
+        "one never heard of is average too"
+    );
 }
 
 #[test]
 fn what_can_not_be_used_is_as_if_nothing_came_and_what_is_kept_is_bounded() {
     let mut reports = even();
     reports.heard(START + MS, 0, Load::default());
-    assert_eq!((reports.crowding(START, 0), reports.trust(START, 0)), (1.0, 1.0));
+    assert_eq!(
+        (reports.crowding(START, 0), reports.trust(START, 0)),
+        (1.0, 1.0)
+    );
     // One field is missing: the other still counts.
-    reports.heard(START + MS, 0, Load { util: None, ..load(0.0, 10.0) });
+    reports.heard(
+        START + MS,
+        0,
+        Load {
+            util: None,
+            ..load(0.0, 10.0)
+        },
+    );
     assert_eq!(reports.trust(START + MS, 0), 1.0);
     for server in 0..SERVERS as u32 + 100 {
         reports.heard(START + 2 * MS + server as u64, server, load(0.5, 10.0));
     }
     assert_eq!(reports.len(), SERVERS);
-    assert_eq!(reports.trust(START + 3 * MS, 0), 0.0, "the one longest not heard of went");
+    assert_eq!(
+        reports.trust(START + 3 * MS, 0),
+        0.0,
+        "the one longest not heard of went"
+    );
     (0..SERVERS as u32 + 100).for_each(|server| reports.forget(server));
     assert!(reports.is_empty());
 }
 
 fn case(server: u32) -> Case {
-    Case { server, trust: 0.0, uses: 20.0, loss: 0.2, ready: true }
+    Case {
+        server,
+        trust: 0.0,
+        uses: 20.0,
+        loss: 0.2,
+        ready: true,
+    }
 }
 
 fn asking(price: f64) -> Asking {
@@ -113,13 +157,51 @@
 fn a_server_is_asked_only_where_the_answer_may_change_a_choice_and_pays() {
     assert!(asking(0.01).ask(START, case(1)));
     let no = |case: Case| !asking(0.01).ask(START, case);
-    assert!(no(Case { ready: false, ..case(1) }), "never one that drains, is gone or is out by hand");
-    assert!(no(Case { trust: 0.9, ..case(1) }), "its report is new");
-    assert!(no(Case { uses: 0.5, ..case(1) }), "nothing will go there");
-    assert!(no(Case { loss: 0.0, ..case(1) }), "no choice loses anything");
-    assert!(no(Case { loss: f64::NAN, ..case(1) }) && no(Case { uses: f64::NAN, ..case(1) }));
-    assert!(!Asking::new(false, 0.0, MS).ask(START, case(1)), "the settings forbid it");
-    assert!(!Asking::new(true, 0.0, MS).ask(START, case(1)), "no request has paid for it");
+    assert!(
+        no(Case {
+            ready: false,
+            ..case(1)
+        }),
+        "never one that drains, is gone or is out by hand"
+    );
+    assert!(
+        no(Case {
+            trust: 0.9,
+            ..case(1)
+        }),
+        "its report is new"
+    );
+    assert!(
+        no(Case {
+            uses: 0.5,
+            ..case(1)
+        }),
+        "nothing will go there"
+    );
+    assert!(
+        no(Case {
+            loss: 0.0,
+            ..case(1)
+        }),
+        "no choice loses anything"
+    );
+    assert!(
+        no(Case {
+            loss: f64::NAN,
+            ..case(1)
+        }) && no(Case {
+            uses: f64::NAN,
+            ..case(1)
+        })
+    );
+    assert!(
+        !Asking::new(false, 0.0, MS).ask(START, case(1)),
+        "the settings forbid it"
+    );
+    assert!(
+        !Asking::new(true, 0.0, MS).ask(START, case(1)),
+        "no request has paid for it"
+    );
     assert!(
         !asking(f64::NAN).ask(START, case(1)) && !asking(5.0).ask(START, case(1)),
         "it costs more than it gains"
@@ -138,17 +220,25 @@
             sent += 1;
         }
     }
-    assert!((100..500).contains(&sent), "one in 64 and some at first: {sent} of 20000");
+    assert!(
+        (100..500).contains(&sent),
+        "one in 64 and some at first: {sent} of 20000"
+    );
 }
 
 #[test]
 fn a_probe_that_never_ends_gives_its_place_back_and_all_stay_within_their_bounds() {
     let mut asking = asking(0.0);
-    let sent = (0..20).filter(|server| asking.ask(START, case(*server))).count();
+    let sent = (0..20)
+        .filter(|server| asking.ask(START, case(*server)))
+        .count();
     assert_eq!((sent, asking.out(START)), (OUT, OUT));
     (0..1_000).for_each(|_| asking.request());
     assert!(!asking.ask(START + 249 * MS, case(9)), "all places are out");
-    assert!(asking.ask(START + 250 * MS, case(9)), "what was not answered by then is over");
+    assert!(
+        asking.ask(START + 250 * MS, case(9)),
+        "what was not answered by then is over"
+    );
     // Of one server one at a time, and an answer that nobody waits for is no record.
     assert!(!asking.ask(START + 251 * MS, case(9)));
     asking.forget(9);
@@ -158,7 +248,14 @@
     let mut few = Asking::new(true, 0.0, 1);
     let count = (0..1_000u64).filter(|k| {
         few.request();
-        few.ask(START + k * MS, Case { loss: 1.0, uses: 1e9, ..case(*k as u32) })
+        few.ask(
+            START + k * MS,
+            Case {
+                loss: 1.0,
+                uses: 1e9,
+                ..case(*k as u32)
+            },
+        )
     });
     let count = count.count();
     assert!((40..=50).contains(&count), "{count} of 1000 requests");
--- a/pure/seats/src/change.rs
+++ b/pure/seats/src/change.rs
@@ -41,12 +41,21 @@
 
 impl Change {
     pub fn settled(seats: Seats) -> Change {
-        Change { now: seats, before: None }
+        Change {
+            now: seats,
+            before: None,
+        }
     }
 
     /// From now on by the new list, for the window by the old one too. A list equal to the present one
     /// changes nothing.
-    pub fn change(&mut self, new: Seats, now: Time, window: Time, drift: Drift) -> Result<(), Changing> {
+    pub fn change(
+        &mut self,
+        new: Seats,
+        now: Time,
+        window: Time,
+        drift: Drift,
+    ) -> Result<(), Changing> {
         if new == self.now {
             return Ok(());
         }
@@ -64,7 +73,10 @@
     }
 
     fn before(&self, now: Time) -> Option<(&Seats, Time)> {
-        self.before.as_ref().filter(|(_, until)| now < *until).map(|(seats, until)| (seats, *until))
+        self.before
+            .as_ref()
+            .filter(|(_, until)| now < *until)
+            .map(|(seats, until)| (seats, *until))
     }
 
     pub fn seats(&self) -> &Seats {
@@ -75,7 +87,12 @@
     pub fn asked(&self, now: Time, key: &[u8]) -> Vec<&Peer> {
         let mut asked = self.now.of(key).to_vec();
         if let Some((before, _)) = self.before(now) {
-            asked.extend(before.of(key).into_iter().filter(|peer| !self.now.sits(key, peer)));
+            asked.extend(
+                before
+                    .of(key)
+                    .into_iter()
+                    .filter(|peer| !self.now.sits(key, peer)),
+            );
         }
         asked
     }
@@ -90,6 +107,9 @@
 
     /// Whether a process speaks for the key now, by either list.
     pub fn sits(&self, now: Time, key: &[u8], peer: &Peer) -> bool {
-        self.now.sits(key, peer) || self.before(now).is_some_and(|(before, _)| before.sits(key, peer))
+        self.now.sits(key, peer)
+            || self
+                .before(now)
+                .is_some_and(|(before, _)| before.sits(key, peer))
     }
 }
--- a/pure/seats/src/lease.rs
+++ b/pure/seats/src/lease.rs
@@ -20,7 +20,12 @@
 
 impl fmt::Display for BadDrift {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a drift of {} percent is not from 0 to {}", self.0, Drift::MOST)
+        write!(
+            f,
+            "a drift of {} percent is not from 0 to {}",
+            self.0,
+            Drift::MOST
+        )
     }
 }
 
@@ -43,7 +48,9 @@
         if !(0.0..=Drift::MOST).contains(&percent) {
             return Err(BadDrift(percent));
         }
-        Ok(Drift { ppm: (percent * 10_000.0).ceil() as u32 })
+        Ok(Drift {
+            ppm: (percent * 10_000.0).ceil() as u32,
+        })
     }
 
     /// A span that is over, by any clock within the drift, before `span` is by any other:
@@ -81,7 +88,10 @@
 impl Held {
     /// `sent` is when the question was sent whose answers decided, never when they came.
     pub fn new(sent: Time, lease: Time, drift: Drift) -> Held {
-        Held { from: sent, until: sent.saturating_add(drift.shortened(lease)) }
+        Held {
+            from: sent,
+            until: sent.saturating_add(drift.shortened(lease)),
+        }
     }
 
     /// Whether it is this process's now. Asked after every wait, and right before what it allows.
@@ -103,7 +113,9 @@
 impl Granted {
     /// `heard` is when the question came, or later.
     pub fn new(heard: Time, lease: Time) -> Granted {
-        Granted { until: heard.saturating_add(lease) }
+        Granted {
+            until: heard.saturating_add(lease),
+        }
     }
 
     pub fn runs(&self, now: Time) -> bool {
--- a/pure/seats/src/memory.rs
+++ b/pure/seats/src/memory.rs
@@ -22,8 +22,13 @@
     /// Nothing is remembered. `windows`: how long whatever a seat says may matter, each counted on anyone's
     /// clock: the lease, the keep time, the longest deadline. With none given it never speaks.
     pub fn fresh(start: Time, windows: &[Time], drift: Drift) -> Memory {
-        let longest = windows.iter().max().map_or(Time::MAX, |window| drift.stretched(*window));
-        Memory { from: start.saturating_add(longest) }
+        let longest = windows
+            .iter()
+            .max()
+            .map_or(Time::MAX, |window| drift.stretched(*window));
+        Memory {
+            from: start.saturating_add(longest),
+        }
     }
 
     /// All that it ever granted was read back, to the last answer that it sent.
--- a/pure/seats/src/order.rs
+++ b/pure/seats/src/order.rs
@@ -13,8 +13,16 @@
     let name = name.as_str().as_bytes();
     let mut hasher = blake3::Hasher::new();
     // The length keeps a name and a key apart.
-    hasher.update(&[which]).update(&(name.len() as u32).to_le_bytes()).update(name).update(key);
-    u64::from_le_bytes(hasher.finalize().as_bytes()[..8].try_into().expect("8 of 32"))
+    hasher
+        .update(&[which])
+        .update(&(name.len() as u32).to_le_bytes())
+        .update(name)
+        .update(key);
+    u64::from_le_bytes(
+        hasher.finalize().as_bytes()[..8]
+            .try_into()
+            .expect("8 of 32"),
+    )
 }
 
 /// The peers in a key's order, next in line first; equal names stand side by side.
@@ -27,7 +35,10 @@
 /// assert_eq!(left, line[1..]);
 /// ```
 pub fn of<'a>(key: &[u8], peers: impl IntoIterator<Item = &'a Peer>) -> Vec<&'a Peer> {
-    let mut line: Vec<_> = peers.into_iter().map(|peer| (score(LINE, peer, key), peer)).collect();
+    let mut line: Vec<_> = peers
+        .into_iter()
+        .map(|peer| (score(LINE, peer, key), peer))
+        .collect();
     line.sort_unstable_by(|a, b| b.0.cmp(&a.0).then(a.1.cmp(b.1)));
     line.into_iter().map(|(_, peer)| peer).collect()
 }
@@ -35,5 +46,7 @@
 /// The next in line: the first of [`of`], without sorting.
 pub fn first<'a>(key: &[u8], peers: impl IntoIterator<Item = &'a Peer>) -> Option<&'a Peer> {
     let scored = peers.into_iter().map(|peer| (score(LINE, peer, key), peer));
-    scored.max_by(|a, b| a.0.cmp(&b.0).then(b.1.cmp(a.1))).map(|(_, peer)| peer)
+    scored
+        .max_by(|a, b| a.0.cmp(&b.0).then(b.1.cmp(a.1)))
+        .map(|(_, peer)| peer)
 }
--- a/pure/seats/src/seats.rs
+++ b/pure/seats/src/seats.rs
@@ -94,8 +94,14 @@
     pub fn mark(&self) -> u64 {
         let mut hasher = blake3::Hasher::new();
         for name in &self.names {
-            hasher.update(&(name.as_str().len() as u32).to_le_bytes()).update(name.as_str().as_bytes());
+            hasher
+                .update(&(name.as_str().len() as u32).to_le_bytes())
+                .update(name.as_str().as_bytes());
         }
-        u64::from_le_bytes(hasher.finalize().as_bytes()[..8].try_into().expect("8 of 32"))
+        u64::from_le_bytes(
+            hasher.finalize().as_bytes()[..8]
+                .try_into()
+                .expect("8 of 32"),
+        )
     }
 }
--- a/pure/seats/src/votes.rs
+++ b/pure/seats/src/votes.rs
@@ -54,22 +54,33 @@
 
     #[cfg(feature = "planted")]
     fn gone(&self) -> usize {
-        (0..SEATS).filter(|i| self.gone[*i] && self.said[*i].is_none()).count()
+        (0..SEATS)
+            .filter(|i| self.gone[*i] && self.said[*i].is_none())
+            .count()
     }
 
     fn count(&self, granted: bool) -> usize {
-        self.said.iter().filter(|said| **said == Some(granted)).count()
+        self.said
+            .iter()
+            .filter(|said| **said == Some(granted))
+            .count()
     }
 }
 
 impl Votes {
     pub fn new(seats: [&Peer; SEATS]) -> Votes {
-        Votes { now: Three::new(seats), before: None }
+        Votes {
+            now: Three::new(seats),
+            before: None,
+        }
     }
 
     /// Votes that must win in both.
     pub fn both(now: [&Peer; SEATS], before: [&Peer; SEATS]) -> Votes {
-        Votes { now: Three::new(now), before: Some(Three::new(before)) }
+        Votes {
+            now: Three::new(now),
+            before: Some(Three::new(before)),
+        }
     }
 
     /// Whether this counted: a repeat or a stranger doesn't.
@@ -84,7 +95,10 @@
 
     fn say(&mut self, from: &Peer, granted: bool) -> bool {
         let now = self.now.say(from, granted);
-        self.before.as_mut().is_some_and(|before| before.say(from, granted)) || now
+        self.before
+            .as_mut()
+            .is_some_and(|before| before.say(from, granted))
+            || now
     }
 
     fn threes(&self) -> impl Iterator<Item = &Three> {
@@ -95,32 +109,40 @@
     pub fn won(&self) -> bool {
         #[cfg(feature = "planted")]
         if crate::planted::on(crate::planted::Fault::MajorityOfTheLiving) {
-            return self.threes().all(|three| three.count(true) * 2 > SEATS - three.gone());
+            return self
+                .threes()
+                .all(|three| three.count(true) * 2 > SEATS - three.gone());
         }
         self.threes().all(|three| three.count(true) >= MAJORITY)
     }
 
     /// So many have refused that it can't be won any more.
     pub fn lost(&self) -> bool {
-        self.threes().any(|three| three.count(false) > SEATS - MAJORITY)
+        self.threes()
+            .any(|three| three.count(false) > SEATS - MAJORITY)
     }
 
     /// A seat that seems dead: of no weight but for a planted fault.
     #[cfg(feature = "planted")]
     pub fn gone(&mut self, peer: &Peer) {
         for three in std::iter::once(&mut self.now).chain(&mut self.before) {
-            (0..SEATS).filter(|i| three.seats[*i] == *peer).for_each(|i| three.gone[i] = true);
+            (0..SEATS)
+                .filter(|i| three.seats[*i] == *peer)
+                .for_each(|i| three.gone[i] = true);
         }
     }
 
     /// Those who have granted, each once.
     pub fn granted(&self) -> impl Iterator<Item = &Peer> {
         let said = |three: &Three, i: usize| three.said[i] == Some(true);
-        let now = (0..SEATS).filter(move |i| said(&self.now, *i)).map(|i| &self.now.seats[i]);
-        let before = self
-            .before
-            .iter()
-            .flat_map(move |three| (0..SEATS).filter(move |i| said(three, *i)).map(|i| &three.seats[i]));
+        let now = (0..SEATS)
+            .filter(move |i| said(&self.now, *i))
+            .map(|i| &self.now.seats[i]);
+        let before = self.before.iter().flat_map(move |three| {
+            (0..SEATS)
+                .filter(move |i| said(three, *i))
+                .map(|i| &three.seats[i])
+        });
         now.chain(before.filter(|peer| !self.now.seats.contains(peer)))
     }
 }
--- a/pure/seats/tests/lease.rs
+++ b/pure/seats/tests/lease.rs
@@ -34,7 +34,11 @@
     (0..=100_000_i64).prop_flat_map(|ppm| {
         let rate = || prop_oneof![-ppm..=ppm, Just(-ppm), Just(ppm)];
         let clock = || (rate(), 0..(1_u64 << 40)).prop_map(|(rate, ahead)| Clock { rate, ahead });
-        (Just(Drift::percent(ppm as f64 / 10_000.0).unwrap()), clock(), clock())
+        (
+            Just(Drift::percent(ppm as f64 / 10_000.0).unwrap()),
+            clock(),
+            clock(),
+        )
     })
 }
 
--- a/pure/seats/tests/model/mod.rs
+++ b/pure/seats/tests/model/mod.rs
@@ -41,10 +41,25 @@
     type Action = Move;
 
     fn init_states(&self) -> Vec<State> {
-        let holder = Holder { sent: None, left: 0, paused: false };
-        let seat = Seat { ways: [Way::Idle; 2], stale: [false; 2], granted: None, fresh: None };
+        let holder = Holder {
+            sent: None,
+            left: 0,
+            paused: false,
+        };
+        let seat = Seat {
+            ways: [Way::Idle; 2],
+            stale: [false; 2],
+            granted: None,
+            fresh: None,
+        };
         let (holders, seats) = (vec![holder; HOLDERS], vec![seat; SEATS]);
-        vec![State { holders, seats, rounds: 0, crashes: 0, pauses: 0 }]
+        vec![State {
+            holders,
+            seats,
+            rounds: 0,
+            crashes: 0,
+            pauses: 0,
+        }]
     }
 
     fn actions(&self, state: &State, moves: &mut Vec<Move>) {
@@ -92,7 +107,9 @@
                 next.end(i);
                 next.holders[i].sent = Some(0);
                 next.rounds += 1;
-                next.seats.iter_mut().for_each(|seat| seat.ways[i] = Way::Claimed);
+                next.seats
+                    .iter_mut()
+                    .for_each(|seat| seat.ways[i] = Way::Claimed);
             }
             Move::Hear(h, s, stale) => {
                 let (i, seat) = (usize::from(h), &mut next.seats[usize::from(s)]);
@@ -139,14 +156,25 @@
             Property::sometimes("it passes on", |_, state: &State| {
                 let claims = |holder: &Holder| holder.left == 0 && holder.sent.is_some();
                 let late = |i: usize| state.seats.iter().filter(|seat| seat.stale[i]).count() == 1;
-                (0..2).any(|i| state.holders[i].left > 0 && claims(&state.holders[1 - i]) && late(1 - i))
+                (0..2).any(|i| {
+                    state.holders[i].left > 0 && claims(&state.holders[1 - i]) && late(1 - i)
+                })
             }),
             Property::sometimes("a fresh seat speaks again", |_, state: &State| {
-                state.seats.iter().any(|seat| seat.fresh.is_some() && seat.granted.is_some())
-            }),
-            Property::sometimes("it is held while its holder is paused", |_, state: &State| {
-                state.holders.iter().any(|holder| holder.paused && holder.left > 0)
+                state
+                    .seats
+                    .iter()
+                    .any(|seat| seat.fresh.is_some() && seat.granted.is_some())
             }),
+            Property::sometimes(
+                "it is held while its holder is paused",
+                |_, state: &State| {
+                    state
+                        .holders
+                        .iter()
+                        .any(|holder| holder.paused && holder.left > 0)
+                },
+            ),
         ]
     }
 }
--- a/pure/seats/tests/model/state.rs
+++ b/pure/seats/tests/model/state.rs
@@ -67,11 +67,15 @@
 impl Seat {
     fn speaks(&self) -> bool {
         let memory = Memory::fresh(0, &[LEASE], drift());
-        self.fresh.is_none_or(|age| memory.speaks(Time::from(age) * FAST))
+        self.fresh
+            .is_none_or(|age| memory.speaks(Time::from(age) * FAST))
     }
 
     pub fn grants(&self, holder: u8) -> bool {
-        self.speaks() && self.granted.is_none_or(|(to, age)| to == holder || !runs(age))
+        self.speaks()
+            && self
+                .granted
+                .is_none_or(|(to, age)| to == holder || !runs(age))
     }
 }
 
@@ -99,7 +103,10 @@
     /// and rounds whose lease would be over (unless a holder counts from the answers).
     pub fn step(&mut self, from_answer: bool) {
         for seat in &mut self.seats {
-            seat.granted = seat.granted.map(|(to, age)| (to, older(age))).filter(|(_, age)| runs(*age));
+            seat.granted = seat
+                .granted
+                .map(|(to, age)| (to, older(age)))
+                .filter(|(_, age)| runs(*age));
             seat.fresh = seat.fresh.map(older);
         }
         for i in 0..HOLDERS {
@@ -123,7 +130,9 @@
     }
 
     pub fn decide(&mut self, holder: usize, from_answer: bool) {
-        let Some(age) = self.holders[holder].sent else { return };
+        let Some(age) = self.holders[holder].sent else {
+            return;
+        };
         if !self.votes(holder).won() {
             return;
         }
--- a/pure/seats/tests/seats.rs
+++ b/pure/seats/tests/seats.rs
@@ -10,10 +10,19 @@
 
 #[test]
 fn a_list_that_is_none_is_told_by_one_error() {
-    assert_eq!(list(&[1, 2]).unwrap_err().to_string(), "2 seats are listed, at least 3 are needed");
-    assert_eq!(list(&[1, 2, 3, 2]).unwrap_err().to_string(), "seat n2 is listed twice");
+    assert_eq!(
+        list(&[1, 2]).unwrap_err().to_string(),
+        "2 seats are listed, at least 3 are needed"
+    );
+    assert_eq!(
+        list(&[1, 2, 3, 2]).unwrap_err().to_string(),
+        "seat n2 is listed twice"
+    );
     assert_eq!(list(&Vec::from_iter(0..300)), Err(BadSeats::TooMany(257)));
-    assert_eq!(Seats::new(["a", "", "b"].map(Peer::new)), Err(BadSeats::Unnamed));
+    assert_eq!(
+        Seats::new(["a", "", "b"].map(Peer::new)),
+        Err(BadSeats::Unnamed)
+    );
 }
 
 /// Processes of two versions must find the same seats: these never change.
@@ -24,7 +33,10 @@
     assert_eq!(of(b"mix-17"), ["n2", "n6", "n7"]);
     assert_eq!(of(b""), ["n2", "n5", "n7"]);
     assert_eq!(
-        order::of(b"mix-17", seats.listed()).iter().map(|p| p.as_str()).collect::<String>(),
+        order::of(b"mix-17", seats.listed())
+            .iter()
+            .map(|p| p.as_str())
+            .collect::<String>(),
         "n2n1n4n5n3n7n6"
     );
     assert_eq!(seats.mark(), 5912309194392226398);
@@ -37,11 +49,17 @@
     let mut first_sits = 0;
     for key in 0..20_000_u32 {
         let key = key.to_le_bytes();
-        seats.of(&key).into_iter().for_each(|peer| *held.entry(peer).or_default() += 1);
+        seats
+            .of(&key)
+            .into_iter()
+            .for_each(|peer| *held.entry(peer).or_default() += 1);
         first_sits += u32::from(seats.sits(&key, order::first(&key, seats.listed()).unwrap()));
     }
     // 5,000 each by chance, with a deviation of 61.
-    assert!(held.len() == 12 && held.values().all(|n| (4_700..5_300).contains(n)), "{held:?}");
+    assert!(
+        held.len() == 12 && held.values().all(|n| (4_700..5_300).contains(n)),
+        "{held:?}"
+    );
     assert!((4_700..5_300).contains(&first_sits), "{first_sits}");
 }
 
@@ -49,11 +67,20 @@
 fn one_change_of_the_list_at_a_time() {
     let (old, new) = (list(&[1, 2, 3]).unwrap(), list(&[1, 2, 4]).unwrap());
     let mut change = Change::settled(old.clone());
-    change.change(old.clone(), 0, 1_000, Drift::default()).unwrap();
+    change
+        .change(old.clone(), 0, 1_000, Drift::default())
+        .unwrap();
     assert_eq!(change.changing(0), None);
-    change.change(new.clone(), 0, 1_000, Drift::default()).unwrap();
-    assert_eq!(change.change(old.clone(), 1_030, 1_000, Drift::default()), Err(Changing { until: 1_031 }));
-    assert!(change.sits(1_030, b"k", &Peer::new("n3")) && change.sits(1_030, b"k", &Peer::new("n4")));
+    change
+        .change(new.clone(), 0, 1_000, Drift::default())
+        .unwrap();
+    assert_eq!(
+        change.change(old.clone(), 1_030, 1_000, Drift::default()),
+        Err(Changing { until: 1_031 })
+    );
+    assert!(
+        change.sits(1_030, b"k", &Peer::new("n3")) && change.sits(1_030, b"k", &Peer::new("n4"))
+    );
     assert!(!change.sits(1_031, b"k", &Peer::new("n3")));
     change.change(old, 1_031, 1_000, Drift::default()).unwrap();
 }
--- a/pure/seats/tests/slot.rs
+++ b/pure/seats/tests/slot.rs
@@ -11,20 +11,35 @@
 
 /// Walks them all; what must be able to happen must be seen to happen.
 fn walk(rounds: u8, crashes: u8, pauses: u8, happens: &[&'static str]) -> usize {
-    let slot = Slot { rounds, crashes, pauses, suspicion: false, from_answer: || false };
+    let slot = Slot {
+        rounds,
+        crashes,
+        pauses,
+        suspicion: false,
+        from_answer: || false,
+    };
     let checker = slot.checker().threads(2).symmetry().spawn_dfs().join();
-    let (all, unlike, depth) = (checker.state_count(), checker.unique_state_count(), checker.max_depth());
+    let (all, unlike, depth) = (
+        checker.state_count(),
+        checker.unique_state_count(),
+        checker.max_depth(),
+    );
     println!(
         "{rounds} claims, {crashes} crash, {pauses} pause: {all} states, {unlike} unlike, depth {depth}"
     );
     checker.assert_no_discovery("never two hold");
-    happens.iter().for_each(|name| drop(checker.assert_any_discovery(name)));
+    happens
+        .iter()
+        .for_each(|name| drop(checker.assert_any_discovery(name)));
     unlike
 }
 
 #[test]
 fn never_two_hold_with_a_crash_and_a_pause() {
-    assert!(walk(2, 1, 1, &[FRESH, PAUSED]) > 300_000, "the walk has shrunk");
+    assert!(
+        walk(2, 1, 1, &[FRESH, PAUSED]) > 300_000,
+        "the walk has shrunk"
+    );
 }
 
 #[test]
--- a/pure/takeover/src/claim.rs
+++ b/pure/takeover/src/claim.rs
@@ -53,11 +53,20 @@
     }
 
     fn count(&self, of: impl Fn(Verdict) -> bool) -> usize {
-        self.replies.iter().flatten().filter(|reply| of(reply.0)).count()
+        self.replies
+            .iter()
+            .flatten()
+            .filter(|reply| of(reply.0))
+            .count()
     }
 
     pub fn due(&self) -> Time {
-        self.waiting.iter().map(|w| w.until).chain([self.next]).min().unwrap_or(self.next)
+        self.waiting
+            .iter()
+            .map(|w| w.until)
+            .chain([self.next])
+            .min()
+            .unwrap_or(self.next)
     }
 
     /// How long the first of the leases that stand in the way still runs.
@@ -71,28 +80,61 @@
 
     /// A final answer that two replicas hold under one ballot.
     fn kept(&self) -> Option<Answer> {
-        let records: Vec<&Record> = self.replies.iter().flatten().filter_map(|r| r.2.as_ref()).collect();
+        let records: Vec<&Record> = self
+            .replies
+            .iter()
+            .flatten()
+            .filter_map(|r| r.2.as_ref())
+            .collect();
         let twice = |record: &&&Record| {
-            record.answer.is_some() && records.iter().filter(|r| r.place() == record.place()).count() >= 2
+            record.answer.is_some()
+                && records
+                    .iter()
+                    .filter(|r| r.place() == record.place())
+                    .count()
+                    >= 2
         };
-        records.iter().find(twice).and_then(|record| record.answer.clone())
+        records
+            .iter()
+            .find(twice)
+            .and_then(|record| record.answer.clone())
     }
 }
 
 impl Owner {
     /// A round, under a term above all that were seen.
     pub fn begin(&mut self, at: &mut At, key: Key) {
-        let Some(claim) = self.claims.get_mut(&key) else { return };
+        let Some(claim) = self.claims.get_mut(&key) else {
+            return;
+        };
         claim.top += 1;
         claim.tries += 1;
-        claim.ballot = Ballot { term: claim.top, owner: at.setup.name.clone(), session: at.setup.session };
+        claim.ballot = Ballot {
+            term: claim.top,
+            owner: at.setup.name.clone(),
+            session: at.setup.session,
+        };
         (claim.sent, claim.replies) = (Some(at.now), [None, None, None]);
         claim.next = at.now + (at.setup.lease * claim.tries.min(5) / 5).max(1);
-        let left = claim.waiting.iter().map(|w| w.until).chain(claim.heir).max().unwrap_or(at.now);
+        let left = claim
+            .waiting
+            .iter()
+            .map(|w| w.until)
+            .chain(claim.heir)
+            .max()
+            .unwrap_or(at.now);
         for replica in claim.replicas.iter() {
             let ballot = claim.ballot.clone();
             let left = left.saturating_sub(at.now);
-            at.send(replica, Message::Claim { key, ballot, work: claim.work.clone(), left });
+            at.send(
+                replica,
+                Message::Claim {
+                    key,
+                    ballot,
+                    work: claim.work.clone(),
+                    left,
+                },
+            );
         }
         self.arm(key);
     }
@@ -101,50 +143,80 @@
         if ballot.owner != at.setup.name || ballot.session != at.setup.session {
             return;
         }
-        if self.held.get(&key).is_some_and(|holding| holding.ballot == *ballot) {
+        if self
+            .held
+            .get(&key)
+            .is_some_and(|holding| holding.ballot == *ballot)
+        {
             return self.late_grant(at, from, key, reply.0);
         }
-        let Some(claim) = self.claims.get_mut(&key).filter(|c| c.ballot == *ballot && c.sent.is_some())
+        let Some(claim) = self
+            .claims
+            .get_mut(&key)
+            .filter(|c| c.ballot == *ballot && c.sent.is_some())
         else {
             return;
         };
-        let Some(place) = claim.replicas.iter().position(|replica| replica == from) else { return };
+        let Some(place) = claim.replicas.iter().position(|replica| replica == from) else {
+            return;
+        };
         claim.top = claim.top.max(reply.1.term);
-        claim.known |= reply.2.is_some() || matches!(reply.0, Verdict::Busy { .. } | Verdict::Higher);
+        claim.known |=
+            reply.2.is_some() || matches!(reply.0, Verdict::Busy { .. } | Verdict::Higher);
         claim.replies[place].get_or_insert(reply);
         self.resolve(at, key);
         self.arm(key);
     }
 
     fn resolve(&mut self, at: &mut At, key: Key) {
-        let Some(claim) = self.claims.get(&key) else { return };
+        let Some(claim) = self.claims.get(&key) else {
+            return;
+        };
         let yes = claim.count(|verdict| verdict == Verdict::Yes);
-        let enough = if at.setup.planted(Fault::OneGrantIsEnough) { 1 } else { 2 };
+        let enough = if at.setup.planted(Fault::OneGrantIsEnough) {
+            1
+        } else {
+            2
+        };
         if let Some(answer) = claim.kept() {
             let claim = self.claims.remove(&key);
-            claim.iter().flat_map(|c| &c.waiting).for_each(|one| answered(at, one.ticket, &answer));
+            claim
+                .iter()
+                .flat_map(|c| &c.waiting)
+                .for_each(|one| answered(at, one.ticket, &answer));
         } else if yes >= enough {
-            let Some(claim) = self.claims.remove(&key) else { return };
+            let Some(claim) = self.claims.remove(&key) else {
+                return;
+            };
             self.own(at, key, claim);
         } else if yes + claim.replies.iter().filter(|reply| reply.is_none()).count() < 2 {
             self.missed(at, key);
         } else if claim.replies.iter().flatten().count() == 2 {
             // All hangs on one replica, which may be dead: not waited for much longer than the others took.
             let soon = claim.busy().unwrap_or(0).max(at.setup.resend() / 5);
-            self.claims.entry(key).and_modify(|claim| claim.next = claim.next.min(at.now + soon));
+            self.claims
+                .entry(key)
+                .and_modify(|claim| claim.next = claim.next.min(at.now + soon));
         }
     }
 
     /// The round can't win, or its time is over.
     fn missed(&mut self, at: &mut At, key: Key) {
         let pause = self.draw(at.setup.resend()) + 1;
-        let Some(claim) = self.claims.get_mut(&key) else { return };
+        let Some(claim) = self.claims.get_mut(&key) else {
+            return;
+        };
         let silent = |v| matches!(v, Verdict::NoVote | Verdict::Full | Verdict::Unknown);
         let patience = !claim.known && at.now >= claim.began + at.setup.lease;
         if claim.count(silent) >= 2 || patience {
-            let Some(claim) = self.claims.remove(&key) else { return };
+            let Some(claim) = self.claims.remove(&key) else {
+                return;
+            };
             let class = claim.work.as_ref().map(|work| &*work.class);
-            claim.waiting.iter().for_each(|one| uncovered(at, one.ticket, class, claim.known));
+            claim
+                .waiting
+                .iter()
+                .for_each(|one| uncovered(at, one.ticket, class, claim.known));
             return;
         }
         let left = claim.busy();
@@ -156,11 +228,16 @@
             self.claims.remove(&key);
             return;
         }
-        (claim.sent, claim.next) = (None, at.now + left.map_or(0, |left| left.min(at.setup.lease)) + pause);
+        (claim.sent, claim.next) = (
+            None,
+            at.now + left.map_or(0, |left| left.min(at.setup.lease)) + pause,
+        );
     }
 
     pub fn tick_claim(&mut self, at: &mut At, key: Key) {
-        let Some(claim) = self.claims.get_mut(&key) else { return };
+        let Some(claim) = self.claims.get_mut(&key) else {
+            return;
+        };
         expire(at, &mut claim.waiting, claim.known);
         if claim.waiting.is_empty() && claim.heir.is_none_or(|until| until <= at.now) {
             self.claims.remove(&key);
@@ -174,17 +251,27 @@
 
     /// Two replicas granted it: the record that was written last is the one that goes on.
     fn own(&mut self, at: &mut At, key: Key, claim: Claim) {
-        let shown: Vec<Record> = claim.replies.iter().flatten().filter_map(|r| r.2.clone()).collect();
+        let shown: Vec<Record> = claim
+            .replies
+            .iter()
+            .flatten()
+            .filter_map(|r| r.2.clone())
+            .collect();
         let best = shown.iter().max_by_key(|record| record.place()).cloned();
         let until = claim.waiting.iter().map(|w| w.until).max();
         let begun = || claim.work.clone().map(|work| Record::new(work, 0));
-        let Some(mut record) = best.or_else(begun) else { return };
+        let Some(mut record) = best.or_else(begun) else {
+            return;
+        };
         shown.iter().for_each(|other| record.elder(&other.attempts));
         if at.setup.planted(Fault::SuccessorForgets) {
             record.attempts.clear();
         }
         if at.setup.planted(Fault::AgeFromArrival) {
-            record.attempts.iter_mut().for_each(|attempt| attempt.age = 0);
+            record
+                .attempts
+                .iter_mut()
+                .for_each(|attempt| attempt.age = 0);
         }
         // Ages were right when a replica answered: at the earliest, when it was asked.
         let sent = claim.sent.unwrap_or(at.now);
@@ -197,5 +284,8 @@
 }
 
 pub fn answered(at: &mut At, ticket: u64, answer: &Answer) {
-    at.tell(Told::Kept { ticket, answer: answer.clone() });
+    at.tell(Told::Kept {
+        ticket,
+        answer: answer.clone(),
+    });
 }
--- a/pure/takeover/src/grant.rs
+++ b/pure/takeover/src/grant.rs
@@ -9,10 +9,26 @@
 use std::sync::Arc;
 
 impl Replica {
-    pub fn claim(&mut self, at: &mut At, key: Key, ballot: Ballot, work: Option<Arc<Work>>, left: Time) {
+    pub fn claim(
+        &mut self,
+        at: &mut At,
+        key: Key,
+        ballot: Ballot,
+        work: Option<Arc<Work>>,
+        left: Time,
+    ) {
         let to = ballot.owner.clone();
         let (verdict, seen, record) = self.grant(at, key, &ballot, work, left);
-        at.send(&to, Message::Claimed { key, ballot, verdict, seen, record });
+        at.send(
+            &to,
+            Message::Claimed {
+                key,
+                ballot,
+                verdict,
+                seen,
+                record,
+            },
+        );
         self.arm(key);
     }
 
@@ -32,7 +48,11 @@
         let room = self.bytes + work.as_ref().map_or(0, |work| work.bytes()) <= at.setup.bytes;
         let Some(held) = self.held.get_mut(&key) else {
             if work.is_none() || !room || self.held.len() >= at.setup.records {
-                let verdict = if work.is_none() { Verdict::Unknown } else { Verdict::Full };
+                let verdict = if work.is_none() {
+                    Verdict::Unknown
+                } else {
+                    Verdict::Full
+                };
                 return (verdict, Ballot::none(), None);
             }
             let record = work.map(|work| {
@@ -67,7 +87,8 @@
             return (Verdict::Yes, ballot.clone(), held.shown(at.now));
         }
         let done = held.done();
-        let same_term = ballot.term == held.promised.term && at.setup.planted(Fault::TermGrantedTwice);
+        let same_term =
+            ballot.term == held.promised.term && at.setup.planted(Fault::TermGrantedTwice);
         if ballot.term <= held.promised.term && !same_term {
             let record = done.then(|| held.shown(at.now)).flatten();
             return (Verdict::Higher, held.promised.clone(), record);
@@ -78,7 +99,13 @@
             if waits && !held.watchers.contains(&ballot.owner) && held.watchers.len() < WATCHERS {
                 held.watchers.push(ballot.owner.clone());
             }
-            return (Verdict::Busy { left: held.lease - at.now }, held.promised.clone(), None);
+            return (
+                Verdict::Busy {
+                    left: held.lease - at.now,
+                },
+                held.promised.clone(),
+                None,
+            );
         }
         held.promised = ballot.clone();
         (held.let_go, held.over) = (false, false);
