--- a/pure/takeover/src/hold.rs
+++ b/pure/takeover/src/hold.rs
@@ -10,39 +10,75 @@
 impl Owner {
     /// The work, where it is still the one that the host was told of.
     fn of_term(&mut self, key: Key, term: u64) -> Option<&mut Holding> {
-        self.held.get_mut(&key).filter(|holding| holding.ballot.term == term)
+        self.held
+            .get_mut(&key)
+            .filter(|holding| holding.ballot.term == term)
     }
 
-    pub fn intend(&mut self, at: &mut At, ticket: u64, (key, term): (Key, u64), number: u8, group: u32) {
-        let Some(holding) = self.of_term(key, term).filter(|holding| holding.record.answer.is_none()) else {
+    pub fn intend(
+        &mut self,
+        at: &mut At,
+        ticket: u64,
+        (key, term): (Key, u64),
+        number: u8,
+        group: u32,
+    ) {
+        let Some(holding) = self
+            .of_term(key, term)
+            .filter(|holding| holding.record.answer.is_none())
+        else {
             return at.tell(Told::Lost { ticket });
         };
         holding.refresh(at.now);
         let proof = holding.record.proof(Owner::repeat(at, &holding.record));
         let window = match proof {
             Proof::NeverRan => None,
-            Proof::Again { within: Some(own), .. } if own != group && !at.setup.planted(Fault::AnyGroup) => {
+            Proof::Again {
+                within: Some(own), ..
+            } if own != group && !at.setup.planted(Fault::AnyGroup) => {
                 return at.tell(Told::Refused { ticket });
             }
             Proof::Again { left, .. } => Some(at.now.saturating_add(left)),
             Proof::Over => return at.tell(Told::Refused { ticket }),
         };
-        let twice = holding.record.attempts.iter().any(|a| a.term == term && a.number == number);
+        let twice = holding
+            .record
+            .attempts
+            .iter()
+            .any(|a| a.term == term && a.number == number);
         if twice || holding.record.attempts.len() >= ATTEMPTS {
             return at.tell(Told::Refused { ticket });
         }
         holding.window = window;
         holding.relet(at);
-        holding.record.attempts.push(Attempt { term, number, group, ended: None, age: 0 });
-        holding.write(at, key, Some(Pending { ticket: Some(ticket), version: 0, intends: true }));
+        holding.record.attempts.push(Attempt {
+            term,
+            number,
+            group,
+            ended: None,
+            age: 0,
+        });
+        holding.write(
+            at,
+            key,
+            Some(Pending {
+                ticket: Some(ticket),
+                version: 0,
+                intends: true,
+            }),
+        );
         self.arm(key);
     }
 
     pub fn ended(&mut self, at: &mut At, (key, term): (Key, u64), number: u8, end: End) {
-        let Some(holding) = self.of_term(key, term) else { return };
+        let Some(holding) = self.of_term(key, term) else {
+            return;
+        };
         holding.refresh(at.now);
         let own = |a: &&mut Attempt| a.term == term && a.number == number;
-        let Some(attempt) = holding.record.attempts.iter_mut().find(own) else { return };
+        let Some(attempt) = holding.record.attempts.iter_mut().find(own) else {
+            return;
+        };
         attempt.ended = Some(end);
         // That it may have run is what the replicas take an attempt without an end for.
         if end == End::NeverRan {
@@ -52,14 +88,24 @@
     }
 
     pub fn done(&mut self, at: &mut At, ticket: u64, (key, term): (Key, u64), answer: Answer) {
-        let Some(holding) = self.of_term(key, term) else { return at.tell(Told::Lost { ticket }) };
+        let Some(holding) = self.of_term(key, term) else {
+            return at.tell(Told::Lost { ticket });
+        };
         if holding.record.answer.is_some() {
             return at.tell(Told::Lost { ticket });
         }
         holding.record.answer = Some(answer);
         let early = at.setup.planted(Fault::AnswerBeforeKept);
         let waits = (!early).then_some(ticket);
-        holding.write(at, key, Some(Pending { ticket: waits, version: 0, intends: false }));
+        holding.write(
+            at,
+            key,
+            Some(Pending {
+                ticket: waits,
+                version: 0,
+                intends: false,
+            }),
+        );
         if early {
             at.tell(Told::Written { ticket });
         }
@@ -68,7 +114,10 @@
 
     /// The host stops: the next that waits here goes on, else whoever the replicas tell.
     pub fn let_go(&mut self, at: &mut At, (key, term): (Key, u64), over: bool) {
-        let Some(holding) = self.of_term(key, term).filter(|holding| holding.record.answer.is_none()) else {
+        let Some(holding) = self
+            .of_term(key, term)
+            .filter(|holding| holding.record.answer.is_none())
+        else {
             return;
         };
         holding.refresh(at.now);
@@ -95,7 +144,9 @@
         let mut keys: Vec<Key> = self.held.keys().copied().collect();
         keys.sort();
         for key in keys {
-            let Some(holding) = self.held.get_mut(&key) else { continue };
+            let Some(holding) = self.held.get_mut(&key) else {
+                continue;
+            };
             holding.refresh(at.now);
             let proof = holding.record.proof(Owner::repeat(at, &holding.record));
             if holding.record.answer.is_some() || proof == Proof::Over {
@@ -105,7 +156,10 @@
             for ticket in holding.pending.drain(..).filter_map(|p| p.ticket) {
                 at.tell(Told::Lost { ticket });
             }
-            let (work, waiters) = (holding.record.work.clone(), std::mem::take(&mut holding.waiters));
+            let (work, waiters) = (
+                holding.record.work.clone(),
+                std::mem::take(&mut holding.waiters),
+            );
             self.held.remove(&key);
             self.rejoin(at, key, work, waiters);
         }
--- a/pure/takeover/src/holding.rs
+++ b/pure/takeover/src/holding.rs
@@ -41,7 +41,11 @@
 
 impl Holding {
     pub fn new(at: &At, claim: &Claim, mut record: Record) -> Holding {
-        let granted = |i: usize| claim.replies[i].as_ref().is_some_and(|reply| reply.0 == Verdict::Yes);
+        let granted = |i: usize| {
+            claim.replies[i]
+                .as_ref()
+                .is_some_and(|reply| reply.0 == Verdict::Yes)
+        };
         let now = at.now;
         record.ballot = claim.ballot.clone();
         record.version = 0;
@@ -72,8 +76,11 @@
     }
 
     pub fn due(&self) -> Time {
-        let resend =
-            if self.acked.iter().any(|v| *v < self.record.version) { self.resend } else { self.renews };
+        let resend = if self.acked.iter().any(|v| *v < self.record.version) {
+            self.resend
+        } else {
+            self.renews
+        };
         self.waiters
             .iter()
             .map(|w| w.until)
@@ -87,8 +94,15 @@
         let mut stamps = self.stamps;
         stamps.sort();
         let held = |sent| Held::new(sent, at.setup.lease, at.setup.drift).until();
-        let until = stamps[1].map_or(0, held).min(self.window.unwrap_or(Time::MAX)).min(self.until);
-        self.lease.set(if at.setup.planted(Fault::NoLeaseCheck) { Time::MAX } else { until });
+        let until = stamps[1]
+            .map_or(0, held)
+            .min(self.window.unwrap_or(Time::MAX))
+            .min(self.until);
+        self.lease.set(if at.setup.planted(Fault::NoLeaseCheck) {
+            Time::MAX
+        } else {
+            until
+        });
     }
 
     pub fn quorum(&self, version: u32) -> usize {
@@ -96,10 +110,27 @@
     }
 
     pub fn send(&self, at: &mut At, key: Key, place: usize) {
-        let Record { version, left, attempts, answer, .. } = self.record.aged(at.now - self.at);
+        let Record {
+            version,
+            left,
+            attempts,
+            answer,
+            ..
+        } = self.record.aged(at.now - self.at);
         let work = (!self.has_work[place]).then(|| self.record.work.clone());
-        let note = Note { version, work, left, attempts, answer };
-        let message = Message::Note { key, ballot: self.ballot.clone(), stamp: at.now, note };
+        let note = Note {
+            version,
+            work,
+            left,
+            attempts,
+            answer,
+        };
+        let message = Message::Note {
+            key,
+            ballot: self.ballot.clone(),
+            stamp: at.now,
+            note,
+        };
         at.send(&self.replicas[place], message);
     }
 
@@ -108,20 +139,34 @@
         self.refresh(at.now);
         self.record.version += 1;
         let version = self.record.version;
-        self.pending.extend(pending.map(|p| Pending { version, ..p }));
+        self.pending
+            .extend(pending.map(|p| Pending { version, ..p }));
         self.resend = at.now + at.setup.resend();
-        (0..3).filter(|i| !self.refused[*i]).for_each(|i| self.send(at, key, i));
+        (0..3)
+            .filter(|i| !self.refused[*i])
+            .for_each(|i| self.send(at, key, i));
     }
 
     pub fn renew(&self, at: &mut At, key: Key, place: usize) {
-        let message = Message::Renew { key, ballot: self.ballot.clone(), stamp: at.now };
+        let message = Message::Renew {
+            key,
+            ballot: self.ballot.clone(),
+            stamp: at.now,
+        };
         at.send(&self.replicas[place], message);
     }
 
     pub fn release(&self, at: &mut At, key: Key, over: bool) {
         self.lease.set(0);
         for replica in &self.replicas {
-            at.send(replica, Message::Release { key, ballot: self.ballot.clone(), over });
+            at.send(
+                replica,
+                Message::Release {
+                    key,
+                    ballot: self.ballot.clone(),
+                    over,
+                },
+            );
         }
     }
 }
--- a/pure/takeover/src/join.rs
+++ b/pure/takeover/src/join.rs
@@ -19,7 +19,9 @@
 impl Waiting {
     pub fn join(&mut self, at: &mut At) {
         if !std::mem::replace(&mut self.joined, true) {
-            at.tell(Told::Joined { ticket: self.ticket });
+            at.tell(Told::Joined {
+                ticket: self.ticket,
+            });
         }
     }
 }
@@ -30,7 +32,11 @@
     waiting.retain(|one| {
         if one.until <= now {
             let ticket = one.ticket;
-            at.tell(if known { Told::Failed { ticket } } else { Told::Refused { ticket } });
+            at.tell(if known {
+                Told::Failed { ticket }
+            } else {
+                Told::Refused { ticket }
+            });
         }
         one.until > now
     });
@@ -38,7 +44,9 @@
 
 /// What can't be covered runs or is refused, as its class says; never runs where something is known of it.
 pub fn uncovered(at: &mut At, ticket: u64, class: Option<&str>, known: bool) {
-    let rule = class.and_then(|class| at.setup.rules.get(class)).map(|rule| rule.uncovered);
+    let rule = class
+        .and_then(|class| at.setup.rules.get(class))
+        .map(|rule| rule.uncovered);
     at.tell(match rule {
         Some(Uncovered::Run) | None if !known => Told::Uncovered { ticket },
         _ => Told::Refused { ticket },
@@ -46,8 +54,20 @@
 }
 
 impl Owner {
-    pub fn join(&mut self, at: &mut At, ticket: u64, key: Key, work: Arc<Work>, left: Time, again: bool) {
-        let mut waiting = Waiting { ticket, until: at.now.saturating_add(left), joined: false };
+    pub fn join(
+        &mut self,
+        at: &mut At,
+        ticket: u64,
+        key: Key,
+        work: Arc<Work>,
+        left: Time,
+        again: bool,
+    ) {
+        let mut waiting = Waiting {
+            ticket,
+            until: at.now.saturating_add(left),
+            joined: false,
+        };
         if let Some(holding) = self.held.get_mut(&key) {
             if holding.waiters.len() >= at.setup.waiters {
                 return at.tell(Told::Refused { ticket });
@@ -70,7 +90,11 @@
         let mut claim = Claim::new(at, key, Some(work));
         claim.waiting.push(waiting);
         // Leaving, this process handed the key over: whoever takes it comes first.
-        let first = if again && self.leaving { at.setup.lease / 4 } else { 0 };
+        let first = if again && self.leaving {
+            at.setup.lease / 4
+        } else {
+            0
+        };
         claim.next = at.now + first;
         claim.known = again;
         self.claims.insert(key, claim);
@@ -86,7 +110,11 @@
             return self.arm(key);
         }
         let mut claim = Claim::new(at, key, Some(work));
-        let pause = if self.leaving { at.setup.lease / 4 } else { self.draw(at.setup.resend()) };
+        let pause = if self.leaving {
+            at.setup.lease / 4
+        } else {
+            self.draw(at.setup.resend())
+        };
         (claim.waiting, claim.known, claim.next) = (waiting, true, at.now + pause);
         self.claims.insert(key, claim);
         self.arm(key);
--- a/pure/takeover/src/kept.rs
+++ b/pure/takeover/src/kept.rs
@@ -23,7 +23,11 @@
     /// So much later; none once it is forgotten.
     pub fn aged(self, by: Time) -> Option<Kept> {
         let left = self.left.checked_sub(by).filter(|left| *left > 0)?;
-        Some(Kept { left, record: self.record.map(|record| record.aged(by)), ..self })
+        Some(Kept {
+            left,
+            record: self.record.map(|record| record.aged(by)),
+            ..self
+        })
     }
 }
 
@@ -40,8 +44,15 @@
 
     /// Whoever was promised may hold a lease of which only the lost process knew: it runs in full from here.
     fn read_back(now: Time, lease: Time, kept: Kept) -> Held {
-        let done = kept.record.as_ref().is_some_and(|record| record.answer.is_some());
-        let until = if kept.let_go || done { now } else { now + lease };
+        let done = kept
+            .record
+            .as_ref()
+            .is_some_and(|record| record.answer.is_some());
+        let until = if kept.let_go || done {
+            now
+        } else {
+            now + lease
+        };
         Held {
             promised: kept.promised,
             let_go: kept.let_go,
@@ -71,7 +82,12 @@
     }
 
     /// The same later, for a replica that was mute until now. From here on it says what is to be kept.
-    pub fn remember(&mut self, now: Time, speaks_in: Time, kept: impl Iterator<Item = (Key, Kept)>) {
+    pub fn remember(
+        &mut self,
+        now: Time,
+        speaks_in: Time,
+        kept: impl Iterator<Item = (Key, Kept)>,
+    ) {
         let lease = self.lease_time();
         let replica = self.replica_mut();
         replica.memory = Memory::whole(now.saturating_add(speaks_in));
@@ -87,7 +103,11 @@
     /// What has changed since this was last asked: to be kept before a message leaves. None: nothing is kept.
     pub fn changed(&mut self, now: Time) -> Vec<(Key, Kept)> {
         let replica = self.replica_mut();
-        let keys = replica.changed.as_mut().map(std::mem::take).unwrap_or_default();
+        let keys = replica
+            .changed
+            .as_mut()
+            .map(std::mem::take)
+            .unwrap_or_default();
         let kept = |key: Key| Some((key, replica.held.get(&key)?.kept(now)));
         keys.into_iter().filter_map(kept).collect()
     }
@@ -99,7 +119,11 @@
 
     /// All that there is to keep.
     pub fn all(&self, now: Time) -> Vec<(Key, Kept)> {
-        self.replica().held.iter().map(|(key, held)| (*key, held.kept(now))).collect()
+        self.replica()
+            .held
+            .iter()
+            .map(|(key, held)| (*key, held.kept(now)))
+            .collect()
     }
 
     /// What this replica promises can't be kept any more, or another process is this replica: it says nothing from here on.
@@ -112,6 +136,8 @@
 impl Replica {
     /// Notes that what is kept of a key is not what it is any more.
     pub fn touch(&mut self, key: Key) {
-        self.changed.iter_mut().for_each(|changed| _ = changed.insert(key));
+        self.changed
+            .iter_mut()
+            .for_each(|changed| _ = changed.insert(key));
     }
 }
--- a/pure/takeover/src/message.rs
+++ b/pure/takeover/src/message.rs
@@ -10,17 +10,47 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// To a replica: whoever asks would own this key. With the work, so that its record begins with the claim.
-    Claim { key: Key, ballot: Ballot, work: Option<Arc<Work>>, left: Time },
+    Claim {
+        key: Key,
+        ballot: Ballot,
+        work: Option<Arc<Work>>,
+        left: Time,
+    },
     /// `seen`: the ballot that the replica has promised. The record is shown where the claim is granted, and where it is done.
-    Claimed { key: Key, ballot: Ballot, verdict: Verdict, seen: Ballot, record: Option<Record> },
+    Claimed {
+        key: Key,
+        ballot: Ballot,
+        verdict: Verdict,
+        seen: Ballot,
+        record: Option<Record>,
+    },
     /// To a replica: the record as it is now.
-    Note { key: Key, ballot: Ballot, stamp: Time, note: Note },
+    Note {
+        key: Key,
+        ballot: Ballot,
+        stamp: Time,
+        note: Note,
+    },
     /// To a replica: the owner is there still.
-    Renew { key: Key, ballot: Ballot, stamp: Time },
+    Renew {
+        key: Key,
+        ballot: Ballot,
+        stamp: Time,
+    },
     /// `version`: what the replica holds under this ballot.
-    Noted { key: Key, ballot: Ballot, stamp: Time, verdict: Verdict, version: u32 },
+    Noted {
+        key: Key,
+        ballot: Ballot,
+        stamp: Time,
+        verdict: Verdict,
+        version: u32,
+    },
     /// To a replica: the owner stops. `over`: nobody need go on.
-    Release { key: Key, ballot: Ballot, over: bool },
+    Release {
+        key: Key,
+        ballot: Ballot,
+        over: bool,
+    },
     /// From a replica, to the next in line: nobody owns this any more.
     Succeed { key: Key },
     /// From a replica, to whoever waits for this key: look again.
@@ -86,11 +116,7 @@
         answer: Answer,
     },
     /// The owner's host stops. `over`: its client was told to come again, and no one need go on.
-    LetGo {
-        key: Key,
-        term: u64,
-        over: bool,
-    },
+    LetGo { key: Key, term: u64, over: bool },
     /// The process leaves: all that another could go on with is handed over at once.
     LetGoAll,
 }
--- a/pure/takeover/src/owner.rs
+++ b/pure/takeover/src/owner.rs
@@ -23,7 +23,10 @@
 
 impl Owner {
     pub fn new(seed: u64) -> Owner {
-        Owner { drawn: seed, ..Owner::default() }
+        Owner {
+            drawn: seed,
+            ..Owner::default()
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -38,17 +41,25 @@
 
     pub fn arm(&mut self, key: Key) {
         let claim = self.claims.get(&key).map(Claim::due);
-        self.timers.set(key, claim.or_else(|| self.held.get(&key).map(Holding::due)));
+        self.timers
+            .set(key, claim.or_else(|| self.held.get(&key).map(Holding::due)));
     }
 
     pub fn repeat(at: &At, record: &Record) -> Repeat {
-        at.setup.rules.get(&record.work.class).map_or(Repeat::SingleShot, |rule| rule.repeat)
+        at.setup
+            .rules
+            .get(&record.work.class)
+            .map_or(Repeat::SingleShot, |rule| rule.repeat)
     }
 
     /// A replica said yes to a claim that two others had already granted, or was told of the key anew.
     pub fn late_grant(&mut self, at: &mut At, from: &Peer, key: Key, verdict: Verdict) {
-        let Some(holding) = self.held.get_mut(&key) else { return };
-        let Some(place) = holding.replicas.iter().position(|replica| replica == from) else { return };
+        let Some(holding) = self.held.get_mut(&key) else {
+            return;
+        };
+        let Some(place) = holding.replicas.iter().position(|replica| replica == from) else {
+            return;
+        };
         if verdict == Verdict::Yes {
             holding.has_work[place] = true;
             holding.renew(at, key, place);
@@ -64,14 +75,22 @@
         stamp: Time,
         (verdict, version): (Verdict, u32),
     ) {
-        let Some(holding) = self.held.get_mut(&key) else { return };
+        let Some(holding) = self.held.get_mut(&key) else {
+            return;
+        };
         if *ballot != holding.ballot {
             return;
         }
-        let Some(place) = holding.replicas.iter().position(|replica| replica == from) else { return };
+        let Some(place) = holding.replicas.iter().position(|replica| replica == from) else {
+            return;
+        };
         match verdict {
             Verdict::Yes => {
-                let stamp = if at.setup.planted(Fault::LeaseFromReply) { at.now } else { stamp.min(at.now) };
+                let stamp = if at.setup.planted(Fault::LeaseFromReply) {
+                    at.now
+                } else {
+                    stamp.min(at.now)
+                };
                 holding.stamps[place] = holding.stamps[place].max(Some(stamp));
                 holding.acked[place] = holding.acked[place].max(version);
                 holding.has_work[place] = true;
@@ -83,7 +102,15 @@
                 holding.has_work[place] = false;
                 let work = Some(holding.record.work.clone());
                 let (ballot, left) = (holding.ballot.clone(), holding.until.saturating_sub(at.now));
-                at.send(from, Message::Claim { key, ballot, work, left });
+                at.send(
+                    from,
+                    Message::Claim {
+                        key,
+                        ballot,
+                        work,
+                        left,
+                    },
+                );
                 return;
             }
             Verdict::Full => holding.refused[place] = true,
@@ -96,7 +123,9 @@
 
     /// What two replicas have by now is answered.
     fn settle(&mut self, at: &mut At, key: Key) {
-        let Some(holding) = self.held.get_mut(&key) else { return };
+        let Some(holding) = self.held.get_mut(&key) else {
+            return;
+        };
         let mut done = false;
         let mut pending = std::mem::take(&mut holding.pending);
         pending.retain(|one| {
@@ -105,7 +134,9 @@
                 return true;
             }
             done |= !one.intends;
-            one.ticket.iter().for_each(|ticket| at.tell(Told::Written { ticket: *ticket }));
+            one.ticket
+                .iter()
+                .for_each(|ticket| at.tell(Told::Written { ticket: *ticket }));
             false
         });
         holding.pending = pending;
@@ -118,18 +149,25 @@
 
     /// The final answer is kept: all that wait here have it.
     pub fn finish(&mut self, at: &mut At, key: Key) {
-        let Some(holding) = self.held.remove(&key) else { return };
+        let Some(holding) = self.held.remove(&key) else {
+            return;
+        };
         holding.lease.set(0);
         let lost = holding.pending.iter().filter_map(|p| p.ticket);
         lost.for_each(|ticket| at.tell(Told::Lost { ticket }));
         let answer = holding.record.answer.unwrap_or(Answer::Failed);
-        holding.waiters.iter().for_each(|one| answered(at, one.ticket, &answer));
+        holding
+            .waiters
+            .iter()
+            .for_each(|one| answered(at, one.ticket, &answer));
         self.arm(key);
     }
 
     /// Another owns it, or may.
     pub fn lose(&mut self, at: &mut At, key: Key) {
-        let Some(holding) = self.held.remove(&key) else { return };
+        let Some(holding) = self.held.remove(&key) else {
+            return;
+        };
         holding.lease.set(0);
         let lost = holding.pending.iter().filter_map(|p| p.ticket);
         lost.for_each(|ticket| at.tell(Told::Lost { ticket }));
@@ -138,7 +176,9 @@
 
     pub fn tick(&mut self, at: &mut At, key: Key) {
         self.tick_claim(at, key);
-        let Some(holding) = self.held.get_mut(&key) else { return self.arm(key) };
+        let Some(holding) = self.held.get_mut(&key) else {
+            return self.arm(key);
+        };
         expire(at, &mut holding.waiters, true);
         if holding.until <= at.now {
             holding.release(at, key, true);
@@ -146,7 +186,8 @@
         }
         if holding.acked.iter().any(|v| *v < holding.record.version) && holding.resend <= at.now {
             holding.resend = at.now + at.setup.resend();
-            let behind = |i: &usize| !holding.refused[*i] && holding.acked[*i] < holding.record.version;
+            let behind =
+                |i: &usize| !holding.refused[*i] && holding.acked[*i] < holding.record.version;
             (0..3).filter(behind).for_each(|i| holding.send(at, key, i));
         }
         if holding.renews <= at.now {
--- a/pure/takeover/src/part.rs
+++ b/pure/takeover/src/part.rs
@@ -24,7 +24,10 @@
     }
 
     pub fn send(&mut self, to: &Peer, message: Message) {
-        self.out.push(Do::Send { to: to.clone(), message });
+        self.out.push(Do::Send {
+            to: to.clone(),
+            message,
+        });
     }
 }
 
@@ -40,7 +43,12 @@
 impl Takeover {
     pub fn new(now: Time, setup: Setup) -> Takeover {
         let alive = BTreeSet::from([setup.name.clone()]);
-        Takeover { replica: Replica::new(now, &setup), owner: Owner::new(setup.seed), setup, alive }
+        Takeover {
+            replica: Replica::new(now, &setup),
+            owner: Owner::new(setup.seed),
+            setup,
+            alive,
+        }
     }
 
     pub(crate) fn lease_time(&self) -> Time {
@@ -67,17 +75,30 @@
 
     /// Whether this process's replica votes yet.
     pub fn votes(&self, now: Time) -> bool {
-        self.replica.votes(&At { now, setup: &self.setup, out: &mut Vec::new() })
+        self.replica.votes(&At {
+            now,
+            setup: &self.setup,
+            out: &mut Vec::new(),
+        })
     }
 }
 
 /// With leases of its own.
 impl Clone for Takeover {
     fn clone(&self) -> Takeover {
-        let (setup, replica, alive) = (self.setup.clone(), self.replica.clone(), self.alive.clone());
+        let (setup, replica, alive) =
+            (self.setup.clone(), self.replica.clone(), self.alive.clone());
         let mut owner = self.owner.clone();
-        owner.held.values_mut().for_each(|holding| holding.lease = holding.lease.apart());
-        Takeover { setup, replica, owner, alive }
+        owner
+            .held
+            .values_mut()
+            .for_each(|holding| holding.lease = holding.lease.apart());
+        Takeover {
+            setup,
+            replica,
+            owner,
+            alive,
+        }
     }
 }
 
@@ -87,14 +108,24 @@
     type Told = Told;
 
     fn heard(&mut self, now: Time, from: &Peer, message: Message, out: &mut Acts<Self>) {
-        let at = &mut At { now, setup: &self.setup, out };
+        let at = &mut At {
+            now,
+            setup: &self.setup,
+            out,
+        };
         match message {
-            Message::Claim { key, ballot, work, left } if ballot.owner == *from => {
-                self.replica.claim(at, key, ballot, work, left)
-            }
-            Message::Note { key, ballot, stamp, note } if ballot.owner == *from => {
-                self.replica.note(at, key, ballot, stamp, Some(note))
-            }
+            Message::Claim {
+                key,
+                ballot,
+                work,
+                left,
+            } if ballot.owner == *from => self.replica.claim(at, key, ballot, work, left),
+            Message::Note {
+                key,
+                ballot,
+                stamp,
+                note,
+            } if ballot.owner == *from => self.replica.note(at, key, ballot, stamp, Some(note)),
             Message::Renew { key, ballot, stamp } if ballot.owner == *from => {
                 self.replica.note(at, key, ballot, stamp, None)
             }
@@ -109,28 +140,62 @@
             | Message::Note { .. }
             | Message::Renew { .. }
             | Message::Release { .. } => {}
-            Message::Claimed { key, ballot, verdict, seen, record } => {
-                self.owner.claimed(at, from, key, &ballot, (verdict, seen, record))
-            }
-            Message::Noted { key, ballot, stamp, verdict, version } => {
-                self.owner.noted(at, from, key, &ballot, stamp, (verdict, version))
-            }
+            Message::Claimed {
+                key,
+                ballot,
+                verdict,
+                seen,
+                record,
+            } => self
+                .owner
+                .claimed(at, from, key, &ballot, (verdict, seen, record)),
+            Message::Noted {
+                key,
+                ballot,
+                stamp,
+                verdict,
+                version,
+            } => self
+                .owner
+                .noted(at, from, key, &ballot, stamp, (verdict, version)),
             Message::Succeed { key } => self.owner.succeed(at, key),
             Message::Changed { key } => self.owner.changed(at, key),
         }
     }
 
     fn ask(&mut self, now: Time, ask: Ask, out: &mut Acts<Self>) {
-        let at = &mut At { now, setup: &self.setup, out };
+        let at = &mut At {
+            now,
+            setup: &self.setup,
+            out,
+        };
         match ask {
-            Ask::Claim { ticket, key, work, left, again } => {
-                self.owner.join(at, ticket, key, work, left, again)
-            }
-            Ask::Intend { ticket, key, term, number, group } => {
-                self.owner.intend(at, ticket, (key, term), number, group)
-            }
-            Ask::Ended { key, term, number, end } => self.owner.ended(at, (key, term), number, end),
-            Ask::Done { ticket, key, term, answer } => self.owner.done(at, ticket, (key, term), answer),
+            Ask::Claim {
+                ticket,
+                key,
+                work,
+                left,
+                again,
+            } => self.owner.join(at, ticket, key, work, left, again),
+            Ask::Intend {
+                ticket,
+                key,
+                term,
+                number,
+                group,
+            } => self.owner.intend(at, ticket, (key, term), number, group),
+            Ask::Ended {
+                key,
+                term,
+                number,
+                end,
+            } => self.owner.ended(at, (key, term), number, end),
+            Ask::Done {
+                ticket,
+                key,
+                term,
+                answer,
+            } => self.owner.done(at, ticket, (key, term), answer),
             Ask::LetGo { key, term, over } => self.owner.let_go(at, (key, term), over),
             Ask::LetGoAll => self.owner.leave(at),
         }
@@ -144,9 +209,18 @@
     }
 
     fn tick(&mut self, now: Time, out: &mut Acts<Self>) {
-        let at = &mut At { now, setup: &self.setup, out };
+        let at = &mut At {
+            now,
+            setup: &self.setup,
+            out,
+        };
         while let Some(key) = self.replica.timers.pop(now) {
-            if self.replica.held.get(&key).is_some_and(|held| held.forget <= now) {
+            if self
+                .replica
+                .held
+                .get(&key)
+                .is_some_and(|held| held.forget <= now)
+            {
                 self.replica.forget(key);
                 continue;
             }
@@ -160,6 +234,11 @@
     }
 
     fn due(&self) -> Option<Time> {
-        self.replica.timers.next().into_iter().chain(self.owner.timers.next()).min()
+        self.replica
+            .timers
+            .next()
+            .into_iter()
+            .chain(self.owner.timers.next())
+            .min()
     }
 }
--- a/pure/takeover/src/record.rs
+++ b/pure/takeover/src/record.rs
@@ -20,9 +20,14 @@
 
     pub fn of(class: &str, key: &str) -> Key {
         let mut hasher = blake3::Hasher::new();
-        hasher.update(&(class.len() as u64).to_be_bytes()).update(class.as_bytes()).update(key.as_bytes());
+        hasher
+            .update(&(class.len() as u64).to_be_bytes())
+            .update(class.as_bytes())
+            .update(key.as_bytes());
         let hash = hasher.finalize();
-        Key(u128::from_be_bytes(hash.as_bytes()[..16].try_into().expect("16 bytes")))
+        Key(u128::from_be_bytes(
+            hash.as_bytes()[..16].try_into().expect("16 bytes"),
+        ))
     }
 }
 
@@ -38,7 +43,11 @@
 impl Ballot {
     /// Below every owner's: nothing was written under it but the request itself.
     pub fn none() -> Ballot {
-        Ballot { term: 0, owner: Peer::new(""), session: 0 }
+        Ballot {
+            term: 0,
+            owner: Peer::new(""),
+            session: 0,
+        }
     }
 }
 
@@ -59,7 +68,10 @@
 impl Work {
     pub fn bytes(&self) -> usize {
         let text = |text: &Option<Arc<str>>| text.as_ref().map_or(0, |t| t.len());
-        self.class.len() + text(&self.token) + text(&self.got) + self.body.as_ref().map_or(0, |b| b.len())
+        self.class.len()
+            + text(&self.token)
+            + text(&self.got)
+            + self.body.as_ref().map_or(0, |b| b.len())
     }
 }
 
@@ -138,14 +150,24 @@
 impl Record {
     /// As nobody has written it yet.
     pub fn new(work: Arc<Work>, left: Time) -> Record {
-        Record { ballot: Ballot::none(), version: 0, work, left, attempts: Vec::new(), answer: None }
+        Record {
+            ballot: Ballot::none(),
+            version: 0,
+            work,
+            left,
+            attempts: Vec::new(),
+            answer: None,
+        }
     }
 
     /// So much later.
     pub fn aged(&self, by: Time) -> Record {
         let mut record = self.clone();
         record.left = record.left.saturating_sub(by);
-        record.attempts.iter_mut().for_each(|a| a.age = a.age.saturating_add(by));
+        record
+            .attempts
+            .iter_mut()
+            .for_each(|a| a.age = a.age.saturating_add(by));
         record
     }
 
@@ -158,15 +180,26 @@
     pub fn elder(&mut self, other: &[Attempt]) {
         for one in &mut self.attempts {
             let same = |o: &&Attempt| o.term == one.term && o.number == one.number;
-            other.iter().filter(same).for_each(|o| one.age = one.age.max(o.age));
+            other
+                .iter()
+                .filter(same)
+                .for_each(|o| one.age = one.age.max(o.age));
         }
     }
 
     pub fn proof(&self, repeat: Repeat) -> Proof {
-        let mut ran = self.attempts.iter().filter(|a| a.ended != Some(End::NeverRan));
-        let Some(first) = ran.next() else { return Proof::NeverRan };
+        let mut ran = self
+            .attempts
+            .iter()
+            .filter(|a| a.ended != Some(End::NeverRan));
+        let Some(first) = ran.next() else {
+            return Proof::NeverRan;
+        };
         match repeat {
-            Repeat::Safe => Proof::Again { within: None, left: Time::MAX },
+            Repeat::Safe => Proof::Again {
+                within: None,
+                left: Time::MAX,
+            },
             Repeat::SingleShot => Proof::Over,
             Repeat::Keyed { window } => {
                 // In two groups no one remembers both.
@@ -175,7 +208,10 @@
                 });
                 match torn || age >= window {
                     true => Proof::Over,
-                    false => Proof::Again { within: Some(first.group), left: window - age },
+                    false => Proof::Again {
+                        within: Some(first.group),
+                        left: window - age,
+                    },
                 }
             }
         }
--- a/pure/takeover/src/replica.rs
+++ b/pure/takeover/src/replica.rs
@@ -35,11 +35,15 @@
 
 impl Held {
     pub fn done(&self) -> bool {
-        self.record.as_ref().is_some_and(|record| record.answer.is_some())
+        self.record
+            .as_ref()
+            .is_some_and(|record| record.answer.is_some())
     }
 
     pub fn shown(&self, now: Time) -> Option<Record> {
-        self.record.as_ref().map(|record| record.aged(now - self.at))
+        self.record
+            .as_ref()
+            .map(|record| record.aged(now - self.at))
     }
 
     pub fn bytes(&self) -> usize {
@@ -65,7 +69,13 @@
             true => Memory::whole(now),
             false => Memory::fresh(now, &[setup.window()], setup.drift),
         };
-        Replica { memory, held: BTreeMap::new(), timers: Timers::default(), bytes: 0, changed: None }
+        Replica {
+            memory,
+            held: BTreeMap::new(),
+            timers: Timers::default(),
+            bytes: 0,
+            changed: None,
+        }
     }
 
     pub fn votes(&self, at: &At) -> bool {
@@ -73,13 +83,18 @@
     }
 
     pub fn arm(&mut self, key: Key) {
-        let due = self.held.get(&key).map(|held| held.look.map_or(held.forget, |at| at.min(held.forget)));
+        let due = self
+            .held
+            .get(&key)
+            .map(|held| held.look.map_or(held.forget, |at| at.min(held.forget)));
         self.timers.set(key, due);
     }
 
     /// Nothing that is written of a key is forgotten while a repeat of it may be answered from it.
     pub fn forget_at(at: &At, class: Option<&str>, left: Time) -> Time {
-        let keep = class.and_then(|class| at.setup.rules.get(class)).map_or(0, |rule| rule.keep);
+        let keep = class
+            .and_then(|class| at.setup.rules.get(class))
+            .map_or(0, |rule| rule.keep);
         let longest = left.min(at.setup.longest) + keep + at.setup.lease;
         at.now + at.setup.drift.stretched(longest)
     }
@@ -90,18 +105,40 @@
             false => (Verdict::NoVote, 0),
         };
         let to = ballot.owner.clone();
-        at.send(&to, Message::Noted { key, ballot, stamp, verdict, version });
+        at.send(
+            &to,
+            Message::Noted {
+                key,
+                ballot,
+                stamp,
+                verdict,
+                version,
+            },
+        );
         self.arm(key);
     }
 
     /// A note, or a renewal without one.
-    fn take(&mut self, at: &mut At, key: Key, ballot: &Ballot, note: Option<Note>) -> (Verdict, u32) {
-        let Some(held) = self.held.get_mut(&key) else { return (Verdict::Unknown, 0) };
-        let old = *ballot < held.promised && !(note.is_some() && at.setup.planted(Fault::OldNoteTaken));
+    fn take(
+        &mut self,
+        at: &mut At,
+        key: Key,
+        ballot: &Ballot,
+        note: Option<Note>,
+    ) -> (Verdict, u32) {
+        let Some(held) = self.held.get_mut(&key) else {
+            return (Verdict::Unknown, 0);
+        };
+        let old =
+            *ballot < held.promised && !(note.is_some() && at.setup.planted(Fault::OldNoteTaken));
         if old {
             return (Verdict::Higher, 0);
         }
-        let has = held.record.as_ref().filter(|r| r.ballot == *ballot).map_or(0, |r| r.version);
+        let has = held
+            .record
+            .as_ref()
+            .filter(|r| r.ballot == *ballot)
+            .map_or(0, |r| r.version);
         let Some(note) = note else {
             if *ballot != held.promised || held.let_go {
                 return (Verdict::Higher, has);
@@ -114,11 +151,17 @@
             // Two others granted it: nobody else's lease holds.
             held.promised = ballot.clone();
             (held.let_go, held.over) = (false, false);
-            self.changed.iter_mut().for_each(|changed| _ = changed.insert(key));
+            self.changed
+                .iter_mut()
+                .for_each(|changed| _ = changed.insert(key));
         }
         if note.version > has {
-            let work = note.work.or_else(|| held.record.as_ref().map(|r| r.work.clone()));
-            let Some(work) = work else { return (Verdict::Unknown, has) };
+            let work = note
+                .work
+                .or_else(|| held.record.as_ref().map(|r| r.work.clone()));
+            let Some(work) = work else {
+                return (Verdict::Unknown, has);
+            };
             let mut new = Record {
                 ballot: ballot.clone(),
                 version: note.version,
@@ -127,21 +170,30 @@
                 attempts: note.attempts,
                 answer: note.answer,
             };
-            held.shown(at.now).iter().for_each(|former| new.elder(&former.attempts));
+            held.shown(at.now)
+                .iter()
+                .for_each(|former| new.elder(&former.attempts));
             let bytes = self.bytes - held.bytes() + new.bytes();
             if bytes > at.setup.bytes && new.bytes() > held.bytes() {
                 return (Verdict::Full, has);
             }
             self.bytes = bytes;
-            held.forget = held.forget.max(Replica::forget_at(at, Some(&new.work.class), new.left));
+            held.forget = held
+                .forget
+                .max(Replica::forget_at(at, Some(&new.work.class), new.left));
             (held.record, held.at) = (Some(new), at.now);
-            self.changed.iter_mut().for_each(|changed| _ = changed.insert(key));
+            self.changed
+                .iter_mut()
+                .for_each(|changed| _ = changed.insert(key));
         }
         let version = has.max(note.version);
         if held.done() {
             held.look = None;
             for watcher in held.watchers.drain(..) {
-                at.out.push(Do::Send { to: watcher, message: Message::Changed { key } });
+                at.out.push(Do::Send {
+                    to: watcher,
+                    message: Message::Changed { key },
+                });
             }
         } else if !held.let_go {
             held.lease = at.now + at.setup.lease;
@@ -151,7 +203,11 @@
     }
 
     pub fn release(&mut self, at: &mut At, key: Key, ballot: &Ballot, over: bool) -> bool {
-        let Some(held) = self.held.get_mut(&key).filter(|h| h.promised == *ballot && !h.let_go) else {
+        let Some(held) = self
+            .held
+            .get_mut(&key)
+            .filter(|h| h.promised == *ballot && !h.let_go)
+        else {
             return false;
         };
         (held.let_go, held.over, held.lease) = (true, over, at.now);
--- a/pure/takeover/tests/bounds.rs
+++ b/pure/takeover/tests/bounds.rs
@@ -17,9 +17,21 @@
 
 impl Alone {
     fn new(change: impl Fn(&mut Setup)) -> Alone {
-        let mut setup = setup(&Plan { processes: 1, ..Plan::new(1) }, 0, 1, true);
+        let mut setup = setup(
+            &Plan {
+                processes: 1,
+                ..Plan::new(1)
+            },
+            0,
+            1,
+            true,
+        );
         change(&mut setup);
-        Alone { part: Takeover::new(0, setup), now: 0, told: Vec::new() }
+        Alone {
+            part: Takeover::new(0, setup),
+            now: 0,
+            told: Vec::new(),
+        }
     }
 
     /// All three seats are this one process's.
@@ -57,18 +69,37 @@
 fn claim(ticket: u64, key: u128, left: u64, body: usize) -> Ask {
     let body = Some(vec![7; body].into());
     let (class, token, got) = (Arc::from("keyed"), None, None);
-    let work = Arc::new(Work { class, object: 1, part: 0, group: 0, size: 1, token, got, body });
-    Ask::Claim { ticket, key: Key(key), work, left, again: false }
+    let work = Arc::new(Work {
+        class,
+        object: 1,
+        part: 0,
+        group: 0,
+        size: 1,
+        token,
+        got,
+        body,
+    });
+    Ask::Claim {
+        ticket,
+        key: Key(key),
+        work,
+        left,
+        again: false,
+    }
 }
 
 #[test]
 fn a_flood_fills_no_table_beyond_its_bound_and_all_is_forgotten() {
     for bytes in [0, 100] {
-        let mut alone = Alone::new(|setup| (setup.records, setup.works, setup.bytes) = (50, 80, 4_000));
+        let mut alone =
+            Alone::new(|setup| (setup.records, setup.works, setup.bytes) = (50, 80, 4_000));
         for n in 0..10_000u64 {
             alone.ask(claim(n, n.into(), 1_000 * MS, bytes));
             let (records, works) = alone.part.counts();
-            assert!(records <= if bytes > 0 { 38 } else { 50 } && works <= 80, "{records} {works}");
+            assert!(
+                records <= if bytes > 0 { 38 } else { 50 } && works <= 80,
+                "{records} {works}"
+            );
         }
         alone.wait(60_000 * MS);
         assert_eq!(alone.part.counts(), (0, 0));
--- a/pure/takeover/tests/common/acts.rs
+++ b/pure/takeover/tests/common/acts.rs
@@ -12,20 +12,34 @@
             Act::Ask { key, at } => self.new_client(key, place(at)),
             Act::Kill { who, restart } => self.kill(place(who), restart),
             Act::Pause { who, span } => self.pause(place(who), span),
-            Act::Cut { from, to, both, span } => {
+            Act::Cut {
+                from,
+                to,
+                both,
+                span,
+            } => {
                 let (from, to) = (place(from), place(to));
-                let links = [(from, to), (to, from)].into_iter().take(1 + both as usize).collect();
+                let links = [(from, to), (to, from)]
+                    .into_iter()
+                    .take(1 + both as usize)
+                    .collect();
                 self.cut(links, span);
             }
             Act::Alone { who, span } => {
                 let who = place(who);
                 let others = (0..self.plan.processes).filter(|other| *other != who);
-                self.cut(others.flat_map(|other| [(who, other), (other, who)]).collect(), span);
+                self.cut(
+                    others
+                        .flat_map(|other| [(who, other), (other, who)])
+                        .collect(),
+                    span,
+                );
             }
             Act::Leave { who } => {
                 let who = place(who);
                 let keys: Vec<u8> = self.processes[who].hosts.keys().copied().collect();
-                self.lost_at.extend(keys.into_iter().map(|key| (key, self.now)));
+                self.lost_at
+                    .extend(keys.into_iter().map(|key| (key, self.now)));
                 self.ask(who, Ask::LetGoAll);
             }
         }
@@ -37,7 +51,8 @@
         (process.born, process.tick) = (self.now, 0);
         let session = (at as u64) << 32 | process.life;
         let mut part = Takeover::new(5_000, setup(&self.plan, at, session, memory));
-        (0..self.plan.processes).for_each(|peer| part.peer(5_000, &name(peer), true, &mut Vec::new()));
+        (0..self.plan.processes)
+            .for_each(|peer| part.peer(5_000, &name(peer), true, &mut Vec::new()));
         process.part = Some(part);
     }
 
@@ -50,7 +65,8 @@
         process.waiting.clear();
         process.tickets.clear();
         let lost: Vec<u8> = process.hosts.drain().map(|(key, _)| key).collect();
-        self.lost_at.extend(lost.into_iter().map(|key| (key, self.now)));
+        self.lost_at
+            .extend(lost.into_iter().map(|key| (key, self.now)));
         if restart > 0 {
             self.later(restart, Event::Start { at: who });
         }
@@ -64,7 +80,9 @@
     }
 
     fn cut(&mut self, links: Vec<(usize, usize)>, span: u64) {
-        links.iter().for_each(|link| *self.cut.entry(*link).or_default() += 1);
+        links
+            .iter()
+            .for_each(|link| *self.cut.entry(*link).or_default() += 1);
         self.later(span, Event::Heal { links });
     }
 }
--- a/pure/takeover/tests/common/archive.rs
+++ b/pure/takeover/tests/common/archive.rs
@@ -24,7 +24,14 @@
 }
 
 impl Archive {
-    pub fn arrive(&mut self, draw: &mut Draw, now: u64, key: u8, group: u32, term: Option<u64>) -> Came {
+    pub fn arrive(
+        &mut self,
+        draw: &mut Draw,
+        now: u64,
+        key: u8,
+        group: u32,
+        term: Option<u64>,
+    ) -> Came {
         if draw.in_thousand(100) {
             return Came::NeverRan;
         }
@@ -35,7 +42,8 @@
             }
             kept.term = term;
         }
-        let drops = super::host::class(key) == "keyed" && now < kept.first + WINDOW && group == kept.group;
+        let drops =
+            super::host::class(key) == "keyed" && now < kept.first + WINDOW && group == kept.group;
         if kept.runs > 0 && (drops || super::host::class(key) == "safe") {
             return Came::Ran(1);
         }
@@ -47,6 +55,9 @@
     }
 
     pub fn ran(&self) -> (usize, usize) {
-        (self.keys.values().filter(|k| k.runs > 0).count(), self.keys.values().filter(|k| k.runs > 1).count())
+        (
+            self.keys.values().filter(|k| k.runs > 0).count(),
+            self.keys.values().filter(|k| k.runs > 1).count(),
+        )
     }
 }
--- a/pure/takeover/tests/common/host.rs
+++ b/pure/takeover/tests/common/host.rs
@@ -12,7 +12,16 @@
 
 pub fn work(key: u8) -> Arc<Work> {
     let (class, token) = (class(key).into(), Some(key.to_string().into()));
-    Arc::new(Work { class, object: 1, part: 0, group: 0, size: 1_000, token, got: None, body: None })
+    Arc::new(Work {
+        class,
+        object: 1,
+        part: 0,
+        group: 0,
+        size: 1_000,
+        token,
+        got: None,
+        body: None,
+    })
 }
 
 /// A request's thread at the process that owns the work.
@@ -29,9 +38,17 @@
 
 #[derive(Clone, Copy, Debug)]
 pub enum Purpose {
-    Claim { client: usize },
-    Intend { key: u8 },
-    Done { key: u8, client: Option<usize>, answer: Option<u8> },
+    Claim {
+        client: usize,
+    },
+    Intend {
+        key: u8,
+    },
+    Done {
+        key: u8,
+        client: Option<usize>,
+        answer: Option<u8>,
+    },
 }
 
 pub struct Client {
@@ -55,7 +72,16 @@
             return self.later(20 * MS, Event::Elsewhere { client, turn, at });
         }
         let ticket = self.ticket(at, Purpose::Claim { client });
-        self.ask(at, Ask::Claim { ticket, key: Key(key.into()), work: work(key), left, again });
+        self.ask(
+            at,
+            Ask::Claim {
+                ticket,
+                key: Key(key.into()),
+                work: work(key),
+                left,
+                again,
+            },
+        );
     }
 
     fn answer(&mut self, client: usize, answer: Answer) {
@@ -66,8 +92,19 @@
         let by = |world: &mut World, ticket: u64| world.purpose(at, ticket);
         match told {
             Told::Joined { .. } => {}
-            Told::TakeOver { key, record, proof, lease } => self.host(at, None, key, record, proof, lease),
-            Told::Mine { ticket, key, record, proof, lease } => {
+            Told::TakeOver {
+                key,
+                record,
+                proof,
+                lease,
+            } => self.host(at, None, key, record, proof, lease),
+            Told::Mine {
+                ticket,
+                key,
+                record,
+                proof,
+                lease,
+            } => {
                 if let Some(Purpose::Claim { client }) = by(self, ticket) {
                     self.host(at, Some(client), key, record, proof, lease);
                 }
@@ -77,7 +114,9 @@
                     self.answer(client, answer);
                 }
             }
-            Told::Uncovered { ticket } | Told::Failed { ticket } => drop(self.elsewhere(at, ticket)),
+            Told::Uncovered { ticket } | Told::Failed { ticket } => {
+                drop(self.elsewhere(at, ticket))
+            }
             Told::Refused { ticket } => {
                 if let Some(Purpose::Intend { key }) = self.elsewhere(at, ticket) {
                     self.finish(at, key, None);
@@ -89,16 +128,24 @@
                     let life = self.processes[at].life;
                     self.later(gap, Event::Send { at, life, key });
                 }
-                Some(Purpose::Done { key, client, answer }) => {
+                Some(Purpose::Done {
+                    key,
+                    client,
+                    answer,
+                }) => {
                     self.processes[at].hosts.remove(&key);
-                    let answer = answer.map_or(Answer::Failed, |run| Answer::Served(Arc::from([key, run])));
+                    let answer =
+                        answer.map_or(Answer::Failed, |run| Answer::Served(Arc::from([key, run])));
                     self.finals.push((key, answer.clone()));
-                    client.iter().for_each(|client| self.answer(*client, answer.clone()));
+                    client
+                        .iter()
+                        .for_each(|client| self.answer(*client, answer.clone()));
                 }
                 _ => {}
             },
             Told::Lost { ticket } => {
-                if let Some(Purpose::Intend { key } | Purpose::Done { key, .. }) = by(self, ticket) {
+                if let Some(Purpose::Intend { key } | Purpose::Done { key, .. }) = by(self, ticket)
+                {
                     let host = self.processes[at].hosts.remove(&key);
                     if let Some(client) = host.and_then(|host| host.client) {
                         self.client_asks(client, at, true);
@@ -132,38 +179,82 @@
         self.verdict.one_term_twice += former.is_some_and(|former| former != (at, life)) as usize;
         self.verdict.took_over += (record.ballot.term > 1) as usize;
         let (group, may_have_run) = match proof {
-            Proof::Again { within: Some(group), .. } => (group, true),
+            Proof::Again {
+                within: Some(group),
+                ..
+            } => (group, true),
             Proof::Again { .. } => (self.draw.to(2) as u32, true),
             _ => (self.draw.to(2) as u32, false),
         };
         let number = record.attempts.iter().filter(|a| a.term == term).count() as u8;
-        let host = Host { client, lease, term, group, number, out: false, may_have_run };
+        let host = Host {
+            client,
+            lease,
+            term,
+            group,
+            number,
+            out: false,
+            may_have_run,
+        };
         self.processes[at].hosts.insert(key, host);
         self.intend(at, key);
     }
 
     pub fn intend(&mut self, at: usize, key: u8) {
-        let Some(host) = self.processes[at].hosts.get_mut(&key) else { return };
+        let Some(host) = self.processes[at].hosts.get_mut(&key) else {
+            return;
+        };
         host.number += 1;
         let (number, group, term) = (host.number, host.group, host.term);
         let ticket = self.ticket(at, Purpose::Intend { key });
-        self.ask(at, Ask::Intend { ticket, key: Key(key.into()), term, number, group });
+        self.ask(
+            at,
+            Ask::Intend {
+                ticket,
+                key: Key(key.into()),
+                term,
+                number,
+                group,
+            },
+        );
     }
 
     /// Right before the bytes leave.
     pub fn send(&mut self, at: usize, key: u8) {
         let local = self.local(at);
-        let Some(host) = self.processes[at].hosts.get_mut(&key) else { return };
+        let Some(host) = self.processes[at].hosts.get_mut(&key) else {
+            return;
+        };
         let (number, group, term, first) = (host.number, host.group, host.term, !host.may_have_run);
         if !host.lease.may_send(local) {
-            self.ask(at, Ask::Ended { key: Key(key.into()), term, number, end: End::NeverRan });
+            self.ask(
+                at,
+                Ask::Ended {
+                    key: Key(key.into()),
+                    term,
+                    number,
+                    end: End::NeverRan,
+                },
+            );
             if number < 8 {
                 let life = self.processes[at].life;
                 return self.later(20 * MS, Event::Again { at, life, key });
             }
-            let client = self.processes[at].hosts.remove(&key).and_then(|host| host.client);
-            self.ask(at, Ask::LetGo { key: Key(key.into()), term, over: false });
-            return client.iter().for_each(|client| self.client_asks(*client, at, true));
+            let client = self.processes[at]
+                .hosts
+                .remove(&key)
+                .and_then(|host| host.client);
+            self.ask(
+                at,
+                Ask::LetGo {
+                    key: Key(key.into()),
+                    term,
+                    over: false,
+                },
+            );
+            return client
+                .iter()
+                .for_each(|client| self.client_asks(*client, at, true));
         }
         host.out = true;
         for other in (0..self.processes.len()).filter(|other| *other != at) {
@@ -178,17 +269,41 @@
         }
         let life = self.processes[at].life;
         // A first attempt that is held up in the middle of its send comes too late for its term, and is refused.
-        let held_up =
-            if self.plan.terms && first && self.draw.in_thousand(50) { self.draw.to(3_000 * MS) } else { 0 };
+        let held_up = if self.plan.terms && first && self.draw.in_thousand(50) {
+            self.draw.to(3_000 * MS)
+        } else {
+            0
+        };
         let way = self.draw.to(20 * MS) + held_up;
         if !self.draw.in_thousand(30) {
-            self.later(way, Event::Arrive { at, life, key, group, term, number });
+            self.later(
+                way,
+                Event::Arrive {
+                    at,
+                    life,
+                    key,
+                    group,
+                    term,
+                    number,
+                },
+            );
         }
-        self.later(250 * MS, Event::TimeOut { at, life, key, number });
+        self.later(
+            250 * MS,
+            Event::TimeOut {
+                at,
+                life,
+                key,
+                number,
+            },
+        );
     }
 
     pub fn ended(&mut self, at: usize, key: u8, number: u8, came: Option<Came>) {
-        let Some(host) = self.processes[at].hosts.get_mut(&key).filter(|h| h.out && h.number == number)
+        let Some(host) = self.processes[at]
+            .hosts
+            .get_mut(&key)
+            .filter(|h| h.out && h.number == number)
         else {
             return;
         };
@@ -200,13 +315,29 @@
                 if !host.may_have_run {
                     host.group = (host.group + 1) % 3;
                 }
-                self.ask(at, Ask::Ended { key: key_, term, number, end: End::NeverRan });
+                self.ask(
+                    at,
+                    Ask::Ended {
+                        key: key_,
+                        term,
+                        number,
+                        end: End::NeverRan,
+                    },
+                );
                 self.intend(at, key);
             }
             None => {
                 host.may_have_run = true;
                 let again = class(key) != "once" && number < 4;
-                self.ask(at, Ask::Ended { key: key_, term, number, end: End::MayHaveRun });
+                self.ask(
+                    at,
+                    Ask::Ended {
+                        key: key_,
+                        term,
+                        number,
+                        end: End::MayHaveRun,
+                    },
+                );
                 match again {
                     true => self.intend(at, key),
                     false => self.finish(at, key, None),
@@ -216,15 +347,37 @@
     }
 
     fn finish(&mut self, at: usize, key: u8, run: Option<u8>) {
-        let Some(host) = self.processes[at].hosts.get(&key) else { return };
+        let Some(host) = self.processes[at].hosts.get(&key) else {
+            return;
+        };
         let (client, term) = (host.client, host.term);
-        let ticket = self.ticket(at, Purpose::Done { key, client, answer: run });
+        let ticket = self.ticket(
+            at,
+            Purpose::Done {
+                key,
+                client,
+                answer: run,
+            },
+        );
         let answer = run.map_or(Answer::Failed, |run| Answer::Served(Arc::from([key, run])));
-        self.ask(at, Ask::Done { ticket, key: Key(key.into()), term, answer });
+        self.ask(
+            at,
+            Ask::Done {
+                ticket,
+                key: Key(key.into()),
+                term,
+                answer,
+            },
+        );
     }
 
     pub fn new_client(&mut self, key: u8, at: usize) {
-        self.clients.push(Client { key, until: self.now + LONGEST, answer: None, turn: 0 });
+        self.clients.push(Client {
+            key,
+            until: self.now + LONGEST,
+            answer: None,
+            turn: 0,
+        });
         self.client_asks(self.clients.len() - 1, at, false);
     }
 }
--- a/pure/takeover/tests/common/mod.rs
+++ b/pure/takeover/tests/common/mod.rs
@@ -110,7 +110,12 @@
 
 impl Verdict {
     pub fn sound(&self) -> bool {
-        let breaches = [self.ran_twice, self.two_answers, self.two_leases, self.one_term_twice];
+        let breaches = [
+            self.ran_twice,
+            self.two_answers,
+            self.two_leases,
+            self.one_term_twice,
+        ];
         breaches == [0; 4] && self.tickets_unanswered == 0 && self.tickets_twice == 0
     }
 }
@@ -120,19 +125,30 @@
 }
 
 pub fn rule(repeat: Repeat) -> Rule {
-    Rule { uncovered: Uncovered::Refuse, unclaimed: Unclaimed::Finish, keep: LONGEST, repeat }
+    Rule {
+        uncovered: Uncovered::Refuse,
+        unclaimed: Unclaimed::Finish,
+        keep: LONGEST,
+        repeat,
+    }
 }
 
 pub fn setup(plan: &Plan, index: usize, session: u64, memory: bool) -> Setup {
     let mut once = rule(Repeat::SingleShot);
     once.unclaimed = Unclaimed::LetGo;
-    let rules =
-        [("keyed", rule(Repeat::Keyed { window: OWN_WINDOW })), ("once", once), ("safe", rule(Repeat::Safe))];
+    let rules = [
+        ("keyed", rule(Repeat::Keyed { window: OWN_WINDOW })),
+        ("once", once),
+        ("safe", rule(Repeat::Safe)),
+    ];
     Setup {
         name: name(index),
         session,
         seats: Seats::new((0..plan.processes.max(3)).map(name)).unwrap(),
-        rules: rules.into_iter().map(|(class, rule)| (Arc::from(class), rule)).collect(),
+        rules: rules
+            .into_iter()
+            .map(|(class, rule)| (Arc::from(class), rule))
+            .collect(),
         lease: 500 * MS,
         drift: Drift::percent(1.0).unwrap(),
         longest: LONGEST,
--- a/pure/takeover/tests/common/plans.rs
+++ b/pure/takeover/tests/common/plans.rs
@@ -19,8 +19,18 @@
 pub fn plan() -> impl Strategy<Value = Plan> {
     let acts = prop::collection::vec((0..3_000 * MS, act()), 1..40);
     let noise = prop_oneof![Just((0, 0, 2 * MS)), (0..200u64, 0..200u64, 1..80 * MS)];
-    (any::<u64>(), 3..7usize, acts, noise, any::<bool>()).prop_map(|(seed, processes, acts, noise, terms)| {
-        let (lost, twice, delay) = noise;
-        Plan { processes, acts, lost, twice, delay, terms, ..Plan::new(seed) }
-    })
+    (any::<u64>(), 3..7usize, acts, noise, any::<bool>()).prop_map(
+        |(seed, processes, acts, noise, terms)| {
+            let (lost, twice, delay) = noise;
+            Plan {
+                processes,
+                acts,
+                lost,
+                twice,
+                delay,
+                terms,
+                ..Plan::new(seed)
+            }
+        },
+    )
 }
--- a/pure/takeover/tests/common/world.rs
+++ b/pure/takeover/tests/common/world.rs
@@ -11,18 +11,66 @@
 #[derive(Debug)]
 pub enum Event {
     Act(Act),
-    Heard { to: usize, from: usize, life: u64, message: Box<Message> },
-    Tick { at: usize, life: u64 },
-    Wake { at: usize },
-    Start { at: usize },
-    Heal { links: Vec<(usize, usize)> },
-    Patience { client: usize, turn: u32, at: usize },
-    Elsewhere { client: usize, turn: u32, at: usize },
-    Send { at: usize, life: u64, key: u8 },
-    Again { at: usize, life: u64, key: u8 },
-    Arrive { at: usize, life: u64, key: u8, group: u32, term: u64, number: u8 },
-    Came { at: usize, life: u64, key: u8, number: u8, came: Came },
-    TimeOut { at: usize, life: u64, key: u8, number: u8 },
+    Heard {
+        to: usize,
+        from: usize,
+        life: u64,
+        message: Box<Message>,
+    },
+    Tick {
+        at: usize,
+        life: u64,
+    },
+    Wake {
+        at: usize,
+    },
+    Start {
+        at: usize,
+    },
+    Heal {
+        links: Vec<(usize, usize)>,
+    },
+    Patience {
+        client: usize,
+        turn: u32,
+        at: usize,
+    },
+    Elsewhere {
+        client: usize,
+        turn: u32,
+        at: usize,
+    },
+    Send {
+        at: usize,
+        life: u64,
+        key: u8,
+    },
+    Again {
+        at: usize,
+        life: u64,
+        key: u8,
+    },
+    Arrive {
+        at: usize,
+        life: u64,
+        key: u8,
+        group: u32,
+        term: u64,
+        number: u8,
+    },
+    Came {
+        at: usize,
+        life: u64,
+        key: u8,
+        number: u8,
+        came: Came,
+    },
+    TimeOut {
+        at: usize,
+        life: u64,
+        key: u8,
+        number: u8,
+    },
 }
 
 pub struct Process {
@@ -92,7 +140,12 @@
             });
             world.start(at, !world.plan.fresh);
         }
-        world.plan.acts.clone().into_iter().for_each(|(at, act)| world.later(at, Event::Act(act)));
+        world
+            .plan
+            .acts
+            .clone()
+            .into_iter()
+            .for_each(|(at, act)| world.later(at, Event::Act(act)));
         let last = world.plan.acts.iter().map(|a| a.0).max().unwrap_or(0);
         let end = world.now + last + 3 * LONGEST;
         while let Some(&Reverse((at, serial))) = world.queue.peek().filter(|next| next.0 .0 < end) {
@@ -106,7 +159,10 @@
 
     fn judge(mut self) -> Verdict {
         let mut answers: HashMap<u8, HashSet<Answer>> = HashMap::new();
-        let given = self.clients.iter().filter_map(|c| c.answer.clone().map(|answer| (c.key, answer)));
+        let given = self
+            .clients
+            .iter()
+            .filter_map(|c| c.answer.clone().map(|answer| (c.key, answer)));
         for (key, answer) in given.chain(self.finals.drain(..)) {
             answers.entry(key).or_default().insert(answer);
         }
@@ -114,10 +170,19 @@
         verdict.two_answers = answers.values().filter(|all| all.len() > 1).count();
         (verdict.ran, verdict.ran_twice) = self.archive.ran();
         verdict.answered = self.clients.iter().filter(|c| c.answer.is_some()).count();
-        verdict.failed = self.clients.iter().filter(|c| c.answer == Some(Answer::Failed)).count();
+        verdict.failed = self
+            .clients
+            .iter()
+            .filter(|c| c.answer == Some(Answer::Failed))
+            .count();
         verdict.unanswered = self.clients.len() - verdict.answered;
         verdict.tickets_unanswered = self.processes.iter().map(|p| p.tickets.len()).sum();
-        verdict.left = self.processes.iter().filter_map(|p| p.part.as_ref()).map(|p| p.counts().1).sum();
+        verdict.left = self
+            .processes
+            .iter()
+            .filter_map(|p| p.part.as_ref())
+            .map(|p| p.counts().1)
+            .sum();
         self.verdict
     }
 
@@ -149,14 +214,22 @@
         self.drive(at, |part, now, out| part.ask(now, ask, out));
     }
 
-    fn drive(&mut self, at: usize, what: impl FnOnce(&mut Takeover, u64, &mut Vec<Do<Message, Told>>)) {
+    fn drive(
+        &mut self,
+        at: usize,
+        what: impl FnOnce(&mut Takeover, u64, &mut Vec<Do<Message, Told>>),
+    ) {
         let (now, life, mut out) = (self.local(at), self.processes[at].life, Vec::new());
-        let Some(part) = &mut self.processes[at].part else { return };
+        let Some(part) = &mut self.processes[at].part else {
+            return;
+        };
         what(part, now, &mut out);
         let due = part.due();
         for wish in out {
             match wish {
-                Do::Send { to, message } => self.send_message(at, to.as_str()[1..].parse().unwrap(), message),
+                Do::Send { to, message } => {
+                    self.send_message(at, to.as_str()[1..].parse().unwrap(), message)
+                }
                 Do::Tell(told) => self.told(at, told),
             }
         }
@@ -180,22 +253,46 @@
                 continue;
             }
             // One in fifty comes very late, also after what was sent later.
-            let late = if self.draw.in_thousand(20 * (lost > 0) as u64) { 900 * MS } else { 0 };
-            let most = if from == to { 0 } else { self.plan.delay + late };
+            let late = if self.draw.in_thousand(20 * (lost > 0) as u64) {
+                900 * MS
+            } else {
+                0
+            };
+            let most = if from == to {
+                0
+            } else {
+                self.plan.delay + late
+            };
             let (after, life) = (self.draw.to(most), self.processes[to].life);
-            self.later(after, Event::Heard { to, from, life, message: Box::new(message.clone()) });
+            self.later(
+                after,
+                Event::Heard {
+                    to,
+                    from,
+                    life,
+                    message: Box::new(message.clone()),
+                },
+            );
         }
     }
 
     fn take(&mut self, event: Event) {
         let at = match &event {
-            Event::Heard { to: at, .. } | Event::Tick { at, .. } | Event::Send { at, .. } => Some(*at),
-            Event::Again { at, .. } | Event::Came { at, .. } | Event::TimeOut { at, .. } => Some(*at),
+            Event::Heard { to: at, .. } | Event::Tick { at, .. } | Event::Send { at, .. } => {
+                Some(*at)
+            }
+            Event::Again { at, .. } | Event::Came { at, .. } | Event::TimeOut { at, .. } => {
+                Some(*at)
+            }
             _ => None,
         };
         let life = match &event {
-            Event::Heard { life, .. } | Event::Tick { life, .. } | Event::Send { life, .. } => *life,
-            Event::Again { life, .. } | Event::Came { life, .. } | Event::TimeOut { life, .. } => *life,
+            Event::Heard { life, .. } | Event::Tick { life, .. } | Event::Send { life, .. } => {
+                *life
+            }
+            Event::Again { life, .. } | Event::Came { life, .. } | Event::TimeOut { life, .. } => {
+                *life
+            }
             _ => 0,
         };
         if let Some(process) = at.map(|at| &mut self.processes[at]) {
@@ -208,9 +305,11 @@
         }
         match event {
             Event::Act(act) => self.act(act),
-            Event::Heard { to, from, message, .. } => {
-                self.drive(to, |part, now, out| part.heard(now, &name(from), *message, out))
-            }
+            Event::Heard {
+                to, from, message, ..
+            } => self.drive(to, |part, now, out| {
+                part.heard(now, &name(from), *message, out)
+            }),
             Event::Tick { at, .. } => {
                 self.processes[at].tick = 0;
                 self.drive(at, |part, now, out| {
@@ -225,7 +324,9 @@
                 waiting.into_iter().for_each(|event| self.take(event));
             }
             Event::Start { at } => self.start(at, false),
-            Event::Heal { links } => links.iter().for_each(|link| *self.cut.get_mut(link).unwrap() -= 1),
+            Event::Heal { links } => links
+                .iter()
+                .for_each(|link| *self.cut.get_mut(link).unwrap() -= 1),
             Event::Patience { client, turn, at } | Event::Elsewhere { client, turn, at } => {
                 if self.clients[client].turn == turn {
                     let next = (at + 1 + self.draw.to(1) as usize) % self.processes.len();
@@ -234,16 +335,42 @@
             }
             Event::Send { at, key, .. } => self.send(at, key),
             Event::Again { at, key, .. } => self.intend(at, key),
-            Event::Arrive { at, life, key, group, term, number } => {
+            Event::Arrive {
+                at,
+                life,
+                key,
+                group,
+                term,
+                number,
+            } => {
                 let term = self.plan.terms.then_some(term << 8 | number as u64);
-                let came = self.archive.arrive(&mut self.draw, self.now, key, group, term);
+                let came = self
+                    .archive
+                    .arrive(&mut self.draw, self.now, key, group, term);
                 let after = self.draw.to(40 * MS);
                 if !self.draw.in_thousand(30) {
-                    self.later(after, Event::Came { at, life, key, number, came });
+                    self.later(
+                        after,
+                        Event::Came {
+                            at,
+                            life,
+                            key,
+                            number,
+                            came,
+                        },
+                    );
                 }
             }
-            Event::Came { at, key, number, came, .. } => self.ended(at, key, number, Some(came)),
-            Event::TimeOut { at, key, number, .. } => self.ended(at, key, number, None),
+            Event::Came {
+                at,
+                key,
+                number,
+                came,
+                ..
+            } => self.ended(at, key, number, Some(came)),
+            Event::TimeOut {
+                at, key, number, ..
+            } => self.ended(at, key, number, None),
         }
     }
 }
--- a/pure/takeover/tests/kept.rs
+++ b/pure/takeover/tests/kept.rs
@@ -9,20 +9,33 @@
 use std::sync::Arc;
 
 const KEY: Key = Key(7);
-const AGAIN: Repeat = Repeat::Keyed { window: common::OWN_WINDOW };
+const AGAIN: Repeat = Repeat::Keyed {
+    window: common::OWN_WINDOW,
+};
 
 fn seat(kept: BTreeMap<Key, Kept>, speaks_in: u64) -> Takeover {
-    Takeover::read_back(0, setup(&Plan::new(1), 0, 1, false), speaks_in, kept.into_iter())
+    Takeover::read_back(
+        0,
+        setup(&Plan::new(1), 0, 1, false),
+        speaks_in,
+        kept.into_iter(),
+    )
 }
 
 fn ballot(term: u64, owner: usize) -> Ballot {
-    Ballot { term, owner: name(owner), session: owner as u64 }
+    Ballot {
+        term,
+        owner: name(owner),
+        session: owner as u64,
+    }
 }
 
 fn heard(part: &mut Takeover, now: u64, from: usize, message: Message) -> Message {
     let mut out = Vec::new();
     part.heard(now, &name(from), message, &mut out);
-    let Some(Do::Send { message, .. }) = out.into_iter().next() else { panic!("a seat replies") };
+    let Some(Do::Send { message, .. }) = out.into_iter().next() else {
+        panic!("a seat replies")
+    };
     message
 }
 
@@ -30,18 +43,61 @@
     let work = common::host::work(1);
     let from = ballot.owner.as_str()[1..].parse().unwrap();
     let left = 1_000 * MS;
-    match heard(part, now, from, Message::Claim { key: KEY, ballot, work: Some(work), left }) {
-        Message::Claimed { verdict, record, .. } => (verdict, record),
+    match heard(
+        part,
+        now,
+        from,
+        Message::Claim {
+            key: KEY,
+            ballot,
+            work: Some(work),
+            left,
+        },
+    ) {
+        Message::Claimed {
+            verdict, record, ..
+        } => (verdict, record),
         other => panic!("{other:?}"),
     }
 }
 
 fn note(part: &mut Takeover, now: u64, answer: Option<Answer>) {
-    let attempts = vec![Attempt { term: 1, number: 1, group: 3, ended: None, age: 0 }];
+    let attempts = vec![Attempt {
+        term: 1,
+        number: 1,
+        group: 3,
+        ended: None,
+        age: 0,
+    }];
     let version = 1 + u32::from(answer.is_some());
-    let note = Note { version, work: None, left: 900 * MS, attempts, answer };
-    let said = heard(part, now, 1, Message::Note { key: KEY, ballot: ballot(1, 1), stamp: 0, note });
-    assert!(matches!(said, Message::Noted { verdict: Verdict::Yes, .. }), "{said:?}");
+    let note = Note {
+        version,
+        work: None,
+        left: 900 * MS,
+        attempts,
+        answer,
+    };
+    let said = heard(
+        part,
+        now,
+        1,
+        Message::Note {
+            key: KEY,
+            ballot: ballot(1, 1),
+            stamp: 0,
+            note,
+        },
+    );
+    assert!(
+        matches!(
+            said,
+            Message::Noted {
+                verdict: Verdict::Yes,
+                ..
+            }
+        ),
+        "{said:?}"
+    );
 }
 
 /// What is on the file by now, as of `now`.
@@ -55,15 +111,36 @@
     claim(&mut part, 0, ballot(1, 1));
     assert_eq!(kept(&mut part, 0)[&KEY].promised, ballot(1, 1));
     note(&mut part, MS, None);
-    assert_eq!(kept(&mut part, MS)[&KEY].record.as_ref().unwrap().attempts.len(), 1);
+    assert_eq!(
+        kept(&mut part, MS)[&KEY]
+            .record
+            .as_ref()
+            .unwrap()
+            .attempts
+            .len(),
+        1
+    );
     // The same once more, and a renewal, change nothing.
     note(&mut part, 2 * MS, None);
-    heard(&mut part, 3 * MS, 1, Message::Renew { key: KEY, ballot: ballot(1, 1), stamp: 0 });
+    heard(
+        &mut part,
+        3 * MS,
+        1,
+        Message::Renew {
+            key: KEY,
+            ballot: ballot(1, 1),
+            stamp: 0,
+        },
+    );
     assert!(kept(&mut part, 3 * MS).is_empty());
     part.heard(
         4 * MS,
         &name(1),
-        Message::Release { key: KEY, ballot: ballot(1, 1), over: false },
+        Message::Release {
+            key: KEY,
+            ballot: ballot(1, 1),
+            over: false,
+        },
         &mut Vec::new(),
     );
     assert!(kept(&mut part, 4 * MS)[&KEY].let_go);
@@ -77,16 +154,44 @@
     let file = kept(&mut part, 10 * MS);
     let mut next = seat(file, 0);
     assert_eq!(claim(&mut next, MS, ballot(2, 2)).0, Verdict::Higher);
-    assert_eq!(claim(&mut next, MS, ballot(4, 2)).0, Verdict::Busy { left: 499 * MS });
+    assert_eq!(
+        claim(&mut next, MS, ballot(4, 2)).0,
+        Verdict::Busy { left: 499 * MS }
+    );
     let (verdict, record) = claim(&mut next, 500 * MS, ballot(5, 2));
     // Half a second older than as it was kept.
-    assert_eq!((verdict, record.unwrap().attempts[0].age), (Verdict::Yes, 500 * MS));
+    assert_eq!(
+        (verdict, record.unwrap().attempts[0].age),
+        (Verdict::Yes, 500 * MS)
+    );
 }
 
 fn note_under(part: &mut Takeover, term: u64) {
-    let attempts = vec![Attempt { term, number: 1, group: 3, ended: None, age: 0 }];
-    let note = Note { version: 1, work: None, left: 900 * MS, attempts, answer: None };
-    heard(part, 10 * MS, 1, Message::Note { key: KEY, ballot: ballot(term, 1), stamp: 0, note });
+    let attempts = vec![Attempt {
+        term,
+        number: 1,
+        group: 3,
+        ended: None,
+        age: 0,
+    }];
+    let note = Note {
+        version: 1,
+        work: None,
+        left: 900 * MS,
+        attempts,
+        answer: None,
+    };
+    heard(
+        part,
+        10 * MS,
+        1,
+        Message::Note {
+            key: KEY,
+            ballot: ballot(term, 1),
+            stamp: 0,
+            note,
+        },
+    );
 }
 
 #[test]
@@ -100,7 +205,10 @@
     assert_eq!(one.clone().aged(one.left), None);
     let later: BTreeMap<Key, Kept> = [(KEY, one.aged(2_000 * MS).unwrap())].into();
     let record = claim(&mut seat(later, 0), 0, ballot(2, 2)).1.unwrap();
-    assert_eq!((record.answer.clone(), record.attempts[0].age), (Some(answer), 2_000 * MS));
+    assert_eq!(
+        (record.answer.clone(), record.attempts[0].age),
+        (Some(answer), 2_000 * MS)
+    );
     assert!(matches!(record.proof(AGAIN), Proof::Over));
 }
 
@@ -110,6 +218,9 @@
     assert_eq!(claim(&mut part, 699 * MS, ballot(1, 1)).0, Verdict::NoVote);
     assert_eq!(claim(&mut part, 700 * MS, ballot(1, 1)).0, Verdict::Yes);
     part.mute();
-    assert_eq!(claim(&mut part, 100_000 * MS, ballot(2, 1)).0, Verdict::NoVote);
+    assert_eq!(
+        claim(&mut part, 100_000 * MS, ballot(2, 1)).0,
+        Verdict::NoVote
+    );
     assert!(kept(&mut part, 100_000 * MS).is_empty());
 }
--- a/pure/takeover/tests/model.rs
+++ b/pure/takeover/tests/model.rs
@@ -44,13 +44,29 @@
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
         let [crash, pause, lose, twice] = state.faults;
         let runs = |at: usize| state.alive.get(at) != Some(&false) && state.paused != Some(at);
-        steps.extend((0..2).filter(|at| !state.asked[*at] && runs(*at)).map(Step::Ask));
+        steps.extend(
+            (0..2)
+                .filter(|at| !state.asked[*at] && runs(*at))
+                .map(Step::Ask),
+        );
         for (index, (_, to, _)) in state.net.iter().enumerate() {
             if runs(*to) {
-                steps.push(Step::Come { index, lost: false, stays: false });
-                steps.extend((twice > 0).then_some(Step::Come { index, lost: false, stays: true }));
+                steps.push(Step::Come {
+                    index,
+                    lost: false,
+                    stays: false,
+                });
+                steps.extend((twice > 0).then_some(Step::Come {
+                    index,
+                    lost: false,
+                    stays: true,
+                }));
             }
-            steps.extend((lose > 0).then_some(Step::Come { index, lost: true, stays: false }));
+            steps.extend((lose > 0).then_some(Step::Come {
+                index,
+                lost: true,
+                stays: false,
+            }));
         }
         let acts = |at: &usize| runs(*at) && !matches!(state.hosts[*at], Host::None | Host::Ran);
         steps.extend((0..2).filter(acts).map(Step::Host));
@@ -68,8 +84,11 @@
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        let terms =
-            |_: &Fleet, s: &State| s.met.iter().all(|a| s.met.iter().all(|b| a.0 != b.0 || a.1 == b.1));
+        let terms = |_: &Fleet, s: &State| {
+            s.met
+                .iter()
+                .all(|a| s.met.iter().all(|b| a.0 != b.0 || a.1 == b.1))
+        };
         vec![
             Property::always("no two may send at once", |_, s: &State| !s.both),
             Property::always("one term, one owner", terms),
@@ -77,8 +96,12 @@
                 "one answer",
                 |_, s: &State| !matches!(&s.answers, [Some(a), Some(b)] if a != b),
             ),
-            Property::sometimes("a second owner", |_, s: &State| s.met.iter().any(|(term, _)| *term > 1)),
-            Property::sometimes("both are answered", |_, s: &State| s.answers.iter().all(Option::is_some)),
+            Property::sometimes("a second owner", |_, s: &State| {
+                s.met.iter().any(|(term, _)| *term > 1)
+            }),
+            Property::sometimes("both are answered", |_, s: &State| {
+                s.answers.iter().all(Option::is_some)
+            }),
         ]
     }
 }
@@ -89,10 +112,20 @@
 #[test]
 fn all_orders_to_a_depth() {
     for at_once in [true, false] {
-        let run = Fleet { at_once }.checker().target_state_count(STATES).threads(2).spawn_bfs().join();
-        let (states, unique, depth) = (run.state_count(), run.unique_state_count(), run.max_depth());
+        let run = Fleet { at_once }
+            .checker()
+            .target_state_count(STATES)
+            .threads(2)
+            .spawn_bfs()
+            .join();
+        let (states, unique, depth) =
+            (run.state_count(), run.unique_state_count(), run.max_depth());
         println!("replies at once {at_once}: {states} states, {unique} unique, depth {depth}");
-        let broken: Vec<_> = run.discoveries().into_iter().filter(|d| !WANTED.contains(&d.0)).collect();
+        let broken: Vec<_> = run
+            .discoveries()
+            .into_iter()
+            .filter(|d| !WANTED.contains(&d.0))
+            .collect();
         assert!(broken.is_empty(), "{broken:?}");
     }
 }
@@ -102,9 +135,17 @@
 fn orders_to_the_end() {
     let mut found: BTreeSet<&str> = BTreeSet::new();
     for seed in 1..=SEEDS {
-        let run = Fleet { at_once: false }.checker().target_state_count(STATES);
-        let run = run.spawn_simulation(seed, stateright::UniformChooser).join();
-        println!("at random, seed {seed}: {} states, depth {}", run.state_count(), run.max_depth());
+        let run = Fleet { at_once: false }
+            .checker()
+            .target_state_count(STATES);
+        let run = run
+            .spawn_simulation(seed, stateright::UniformChooser)
+            .join();
+        println!(
+            "at random, seed {seed}: {} states, depth {}",
+            run.state_count(),
+            run.max_depth()
+        );
         found.extend(run.discoveries().into_keys());
         if found.len() >= WANTED.len() {
             break;
--- a/pure/takeover/tests/planted.rs
+++ b/pure/takeover/tests/planted.rs
@@ -17,14 +17,20 @@
 fn found(fault: Fault) -> Verdict {
     let (mut runner, began) = (TestRunner::deterministic(), Instant::now());
     for drawn in 1..=MOST {
-        let mut plan = Plan { planted: Some(fault), ..plan().new_tree(&mut runner).unwrap().current() };
+        let mut plan = Plan {
+            planted: Some(fault),
+            ..plan().new_tree(&mut runner).unwrap().current()
+        };
         if fault == Fault::LeaseFromReply {
             // It shows only where replies are long on their way.
             plan.delay = 450 * MS;
         }
         let verdict = World::run(plan);
         if !verdict.sound() {
-            eprintln!("{fault:?}: found in {:?}, at schedule {drawn}: {verdict:?}", began.elapsed());
+            eprintln!(
+                "{fault:?}: found in {:?}, at schedule {drawn}: {verdict:?}",
+                began.elapsed()
+            );
             return verdict;
         }
     }
--- a/pure/takeover/tests/small/mod.rs
+++ b/pure/takeover/tests/small/mod.rs
@@ -41,9 +41,19 @@
 
 impl State {
     fn text(&self) -> String {
-        let mut net: Vec<String> = self.net.iter().map(|message| format!("{message:?}")).collect();
+        let mut net: Vec<String> = self
+            .net
+            .iter()
+            .map(|message| format!("{message:?}"))
+            .collect();
         net.sort();
-        format!("{net:?}{:?}", State { net: Vec::new(), ..self.clone() })
+        format!(
+            "{net:?}{:?}",
+            State {
+                net: Vec::new(),
+                ..self.clone()
+            }
+        )
     }
 }
 
@@ -82,7 +92,11 @@
 }
 
 pub fn part(index: usize) -> Takeover {
-    let rule = Rule { keep: 100, unclaimed: Unclaimed::LetGo, ..rule(Repeat::Keyed { window: OWN_WINDOW }) };
+    let rule = Rule {
+        keep: 100,
+        unclaimed: Unclaimed::LetGo,
+        ..rule(Repeat::Keyed { window: OWN_WINDOW })
+    };
     let setup = Setup {
         name: name(index),
         session: index as u64,
@@ -104,12 +118,19 @@
 }
 
 impl State {
-    fn drive(&mut self, at: usize, what: impl FnOnce(&mut Takeover, u64, &mut Vec<Do<Message, Told>>)) {
+    fn drive(
+        &mut self,
+        at: usize,
+        what: impl FnOnce(&mut Takeover, u64, &mut Vec<Do<Message, Told>>),
+    ) {
         let mut out = Vec::new();
         what(&mut self.parts[at], self.now, &mut out);
         for wish in out {
             match wish {
-                Do::Send { to, message } => self.net.push((at, to.as_str()[1..].parse().unwrap(), message)),
+                Do::Send { to, message } => {
+                    self.net
+                        .push((at, to.as_str()[1..].parse().unwrap(), message))
+                }
                 Do::Tell(Told::Mine { record, .. } | Told::TakeOver { record, .. }) => {
                     (self.hosts[at], self.terms[at]) = (Host::Owns, record.ballot.term);
                     self.met.push((record.ballot.term, at));
@@ -135,7 +156,9 @@
             .position(|(from, to, _)| self.at_once && seat > 1 && *from == seat && here(self, *to))
         {
             let (from, to, message) = self.net.swap_remove(index);
-            self.drive(to, |part, now, out| part.heard(now, &name(from), message, out));
+            self.drive(to, |part, now, out| {
+                part.heard(now, &name(from), message, out)
+            });
         }
     }
 
@@ -143,7 +166,13 @@
         match *step {
             Step::Ask(at) => {
                 self.asked[at] = true;
-                let ask = Ask::Claim { ticket: 1, key: KEY, work: work(0), left: 90, again: false };
+                let ask = Ask::Claim {
+                    ticket: 1,
+                    key: KEY,
+                    work: work(0),
+                    left: 90,
+                    again: false,
+                };
                 self.drive(at, |part, now, out| part.ask(now, ask, out));
             }
             Step::Come { index, lost, stays } => {
@@ -154,7 +183,9 @@
                     self.net.swap_remove(index);
                 }
                 if !lost && self.alive.get(to) != Some(&false) {
-                    self.drive(to, |part, now, out| part.heard(now, &name(from), message, out));
+                    self.drive(to, |part, now, out| {
+                        part.heard(now, &name(from), message, out)
+                    });
                     self.replies(to);
                 }
             }
@@ -175,11 +206,18 @@
     }
 
     fn host(&mut self, at: usize) {
-        let may =
-            |at: usize, s: &State| s.alive[at] && s.parts[at].lease(KEY).is_some_and(|l| l.may_send(s.now));
+        let may = |at: usize, s: &State| {
+            s.alive[at] && s.parts[at].lease(KEY).is_some_and(|l| l.may_send(s.now))
+        };
         match self.hosts[at] {
             Host::Owns => {
-                let ask = Ask::Intend { ticket: 2, key: KEY, term: self.terms[at], number: 1, group: 1 };
+                let ask = Ask::Intend {
+                    ticket: 2,
+                    key: KEY,
+                    term: self.terms[at],
+                    number: 1,
+                    group: 1,
+                };
                 self.drive(at, |part, now, out| part.ask(now, ask, out));
             }
             Host::Written if may(at, self) => {
@@ -191,7 +229,12 @@
             Host::Sent(_) => {
                 self.runs += (self.runs == 0) as u8;
                 self.hosts[at] = Host::Ran;
-                let ask = Ask::Done { ticket: 3, key: KEY, term: self.terms[at], answer: Answer::Same };
+                let ask = Ask::Done {
+                    ticket: 3,
+                    key: KEY,
+                    term: self.terms[at],
+                    answer: Answer::Same,
+                };
                 self.drive(at, |part, now, out| part.ask(now, ask, out));
             }
             Host::Ran | Host::None => {}
@@ -199,7 +242,12 @@
     }
 
     pub fn due(&self) -> u64 {
-        let next = self.parts.iter().filter_map(|part| part.due()).filter(|due| *due > self.now).min();
+        let next = self
+            .parts
+            .iter()
+            .filter_map(|part| part.due())
+            .filter(|due| *due > self.now)
+            .min();
         next.unwrap_or(END + 1)
     }
 }
--- a/rigs/demo/src/day.rs
+++ b/rigs/demo/src/day.rs
@@ -38,7 +38,9 @@
         if self.1.is_none() {
             self.1 = Terminal::connect(self.0, Duration::from_secs(4)).ok();
         }
-        let Some(terminal) = &mut self.1 else { return false };
+        let Some(terminal) = &mut self.1 else {
+            return false;
+        };
         self.2 += 1;
         let fields = BTreeMap::from([
             ("i", format!("{:016x}", self.2)),
@@ -68,7 +70,10 @@
         }
         let Some(client) = &self.1 else { return false };
         let fields = "via-wait: 2000\r\nx-foldmux-size-kb: 12\r\nx-foldmux-group: 1\r\n";
-        match client.get(&foldmux_standins::client::path("formula-card", object, 0), fields) {
+        match client.get(
+            &foldmux_standins::client::path("formula-card", object, 0),
+            fields,
+        ) {
             Ok(answer) => answer.status == 200 && answer.body.len() == LENGTH,
             Err(_) => {
                 self.1 = None;
@@ -129,16 +134,28 @@
     let parents: Vec<Source> = (0..2u64)
         .map(|parent| {
             let turn = AtomicU64::new(turn.fetch_add(1, Ordering::SeqCst));
-            Source::start(move |ask| match draw(turn.fetch_add(1, Ordering::SeqCst) ^ parent << 40) % 20 {
-                0 => Act::Say { status: 503, fields: "Srv-Untouched: 1\r\n".into() },
-                _ if ask.field("x-flags").contains("shallow") && draw(ask.object).is_multiple_of(4) => {
-                    Act::Say { status: 404, fields: String::new() }
+            Source::start(move |ask| {
+                match draw(turn.fetch_add(1, Ordering::SeqCst) ^ parent << 40) % 20 {
+                    0 => Act::Say {
+                        status: 503,
+                        fields: "Srv-Untouched: 1\r\n".into(),
+                    },
+                    _ if ask.field("x-flags").contains("shallow")
+                        && draw(ask.object).is_multiple_of(4) =>
+                    {
+                        Act::Say {
+                            status: 404,
+                            fields: String::new(),
+                        }
+                    }
+                    _ => Act::give(LENGTH, Duration::from_millis(12)),
                 }
-                _ => Act::give(LENGTH, Duration::from_millis(12)),
             })
         })
         .collect();
-    let boxes: Vec<Mutex<Option<Cache>>> = (0..BOXES).map(|_| Mutex::new(Some(Cache::start()))).collect();
+    let boxes: Vec<Mutex<Option<Cache>>> = (0..BOXES)
+        .map(|_| Mutex::new(Some(Cache::start())))
+        .collect();
     let line = |n: u64, address, zone: &str, kind: &str, status, since_ms| Host {
         name: format!("s-{n:08x}"),
         address,
@@ -149,21 +166,49 @@
     };
     let mut list = Vec::new();
     for (n, held) in boxes.iter().enumerate() {
-        let address = held.lock().map_err(|e| e.to_string())?.as_ref().map(Cache::address).ok_or("no box")?;
-        list.push(line(n as u64 + 1, address, if n < 4 { "edge" } else { "far" }, "box", "ready", 0));
+        let address = held
+            .lock()
+            .map_err(|e| e.to_string())?
+            .as_ref()
+            .map(Cache::address)
+            .ok_or("no box")?;
+        list.push(line(
+            n as u64 + 1,
+            address,
+            if n < 4 { "edge" } else { "far" },
+            "box",
+            "ready",
+            0,
+        ));
     }
     for (n, parent) in parents.iter().enumerate() {
-        list.push(line(0x100 + n as u64, parent.address(), "hub", "parent", "ready", 0));
+        list.push(line(
+            0x100 + n as u64,
+            parent.address(),
+            "hub",
+            "parent",
+            "ready",
+            0,
+        ));
     }
     list.push(line(0x200, origin.address(), "hub", "origin", "ready", 0));
-    let teach = |cache: &Cache| list.iter().for_each(|line| cache.knows(&line.name, line.address));
+    let teach = |cache: &Cache| {
+        list.iter()
+            .for_each(|line| cache.knows(&line.name, line.address))
+    };
     for held in &boxes {
-        held.lock().map_err(|e| e.to_string())?.iter().for_each(teach);
+        held.lock()
+            .map_err(|e| e.to_string())?
+            .iter()
+            .for_each(teach);
     }
     let journal = Journal::start();
     journal.tell(&hosts(true, &list));
     let instance = Instance::with(program, folder, number, &settings(&journal), OPERATOR)?;
-    let caller = Caller::new(Setup { retries: 0, ..Setup::plain(vec![instance.address]) });
+    let caller = Caller::new(Setup {
+        retries: 0,
+        ..Setup::plain(vec![instance.address])
+    });
     let server = caller.serve();
     let (asked, in_time, late) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
     let times = Mutex::new(Vec::new());
@@ -200,26 +245,47 @@
         // A box dies, and is told gone a second later; it comes back empty at another place; another drains.
         let at = |seconds: f64| {
             thread::sleep(
-                (began + Duration::from_secs_f64(seconds)).saturating_duration_since(Instant::now()),
+                (began + Duration::from_secs_f64(seconds))
+                    .saturating_duration_since(Instant::now()),
             )
         };
         at(5.0);
         boxes[0].lock().unwrap_or_else(|e| e.into_inner()).take();
         at(6.0);
-        journal.tell(&hosts(false, &[line(1, list[0].address, "edge", "box", "gone", 0)]));
+        journal.tell(&hosts(
+            false,
+            &[line(1, list[0].address, "edge", "box", "gone", 0)],
+        ));
         at(9.0);
         let back = Cache::start();
         teach(&back);
-        journal.tell(&hosts(false, &[line(1, back.address(), "edge", "box", "ready", unix_ms())]));
+        journal.tell(&hosts(
+            false,
+            &[line(1, back.address(), "edge", "box", "ready", unix_ms())],
+        ));
         *boxes[0].lock().unwrap_or_else(|e| e.into_inner()) = Some(back);
         at(12.0);
-        journal.tell(&hosts(false, &[line(2, list[1].address, "edge", "box", "draining", 0)]));
+        journal.tell(&hosts(
+            false,
+            &[line(2, list[1].address, "edge", "box", "draining", 0)],
+        ));
     });
     let mut times = times.into_inner().unwrap_or_else(|e| e.into_inner());
     times.sort_by(f64::total_cmp);
-    let at = |q: f64| times.get((times.len() as f64 * q) as usize).copied().unwrap_or_default();
+    let at = |q: f64| {
+        times
+            .get((times.len() as f64 * q) as usize)
+            .copied()
+            .unwrap_or_default()
+    };
     let [asked, in_time, late] = [&asked, &in_time, &late].map(|n| n.load(Ordering::Relaxed));
-    Ok(Outcome { asked, in_time, late, p50_ms: at(0.5), p99_ms: at(0.99) })
+    Ok(Outcome {
+        asked,
+        in_time,
+        late,
+        p50_ms: at(0.5),
+        p99_ms: at(0.99),
+    })
 }
 
 /// Both ways, so many times each, one after the other; the share of the worth that is kept.
@@ -230,7 +296,13 @@
         for (way, name) in ["alone", "ext_proc"].iter().enumerate() {
             let result = day(program, folder, turn * 2 + way, way == 1)?;
             worth[way] += result.worth();
-            let Outcome { asked, in_time, late, p50_ms, p99_ms } = &result;
+            let Outcome {
+                asked,
+                in_time,
+                late,
+                p50_ms,
+                p99_ms,
+            } = &result;
             println!(
                 "{name:<15} {asked:>7} {in_time:>8} {late:>7} {:>7.4} {p50_ms:>9.2} {p99_ms:>9.2}",
                 result.worth()
--- a/rigs/demo/src/extproc.rs
+++ b/rigs/demo/src/extproc.rs
@@ -42,15 +42,26 @@
 
 /// Plays a run against the program. `folder`: an empty one, for its files.
 pub fn run(program: &Path, folder: &Path, trial: Trial) -> Result<Report, String> {
-    let Trial { requests, seed, slowest, forgets } = trial;
+    let Trial {
+        requests,
+        seed,
+        slowest,
+        forgets,
+    } = trial;
     let (archive, late) = (Guarded::new(WINDOW), Arc::new(AtomicU64::new(0)));
-    let caches: Vec<Source> =
-        (0..2).map(|cell| cache(cell, archive.clone(), late.clone(), seed, slowest)).collect();
+    let caches: Vec<Source> = (0..2)
+        .map(|cell| cache(cell, archive.clone(), late.clone(), seed, slowest))
+        .collect();
     let places: Vec<SocketAddr> = caches.iter().map(Source::address).collect();
     let instances = [0, 1].map(|n| Instance::start(program, folder, n, &places));
     let [first, second] = instances;
     let instances = Mutex::new([first?, second?]);
-    let addresses = instances.lock().map_err(|e| e.to_string())?.iter().map(|i| i.address).collect();
+    let addresses = instances
+        .lock()
+        .map_err(|e| e.to_string())?
+        .iter()
+        .map(|i| i.address)
+        .collect();
     let setup = Setup {
         message: Duration::from_secs(3),
         attempt: Duration::from_millis(1_500),
@@ -90,14 +101,17 @@
                     let card = number % 5 == 0;
                     let object = draw(seed, &[number, 3]) % 500;
                     let request = match card {
-                        true => Request::get(&foldmux_standins::client::path("formula-card", object, 0)),
+                        true => {
+                            Request::get(&foldmux_standins::client::path("formula-card", object, 0))
+                        }
                         false => {
                             let key = format!("{seed:x}-{number}");
                             Request::keyed(&format!("/records/{object:x}"), "idempotency-key", &key)
                         }
                     };
                     if let Some(answer) = caller.ask(&request) {
-                        let whole = answer.status != 200 || answer.body == body(object, 0, 1, LENGTH);
+                        let whole =
+                            answer.status != 200 || answer.body == body(object, 0, 1, LENGTH);
                         lost.fetch_add(!whole as u64, Ordering::SeqCst);
                         *answers
                             .lock()
@@ -108,7 +122,11 @@
                 })
             })
             .collect();
-        let broken = clients.into_iter().map(|client| client.join()).filter(Result::is_err).count();
+        let broken = clients
+            .into_iter()
+            .map(|client| client.join())
+            .filter(Result::is_err)
+            .count();
         lost.fetch_add(broken as u64, Ordering::SeqCst);
         over.store(true, Ordering::SeqCst);
         let _ = killer.join();
@@ -116,7 +134,14 @@
     if let Some(why) = failed.into_inner().unwrap_or_else(|e| e.into_inner()) {
         return Err(why);
     }
-    let Counts { attempts, again, stale, left, forbidden, .. } = &caller.counts;
+    let Counts {
+        attempts,
+        again,
+        stale,
+        left,
+        forbidden,
+        ..
+    } = &caller.counts;
     let [attempts, again, stale, left, forbidden] =
         [attempts, again, stale, left, forbidden].map(|n| n.load(Ordering::SeqCst));
     let answers = answers.into_inner().unwrap_or_else(|e| e.into_inner());
@@ -124,7 +149,9 @@
     let count = |n: &AtomicU64| n.load(Ordering::SeqCst);
     Ok(Report {
         requests,
-        lost: count(&lost) + requests.saturating_sub(told + left) + (told + left).saturating_sub(requests),
+        lost: count(&lost)
+            + requests.saturating_sub(told + left)
+            + (told + left).saturating_sub(requests),
         answers,
         left,
         kills: count(&kills),
--- a/rigs/demo/src/extproc/faults.rs
+++ b/rigs/demo/src/extproc/faults.rs
@@ -29,11 +29,21 @@
     let serial = AtomicU64::new(0);
     Source::start(move |ask| {
         let chance = draw(seed, &[cell as u64, serial.fetch_add(1, Ordering::SeqCst)]) % 100;
-        let untouched = Act::Say { status: 503, fields: "Srv-Untouched: 1\r\n".into() };
+        let untouched = Act::Say {
+            status: 503,
+            fields: "Srv-Untouched: 1\r\n".into(),
+        };
         if ask.class != "mix-record" {
-            return if chance < 3 { untouched } else { Act::give(LENGTH, Duration::from_millis(1)) };
+            return if chance < 3 {
+                untouched
+            } else {
+                Act::give(LENGTH, Duration::from_millis(1))
+            };
         }
-        let until = ask.field("x-foldmux-good-until-ms").parse::<u64>().unwrap_or(0);
+        let until = ask
+            .field("x-foldmux-good-until-ms")
+            .parse::<u64>()
+            .unwrap_or(0);
         if unix_ms() > until {
             late.fetch_add(1, Ordering::SeqCst);
             return untouched;
@@ -47,8 +57,15 @@
         match chance {
             // It ran, and its answer is lost in one of several ways.
             8..=17 => Act::Reset,
-            18..=22 => Act::Say { status: 500, fields: String::new() },
-            23..=27 => Act::Cut { version: 1, length: LENGTH, bytes: LENGTH / 3 },
+            18..=22 => Act::Say {
+                status: 500,
+                fields: String::new(),
+            },
+            23..=27 => Act::Cut {
+                version: 1,
+                length: LENGTH,
+                bytes: LENGTH / 3,
+            },
             _ => Act::give(LENGTH, Duration::ZERO),
         }
     })
@@ -66,9 +83,18 @@
     let chance = draw(seed, &[number, attempt as u64, 7]);
     let point = POINTS[(chance >> 20) as usize % POINTS.len()];
     match chance % 100 {
-        0..=3 => Play { leave: Some(point), ..Play::default() },
-        4..=15 => Play { reset: Some(point), ..Play::default() },
-        16..=19 => Play { slow: Duration::from_millis(120), ..Play::default() },
+        0..=3 => Play {
+            leave: Some(point),
+            ..Play::default()
+        },
+        4..=15 => Play {
+            reset: Some(point),
+            ..Play::default()
+        },
+        16..=19 => Play {
+            slow: Duration::from_millis(120),
+            ..Play::default()
+        },
         _ => Play::default(),
     }
 }
--- a/rigs/demo/src/extproc/files.rs
+++ b/rigs/demo/src/extproc/files.rs
@@ -11,8 +11,11 @@
             r#"{{"name":"s-{n:08x}","address":"{at}","zone":"{zone}","type":"{kind}","group":{cell},"status":"ready","weight":1,"since_ms":0}}"#
         )
     };
-    let mut lines: Vec<String> =
-        caches.iter().enumerate().map(|(n, at)| line(n + 1, "box", "edge", n, *at)).collect();
+    let mut lines: Vec<String> = caches
+        .iter()
+        .enumerate()
+        .map(|(n, at)| line(n + 1, "box", "edge", n, *at))
+        .collect();
     lines.push(line(90, "parent", "hub", 0, caches[0]));
     lines.push(line(91, "origin", "hub", 0, caches[0]));
     let window = WINDOW.as_micros();
--- a/rigs/demo/src/extproc/instance.rs
+++ b/rigs/demo/src/extproc/instance.rs
@@ -47,13 +47,22 @@
         std::fs::write(folder.join(format!("{number}.star")), operator).map_err(told)?;
         let (child, [listen, address]) = spawn(program, folder, number)?;
         let (program, folder) = (program.to_path_buf(), folder.to_path_buf());
-        Ok(Instance { program, folder, number, child, listen, address })
+        Ok(Instance {
+            program,
+            folder,
+            number,
+            child,
+            listen,
+            address,
+        })
     }
 
     /// Resident memory (KB), as the kernel tells it.
     pub(crate) fn memory_kb(&self) -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).ok()?;
-        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmRSS:"))?;
         line.split_whitespace().next()?.parse().ok()
     }
 
@@ -61,7 +70,8 @@
     pub(super) fn kill(&mut self) -> Result<(), String> {
         self.child.kill().map_err(|e| e.to_string())?;
         self.child.wait().map_err(|e| e.to_string())?;
-        (self.child, [self.listen, self.address]) = spawn(&self.program, &self.folder, self.number)?;
+        (self.child, [self.listen, self.address]) =
+            spawn(&self.program, &self.folder, self.number)?;
         Ok(())
     }
 }
@@ -75,14 +85,24 @@
 
 fn spawn(program: &Path, folder: &Path, number: usize) -> Result<(Child, [SocketAddr; 2]), String> {
     let mut command = Command::new(program);
-    command.arg("serve").arg("--operator").arg(folder.join(format!("{number}.star")));
+    command
+        .arg("serve")
+        .arg("--operator")
+        .arg(folder.join(format!("{number}.star")));
     command
         .env("GW_CONFIG", folder.join(format!("{number}.json")))
         .env_remove("GW_LISTEN")
         .env_remove("GW_NAME");
-    command.env_remove("FOLDMUX_LOG").env_remove("FOLDMUX_OPERATOR");
-    command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-    let mut child = command.spawn().map_err(|e| format!("{}: {e}", program.display()))?;
+    command
+        .env_remove("FOLDMUX_LOG")
+        .env_remove("FOLDMUX_OPERATOR");
+    command
+        .stdin(Stdio::null())
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped());
+    let mut child = command
+        .spawn()
+        .map_err(|e| format!("{}: {e}", program.display()))?;
     let log = child.stderr.take().ok_or("no log")?;
     let (told, heard) = std::sync::mpsc::channel();
     thread::spawn(move || {
@@ -90,9 +110,12 @@
         let (mut at, mut serves) = (None, None);
         for line in lines.by_ref() {
             at = at.or_else(|| {
-                line.split_once("external processor on ").and_then(|(_, a)| a.trim().parse().ok())
+                line.split_once("external processor on ")
+                    .and_then(|(_, a)| a.trim().parse().ok())
             });
-            serves = line.split_once(" serves on ").and_then(|(_, a)| a.trim().parse().ok());
+            serves = line
+                .split_once(" serves on ")
+                .and_then(|(_, a)| a.trim().parse().ok());
             if serves.is_some() {
                 break;
             }
--- a/rigs/demo/src/extproc/report.rs
+++ b/rigs/demo/src/extproc/report.rs
@@ -37,8 +37,11 @@
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let answers: Vec<String> =
-            self.answers.iter().map(|(status, n)| format!("{n} of {status}")).collect();
+        let answers: Vec<String> = self
+            .answers
+            .iter()
+            .map(|(status, n)| format!("{n} of {status}"))
+            .collect();
         writeln!(
             f,
             "requests        {:>7}   answered: {}; {} clients left",
@@ -52,7 +55,11 @@
             self.attempts, self.again, self.stale
         )?;
         writeln!(f, "instances killed{:>7}", self.kills)?;
-        writeln!(f, "keys that ran   {:>7}   {} repeats that the archive dropped", self.ran, self.dropped)?;
+        writeln!(
+            f,
+            "keys that ran   {:>7}   {} repeats that the archive dropped",
+            self.ran, self.dropped
+        )?;
         writeln!(
             f,
             "double sends    {:>7}   ({} beside a running one)",
--- a/rigs/demo/src/hubs.rs
+++ b/rigs/demo/src/hubs.rs
@@ -35,11 +35,21 @@
 const TOLD_APART_MS: u64 = 250;
 
 /// Each hub asks the archive.
-const FLAT: Wiring = [("south", r#"["archive"]"#), ("east", r#"["archive"]"#), ("north", r#"["archive"]"#)];
-const EAST_LOW: Wiring =
-    [("south", r#"["archive"]"#), ("east", r#"["south", "archive"]"#), ("north", r#"["archive"]"#)];
-const SOUTH_LOW: Wiring =
-    [("south", r#"["east", "archive"]"#), ("east", r#"["archive"]"#), ("north", r#"["archive"]"#)];
+const FLAT: Wiring = [
+    ("south", r#"["archive"]"#),
+    ("east", r#"["archive"]"#),
+    ("north", r#"["archive"]"#),
+];
+const EAST_LOW: Wiring = [
+    ("south", r#"["archive"]"#),
+    ("east", r#"["south", "archive"]"#),
+    ("north", r#"["archive"]"#),
+];
+const SOUTH_LOW: Wiring = [
+    ("south", r#"["east", "archive"]"#),
+    ("east", r#"["archive"]"#),
+    ("north", r#"["archive"]"#),
+];
 
 /// What the archive saw.
 #[derive(Clone, Default)]
@@ -80,11 +90,15 @@
     let journal = Journal::start();
     let list = host_list(&caches, &addresses);
     for cache in &caches {
-        list.iter().for_each(|line| cache.knows(&line.name, line.address));
+        list.iter()
+            .for_each(|line| cache.knows(&line.name, line.address));
     }
     journal.tell(&hosts(true, &list));
 
-    let file = OperatorFile { path: folder.join("foldmux.star"), addresses };
+    let file = OperatorFile {
+        path: folder.join("foldmux.star"),
+        addresses,
+    };
     file.write(1, &FLAT).map_err(|e| e.to_string())?;
     let processes = start(program, folder, &file, &journal)?;
     wait_until_well(&processes)?;
@@ -102,18 +116,32 @@
 
 /// A port that is free now.
 fn free() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port")
+    TcpListener::bind("127.0.0.1:0")
+        .and_then(|l| l.local_addr())
+        .expect("a port")
 }
 
 /// The archive: a pause for each fetch, and a new version with each purge.
 fn archive(versions: Versions, log: ArchiveLog) -> Source {
     Source::start(move |ask| {
         if ask.class == "mix-record" {
-            *log.ran.lock().unwrap().entry(ask.field("via-token").to_string()).or_default() += 1;
+            *log.ran
+                .lock()
+                .unwrap()
+                .entry(ask.field("via-token").to_string())
+                .or_default() += 1;
             return Act::give(20, ARCHIVE_WORK);
         }
-        let version = versions.lock().unwrap().get(&ask.object).map_or(0, Vec::len) as u64;
-        *log.fetched.lock().unwrap().entry((ask.object, version)).or_default() += 1;
+        let version = versions
+            .lock()
+            .unwrap()
+            .get(&ask.object)
+            .map_or(0, Vec::len) as u64;
+        *log.fetched
+            .lock()
+            .unwrap()
+            .entry((ask.object, version))
+            .or_default() += 1;
         Act::Give {
             version,
             length: LENGTH,
@@ -137,17 +165,37 @@
     };
     let mut list = Vec::new();
     for (n, cache) in caches.iter().enumerate() {
-        list.push(host(format!("s-{n:08x}"), cache.address(), OFFICES[n % 2], "box"));
+        list.push(host(
+            format!("s-{n:08x}"),
+            cache.address(),
+            OFFICES[n % 2],
+            "box",
+        ));
     }
     for (n, hub) in HUBS.iter().enumerate() {
-        list.push(host(format!("s-{:08x}", 0x100 + n), addresses[hub], hub, "parent"));
+        list.push(host(
+            format!("s-{:08x}", 0x100 + n),
+            addresses[hub],
+            hub,
+            "parent",
+        ));
     }
-    list.push(host("s-00000200".to_string(), addresses["archive"], "south", "origin"));
+    list.push(host(
+        "s-00000200".to_string(),
+        addresses["archive"],
+        "south",
+        "origin",
+    ));
     list
 }
 
 /// Starts the hubs and then the proxies.
-fn start(program: &Path, folder: &Path, file: &OperatorFile, journal: &Journal) -> Result<Processes, String> {
+fn start(
+    program: &Path,
+    folder: &Path,
+    file: &OperatorFile,
+    journal: &Journal,
+) -> Result<Processes, String> {
     let operator = file.path.display().to_string();
     let hubs = HUBS
         .iter()
@@ -159,12 +207,16 @@
     let mut proxies = Vec::new();
     for office in 0..OFFICES.len() {
         let (listen, config) = (free(), folder.join(format!("n{office}.json")));
-        std::fs::write(&config, configuration(office, listen, journal)).map_err(|e| e.to_string())?;
+        std::fs::write(&config, configuration(office, listen, journal))
+            .map_err(|e| e.to_string())?;
         let config = config.display().to_string();
         let arguments = ["serve", "--config", &config, "--operator", &operator];
         let variables = [("GW_LISTEN", &*listen.to_string())];
         let log = folder.join(format!("n{office}.log"));
-        proxies.push((Process::start(program, &arguments, &variables, &log)?, listen));
+        proxies.push((
+            Process::start(program, &arguments, &variables, &log)?,
+            listen,
+        ));
     }
     Ok(Processes { proxies, hubs })
 }
@@ -172,7 +224,9 @@
 fn wait_until_well(processes: &Processes) -> Result<(), String> {
     let ready = Instant::now() + START;
     for (_, listen) in &processes.proxies {
-        while !Terminal::connect(*listen, Duration::from_secs(2)).and_then(|mut t| t.well()).unwrap_or(false)
+        while !Terminal::connect(*listen, Duration::from_secs(2))
+            .and_then(|mut t| t.well())
+            .unwrap_or(false)
         {
             if Instant::now() > ready {
                 return Err("a proxy never became well".to_string());
@@ -199,8 +253,11 @@
             let address = processes.proxies[terminal % processes.proxies.len()].1;
             scope.spawn(move || ask_on(terminal as u64, address, counts, versions, over));
         }
-        let all: Vec<&Process> =
-            processes.hubs.iter().chain(processes.proxies.iter().map(|p| &p.0)).collect();
+        let all: Vec<&Process> = processes
+            .hubs
+            .iter()
+            .chain(processes.proxies.iter().map(|p| &p.0))
+            .collect();
         let mut purges = 0u64;
         let mut step = 0;
         while began.elapsed() < TRAFFIC {
@@ -209,7 +266,12 @@
             purges += 1;
             let object = purges * 7 % 40;
             let stamp = unix_ms();
-            versions.lock().unwrap().entry(object).or_default().push(stamp);
+            versions
+                .lock()
+                .unwrap()
+                .entry(object)
+                .or_default()
+                .push(stamp);
             journal.tell(&purged(object, stamp));
             let seconds = began.elapsed().as_secs();
             if REWIRINGS.get(step).is_some_and(|at| seconds >= *at) {
--- a/rigs/demo/src/hubs/files.rs
+++ b/rigs/demo/src/hubs/files.rs
@@ -14,12 +14,19 @@
 
 /// The operator's file: a tree under a number.
 pub fn operator(epoch: u64, wiring: &Wiring, at: &BTreeMap<&str, SocketAddr>) -> String {
-    let mut text = format!("hierarchy(epoch = {epoch}, domain = \"fill.demo.example\", overlap_ms = 4000)\n");
+    let mut text =
+        format!("hierarchy(epoch = {epoch}, domain = \"fill.demo.example\", overlap_ms = 4000)\n");
     text += &format!("archive(\"archive\", address = \"{}\")\n", at["archive"]);
     for (name, parents) in wiring {
-        text += &format!("hub(\"{name}\", parents = {parents}, address = \"{}\")\n", at[name]);
+        text += &format!(
+            "hub(\"{name}\", parents = {parents}, address = \"{}\")\n",
+            at[name]
+        );
     }
-    for (office, parents) in OFFICES.iter().zip([r#"["east", "north"]"#, r#"["south", "north"]"#]) {
+    for (office, parents) in OFFICES
+        .iter()
+        .zip([r#"["east", "north"]"#, r#"["south", "north"]"#])
+    {
         text += &format!("location(\"{office}\", parents = {parents})\n");
     }
     text
@@ -28,7 +35,11 @@
 
 /// A proxy's configuration.
 pub fn configuration(office: usize, listen: SocketAddr, journal: &Journal) -> String {
-    let zones: Vec<String> = HUBS.iter().chain(&OFFICES).map(|z| format!("\"{z}\"")).collect();
+    let zones: Vec<String> = HUBS
+        .iter()
+        .chain(&OFFICES)
+        .map(|z| format!("\"{z}\""))
+        .collect();
     let class = |name: &str, slo: u64, worth: f64, idempotency: &str| {
         format!(
             r#"{{"name":"{name}","slo":{slo},"hardLimit":3000000,"aimStretch":2.0,"importance":{worth},"lateValue":0.1,"idempotency":"{idempotency}","group":"all","repeatWindow":2000000}}"#
--- a/rigs/demo/src/hubs/process.rs
+++ b/rigs/demo/src/hubs/process.rs
@@ -18,14 +18,23 @@
     ) -> Result<Process, String> {
         let log = std::fs::File::create(log).map_err(|e| format!("{}: {e}", log.display()))?;
         let mut command = Command::new(program);
-        command.args(arguments).stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+        command
+            .args(arguments)
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
         command.envs(variables.iter().copied());
-        command.spawn().map(Process).map_err(|e| format!("{}: {e}", program.display()))
+        command
+            .spawn()
+            .map(Process)
+            .map_err(|e| format!("{}: {e}", program.display()))
     }
 
     /// Sends a signal, by its name as `kill` takes it.
     pub fn signal(&self, name: &str) {
-        let _ = Command::new("kill").args([name, &self.0.id().to_string()]).status();
+        let _ = Command::new("kill")
+            .args([name, &self.0.id().to_string()])
+            .status();
     }
 }
 
--- a/rigs/demo/src/hubs/table.rs
+++ b/rigs/demo/src/hubs/table.rs
@@ -19,8 +19,9 @@
         let told = client::get(addresses[hub], "/v2/state", "", Duration::from_secs(5))
             .map_err(|e| format!("{hub}: {e:?}"))?;
         for line in String::from_utf8_lossy(&told.body).lines() {
-            if let Some((name, n)) =
-                line.split_once(' ').and_then(|(name, n)| Some((name, n.parse::<u64>().ok()?)))
+            if let Some((name, n)) = line
+                .split_once(' ')
+                .and_then(|(name, n)| Some((name, n.parse::<u64>().ok()?)))
             {
                 *state.entry(name.to_string()).or_default() += n;
             }
@@ -43,10 +44,19 @@
     for (rule, holds) in [
         ("every request has one answer", load(&counts.lost) == 0),
         ("answers are whole and unchanged", load(&counts.spoilt) == 0),
-        ("no copy older than a purge from 1 s after it", load(&counts.older) == 0),
+        (
+            "no copy older than a purge from 1 s after it",
+            load(&counts.older) == 0,
+        ),
         ("no record ran twice", twice == 0),
-        ("traffic was served, and fills went through the hubs", load(&counts.served) > 500 && asked > 100),
-        ("fewer than 1.5 archive fetches for each object and purge", ratio < FETCHES_EACH),
+        (
+            "traffic was served, and fills went through the hubs",
+            load(&counts.served) > 500 && asked > 100,
+        ),
+        (
+            "fewer than 1.5 archive fetches for each object and purge",
+            ratio < FETCHES_EACH,
+        ),
     ] {
         println!("{} {rule}", if holds { "kept  " } else { "BROKEN" });
         kept &= holds;
@@ -68,11 +78,17 @@
         ("fills and records taken by hubs", of("asked")),
         ("  records passed on", of("writes")),
         ("  fills from copies that they held", of("hits")),
-        ("  fills from hub to hub", of("fetches").saturating_sub(of("archive_fetches"))),
+        (
+            "  fills from hub to hub",
+            of("fetches").saturating_sub(of("archive_fetches")),
+        ),
         ("  looks at what is held, in vain", of("missing")),
         ("archive fetches", fetches),
         ("objects and purges fetched", pairs),
-        ("loops broken", of("loops_found") + of("loops_avoided") + of("loops_told")),
+        (
+            "loops broken",
+            of("loops_found") + of("loops_avoided") + of("loops_told"),
+        ),
         ("former trees still held", of("former_trees")),
     ] {
         println!("{name:<34} {n:>9}");
--- a/rigs/demo/src/hubs/terminal.rs
+++ b/rigs/demo/src/hubs/terminal.rs
@@ -33,7 +33,13 @@
 }
 
 /// A counter terminal: asks one thing after another, and checks each answer.
-pub fn ask_on(number: u64, address: SocketAddr, counts: &Counts, versions: &Versions, over: &AtomicBool) {
+pub fn ask_on(
+    number: u64,
+    address: SocketAddr,
+    counts: &Counts,
+    versions: &Versions,
+    over: &AtomicBool,
+) {
     let mut random = number.wrapping_mul(0x9e37_79b9_7f4a_7c15) + 1;
     let mut draw = || {
         random ^= random << 13;
@@ -51,7 +57,11 @@
         // A few objects are wanted much more than the others.
         let object = draw() % (1 + draw() % OBJECTS);
         let record = draw() % 33 == 0;
-        let class = if record { "mix-record" } else { ["mix-video", "formula-card"][(object % 2) as usize] };
+        let class = if record {
+            "mix-record"
+        } else {
+            ["mix-video", "formula-card"][(object % 2) as usize]
+        };
         let mut fields = BTreeMap::from([
             ("i", format!("{:016x}", draw())),
             ("d", "3000".to_string()),
@@ -94,13 +104,23 @@
 
 /// The bytes are those of one version, and of none that was purged more than a second before the request was sent.
 fn check(object: u64, sent: u64, bytes: &[u8], counts: &Counts, versions: &Versions) {
-    let purges = versions.lock().unwrap().get(&object).cloned().unwrap_or_default();
-    let version = (0..=purges.len() as u64).rev().find(|v| body(object, 0, *v, LENGTH) == bytes);
+    let purges = versions
+        .lock()
+        .unwrap()
+        .get(&object)
+        .cloned()
+        .unwrap_or_default();
+    let version = (0..=purges.len() as u64)
+        .rev()
+        .find(|v| body(object, 0, *v, LENGTH) == bytes);
     let Some(version) = version else {
         counts.spoilt.fetch_add(1, Ordering::SeqCst);
         return;
     };
-    let due = purges.iter().filter(|at| **at + TOLD_MS + PURGE_SLACK_MS < sent).count() as u64;
+    let due = purges
+        .iter()
+        .filter(|at| **at + TOLD_MS + PURGE_SLACK_MS < sent)
+        .count() as u64;
     if version < due {
         counts.older.fetch_add(1, Ordering::SeqCst);
     }
--- a/rigs/demo/src/main.rs
+++ b/rigs/demo/src/main.rs
@@ -21,7 +21,9 @@
 }
 
 fn run() -> Result<bool, String> {
-    let program = std::env::args().nth(1).unwrap_or_else(|| "target/release/foldmux".to_string());
+    let program = std::env::args()
+        .nth(1)
+        .unwrap_or_else(|| "target/release/foldmux".to_string());
     let program = PathBuf::from(program);
     let which = std::env::args().nth(2);
     let folder = std::env::temp_dir().join(format!("foldmux-demo-{}", std::process::id()));
@@ -34,7 +36,9 @@
             true
         }),
         Some("day") => foldmux_demo::day::compare(&program, &folder, 3).map(|_| true),
-        Some(other) => Err(format!("no demo {other:?}; extproc, streams, day, or none for the hubs")),
+        Some(other) => Err(format!(
+            "no demo {other:?}; extproc, streams, day, or none for the hubs"
+        )),
     };
     match &verdict {
         Ok(true) => drop(std::fs::remove_dir_all(&folder)),
@@ -46,7 +50,12 @@
 /// The external processor behind a proxy that cancels at random.
 fn process(program: &Path, folder: &Path) -> Result<bool, String> {
     let began = Instant::now();
-    let trial = Trial { requests: 20_000, seed: unix_ms(), slowest: 50, forgets: false };
+    let trial = Trial {
+        requests: 20_000,
+        seed: unix_ms(),
+        slowest: 50,
+        forgets: false,
+    };
     let report = foldmux_demo::extproc::run(program, folder, trial)?;
     println!("{report}\n{:.1} s", began.elapsed().as_secs_f64());
     Ok(report.sound())
--- a/rigs/faultshim/src/hooks.rs
+++ b/rigs/faultshim/src/hooks.rs
@@ -13,8 +13,12 @@
 use std::mem::transmute;
 
 type Body = extern "C" fn(*mut c_void) -> *mut c_void;
-type Create =
-    unsafe extern "C" fn(*mut libc::pthread_t, *const libc::pthread_attr_t, Body, *mut c_void) -> c_int;
+type Create = unsafe extern "C" fn(
+    *mut libc::pthread_t,
+    *const libc::pthread_attr_t,
+    Body,
+    *mut c_void,
+) -> c_int;
 
 const NANOSECONDS: i64 = 1_000_000_000;
 
@@ -44,7 +48,12 @@
 }
 
 #[no_mangle]
-pub unsafe extern "C" fn send(fd: c_int, from: *const c_void, length: size_t, flags: c_int) -> ssize_t {
+pub unsafe extern "C" fn send(
+    fd: c_int,
+    from: *const c_void,
+    length: size_t,
+    flags: c_int,
+) -> ssize_t {
     let length = match effect(Call::Send, roles::of(fd)) {
         Some(Effect::Fail(error)) => return failed(error) as ssize_t,
         Some(Effect::Short) => length.min(1),
@@ -111,15 +120,32 @@
 }
 
 #[no_mangle]
-pub unsafe extern "C" fn poll(set: *mut libc::pollfd, count: libc::nfds_t, time_out: c_int) -> c_int {
+pub unsafe extern "C" fn poll(
+    set: *mut libc::pollfd,
+    count: libc::nfds_t,
+    time_out: c_int,
+) -> c_int {
     if let Some(error) = failure(Call::Poll, Role::Other) {
         return failed(error);
     }
     // Not every machine has the system call `poll`.
-    let time =
-        timespec { tv_sec: (time_out / 1_000).into(), tv_nsec: c_long::from(time_out % 1_000) * 1_000_000 };
-    let time = if time_out < 0 { std::ptr::null() } else { &raw const time };
-    libc::syscall(libc::SYS_ppoll, set, count, time, std::ptr::null::<c_void>(), 0) as c_int
+    let time = timespec {
+        tv_sec: (time_out / 1_000).into(),
+        tv_nsec: c_long::from(time_out % 1_000) * 1_000_000,
+    };
+    let time = if time_out < 0 {
+        std::ptr::null()
+    } else {
+        &raw const time
+    };
+    libc::syscall(
+        libc::SYS_ppoll,
+        set,
+        count,
+        time,
+        std::ptr::null::<c_void>(),
+        0,
+    ) as c_int
 }
 
 #[no_mangle]
--- a/rigs/faultshim/src/schedule.rs
+++ b/rigs/faultshim/src/schedule.rs
@@ -76,8 +76,13 @@
 
 /// The rules of a schedule, or the first line that can't be used.
 pub fn parse(text: &str) -> Result<Vec<Rule>, String> {
-    let lines = text.lines().map(str::trim).filter(|line| !line.is_empty() && !line.starts_with('#'));
-    lines.map(|line| rule(line).ok_or_else(|| format!("not a rule: {line}"))).collect()
+    let lines = text
+        .lines()
+        .map(str::trim)
+        .filter(|line| !line.is_empty() && !line.starts_with('#'));
+    lines
+        .map(|line| rule(line).ok_or_else(|| format!("not a rule: {line}")))
+        .collect()
 }
 
 fn rule(line: &str) -> Option<Rule> {
@@ -86,7 +91,18 @@
     let (seen, done) = (AtomicU64::new(0), AtomicU64::new(0));
     let none = Effect::Step(0);
     let (every, skip, count, from_ms, until_ms) = (1, 0, u64::MAX, 0, u64::MAX);
-    let mut rule = Rule { call, role: None, effect: none, every, skip, count, from_ms, until_ms, seen, done };
+    let mut rule = Rule {
+        call,
+        role: None,
+        effect: none,
+        every,
+        skip,
+        count,
+        from_ms,
+        until_ms,
+        seen,
+        done,
+    };
     for word in words {
         let (key, value) = word.split_once('=')?;
         match key {
--- a/rigs/faultshim/src/state.rs
+++ b/rigs/faultshim/src/state.rs
@@ -27,7 +27,10 @@
         return None;
     }
     let at_ms = monotonic_ms().saturating_sub(state.started_ms);
-    let rule = state.rules.iter().find(|rule| rule.strikes(call, role, at_ms))?;
+    let rule = state
+        .rules
+        .iter()
+        .find(|rule| rule.strikes(call, role, at_ms))?;
     if let (Some(mut trace), true) = (state.trace.as_ref(), call != Call::Clock) {
         let line = format!("{at_ms} ms {call:?} {role:?} {:?}\n", rule.effect);
         let _ = trace.write_all(line.as_bytes());
@@ -38,7 +41,10 @@
 impl State {
     fn read() -> State {
         let text = std::env::var_os(SCHEDULE).map(std::fs::read_to_string);
-        let rules = match text.map(|text| text.map_err(|e| e.to_string()).and_then(|text| parse(&text))) {
+        let rules = match text.map(|text| {
+            text.map_err(|e| e.to_string())
+                .and_then(|text| parse(&text))
+        }) {
             None => Vec::new(),
             Some(Ok(rules)) => rules,
             Some(Err(why)) => {
@@ -47,14 +53,22 @@
             }
         };
         let trace = std::env::var_os(TRACE);
-        let trace = trace.and_then(|path| File::options().create(true).append(true).open(path).ok());
-        State { rules, started_ms: monotonic_ms(), trace }
+        let trace =
+            trace.and_then(|path| File::options().create(true).append(true).open(path).ok());
+        State {
+            rules,
+            started_ms: monotonic_ms(),
+            trace,
+        }
     }
 }
 
 /// The monotonic clock, past the hooks.
 fn monotonic_ms() -> u64 {
-    let mut now = libc::timespec { tv_sec: 0, tv_nsec: 0 };
+    let mut now = libc::timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
     // Safety: the kernel writes one timespec, which lives on this stack.
     unsafe { libc::syscall(libc::SYS_clock_gettime, libc::CLOCK_MONOTONIC, &raw mut now) };
     now.tv_sec as u64 * 1_000 + now.tv_nsec as u64 / 1_000_000
--- a/rigs/fleetlab/src/command.rs
+++ b/rigs/fleetlab/src/command.rs
@@ -13,8 +13,15 @@
         match arg {
             Arg::Value(word) if word == "fleet" => {}
             Arg::Long("seed") => plan.seed = args.value()?.parse()?,
-            Arg::Long("instances") => plan = Plan { seed: plan.seed, ..Plan::new(args.value()?.parse()?, 0) },
-            Arg::Long("seconds") => plan.span = args.value()?.parse::<u64>()?.clamp(1, 3_600) * SECOND,
+            Arg::Long("instances") => {
+                plan = Plan {
+                    seed: plan.seed,
+                    ..Plan::new(args.value()?.parse()?, 0)
+                }
+            }
+            Arg::Long("seconds") => {
+                plan.span = args.value()?.parse::<u64>()?.clamp(1, 3_600) * SECOND
+            }
             Arg::Long("again") => {
                 let text = std::fs::read_to_string(args.value()?).map_err(|e| e.to_string())?;
                 plan = serde_json::from_str(&text).map_err(|e| e.to_string())?;
@@ -31,7 +38,9 @@
     let (plan, out) = plan(args).map_err(|e| e.to_string())?;
     let report = run(&plan);
     print!("{}", told(&report));
-    let Some(broken) = report.broken() else { return Ok(()) };
+    let Some(broken) = report.broken() else {
+        return Ok(());
+    };
     let (short, runs) = shrink(&plan, &report.fired, broken, RUNS);
     let text = serde_json::to_string(&short).map_err(|e| e.to_string())?;
     match out {
--- a/rigs/fleetlab/src/happen.rs
+++ b/rigs/fleetlab/src/happen.rs
@@ -40,7 +40,10 @@
             Event::Start { node } => self.start(node),
             Event::Work(what) => self.work_outside(what),
             Event::News(what) => self.news_outside(what),
-            Event::Given { pool, by } => self.say(Said::Given { pool: format!("p{pool}"), by: Some(by) }),
+            Event::Given { pool, by } => self.say(Said::Given {
+                pool: format!("p{pool}"),
+                by: Some(by),
+            }),
         }
     }
 
@@ -50,15 +53,13 @@
                 Wire::Members(m) => {
                     self.drive::<Members>(at, |part, now, out| part.heard(now, &name(from), m, out))
                 }
-                Wire::Takeover(m) => {
-                    self.drive::<Takeover>(at, |part, now, out| part.heard(now, &name(from), m, out))
-                }
+                Wire::Takeover(m) => self
+                    .drive::<Takeover>(at, |part, now, out| part.heard(now, &name(from), m, out)),
                 Wire::Relay(m) => {
                     self.drive::<Relay>(at, |part, now, out| part.heard(now, &name(from), m, out))
                 }
-                Wire::Slots(m) => {
-                    self.drive::<FleetSlots>(at, |part, now, out| part.heard(now, &name(from), m, out))
-                }
+                Wire::Slots(m) => self
+                    .drive::<FleetSlots>(at, |part, now, out| part.heard(now, &name(from), m, out)),
             },
             Local::Tick { when } if when == self.nodes[at].tick => {
                 self.nodes[at].tick = Time::MAX;
@@ -78,7 +79,9 @@
 
     fn tick<P: Kind>(&mut self, at: usize) {
         let now = self.clock(at);
-        let Some(parts) = &mut self.nodes[at].parts else { return };
+        let Some(parts) = &mut self.nodes[at].parts else {
+            return;
+        };
         if P::of(parts).due().is_some_and(|due| due <= now) {
             self.drive::<P>(at, |part, now, out| part.tick(now, out));
         }
@@ -99,7 +102,14 @@
 impl World {
     pub fn ends(&self) -> Ends {
         let works = self.nodes.iter().filter_map(|node| node.parts.as_ref());
-        let see = |parts: &Parts| parts.members.seen().iter().filter(|seen| seen.state.alive()).count();
+        let see = |parts: &Parts| {
+            parts
+                .members
+                .seen()
+                .iter()
+                .filter(|seen| seen.state.alive())
+                .count()
+        };
         let astray = self
             .nodes
             .iter()
@@ -109,7 +119,12 @@
             behind: self.readers_behind(),
             works: works.map(|parts| parts.takeover.counts().1).sum(),
             short: self.pools_short(),
-            tickets: self.tickets + self.nodes.iter().map(|node| node.desk.open()).sum::<usize>(),
+            tickets: self.tickets
+                + self
+                    .nodes
+                    .iter()
+                    .map(|node| node.desk.open())
+                    .sum::<usize>(),
             astray: astray.count(),
         }
     }
--- a/rigs/fleetlab/src/lib.rs
+++ b/rigs/fleetlab/src/lib.rs
@@ -48,38 +48,66 @@
 impl Report {
     /// The first thing that is broken.
     pub fn broken(&self) -> Option<&'static str> {
-        let breaks = self.verdict.breaks().into_iter().find(|(_, count)| *count > 0).map(|(name, _)| name);
+        let breaks = self
+            .verdict
+            .breaks()
+            .into_iter()
+            .find(|(_, count)| *count > 0)
+            .map(|(name, _)| name);
         let ends = [
             ("readers behind at the end", self.ends.behind.len()),
             ("works left at the end", self.ends.works),
             ("slots that did not come back", self.ends.short.len()),
             ("asks answered twice or never", self.ends.tickets),
         ];
-        breaks.or(ends.into_iter().find(|(_, count)| *count > 0).map(|(name, _)| name))
+        breaks.or(ends
+            .into_iter()
+            .find(|(_, count)| *count > 0)
+            .map(|(name, _)| name))
     }
 }
 
 pub fn run(plan: &Plan) -> Report {
     let world = net::World::played(plan);
     let (ends, messages) = (world.ends(), world.messages);
-    Report { verdict: check::read(&world.lines), fired: world.fired, messages, ends }
+    Report {
+        verdict: check::read(&world.lines),
+        fired: world.fired,
+        messages,
+        ends,
+    }
 }
 
 /// Keeps the report's words in one place for the command and the tests.
 pub fn told(report: &Report) -> String {
-    let Report { verdict, fired, messages, ends } = report;
-    let mut text = format!("{:<36} {messages:>9}\n{:<36} {:>9}\n", "messages", "faults", fired.len());
+    let Report {
+        verdict,
+        fired,
+        messages,
+        ends,
+    } = report;
+    let mut text = format!(
+        "{:<36} {messages:>9}\n{:<36} {:>9}\n",
+        "messages",
+        "faults",
+        fired.len()
+    );
     text += &verdict.to_string();
-    for (what, names) in
-        [("readers behind at the end", &ends.behind), ("slots that did not come back", &ends.short)]
-    {
+    for (what, names) in [
+        ("readers behind at the end", &ends.behind),
+        ("slots that did not come back", &ends.short),
+    ] {
         let word = if names.is_empty() { "kept  " } else { "BROKEN" };
         text += &format!("{word} {what:<29} {:>9}\n", names.len());
-        names.iter().take(5).for_each(|name| text += &format!("            {name}\n"));
+        names
+            .iter()
+            .take(5)
+            .for_each(|name| text += &format!("            {name}\n"));
     }
-    for (what, count) in
-        [("works left at the end", ends.works), ("asks answered twice or never", ends.tickets)]
-    {
+    for (what, count) in [
+        ("works left at the end", ends.works),
+        ("asks answered twice or never", ends.tickets),
+    ] {
         let word = if count == 0 { "kept  " } else { "BROKEN" };
         text += &format!("{word} {what:<29} {count:>9}\n");
     }
--- a/rigs/fleetlab/src/net.rs
+++ b/rigs/fleetlab/src/net.rs
@@ -88,7 +88,11 @@
             plan: plan.clone(),
         };
         let (seed, processes, sites) = (plan.seed, plan.instances, site(plan.instances - 1) + 1);
-        world.say(Said::Planned { seed, processes, sites });
+        world.say(Said::Planned {
+            seed,
+            processes,
+            sites,
+        });
         for at in 0..plan.instances {
             world.nodes.push(Node {
                 parts: None,
@@ -122,13 +126,17 @@
     }
 
     pub fn say(&mut self, event: Said) {
-        self.lines.push(Line { at: self.now, event });
+        self.lines.push(Line {
+            at: self.now,
+            event,
+        });
     }
 
     pub fn later(&mut self, after: Time, event: Event) {
         self.serial += 1;
         let slot = self.events.insert(event);
-        self.queue.push(Reverse((self.now + after, self.serial, slot)));
+        self.queue
+            .push(Reverse((self.now + after, self.serial, slot)));
     }
 
     /// At the life that an instance has now.
@@ -154,7 +162,9 @@
         call: impl FnOnce(&mut P, Time, &mut Vec<Do<P::Message, P::Told>>),
     ) {
         let (now, life) = (self.clock(at), self.nodes[at].life);
-        let Some(parts) = &mut self.nodes[at].parts else { return };
+        let Some(parts) = &mut self.nodes[at].parts else {
+            return;
+        };
         let mut out = Vec::new();
         call(P::of(parts), now, &mut out);
         for act in out {
@@ -172,7 +182,9 @@
 
     pub(crate) fn arm(&mut self, at: usize) {
         let (clock, node) = (self.clock(at), &self.nodes[at]);
-        let Some(due) = node.parts.as_ref().and_then(Parts::due) else { return };
+        let Some(due) = node.parts.as_ref().and_then(Parts::due) else {
+            return;
+        };
         let after = due.saturating_sub(clock) as i64 * 1_000_000 / (1_000_000 + node.ppm);
         let when = self.now + after as Time + 1;
         if when < node.tick {
@@ -183,16 +195,35 @@
 
     fn send(&mut self, from: usize, to: usize, wire: Wire) {
         if from == to {
-            return self.then(to, 0, Local::Heard { from, wire: Box::new(wire) });
+            return self.then(
+                to,
+                0,
+                Local::Heard {
+                    from,
+                    wire: Box::new(wire),
+                },
+            );
         }
         self.messages += 1;
-        let breaking = (self.plan.begins()..self.plan.begins() + self.plan.span).contains(&self.now);
-        let what = if breaking { self.plan.fault(self.messages) } else { None };
+        let breaking =
+            (self.plan.begins()..self.plan.begins() + self.plan.span).contains(&self.now);
+        let what = if breaking {
+            self.plan.fault(self.messages)
+        } else {
+            None
+        };
         let what = what.filter(|what| self.may(from, to, *what));
-        self.fired.extend(what.map(|what| Fault { message: self.messages, what }));
-        let gone =
-            self.cut.get(&(from, to)).is_some_and(|until| self.now < *until) || what == Some(What::Lost);
-        let fault = |node, what, world: &mut World, after| world.later(after, Event::Break { node, what });
+        self.fired.extend(what.map(|what| Fault {
+            message: self.messages,
+            what,
+        }));
+        let gone = self
+            .cut
+            .get(&(from, to))
+            .is_some_and(|until| self.now < *until)
+            || what == Some(What::Lost);
+        let fault =
+            |node, what, world: &mut World, after| world.later(after, Event::Break { node, what });
         let way = self.rng.u64(MS / 4..=WAY);
         // In order, as a connection is, but for what is late.
         let last = self.last.entry((from, to)).or_default();
@@ -202,22 +233,40 @@
         match what {
             Some(What::Cut(span)) => {
                 self.cut.insert((from, to), self.now + span);
-                self.say(Said::Cut { line: format!("{from} to {to}"), way: "there".into() });
-            }
-            Some(What::Kill(Who::Sender, _) | What::Pause(Who::Sender, _) | What::Leave(Who::Sender, _)) => {
-                fault(from, what.expect("this one"), self, 0)
+                self.say(Said::Cut {
+                    line: format!("{from} to {to}"),
+                    way: "there".into(),
+                });
             }
+            Some(
+                What::Kill(Who::Sender, _)
+                | What::Pause(Who::Sender, _)
+                | What::Leave(Who::Sender, _),
+            ) => fault(from, what.expect("this one"), self, 0),
             _ => {}
         }
         if !gone {
             let copies = 1 + (what == Some(What::Twice)) as usize;
             for copy in 0..copies {
-                let late = if let Some(What::Late(by)) = what { by } else { copy as Time * 200 * MS };
-                self.then(to, after + late, Local::Heard { from, wire: Box::new(wire.clone()) });
+                let late = if let Some(What::Late(by)) = what {
+                    by
+                } else {
+                    copy as Time * 200 * MS
+                };
+                self.then(
+                    to,
+                    after + late,
+                    Local::Heard {
+                        from,
+                        wire: Box::new(wire.clone()),
+                    },
+                );
             }
         }
         if let Some(
-            What::Kill(Who::Receiver, _) | What::Pause(Who::Receiver, _) | What::Leave(Who::Receiver, _),
+            What::Kill(Who::Receiver, _)
+            | What::Pause(Who::Receiver, _)
+            | What::Leave(Who::Receiver, _),
         ) = what
         {
             fault(to, what.expect("this one"), self, after);
--- a/rigs/fleetlab/src/news.rs
+++ b/rigs/fleetlab/src/news.rs
@@ -36,10 +36,21 @@
 }
 
 pub enum Step {
-    Answer { poll: u64, epoch: u64, items: Vec<Item> },
-    Quiet { poll: u64 },
-    Unfed { poll: u64 },
-    Taken { reader: u64, number: u64 },
+    Answer {
+        poll: u64,
+        epoch: u64,
+        items: Vec<Item>,
+    },
+    Quiet {
+        poll: u64,
+    },
+    Unfed {
+        poll: u64,
+    },
+    Taken {
+        reader: u64,
+        number: u64,
+    },
 }
 
 pub enum Outside {
@@ -78,7 +89,14 @@
                 if reading.tail != end || std::mem::take(&mut reading.first) {
                     self.answer_poll(at, life, poll);
                 } else {
-                    self.later(WAIT, Event::At { node: at, life, what: Local::News(Step::Quiet { poll }) });
+                    self.later(
+                        WAIT,
+                        Event::At {
+                            node: at,
+                            life,
+                            what: Local::News(Step::Quiet { poll }),
+                        },
+                    );
                 }
             }
         }
@@ -90,12 +108,28 @@
         let (number, key) = (source.told.len() as u64 + 1, source.count % 4);
         let key = (key < 3).then(|| format!("k{key}").into());
         let bytes = source.count.to_le_bytes().as_slice().into();
-        source.told.push(Item { number, key, gone: false, bytes, age: 0 });
+        source.told.push(Item {
+            number,
+            key,
+            gone: false,
+            bytes,
+            age: 0,
+        });
         let epoch = source.epoch;
-        self.say(Said::Sent { stream: "list".into(), epoch, number });
-        let waiting: Vec<_> =
-            self.source.waiting.iter().map(|(at, (life, poll))| (*at, *life, *poll)).collect();
-        waiting.into_iter().for_each(|(at, life, poll)| self.answer_poll(at, life, poll));
+        self.say(Said::Sent {
+            stream: "list".into(),
+            epoch,
+            number,
+        });
+        let waiting: Vec<_> = self
+            .source
+            .waiting
+            .iter()
+            .map(|(at, (life, poll))| (*at, *life, *poll))
+            .collect();
+        waiting
+            .into_iter()
+            .for_each(|(at, life, poll)| self.answer_poll(at, life, poll));
     }
 
     fn answer_poll(&mut self, at: usize, life: u64, poll: u64) {
@@ -107,12 +141,25 @@
         let what = match self.rng.u16(..500) {
             // An answer that is lost on its way.
             0 if self.now < self.plan.begins() + self.plan.span => {
-                return self
-                    .later(LOST, Event::At { node: at, life, what: Local::News(Step::Unfed { poll }) });
+                return self.later(
+                    LOST,
+                    Event::At {
+                        node: at,
+                        life,
+                        what: Local::News(Step::Unfed { poll }),
+                    },
+                );
             }
             _ => Local::News(Step::Answer { poll, epoch, items }),
         };
-        self.later(way, Event::At { node: at, life, what });
+        self.later(
+            way,
+            Event::At {
+                node: at,
+                life,
+                what,
+            },
+        );
     }
 
     fn poll(&mut self, at: usize) {
@@ -136,7 +183,14 @@
                     reading.tail = (epoch, 0);
                 }
                 reading.tail.1 = items.last().map_or(reading.tail.1, |item| item.number);
-                self.relay(at, Ask::Fed { stream: stream().name, epoch, items });
+                self.relay(
+                    at,
+                    Ask::Fed {
+                        stream: stream().name,
+                        epoch,
+                        items,
+                    },
+                );
                 self.poll(at);
             }
             Step::Quiet { poll } if reading.open && reading.poll == poll => {
@@ -146,7 +200,12 @@
                 }
             }
             Step::Unfed { poll } if reading.open && reading.poll == poll => {
-                self.relay(at, Ask::Unfed { stream: stream().name });
+                self.relay(
+                    at,
+                    Ask::Unfed {
+                        stream: stream().name,
+                    },
+                );
                 self.poll(at);
             }
             _ => {}
@@ -157,9 +216,21 @@
         self.source.next_reader += 1;
         let reader = self.source.next_reader;
         (self.nodes[at].reading.reader, self.nodes[at].reading.at) = (Some(reader), None);
-        self.say(Said::Joined { stream: "list".into(), site: site(at).to_string(), reader });
+        self.say(Said::Joined {
+            stream: "list".into(),
+            site: site(at).to_string(),
+            reader,
+        });
         let (stream, after) = (stream().name, 0);
-        self.relay(at, Ask::Subscribe { ticket: reader, stream, after, place: None });
+        self.relay(
+            at,
+            Ask::Subscribe {
+                ticket: reader,
+                stream,
+                after,
+                place: None,
+            },
+        );
     }
 
     /// The instance is gone, and its reader with it.
@@ -168,10 +239,17 @@
         self.source.waiting.remove(&at);
         let (stream, site) = (|| "list".to_string(), site(at).to_string());
         reading.reader.iter().for_each(|reader| {
-            self.say(Said::Parted { stream: stream(), site: site.clone(), reader: *reader });
+            self.say(Said::Parted {
+                stream: stream(),
+                site: site.clone(),
+                reader: *reader,
+            });
         });
         if reading.open {
-            self.say(Said::Closed { stream: stream(), site });
+            self.say(Said::Closed {
+                stream: stream(),
+                site,
+            });
         }
     }
 
@@ -182,17 +260,34 @@
                 self.source.waiting.remove(&at);
                 let reading = &mut self.nodes[at].reading;
                 (reading.open, reading.first) = (open, open);
-                let said = if open { Said::Opened { stream, site } } else { Said::Closed { stream, site } };
+                let said = if open {
+                    Said::Opened { stream, site }
+                } else {
+                    Said::Closed { stream, site }
+                };
                 self.say(said);
                 if open {
                     self.poll(at);
                 }
             }
-            Told::News { reader, first, events } => {
+            Told::News {
+                reader,
+                first,
+                events,
+            } => {
                 let taken = first + events.iter().map(News::span).sum::<u64>() - 1;
-                events.into_iter().for_each(|event| self.heard(at, reader, event));
+                events
+                    .into_iter()
+                    .for_each(|event| self.heard(at, reader, event));
                 let after = self.rng.u64(..20 * MS);
-                self.then(at, after, Local::News(Step::Taken { reader, number: taken }));
+                self.then(
+                    at,
+                    after,
+                    Local::News(Step::Taken {
+                        reader,
+                        number: taken,
+                    }),
+                );
             }
             Told::Ended { .. } | Told::Refused { .. } => self.nodes[at].reading.at = None,
             Told::Opened { .. } | Told::Relay { .. } => {}
@@ -204,15 +299,45 @@
         let (place, said) = match event {
             News::Item { epoch, item } => {
                 let number = item.number;
-                ((epoch, number), Said::Heard { stream, reader, epoch, number })
-            }
-            News::From { place: Place { epoch, number } }
-            | News::Whole { place: Place { epoch, number }, .. } => {
-                ((epoch, number), Said::Snapshot { stream, reader, epoch, number })
+                (
+                    (epoch, number),
+                    Said::Heard {
+                        stream,
+                        reader,
+                        epoch,
+                        number,
+                    },
+                )
             }
-            News::Lost { epoch, from, to: Some(to) } => {
-                ((epoch, to), Said::Gap { stream, reader, epoch, from, to })
+            News::From {
+                place: Place { epoch, number },
             }
+            | News::Whole {
+                place: Place { epoch, number },
+                ..
+            } => (
+                (epoch, number),
+                Said::Snapshot {
+                    stream,
+                    reader,
+                    epoch,
+                    number,
+                },
+            ),
+            News::Lost {
+                epoch,
+                from,
+                to: Some(to),
+            } => (
+                (epoch, to),
+                Said::Gap {
+                    stream,
+                    reader,
+                    epoch,
+                    from,
+                    to,
+                },
+            ),
             // An epoch's end.
             News::Lost { .. } => return,
         };
@@ -222,8 +347,14 @@
 
     pub fn readers_behind(&self) -> Vec<String> {
         let end = Some((self.source.epoch, self.source.told.len() as u64));
-        let up = self.nodes.iter().enumerate().filter(|(_, node)| node.parts.is_some());
+        let up = self
+            .nodes
+            .iter()
+            .enumerate()
+            .filter(|(_, node)| node.parts.is_some());
         let behind = up.filter(|(_, node)| node.reading.at != end);
-        behind.map(|(at, node)| format!("n{at} at {:?} of {end:?}", node.reading.at)).collect()
+        behind
+            .map(|(at, node)| format!("n{at} at {:?} of {end:?}", node.reading.at))
+            .collect()
     }
 }
--- a/rigs/fleetlab/src/node.rs
+++ b/rigs/fleetlab/src/node.rs
@@ -57,13 +57,27 @@
 kind!(FleetSlots, slots, Slots, World::pool_told);
 
 impl Parts {
-    pub fn new(plan: &Plan, places: &[(Peer, Vec<Arc<str>>)], at: usize, life: u64, first: bool) -> Parts {
+    pub fn new(
+        plan: &Plan,
+        places: &[(Peer, Vec<Arc<str>>)],
+        at: usize,
+        life: u64,
+        first: bool,
+    ) -> Parts {
         let now = BORN;
         let seed = plan.seed ^ (at as u64) << 32 ^ life;
         let address = std::net::SocketAddr::from(([127, 0, 0, 1], 7000));
         let me = members::Who::new(name(at), &site(at).to_string(), address, 1_000_000 + life);
-        let pace = members::Pace { rtt: 100 * MS, size: plan.instances as u32 };
-        let setup = members::Setup { me, pace, most: plan.instances, seed };
+        let pace = members::Pace {
+            rtt: 100 * MS,
+            size: plan.instances as u32,
+        };
+        let setup = members::Setup {
+            me,
+            pace,
+            most: plan.instances,
+            seed,
+        };
         Parts {
             members: members::Members::new(setup).expect("a member"),
             takeover: takeover::Takeover::new(now, work(plan, at, life, first)),
@@ -74,7 +88,10 @@
 
     pub fn due(&self) -> Option<Time> {
         let (members, takeover) = (self.members.due(), self.takeover.due());
-        [members, takeover, self.relay.due(), self.slots.due()].into_iter().flatten().min()
+        [members, takeover, self.relay.due(), self.slots.due()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 }
 
@@ -154,9 +171,19 @@
         weights: Default::default(),
         unnamed: 1_000,
     };
-    let peers = (0..plan.instances).filter(|peer| own.is_some() && pool(*peer) == own).map(name).collect();
+    let peers = (0..plan.instances)
+        .filter(|peer| own.is_some() && pool(*peer) == own)
+        .map(name)
+        .collect();
     let seats = Change::settled(seats());
-    FleetSetup { own: name(at), life, peers, seats, drift: drift(), pools: mine.map(setup).collect() }
+    FleetSetup {
+        own: name(at),
+        life,
+        peers,
+        seats,
+        drift: drift(),
+        pools: mine.map(setup).collect(),
+    }
 }
 
 /// What waits at an instance that is paused, and what is due there.
--- a/rigs/fleetlab/src/plan.rs
+++ b/rigs/fleetlab/src/plan.rs
@@ -66,7 +66,15 @@
 
 impl Default for Rates {
     fn default() -> Rates {
-        Rates { lost: 3_000, twice: 3_000, late: 3_000, cut: 150, kill: 60, pause: 60, leave: 30 }
+        Rates {
+            lost: 3_000,
+            twice: 3_000,
+            late: 3_000,
+            cut: 150,
+            kill: 60,
+            pause: 60,
+            leave: 30,
+        }
     }
 }
 
@@ -92,7 +100,13 @@
 impl Plan {
     pub fn new(instances: usize, seed: u64) -> Plan {
         let breaks = Breaks::Drawn(Rates::default());
-        Plan { instances: instances.max(SEATS + 2), seed, span: 8 * SECOND, breaks, planted: None }
+        Plan {
+            instances: instances.max(SEATS + 2),
+            seed,
+            span: 8 * SECOND,
+            breaks,
+            planted: None,
+        }
     }
 
     /// From when requests come: instances have found each other about by then.
@@ -108,14 +122,21 @@
     pub fn fault(&self, message: u64) -> Option<What> {
         let rates = match &self.breaks {
             Breaks::Listed(list) => {
-                let at = list.binary_search_by_key(&message, |fault| fault.message).ok()?;
+                let at = list
+                    .binary_search_by_key(&message, |fault| fault.message)
+                    .ok()?;
                 return Some(list[at].what);
             }
             Breaks::Drawn(rates) => rates,
         };
-        let mut rng = fastrand::Rng::with_seed(self.seed ^ message.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let mut rng =
+            fastrand::Rng::with_seed(self.seed ^ message.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let mut drawn = rng.u32(..1_000_000);
-        let who = if rng.bool() { Who::Sender } else { Who::Receiver };
+        let who = if rng.bool() {
+            Who::Sender
+        } else {
+            Who::Receiver
+        };
         let span = rng.u64(20 * MS..2 * SECOND);
         let kinds = [
             (rates.lost, What::Lost),
@@ -126,13 +147,15 @@
             (rates.pause, What::Pause(who, span)),
             (rates.leave, What::Leave(who, span)),
         ];
-        kinds.into_iter().find_map(|(rate, what)| match drawn.checked_sub(rate) {
-            None => Some(what),
-            Some(rest) => {
-                drawn = rest;
-                None
-            }
-        })
+        kinds
+            .into_iter()
+            .find_map(|(rate, what)| match drawn.checked_sub(rate) {
+                None => Some(what),
+                Some(rest) => {
+                    drawn = rest;
+                    None
+                }
+            })
     }
 }
 
@@ -179,7 +202,12 @@
         keep: LONGEST,
         repeat,
     };
-    let keyed = rule(takeover::Repeat::Keyed { window: OWN_WINDOW }, takeover::Unclaimed::Finish);
+    let keyed = rule(
+        takeover::Repeat::Keyed { window: OWN_WINDOW },
+        takeover::Unclaimed::Finish,
+    );
     let once = rule(takeover::Repeat::SingleShot, takeover::Unclaimed::LetGo);
-    [("keyed".into(), keyed), ("once".into(), once)].into_iter().collect()
+    [("keyed".into(), keyed), ("once".into(), once)]
+        .into_iter()
+        .collect()
 }
--- a/rigs/fleetlab/src/pools.rs
+++ b/rigs/fleetlab/src/pools.rs
@@ -33,22 +33,35 @@
             buckets: 8,
             unnamed: Weight::ONE,
         };
-        let queue =
-            Queue::new(pool_key(pool), setup, Figures::new(1, 100 * MS, SLOT_LONGEST), Stock::default());
-        Pools { queue, used: HashMap::new(), takes: HashMap::new() }
+        let queue = Queue::new(
+            pool_key(pool),
+            setup,
+            Figures::new(1, 100 * MS, SLOT_LONGEST),
+            Stock::default(),
+        );
+        Pools {
+            queue,
+            used: HashMap::new(),
+            takes: HashMap::new(),
+        }
     }
 }
 
 impl World {
     pub fn begin_pools(&mut self) {
         for pool in 0..=pool(self.plan.instances - 1).unwrap_or(0) {
-            self.say(Said::Cap { pool: format!("p{pool}"), slots: SLOTS.into() });
+            self.say(Said::Cap {
+                pool: format!("p{pool}"),
+                slots: SLOTS.into(),
+            });
         }
     }
 
     pub fn pool_step(&mut self, at: usize) {
         let clock = self.clock(at);
-        let Some(pools) = &self.nodes[at].pools else { return };
+        let Some(pools) = &self.nodes[at].pools else {
+            return;
+        };
         let uses = pools.queue.uses(clock);
         self.drive::<FleetSlots>(at, |part, now, out| part.ask(now, uses, out));
         // Half as much again as there is, of the pool's instances together.
@@ -73,7 +86,9 @@
             deadline: clock + SECOND,
             repeat: false,
         };
-        let Some(pools) = &mut self.nodes[at].pools else { return };
+        let Some(pools) = &mut self.nodes[at].pools else {
+            return;
+        };
         pools.takes.insert(id, takes);
         match pools.queue.enter(clock, &request) {
             Asked::Now(used) => self.begin_slot(at, id, used),
@@ -86,19 +101,26 @@
 
     fn begin_slot(&mut self, at: usize, id: u64, used: InUse) {
         let (clock, by) = (self.clock(at), at);
-        let (Some(pool), Some(pools)) = (pool(at), &mut self.nodes[at].pools) else { return };
+        let (Some(pool), Some(pools)) = (pool(at), &mut self.nodes[at].pools) else {
+            return;
+        };
         // What runs is cut off at its bound.
         let bound = used.until().saturating_sub(clock).min(SLOT_LONGEST);
         let takes = pools.takes.remove(&id).unwrap_or(0).min(bound);
         pools.used.insert(id, used);
-        self.say(Said::Taken { pool: format!("p{pool}"), by: Some(by) });
+        self.say(Said::Taken {
+            pool: format!("p{pool}"),
+            by: Some(by),
+        });
         self.later(takes, Event::Given { pool, by });
         self.then(at, takes, Local::Slot { id });
     }
 
     pub fn slot_ended(&mut self, at: usize, id: u64) {
         let clock = self.clock(at);
-        let Some(pools) = &mut self.nodes[at].pools else { return };
+        let Some(pools) = &mut self.nodes[at].pools else {
+            return;
+        };
         if let Some(used) = pools.used.remove(&id) {
             pools.queue.ended(clock, used);
         }
@@ -107,7 +129,11 @@
 
     fn go_on(&mut self, at: usize) {
         let clock = self.clock(at);
-        while let Some(then) = self.nodes[at].pools.as_mut().and_then(|pools| pools.queue.next(clock)) {
+        while let Some(then) = self.nodes[at]
+            .pools
+            .as_mut()
+            .and_then(|pools| pools.queue.next(clock))
+        {
             match then {
                 Then::Start(id, used) => self.begin_slot(at, id, used),
                 Then::Late(id) => {
@@ -117,7 +143,11 @@
                 }
             }
         }
-        if let Some(gave) = self.nodes[at].pools.as_mut().and_then(|pools| pools.queue.gave()) {
+        if let Some(gave) = self.nodes[at]
+            .pools
+            .as_mut()
+            .and_then(|pools| pools.queue.gave())
+        {
             self.drive::<FleetSlots>(at, |part, now, out| part.ask(now, gave, out));
         }
     }
@@ -136,11 +166,18 @@
         for at in 0..self.nodes.len() {
             if let (Some(pool), Some(pools)) = (pool(at), &self.nodes[at].pools) {
                 let all = held.entry(pool).or_default();
-                *all = (all.0 + pools.queue.stock().surely(self.clock(at)).count(), all.1 + 1);
+                *all = (
+                    all.0 + pools.queue.stock().surely(self.clock(at)).count(),
+                    all.1 + 1,
+                );
             }
         }
-        let short = held.into_iter().filter(|(_, (slots, by))| *by == GROUP && slots + 2 < SLOTS as usize);
-        short.map(|(pool, (slots, _))| format!("p{pool}: {slots} of {SLOTS} are held")).collect()
+        let short = held
+            .into_iter()
+            .filter(|(_, (slots, by))| *by == GROUP && slots + 2 < SLOTS as usize);
+        short
+            .map(|(pool, (slots, _))| format!("p{pool}: {slots} of {SLOTS} are held"))
+            .collect()
     }
 }
 
@@ -155,7 +192,9 @@
         node.pools = pool(at).map(Pools::new);
         self.say(Said::Started { process: at });
         let contacts = (0..SEATS).filter(|seat| *seat != at).map(name).collect();
-        self.drive::<members::Members>(at, |part, now, out| part.ask(now, members::Ask::Join(contacts), out));
+        self.drive::<members::Members>(at, |part, now, out| {
+            part.ask(now, members::Ask::Join(contacts), out)
+        });
         self.subscribe(at);
         let after = self.rng.u64(..STEP);
         self.then(at, after, Local::Pool);
@@ -169,7 +208,9 @@
         node.held.clear();
         node.desk = Default::default();
         self.part(at);
-        clients.into_iter().for_each(|client| self.cut_off(client, at));
+        clients
+            .into_iter()
+            .for_each(|client| self.cut_off(client, at));
         self.later(back, Event::Start { node: at });
     }
 
@@ -194,13 +235,25 @@
                 self.drive::<takeover::Takeover>(at, |part, now, out| {
                     part.ask(now, takeover::Ask::LetGoAll, out);
                 });
-                self.drive::<relay::Relay>(at, |part, now, out| part.ask(now, relay::Ask::Leave, out));
+                self.drive::<relay::Relay>(at, |part, now, out| {
+                    part.ask(now, relay::Ask::Leave, out)
+                });
                 let pool = pool(at).map(pool_key);
                 self.drive::<FleetSlots>(at, |part, now, out| {
-                    pool.iter().for_each(|pool| part.ask(now, Ask::Leaving { pool: *pool }, out));
+                    pool.iter()
+                        .for_each(|pool| part.ask(now, Ask::Leaving { pool: *pool }, out));
+                });
+                self.drive::<members::Members>(at, |part, now, out| {
+                    part.ask(now, members::Ask::Leave, out)
                 });
-                self.drive::<members::Members>(at, |part, now, out| part.ask(now, members::Ask::Leave, out));
-                self.later(400 * MS, Event::End { node: at, life, back });
+                self.later(
+                    400 * MS,
+                    Event::End {
+                        node: at,
+                        life,
+                        back,
+                    },
+                );
             }
             What::Lost | What::Twice | What::Late(_) | What::Cut(_) => {}
         }
--- a/rigs/fleetlab/src/shrink.rs
+++ b/rigs/fleetlab/src/shrink.rs
@@ -6,7 +6,10 @@
 
 /// What is left, and how many runs it took; at most `most`.
 pub fn shrink(plan: &Plan, fired: &[Fault], broken: &str, most: usize) -> (Plan, usize) {
-    let with = |list: &[Fault]| Plan { breaks: Breaks::Listed(list.to_vec()), ..plan.clone() };
+    let with = |list: &[Fault]| Plan {
+        breaks: Breaks::Listed(list.to_vec()),
+        ..plan.clone()
+    };
     let (mut list, mut runs) = (fired.to_vec(), 0);
     let mut piece = list.len().div_ceil(2).max(1);
     while runs < most && !list.is_empty() {
--- a/rigs/fleetlab/src/work.rs
+++ b/rigs/fleetlab/src/work.rs
@@ -22,9 +22,17 @@
 
 #[derive(Clone, Copy, Debug)]
 pub enum Purpose {
-    Claim { client: usize },
-    Intend { key: u32 },
-    Done { key: u32, client: Option<usize>, run: Option<u32> },
+    Claim {
+        client: usize,
+    },
+    Intend {
+        key: u32,
+    },
+    Done {
+        key: u32,
+        client: Option<usize>,
+        run: Option<u32>,
+    },
 }
 
 #[derive(Default)]
@@ -45,7 +53,9 @@
             Purpose::Done { client, .. } => *client,
             Purpose::Intend { .. } => None,
         });
-        let mut all: Vec<usize> = waiting.chain(self.hosts.values().filter_map(|host| host.client)).collect();
+        let mut all: Vec<usize> = waiting
+            .chain(self.hosts.values().filter_map(|host| host.client))
+            .collect();
         all.sort_unstable();
         all.dedup();
         all
@@ -62,22 +72,58 @@
 
 /// At an instance.
 pub enum Step {
-    Send { key: u32 },
-    Again { key: u32 },
-    Came { key: u32, term: u64, number: u8, came: Came },
-    TimeOut { key: u32, term: u64, number: u8 },
+    Send {
+        key: u32,
+    },
+    Again {
+        key: u32,
+    },
+    Came {
+        key: u32,
+        term: u64,
+        number: u8,
+        came: Came,
+    },
+    TimeOut {
+        key: u32,
+        term: u64,
+        number: u8,
+    },
 }
 
 /// Outside of all.
 pub enum Outside {
-    New { key: u32, at: usize },
-    Ask { client: usize, turn: u32, at: usize },
-    Arrive { at: usize, life: u64, key: u32, group: u32, term: u64, number: u8 },
+    New {
+        key: u32,
+        at: usize,
+    },
+    Ask {
+        client: usize,
+        turn: u32,
+        at: usize,
+    },
+    Arrive {
+        at: usize,
+        life: u64,
+        key: u32,
+        group: u32,
+        term: u64,
+        number: u8,
+    },
 }
 
 fn work(key: u32) -> Arc<Work> {
     let (class, token) = (class(key).into(), Some(key.to_string().into()));
-    Arc::new(Work { class, object: 1, part: 0, group: 0, size: 1_000, token, got: None, body: None })
+    Arc::new(Work {
+        class,
+        object: 1,
+        part: 0,
+        group: 0,
+        size: 1_000,
+        token,
+        got: None,
+        body: None,
+    })
 }
 
 impl World {
@@ -95,8 +141,17 @@
     }
 
     pub fn end_work(&mut self) {
-        let lost: Vec<u32> = self.clients.iter().filter(|c| !c.answered).map(|c| c.key).collect();
-        lost.into_iter().for_each(|key| self.say(Said::GaveUp { key: key.to_string() }));
+        let lost: Vec<u32> = self
+            .clients
+            .iter()
+            .filter(|c| !c.answered)
+            .map(|c| c.key)
+            .collect();
+        lost.into_iter().for_each(|key| {
+            self.say(Said::GaveUp {
+                key: key.to_string(),
+            })
+        });
     }
 
     fn ticket(&mut self, at: usize, purpose: Purpose) -> u64 {
@@ -112,7 +167,12 @@
     pub fn work_outside(&mut self, what: Outside) {
         match what {
             Outside::New { key, at } => {
-                self.clients.push(Client { key, until: self.now + LONGEST, answered: false, turn: 0 });
+                self.clients.push(Client {
+                    key,
+                    until: self.now + LONGEST,
+                    answered: false,
+                    turn: 0,
+                });
                 self.client_asks(self.clients.len() - 1, at, false);
             }
             Outside::Ask { client, turn, at } if self.clients[client].turn == turn => {
@@ -120,12 +180,31 @@
                 self.client_asks(client, next, false);
             }
             Outside::Ask { .. } => {}
-            Outside::Arrive { at, life, key, group, term, number } => {
+            Outside::Arrive {
+                at,
+                life,
+                key,
+                group,
+                term,
+                number,
+            } => {
                 let came = self.arrive(at, key, group, term, number);
                 let after = self.rng.u64(..40 * MS);
                 if self.rng.u8(..32) > 0 {
-                    let what = Local::Work(Step::Came { key, term, number, came });
-                    self.later(after, Event::At { node: at, life, what });
+                    let what = Local::Work(Step::Came {
+                        key,
+                        term,
+                        number,
+                        came,
+                    });
+                    self.later(
+                        after,
+                        Event::At {
+                            node: at,
+                            life,
+                            what,
+                        },
+                    );
                 }
             }
         }
@@ -142,9 +221,23 @@
         let after = if up { 700 * MS } else { 20 * MS };
         self.later(after, Event::Work(Outside::Ask { client, turn, at }));
         if up {
-            self.say(Said::Asked { key: key.to_string(), process: at, covered: true, again: turn > 1 });
+            self.say(Said::Asked {
+                key: key.to_string(),
+                process: at,
+                covered: true,
+                again: turn > 1,
+            });
             let ticket = self.ticket(at, Purpose::Claim { client });
-            self.ask(at, Ask::Claim { ticket, key: Key(key.into()), work: work(key), left, again });
+            self.ask(
+                at,
+                Ask::Claim {
+                    ticket,
+                    key: Key(key.into()),
+                    work: work(key),
+                    left,
+                    again,
+                },
+            );
         }
     }
 
@@ -152,7 +245,10 @@
     pub fn cut_off(&mut self, client: usize, at: usize) {
         let Client { key, turn, .. } = self.clients[client];
         if !self.clients[client].answered {
-            self.say(Said::CutOff { key: key.to_string(), process: at });
+            self.say(Said::CutOff {
+                key: key.to_string(),
+                process: at,
+            });
             self.later(5 * MS, Event::Work(Outside::Ask { client, turn, at }));
         }
     }
@@ -164,7 +260,12 @@
             Answer::Served(bytes) => (Outcome::Served, format!("{bytes:?}")),
             _ => (Outcome::Failed, String::new()),
         };
-        self.say(Said::Answered { key, process, outcome, result });
+        self.say(Said::Answered {
+            key,
+            process,
+            outcome,
+            result,
+        });
     }
 
     fn purpose(&mut self, at: usize, ticket: u64) -> Option<Purpose> {
@@ -176,8 +277,19 @@
     pub fn work_told(&mut self, at: usize, told: Told) {
         match told {
             Told::Joined { .. } => {}
-            Told::TakeOver { key, record, proof, lease } => self.host(at, None, key, record, proof, lease),
-            Told::Mine { ticket, key, record, proof, lease } => {
+            Told::TakeOver {
+                key,
+                record,
+                proof,
+                lease,
+            } => self.host(at, None, key, record, proof, lease),
+            Told::Mine {
+                ticket,
+                key,
+                record,
+                proof,
+                lease,
+            } => {
                 if let Some(Purpose::Claim { client }) = self.purpose(at, ticket) {
                     self.host(at, Some(client), key, record, proof, lease);
                 }
@@ -202,12 +314,16 @@
                 }
                 Some(Purpose::Done { key, client, run }) => {
                     self.nodes[at].desk.hosts.remove(&key);
-                    client.iter().for_each(|client| self.answer(*client, at, &answer_of(run)));
+                    client
+                        .iter()
+                        .for_each(|client| self.answer(*client, at, &answer_of(run)));
                 }
                 _ => {}
             },
             Told::Lost { ticket } => {
-                if let Some(Purpose::Intend { key } | Purpose::Done { key, .. }) = self.purpose(at, ticket) {
+                if let Some(Purpose::Intend { key } | Purpose::Done { key, .. }) =
+                    self.purpose(at, ticket)
+                {
                     let host = self.nodes[at].desk.hosts.remove(&key);
                     if let Some(client) = host.and_then(|host| host.client) {
                         self.client_asks(client, at, true);
@@ -220,14 +336,20 @@
     fn elsewhere(&mut self, at: usize, client: usize, refused: bool) {
         let Client { key, turn, .. } = self.clients[client];
         if refused {
-            self.say(Said::Refused { key: key.to_string(), process: at, wait_ms: 50 });
+            self.say(Said::Refused {
+                key: key.to_string(),
+                process: at,
+                wait_ms: 50,
+            });
         }
         self.later(50 * MS, Event::Work(Outside::Ask { client, turn, at }));
     }
 }
 
 fn answer_of(run: Option<u32>) -> Answer {
-    run.map_or(Answer::Failed, |run| Answer::Served(Arc::from(run.to_be_bytes())))
+    run.map_or(Answer::Failed, |run| {
+        Answer::Served(Arc::from(run.to_be_bytes()))
+    })
 }
 
 mod archive;
--- a/rigs/fleetlab/src/work/archive.rs
+++ b/rigs/fleetlab/src/work/archive.rs
@@ -28,14 +28,28 @@
 
 impl Archive {
     pub fn new(terms: bool) -> Archive {
-        Archive { terms, keys: HashMap::new() }
+        Archive {
+            terms,
+            keys: HashMap::new(),
+        }
     }
 }
 
 impl World {
-    pub(super) fn arrive(&mut self, at: usize, key: u32, group: u32, term: u64, number: u8) -> Came {
+    pub(super) fn arrive(
+        &mut self,
+        at: usize,
+        key: u32,
+        group: u32,
+        term: u64,
+        number: u8,
+    ) -> Came {
         let (name, by) = (key.to_string(), Some(at));
-        self.say(Said::Reached { key: name.clone(), by, term: Some(term) });
+        self.say(Said::Reached {
+            key: name.clone(),
+            by,
+            term: Some(term),
+        });
         if self.rng.u8(..10) == 0 {
             return Came::NeverRan;
         }
@@ -45,7 +59,11 @@
             // By attempt too: one that was given up is of an old term as well.
             let order = term << 8 | u64::from(number);
             if order < kept.term {
-                self.say(Said::Stale { key: name, by, term });
+                self.say(Said::Stale {
+                    key: name,
+                    by,
+                    term,
+                });
                 return Came::NeverRan;
             }
             kept.term = order;
@@ -61,7 +79,11 @@
         }
         kept.runs += 1;
         let run = kept.runs;
-        self.say(Said::Ran { key: name, by, term: Some(term) });
+        self.say(Said::Ran {
+            key: name,
+            by,
+            term: Some(term),
+        });
         Came::Ran(run)
     }
 }
--- a/rigs/lab/src/fanout/command.rs
+++ b/rigs/lab/src/fanout/command.rs
@@ -77,7 +77,9 @@
     row("streams at the source, at most", &|r| r.streams_most as f64);
     row("bytes at the source (kB)", &|r| r.source_bytes as f64 / 1e3);
     row("answers of the source", &|r| r.source_answers as f64);
-    row("messages between instances (1,000)", &|r| r.messages as f64 / 1e3);
+    row("messages between instances (1,000)", &|r| {
+        r.messages as f64 / 1e3
+    });
     row("delay p50 (ms)", &|r| r.delay.p50_ms);
     row("delay p99 (ms)", &|r| r.delay.p99_ms);
     row("delay at most (ms)", &|r| r.delay.most_ms);
@@ -94,7 +96,10 @@
             of.count, of.p50_ms, of.p99_ms, of.most_ms
         );
     };
-    silence("silence after a kill of the relay", &relayed.silent_after_kill[0]);
+    silence(
+        "silence after a kill of the relay",
+        &relayed.silent_after_kill[0],
+    );
     silence("  of who read from it", &relayed.silent_after_kill[1]);
     silence("silence after its leaving", &relayed.silent_after_leave[0]);
     silence("  of who read from it", &relayed.silent_after_leave[1]);
--- a/rigs/lab/src/fanout/links.rs
+++ b/rigs/lab/src/fanout/links.rs
@@ -11,7 +11,9 @@
 
 impl World {
     pub fn drive(&mut self, n: usize, step: impl FnOnce(&mut Relay, &mut Vec<Act>)) {
-        let Some(relay) = self.instances[n].relay.as_mut() else { return };
+        let Some(relay) = self.instances[n].relay.as_mut() else {
+            return;
+        };
         let mut out = Vec::new();
         step(relay, &mut out);
         let mut takes = Vec::new();
@@ -20,7 +22,11 @@
                 Do::Send { to, message } => {
                     self.sent += 1;
                     let to = self.name(&to);
-                    let delay = if to == n { 0 } else { self.drawn(MS / 2, 3 * MS) };
+                    let delay = if to == n {
+                        0
+                    } else {
+                        self.drawn(MS / 2, 3 * MS)
+                    };
                     let last = self.last_sent.get(&(n, to)).copied().unwrap_or(0);
                     let time = last.max(self.now + delay);
                     self.last_sent.insert((n, to), time);
@@ -31,8 +37,13 @@
                 Do::Tell(told) => self.told(n, told, &mut takes),
             }
         }
-        let due = self.instances[n].relay.as_ref().and_then(|relay| relay.due());
-        if let Some(due) = due.map(|due| due.max(self.now + 1)).filter(|due| *due < self.instances[n].tick_at)
+        let due = self.instances[n]
+            .relay
+            .as_ref()
+            .and_then(|relay| relay.due());
+        if let Some(due) = due
+            .map(|due| due.max(self.now + 1))
+            .filter(|due| *due < self.instances[n].tick_at)
         {
             self.instances[n].tick_at = due;
             self.at(due - self.now, n, What::Tick(n));
@@ -53,8 +64,15 @@
                     self.poll(n);
                 }
             }
-            Told::News { reader, first, events } => {
-                if let Some(number) = self.subscribers.told(self.now, reader, first, &events, &self.log) {
+            Told::News {
+                reader,
+                first,
+                events,
+            } => {
+                if let Some(number) = self
+                    .subscribers
+                    .told(self.now, reader, first, &events, &self.log)
+                {
                     takes.push((reader, number));
                 }
             }
@@ -87,7 +105,11 @@
         self.waiting.remove(&n);
         self.answers += 1;
         let from = self.instances[n].tail.min(self.log.len());
-        self.bytes += HEAD + self.log[from..].iter().map(|(_, i)| i.bytes.len() as u64 + ROUND).sum::<u64>();
+        self.bytes += HEAD
+            + self.log[from..]
+                .iter()
+                .map(|(_, i)| i.bytes.len() as u64 + ROUND)
+                .sum::<u64>();
         let (upto, delay) = (self.log.len(), self.drawn(MS, 5 * MS));
         self.at(delay, n, What::Answer(n, poll, upto));
     }
@@ -98,12 +120,26 @@
         }
         let from = std::mem::replace(&mut self.instances[n].tail, upto);
         if self.relayed {
-            let items = self.log[from..upto].iter().map(|(_, item)| item.clone()).collect();
+            let items = self.log[from..upto]
+                .iter()
+                .map(|(_, item)| item.clone())
+                .collect();
             let epoch = (n as u64 + 1) << 32 | self.instances[n].life;
-            self.ask(n, Ask::Fed { stream: NAME.into(), epoch, items });
+            self.ask(
+                n,
+                Ask::Fed {
+                    stream: NAME.into(),
+                    epoch,
+                    items,
+                },
+            );
         } else if from > 0 {
-            let told: Vec<u64> = self.log[from..upto].iter().map(|(at, _)| self.now - at).collect();
-            told.into_iter().for_each(|delay| self.subscribers.delayed(delay));
+            let told: Vec<u64> = self.log[from..upto]
+                .iter()
+                .map(|(at, _)| self.now - at)
+                .collect();
+            told.into_iter()
+                .for_each(|delay| self.subscribers.delayed(delay));
         }
         if self.instances[n].open && self.instances[n].poll == poll {
             self.poll(n);
@@ -119,8 +155,23 @@
         };
         let number = self.log.len() as u64 + 1;
         let key = key.map(|key| key.as_str().into());
-        self.log.push((self.now, Item { number, key, gone: false, bytes: bytes.into(), age: 0 }));
-        let waiting: Vec<(usize, u64)> = self.waiting.iter().map(|(n, (_, poll))| (*n, *poll)).collect();
-        waiting.into_iter().for_each(|(n, poll)| self.answer(n, poll));
+        self.log.push((
+            self.now,
+            Item {
+                number,
+                key,
+                gone: false,
+                bytes: bytes.into(),
+                age: 0,
+            },
+        ));
+        let waiting: Vec<(usize, u64)> = self
+            .waiting
+            .iter()
+            .map(|(n, (_, poll))| (*n, *poll))
+            .collect();
+        waiting
+            .into_iter()
+            .for_each(|(n, poll)| self.answer(n, poll));
     }
 }
--- a/rigs/lab/src/fanout/play.rs
+++ b/rigs/lab/src/fanout/play.rs
@@ -47,7 +47,12 @@
 impl Spread {
     fn of(all: &Histogram<u64>) -> Spread {
         let ms = |part: f64| all.value_at_quantile(part) as f64 / 1e3;
-        Spread { count: all.len(), p50_ms: ms(0.5), p99_ms: ms(0.99), most_ms: all.max() as f64 / 1e3 }
+        Spread {
+            count: all.len(),
+            p50_ms: ms(0.5),
+            p99_ms: ms(0.99),
+            most_ms: all.max() as f64 / 1e3,
+        }
     }
 }
 
@@ -97,7 +102,10 @@
     }
     world.run(BEGIN);
     (world.bytes, world.answers, world.sent) = (0, 0, 0);
-    let mut report = Report { relayed, ..Report::default() };
+    let mut report = Report {
+        relayed,
+        ..Report::default()
+    };
     let fresh = || Histogram::<u64>::new(3).expect("three digits are fine");
     let (mut silent, mut quiet) = ([fresh(), fresh(), fresh(), fresh()], (0, 0));
     let mut struck = Vec::new();
@@ -109,7 +117,10 @@
             struck = strike(&mut world, kind);
         } else if phase == FAULT - 1 && relayed {
             let [stayed, moved] = world.subscribers.silences(&struck);
-            let _ = (silent[2 * kind].add(stayed), silent[2 * kind + 1].add(moved));
+            let _ = (
+                silent[2 * kind].add(stayed),
+                silent[2 * kind + 1].add(moved),
+            );
         }
         tenth_of(&mut world, tenth, phase + BURST + 1 >= FAULT);
         report.streams.push(world.open);
@@ -164,7 +175,9 @@
 }
 
 fn some(world: &mut World, of: usize, part: f64) -> Vec<usize> {
-    (0..(of as f64 * part) as usize).map(|_| world.draws.random_range(0..of)).collect()
+    (0..(of as f64 * part) as usize)
+        .map(|_| world.draws.random_range(0..of))
+        .collect()
 }
 
 fn churn(world: &mut World) {
@@ -198,7 +211,9 @@
     let holds = |n: &usize| {
         let own = &world.instances[*n];
         sites.contains(&own.site)
-            && own.relay.as_ref().map_or(*n < sites.len(), |r| r.relays(world.now, super::world::NAME))
+            && own.relay.as_ref().map_or(*n < sites.len(), |r| {
+                r.relays(world.now, super::world::NAME)
+            })
     };
     let struck: Vec<usize> = (0..world.instances.len()).filter(holds).collect();
     for n in struck {
--- a/rigs/lab/src/fanout/subscribers.rs
+++ b/rigs/lab/src/fanout/subscribers.rs
@@ -60,7 +60,17 @@
 impl Subscribers {
     pub fn add(&mut self, site: usize) -> usize {
         let (at, last, lost, moved) = (None, None, false, false);
-        self.all.push(One { site, at, lives: 0, own: 0, last, lost, heard: 0, longest: 0, moved });
+        self.all.push(One {
+            site,
+            at,
+            lives: 0,
+            own: 0,
+            last,
+            lost,
+            heard: 0,
+            longest: 0,
+            moved,
+        });
         self.all.len() - 1
     }
 
@@ -90,8 +100,11 @@
 
     /// Their instance went.
     pub fn parted(&mut self, at: usize) -> Vec<usize> {
-        let gone: Vec<usize> = (0..self.all.len()).filter(|sub| self.all[*sub].at == Some(at)).collect();
-        gone.iter().for_each(|sub| (self.all[*sub].at, self.all[*sub].moved) = (None, true));
+        let gone: Vec<usize> = (0..self.all.len())
+            .filter(|sub| self.all[*sub].at == Some(at))
+            .collect();
+        gone.iter()
+            .for_each(|sub| (self.all[*sub].at, self.all[*sub].moved) = (None, true));
         gone
     }
 
@@ -130,9 +143,9 @@
                     self.all[(ticket >> LIVES) as usize].lost = true;
                 }
                 Event::Item { item, .. } => self.heard(now, ticket, item, (false, new), log),
-                Event::Whole { recent, .. } => {
-                    recent.iter().for_each(|item| self.heard(now, ticket, item, (true, new), log))
-                }
+                Event::Whole { recent, .. } => recent
+                    .iter()
+                    .for_each(|item| self.heard(now, ticket, item, (true, new), log)),
             }
         }
         Some(own)
@@ -166,13 +179,18 @@
     }
 
     pub fn watch(&mut self) {
-        self.all.iter_mut().for_each(|one| (one.longest, one.moved) = (0, false));
+        self.all
+            .iter_mut()
+            .for_each(|one| (one.longest, one.moved) = (0, false));
     }
 
     /// The longest silences of those at these sites since then: of who stayed at one instance, and of who had to go elsewhere.
     pub fn silences(&self, sites: &[usize]) -> [Histogram<u64>; 2] {
         let mut found = [histogram(), histogram()];
-        let of = self.all.iter().filter(|one| sites.contains(&one.site) && one.longest > 0);
+        let of = self
+            .all
+            .iter()
+            .filter(|one| sites.contains(&one.site) && one.longest > 0);
         of.for_each(|one| found[usize::from(one.moved)] += one.longest);
         found
     }
--- a/rigs/lab/src/fanout/world.rs
+++ b/rigs/lab/src/fanout/world.rs
@@ -57,7 +57,9 @@
             now: 0,
             relayed,
             instances: Vec::new(),
-            names: (0..plan.instances).map(|n| (Peer::new(&format!("n{n}")), site(n))).collect(),
+            names: (0..plan.instances)
+                .map(|n| (Peer::new(&format!("n{n}")), site(n)))
+                .collect(),
             log: Vec::new(),
             purges: 0,
             subscribers: Subscribers::default(),
@@ -126,8 +128,16 @@
         let life = self.instances[n].life + 1;
         let relay = self.relayed.then(|| self.part(n, life));
         let site = self.instances[n].site;
-        self.instances[n] =
-            Instance { relay, life, site, open: false, first: false, poll: 0, tail: 0, tick_at: Time::MAX };
+        self.instances[n] = Instance {
+            relay,
+            life,
+            site,
+            open: false,
+            first: false,
+            poll: 0,
+            tail: 0,
+            tick_at: Time::MAX,
+        };
         if !self.relayed {
             (self.instances[n].open, self.open) = (true, self.open + 1);
             self.poll(n);
@@ -160,12 +170,22 @@
     pub fn at(&mut self, after: Time, n: usize, what: What) {
         self.order += 1;
         let life = self.instances.get(n).map_or(0, |own| own.life);
-        self.queue.push(Next { time: self.now + after, order: self.order, life, what });
+        self.queue.push(Next {
+            time: self.now + after,
+            order: self.order,
+            life,
+            what,
+        });
     }
 
     pub fn run(&mut self, until: Time) {
         while self.queue.peek().is_some_and(|next| next.time <= until) {
-            let Some(Next { time, life, what, .. }) = self.queue.pop() else { break };
+            let Some(Next {
+                time, life, what, ..
+            }) = self.queue.pop()
+            else {
+                break;
+            };
             self.now = time;
             let of = match &what {
                 What::Hear(_, n, _) | What::Tick(n) | What::Poll(n, _) => Some(*n),
@@ -211,13 +231,22 @@
         }
         let site = self.subscribers.site(sub);
         let size = self.plan.instances / self.plan.sites;
-        let drawn: Vec<usize> =
-            (0..64).map(|_| site + self.plan.sites * self.draws.random_range(0..size.max(1))).collect();
+        let drawn: Vec<usize> = (0..64)
+            .map(|_| site + self.plan.sites * self.draws.random_range(0..size.max(1)))
+            .collect();
         let Some(n) = drawn.into_iter().find(|n| self.lives(*n)) else {
             return self.at(100 * MS, usize::MAX, What::Back(sub));
         };
         let (ticket, after) = self.subscribers.begin(sub, n);
-        self.ask(n, Ask::Subscribe { ticket, stream: NAME.into(), after, place: None });
+        self.ask(
+            n,
+            Ask::Subscribe {
+                ticket,
+                stream: NAME.into(),
+                after,
+                place: None,
+            },
+        );
     }
 
     pub fn cancel(&mut self, sub: usize) {
