--- a/rigs/lab/src/main.rs
+++ b/rigs/lab/src/main.rs
@@ -70,7 +70,9 @@
             Arg::Long("field") => field = Some(text(&mut parser)?),
             Arg::Long("values") => values = Some(text(&mut parser)?),
             Arg::Long("repeats") => {
-                repeats = text(&mut parser)?.parse().map_err(|e| format!("--repeats: {e}"))?
+                repeats = text(&mut parser)?
+                    .parse()
+                    .map_err(|e| format!("--repeats: {e}"))?
             }
             Arg::Long("out") => out = Some(text(&mut parser)?),
             Arg::Long("help") | Arg::Short('h') => words = vec!["help".to_string()],
@@ -94,7 +96,10 @@
                 plot::storm(&out, fails, &report.limited.series, &report.today.series)?;
                 println!("{out}: {} seconds", report.limited.series.len());
             } else if json {
-                println!("{}", serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?);
+                println!(
+                    "{}",
+                    serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?
+                );
             } else {
                 println!(
                     "             load  recovery s  worth kept     after  records  attempts  rules broken"
@@ -116,7 +121,10 @@
         ["run", file] => {
             let run = beside(&scenario(file)?)?;
             match json {
-                true => println!("{}", serde_json::to_string_pretty(&run).map_err(|e| e.to_string())?),
+                true => println!(
+                    "{}",
+                    serde_json::to_string_pretty(&run).map_err(|e| e.to_string())?
+                ),
                 false => tell::tell(&run),
             }
         }
@@ -129,7 +137,10 @@
                 plot::draw(&out, &field, &points)?;
                 println!("{out}: {} points", points.len());
             } else if json {
-                println!("{}", serde_json::to_string_pretty(&points).map_err(|e| e.to_string())?);
+                println!(
+                    "{}",
+                    serde_json::to_string_pretty(&points).map_err(|e| e.to_string())?
+                );
             } else {
                 println!("{field:>14}  fetches a part: shielded (least..most)   plain (least..most)    worth   plain");
                 for p in &points {
@@ -164,8 +175,13 @@
 /// Days side by side, each on a thread: they share nothing.
 fn all(scenarios: &[Scenario]) -> Vec<Day> {
     std::thread::scope(|scope| {
-        let days: Vec<_> = scenarios.iter().map(|s| scope.spawn(move || play(s))).collect();
-        days.into_iter().map(|day| day.join().expect("a day ends")).collect()
+        let days: Vec<_> = scenarios
+            .iter()
+            .map(|s| scope.spawn(move || play(s)))
+            .collect();
+        days.into_iter()
+            .map(|day| day.join().expect("a day ends"))
+            .collect()
     })
 }
 
@@ -173,7 +189,8 @@
     let calm = scenario.with("rewire_at_s", "0.0")?;
     let plain = scenario.with("shield", "false")?;
     let days = all(&[scenario.clone(), calm, plain]);
-    let [rewired, calm, plain] = <[Day; 3]>::try_from(days).map_err(|_| "three days".to_string())?;
+    let [rewired, calm, plain] =
+        <[Day; 3]>::try_from(days).map_err(|_| "three days".to_string())?;
     Ok(Run {
         archive_fetches_per_object: rewired.archive_fetches_per_object,
         worth_kept: rewired.worth / calm.worth.max(f64::MIN_POSITIVE),
@@ -187,17 +204,25 @@
     })
 }
 
-fn sweep(scenario: &Scenario, field: &str, values: &str, repeats: u64) -> Result<Vec<Point>, String> {
+fn sweep(
+    scenario: &Scenario,
+    field: &str,
+    values: &str,
+    repeats: u64,
+) -> Result<Vec<Point>, String> {
     let mut points = Vec::new();
     for value in values.split(',') {
         let mut days = Vec::new();
         for seed in 0..repeats {
-            let own = scenario.with(field, value)?.with("seed", &(scenario.seed + seed).to_string())?;
+            let own = scenario
+                .with(field, value)?
+                .with("seed", &(scenario.seed + seed).to_string())?;
             days.push(own.with("shield", "false")?);
             days.push(own);
         }
         let results = all(&days);
-        let (plain, shielded): (Vec<_>, Vec<_>) = results.chunks(2).map(|pair| (&pair[0], &pair[1])).unzip();
+        let (plain, shielded): (Vec<_>, Vec<_>) =
+            results.chunks(2).map(|pair| (&pair[0], &pair[1])).unzip();
         let spread = |days: &[&Day]| {
             let of = |d: &&Day| d.archive_fetches_per_object;
             let mean = days.iter().map(of).sum::<f64>() / days.len() as f64;
@@ -206,7 +231,10 @@
         };
         let worth = |days: &[&Day]| days.iter().map(|d| d.worth).sum::<f64>() / days.len() as f64;
         points.push(Point {
-            value: value.trim().parse().map_err(|e| format!("{value:?}: {e}"))?,
+            value: value
+                .trim()
+                .parse()
+                .map_err(|e| format!("{value:?}: {e}"))?,
             shielded: spread(&shielded),
             plain: spread(&plain),
             worth: worth(&shielded),
--- a/rigs/lab/src/model.rs
+++ b/rigs/lab/src/model.rs
@@ -91,7 +91,8 @@
 impl<'a> Day<'a> {
     fn after(&mut self, us: f64, event: Event) {
         self.next += 1;
-        self.events.push(Reverse((self.now + us.max(0.0) as Time, self.next)));
+        self.events
+            .push(Reverse((self.now + us.max(0.0) as Time, self.next)));
         self.bodies.insert(self.next, event);
     }
 
--- a/rigs/lab/src/model/edge.rs
+++ b/rigs/lab/src/model/edge.rs
@@ -12,21 +12,37 @@
     pub(super) fn wire(&mut self, edge: usize, change: usize) {
         let tree = &self.trees[change];
         let office = tree.find(&format!("office-{edge}")).expect("there");
-        let hubs = tree.node(office).parents.iter().filter_map(|p| hub_of(tree.name(*p))).collect();
+        let hubs = tree
+            .node(office)
+            .parents
+            .iter()
+            .filter_map(|p| hub_of(tree.name(*p)))
+            .collect();
         let hub_of = settings(self.s, edge).hub_of;
         self.tell(edge, foldmux::interface::Event::Wired { hubs, hub_of });
     }
 
     pub(super) fn tell(&mut self, edge: usize, event: foldmux::interface::Event) {
         let mut actions = Vec::new();
-        self.edges[edge].router.handle(self.now, event, &mut actions);
+        self.edges[edge]
+            .router
+            .handle(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Fetch(fetch) => {
-                    let Some(open) = self.edges[edge].open.get_mut(&fetch.id) else { continue };
+                    let Some(open) = self.edges[edge].open.get_mut(&fetch.id) else {
+                        continue;
+                    };
                     let attempt = open.attempts;
                     open.attempts += 1;
-                    self.after(self.s.near_ms * 1e3, Event::AtBox { edge, fetch, attempt });
+                    self.after(
+                        self.s.near_ms * 1e3,
+                        Event::AtBox {
+                            edge,
+                            fetch,
+                            attempt,
+                        },
+                    );
                 }
                 Action::Refuse { id, .. } => {
                     self.result.refused += self.edges[edge].open.remove(&id).is_some() as u64;
@@ -34,7 +50,9 @@
                 Action::Fail { id } => {
                     self.result.failed += self.edges[edge].open.remove(&id).is_some() as u64;
                 }
-                Action::Timer { after, token } => self.after(after as f64, Event::Timer { edge, token }),
+                Action::Timer { after, token } => {
+                    self.after(after as f64, Event::Timer { edge, token })
+                }
                 _ => {}
             }
         }
@@ -54,13 +72,27 @@
         let mut own = StdRng::seed_from_u64(object);
         let size_kb = self.size.sample(&mut own).clamp(10.0, 2_000.0);
         let work = size_kb / CLIENT_KB_PER_S * SECOND;
-        let (worth, aim) = if class == 0 { (2.0, 500_000.0) } else { (1.0, 250_000.0) };
+        let (worth, aim) = if class == 0 {
+            (2.0, 500_000.0)
+        } else {
+            (1.0, 250_000.0)
+        };
         self.worth.1 += worth;
         let told = self.edges[edge].told.get(&object);
-        let bound = told.filter(|t| t.0 + 1_000_000 <= self.now).map_or(0, |t| t.1);
+        let bound = told
+            .filter(|t| t.0 + 1_000_000 <= self.now)
+            .map_or(0, |t| t.1);
         let aim = (aim + 2.0 * work) as Time;
-        let open =
-            Open { part: (object, 0), size_kb, asked: self.now, aim, worth, bound, attempts: 0, hops: 0 };
+        let open = Open {
+            part: (object, 0),
+            size_kb,
+            asked: self.now,
+            aim,
+            worth,
+            bound,
+            attempts: 0,
+            hops: 0,
+        };
         self.edges[edge].open.insert(id, open);
         let ask = Ask {
             id,
@@ -78,11 +110,17 @@
 
     /// A cache box, a hub or the archive is asked by an edge proxy.
     pub(super) fn at_box(&mut self, edge: usize, fetch: Fetch, attempt: u8) {
-        let Some(open) = self.edges[edge].open.get(&fetch.id) else { return };
+        let Some(open) = self.edges[edge].open.get(&fetch.id) else {
+            return;
+        };
         let (part, size_kb, until) = (open.part, open.size_kb, open.asked + DEADLINE);
         let request = fetch.id;
         let cache = fetch.cache.0 as usize;
-        let born_after = if fetch.max_age > 0 { self.now.saturating_sub(fetch.max_age) } else { 0 };
+        let born_after = if fetch.max_age > 0 {
+            self.now.saturating_sub(fetch.max_age)
+        } else {
+            0
+        };
         if cache >= self.s.caches {
             // Straight to a hub or the archive: none of the classes here wants it.
             return self.finish(edge, request, attempt, Got::Refused);
@@ -90,9 +128,22 @@
         if let Some(born) = self.boxes[cache].get(part, born_after) {
             return self.finish(edge, request, attempt, Got::Copy { born, hops: 0 });
         }
-        let back = Back::Box { cache, request, attempt };
+        let back = Back::Box {
+            cache,
+            request,
+            attempt,
+        };
         let (arrival, way, past) = (Arrival::BEGINS, vec![], vec![]);
-        let fill = Fill { part, size_kb, arrival, way, past, born_after, hold_only: fetch.hold_only, until };
+        let fill = Fill {
+            part,
+            size_kb,
+            arrival,
+            way,
+            past,
+            born_after,
+            hold_only: fetch.hold_only,
+            until,
+        };
         let source = fetch.source;
         if source == fetch.cache {
             self.finish(edge, request, attempt, Got::Lacks);
@@ -112,16 +163,31 @@
 
     /// A cache box's answer begins to go to the client.
     pub(super) fn finish(&mut self, edge: usize, request: RequestId, attempt: u8, got: Got) {
-        let Some(open) = self.edges[edge].open.get(&request) else { return };
+        let Some(open) = self.edges[edge].open.get(&request) else {
+            return;
+        };
         let (outcome, born, sends) = match got {
-            Got::Copy { born, .. } => {
-                (Outcome::Served, born, open.size_kb / CLIENT_KB_PER_S * SECOND + self.s.near_ms * 1e3)
-            }
+            Got::Copy { born, .. } => (
+                Outcome::Served,
+                born,
+                open.size_kb / CLIENT_KB_PER_S * SECOND + self.s.near_ms * 1e3,
+            ),
             Got::Lacks => (Outcome::Miss, 0, self.s.near_ms * 1e3),
             Got::Refused => (Outcome::Full, 0, self.s.near_ms * 1e3),
         };
         let (note, sent) = (Note::Untold, open.asked);
-        self.after(sends, Event::Done { edge, request, attempt, outcome, note, born, sent });
+        self.after(
+            sends,
+            Event::Done {
+                edge,
+                request,
+                attempt,
+                outcome,
+                note,
+                born,
+                sent,
+            },
+        );
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -135,7 +201,9 @@
         born: Time,
         sent: Time,
     ) {
-        let Some(open) = self.edges[edge].open.get(&request) else { return };
+        let Some(open) = self.edges[edge].open.get(&request) else {
+            return;
+        };
         if outcome == Outcome::Served && born < open.bound {
             self.result.older_than_purge += 1;
         }
@@ -144,7 +212,14 @@
         if last {
             self.after(0.0, Event::Served { edge, request });
         }
-        let report = Report { id: request, attempt, outcome, note, elapsed, last };
+        let report = Report {
+            id: request,
+            attempt,
+            outcome,
+            note,
+            elapsed,
+            last,
+        };
         self.tell(edge, foldmux::interface::Event::Outcome(report));
     }
 }
--- a/rigs/lab/src/model/events.rs
+++ b/rigs/lab/src/model/events.rs
@@ -7,8 +7,16 @@
 /// Who is told how a fill ended.
 #[derive(Clone, Copy)]
 pub(super) enum Back {
-    Box { cache: usize, request: RequestId, attempt: u8 },
-    Hub { hub: usize, fetch: FetchId, attempt: u32 },
+    Box {
+        cache: usize,
+        request: RequestId,
+        attempt: u8,
+    },
+    Hub {
+        hub: usize,
+        fetch: FetchId,
+        attempt: u32,
+    },
 }
 
 /// A fill on its way to a hub or the archive.
--- a/rigs/lab/src/model/hub.rs
+++ b/rigs/lab/src/model/hub.rs
@@ -20,16 +20,35 @@
         if fill.hold_only {
             return self.give(hub, &fill, back, Got::Lacks);
         }
-        let key = Key { class: 0, object: fill.part.0, part: fill.part.1 };
-        let (turn, lane) = state.node.want(now, key, fill.arrival, fill.born_after, fill.until);
+        let key = Key {
+            class: 0,
+            object: fill.part.0,
+            part: fill.part.1,
+        };
+        let (turn, lane) = state
+            .node
+            .want(now, key, fill.arrival, fill.born_after, fill.until);
         match turn {
             Turn::Full => self.give(hub, &fill, back, Got::Refused),
             Turn::Join(id, wait) => {
-                state.fetches.get_mut(&id).expect("under way").waits.push((wait, back));
+                state
+                    .fetches
+                    .get_mut(&id)
+                    .expect("under way")
+                    .waits
+                    .push((wait, back));
             }
             Turn::Lead(id, wait) => {
                 let tried = fill.past.clone();
-                state.fetches.insert(id, Flight { fill, lane, tried, waits: vec![(wait, back)] });
+                state.fetches.insert(
+                    id,
+                    Flight {
+                        fill,
+                        lane,
+                        tried,
+                        waits: vec![(wait, back)],
+                    },
+                );
                 let open = self.hubs.iter().map(|h| h.fetches.len()).sum();
                 self.result.most_open_fetches = self.result.most_open_fetches.max(open);
                 self.seek(hub, id, 0);
@@ -41,8 +60,14 @@
     pub(super) fn seek(&mut self, hub: usize, id: FetchId, attempt: u32) {
         let now = self.now;
         let state = &mut self.hubs[hub];
-        let Some(flight) = state.fetches.get_mut(&id) else { return };
-        let back = Back::Hub { hub, fetch: id, attempt };
+        let Some(flight) = state.fetches.get_mut(&id) else {
+            return;
+        };
+        let back = Back::Hub {
+            hub,
+            fetch: id,
+            attempt,
+        };
         let mut fill = flight.fill.clone();
         fill.way.push(hub);
         if !self.s.shield {
@@ -52,19 +77,34 @@
         let (passed, tried) = (names(&flight.fill.way), names(&flight.tried));
         let passed: Vec<&str> = passed.iter().map(String::as_str).collect();
         let tried: Vec<&str> = tried.iter().map(String::as_str).collect();
-        let seeking = Seeking { object: fill.part.0, lane: flight.lane, passed: &passed, tried: &tried };
+        let seeking = Seeking {
+            object: fill.part.0,
+            lane: flight.lane,
+            passed: &passed,
+            tried: &tried,
+        };
         let choice = match state.node.choose(now, &seeking) {
             Ok(choice) => choice,
             Err(_) => return self.end(hub, id, attempt, Got::Refused),
         };
         self.result.loops_broken += choice.avoided as u64;
-        fill.arrival = Arrival { stamp: Some(choice.stamp), solo: choice.solo };
+        fill.arrival = Arrival {
+            stamp: Some(choice.stamp),
+            solo: choice.solo,
+        };
         fill.past = flight.tried.clone();
         fill.hold_only = choice.hold_only;
         match hub_of(&choice.name) {
             Some(next) => {
                 flight.tried.push(next);
-                self.after(self.s.far_ms * 1e3, Event::AtHub { hub: next, fill, back });
+                self.after(
+                    self.s.far_ms * 1e3,
+                    Event::AtHub {
+                        hub: next,
+                        fill,
+                        back,
+                    },
+                );
             }
             None => self.after(self.s.far_ms * 1e3, Event::AtArchive { fill, back }),
         }
@@ -81,7 +121,13 @@
         let took = waits + self.s.archive_ms * 1e3 + sends + self.s.far_ms * 1e3;
         // It is born when it leaves.
         let born = self.now + (waits + self.s.archive_ms * 1e3) as Time;
-        self.after(took, Event::Answer { back, got: Got::Copy { born, hops: 0 } });
+        self.after(
+            took,
+            Event::Answer {
+                back,
+                got: Got::Copy { born, hops: 0 },
+            },
+        );
     }
 
     /// A hub's answer goes out over its link.
@@ -103,7 +149,11 @@
 
     pub(super) fn answered(&mut self, back: Back, got: Got) {
         match back {
-            Back::Box { cache, request, attempt } => {
+            Back::Box {
+                cache,
+                request,
+                attempt,
+            } => {
                 let edge = cache % self.s.edges;
                 if let Got::Copy { born, hops } = got {
                     if let Some(open) = self.edges[edge].open.get_mut(&request) {
@@ -115,8 +165,14 @@
                 }
                 self.finish(edge, request, attempt, got);
             }
-            Back::Hub { hub, fetch, attempt } => {
-                let Some(flight) = self.hubs[hub].fetches.get(&fetch) else { return };
+            Back::Hub {
+                hub,
+                fetch,
+                attempt,
+            } => {
+                let Some(flight) = self.hubs[hub].fetches.get(&fetch) else {
+                    return;
+                };
                 match got {
                     Got::Copy { born, .. } if born >= flight.fill.born_after => {
                         self.end(hub, fetch, attempt, got)
@@ -139,11 +195,16 @@
 
     pub(super) fn end_all(&mut self, hub: usize, id: FetchId, got: Got) {
         let state = &mut self.hubs[hub];
-        let Some(flight) = state.fetches.remove(&id) else { return };
+        let Some(flight) = state.fetches.remove(&id) else {
+            return;
+        };
         let mut told = got;
         if let Got::Copy { born, hops } = got {
             state.store.put(flight.fill.part, born);
-            told = Got::Copy { born, hops: hops + 1 };
+            told = Got::Copy {
+                born,
+                hops: hops + 1,
+            };
         }
         for (wait, back) in flight.waits {
             self.hubs[hub].node.leave(wait);
--- a/rigs/lab/src/model/setup.rs
+++ b/rigs/lab/src/model/setup.rs
@@ -28,7 +28,11 @@
 
 /// The tree of a scenario; `turned`: the hubs that go by another hub instead of the archive.
 fn tree(s: &Scenario, epoch: u64, turned: &[usize]) -> Tree {
-    let node = |name: String, kind, parents: Vec<String>| Proposed { name, kind, parents };
+    let node = |name: String, kind, parents: Vec<String>| Proposed {
+        name,
+        kind,
+        parents,
+    };
     let tops = s.hubs - s.low_hubs;
     let mut nodes = vec![node("archive".into(), Kind::Archive, vec![])];
     for h in 0..s.hubs {
@@ -41,10 +45,17 @@
         nodes.push(node(hub_name(h), Kind::Hub, parents));
     }
     for l in 0..s.edges {
-        let parents: Vec<String> = (0..s.hubs.min(2)).map(|n| hub_name((l + n) % s.hubs)).collect();
+        let parents: Vec<String> = (0..s.hubs.min(2))
+            .map(|n| hub_name((l + n) % s.hubs))
+            .collect();
         nodes.push(node(format!("office-{l}"), Kind::Location, parents));
     }
-    Tree::check(&Draft { epoch, nodes, ..Draft::default() }).expect("the lab's trees are sound")
+    Tree::check(&Draft {
+        epoch,
+        nodes,
+        ..Draft::default()
+    })
+    .expect("the lab's trees are sound")
 }
 
 /// What all days have in common: the settings of our first installation, with nobody in them.
@@ -106,7 +117,9 @@
         zone: s.hubs + edge,
         classes: vec![kept(2.0, 500_000), kept(1.0, 250_000)],
         routers_by_zone: (0..zones).map(|z| (z >= s.hubs) as u32).collect(),
-        hub_of: (0..zones).map(|z| if z < s.hubs { z } else { (z - s.hubs) % s.hubs }).collect(),
+        hub_of: (0..zones)
+            .map(|z| if z < s.hubs { z } else { (z - s.hubs) % s.hubs })
+            .collect(),
         ..usual()
     }
 }
@@ -117,18 +130,40 @@
         let mut trees = vec![tree(s, 1, &[])];
         if s.rewire_at_s > 0.0 {
             let tops = s.hubs - s.low_hubs;
-            let many = ((tops as f64 * s.rewired_part).round() as usize).min(tops.saturating_sub(1));
+            let many =
+                ((tops as f64 * s.rewired_part).round() as usize).min(tops.saturating_sub(1));
             let first = rng.random_range(0..tops);
-            let turned: Vec<usize> = (0..many).map(|n| (first + n * tops / many.max(1)) % tops).collect();
+            let turned: Vec<usize> = (0..many)
+                .map(|n| (first + n * tops / many.max(1)) % tops)
+                .collect();
             trees.push(tree(s, 2, &turned));
             if s.back_after_s > 0.0 {
                 trees.push(tree(s, 3, &[]));
             }
         }
-        let limits = Limits { fetches: 1 << 20, waits: 1 << 22, lease: 60_000_000, attempts: 8 };
-        let cold = Rule { from: 0.067, over: 21_000_000, breaks_at: 2.0, window: 3_000_000, safety: 0.6 };
+        let limits = Limits {
+            fetches: 1 << 20,
+            waits: 1 << 22,
+            lease: 60_000_000,
+            attempts: 8,
+        };
+        let cold = Rule {
+            from: 0.067,
+            over: 21_000_000,
+            breaks_at: 2.0,
+            window: 3_000_000,
+            safety: 0.6,
+        };
         let node = |name: &str| {
-            Node::new(name, trees[0].clone(), us(s.overlap_ms), limits, cold, HashMap::new()).expect("a hub")
+            Node::new(
+                name,
+                trees[0].clone(),
+                us(s.overlap_ms),
+                limits,
+                cold,
+                HashMap::new(),
+            )
+            .expect("a hub")
         };
         let hubs = (0..s.hubs)
             .map(|h| HubState {
@@ -139,7 +174,10 @@
             })
             .collect();
         let edges = (0..s.edges).map(|e| EdgeState {
-            router: Router::new(settings(s, e), s.seed.wrapping_mul(977).wrapping_add(e as u64)),
+            router: Router::new(
+                settings(s, e),
+                s.seed.wrapping_mul(977).wrapping_add(e as u64),
+            ),
             open: HashMap::new(),
             told: HashMap::new(),
         });
@@ -182,12 +220,19 @@
             boot: 0,
         };
         let s = self.s;
-        let mut members: Vec<Member> =
-            (0..s.caches).map(|c| member(CacheId(c as u32), s.hubs + c % s.edges, BOX)).collect();
+        let mut members: Vec<Member> = (0..s.caches)
+            .map(|c| member(CacheId(c as u32), s.hubs + c % s.edges, BOX))
+            .collect();
         members.extend((0..s.hubs).map(|h| member(CacheId(HUB_IDS + h as u32), h, HUB)));
         members.push(member(ARCHIVE_ID, 0, ARCHIVE));
         for edge in 0..s.edges {
-            self.tell(edge, foldmux::interface::Event::Members { full: true, members: members.clone() });
+            self.tell(
+                edge,
+                foldmux::interface::Event::Members {
+                    full: true,
+                    members: members.clone(),
+                },
+            );
             if s.shield {
                 self.wire(edge, 0);
             }
@@ -201,7 +246,10 @@
             self.after(s.rewire_at_s * SECOND, Event::Rewire { change: 1 });
         }
         if self.trees.len() > 2 {
-            self.after((s.rewire_at_s + s.back_after_s) * SECOND, Event::Rewire { change: 2 });
+            self.after(
+                (s.rewire_at_s + s.back_after_s) * SECOND,
+                Event::Rewire { change: 2 },
+            );
         }
     }
 }
--- a/rigs/lab/src/model/step.rs
+++ b/rigs/lab/src/model/step.rs
@@ -14,18 +14,36 @@
                     self.tell(edge, foldmux::interface::Event::Timer { token });
                 }
             }
-            Event::AtBox { edge, fetch, attempt } => self.at_box(edge, fetch, attempt),
+            Event::AtBox {
+                edge,
+                fetch,
+                attempt,
+            } => self.at_box(edge, fetch, attempt),
             Event::AtHub { hub, fill, back } => self.at_hub(hub, fill, back),
             Event::AtArchive { fill, back } => self.at_archive(fill, back),
             Event::Answer { back, got } => self.answered(back, got),
-            Event::Done { edge, request, attempt, outcome, note, born, sent } => {
+            Event::Done {
+                edge,
+                request,
+                attempt,
+                outcome,
+                note,
+                born,
+                sent,
+            } => {
                 self.done(edge, request, attempt, outcome, note, born, sent);
             }
             Event::Served { edge, request } => {
-                let Some(open) = self.edges[edge].open.remove(&request) else { return };
+                let Some(open) = self.edges[edge].open.remove(&request) else {
+                    return;
+                };
                 self.result.served += 1;
                 let took = self.now - open.asked;
-                self.worth.0 += if took <= open.aim { open.worth } else { open.worth * 0.1 };
+                self.worth.0 += if took <= open.aim {
+                    open.worth
+                } else {
+                    open.worth * 0.1
+                };
                 let _ = self.latency.record(took.max(1));
             }
             Event::Purge => {
@@ -33,12 +51,26 @@
                 *self.versions.entry(object).or_default() += 1;
                 for edge in 0..self.s.edges {
                     let lag = self.rng.random_range(30_000.0..400_000.0);
-                    self.after(lag, Event::Purged { edge, object, at: self.now });
+                    self.after(
+                        lag,
+                        Event::Purged {
+                            edge,
+                            object,
+                            at: self.now,
+                        },
+                    );
                 }
                 // Boxes and hubs drop their older copies by themselves, each in its own time.
                 for cache in 0..self.s.caches + self.s.hubs {
                     let lag = self.rng.random_range(30_000.0..6_000_000.0);
-                    self.after(lag, Event::Drop { cache, object, at: self.now });
+                    self.after(
+                        lag,
+                        Event::Drop {
+                            cache,
+                            object,
+                            at: self.now,
+                        },
+                    );
                 }
                 if self.now < self.end {
                     self.after(SECOND / self.s.purges_per_s, Event::Purge);
@@ -47,7 +79,14 @@
             Event::Purged { edge, object, at } => {
                 self.edges[edge].told.insert(object, (self.now, at));
                 let (object, ago) = (Some(ObjectId(object)), self.now - at);
-                self.tell(edge, foldmux::interface::Event::Purged { object, group: 0, ago });
+                self.tell(
+                    edge,
+                    foldmux::interface::Event::Purged {
+                        object,
+                        group: 0,
+                        ago,
+                    },
+                );
             }
             Event::Drop { cache, object, at } => {
                 let store = match cache.checked_sub(self.s.caches) {
@@ -60,16 +99,25 @@
                 }
             }
             Event::Rewire { change } => {
-                for node in (0..self.s.hubs).map(Who::Hub).chain((0..self.s.edges).map(Who::Edge)) {
+                for node in (0..self.s.hubs)
+                    .map(Who::Hub)
+                    .chain((0..self.s.edges).map(Who::Edge))
+                {
                     let lag = self.rng.random_range(0.0..self.s.news_lag_ms.max(0.001)) * 1e3;
                     self.after(lag, Event::Told { node, change });
                 }
             }
-            Event::Told { node: Who::Hub(hub), change } => {
+            Event::Told {
+                node: Who::Hub(hub),
+                change,
+            } => {
                 let tree = self.trees[change].clone();
                 let _ = self.hubs[hub].node.rewire(self.now, tree, HashMap::new());
             }
-            Event::Told { node: Who::Edge(edge), change } => {
+            Event::Told {
+                node: Who::Edge(edge),
+                change,
+            } => {
                 if self.s.shield {
                     self.wire(edge, change);
                 }
--- a/rigs/lab/src/model/store.rs
+++ b/rigs/lab/src/model/store.rs
@@ -17,7 +17,10 @@
 
 impl Store {
     pub(super) fn new(most: usize) -> Store {
-        Store { most, ..Store::default() }
+        Store {
+            most,
+            ..Store::default()
+        }
     }
 
     pub(super) fn get(&mut self, part: Part, born_after: Time) -> Option<Time> {
--- a/rigs/lab/src/model/tests.rs
+++ b/rigs/lab/src/model/tests.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-const SMALL: &str = "seconds = 6.0\nedges = 6\ncaches = 24\nhubs = 10\nobjects = 3000\nrate = 400.0\n\
+const SMALL: &str =
+    "seconds = 6.0\nedges = 6\ncaches = 24\nhubs = 10\nobjects = 3000\nrate = 400.0\n\
     purges_per_s = 1.0\ncache_holds = 200\narchive_fills_per_s = 2000.0\nhub_kb_per_s = 200000.0\n\
     rewire_at_s = 2.0\nrewired_part = 0.2\nback_after_s = 2.0\nnews_lag_ms = 1500.0\n";
 
@@ -18,11 +19,21 @@
 fn a_small_rewired_day_keeps_what_the_hierarchy_promises() {
     let small = Scenario::parse("small", SMALL).unwrap();
     let shielded = play(&small);
-    assert_eq!((shielded.node_visited_twice, shielded.older_than_purge), (0, 0));
+    assert_eq!(
+        (shielded.node_visited_twice, shielded.older_than_purge),
+        (0, 0)
+    );
     assert!(shielded.archive_fetches_per_object < 1.1, "{shielded:?}");
-    assert_eq!(shielded.requests, shielded.served + shielded.refused + shielded.failed, "{shielded:?}");
+    assert_eq!(
+        shielded.requests,
+        shielded.served + shielded.refused + shielded.failed,
+        "{shielded:?}"
+    );
     let plain = play(&small.with("shield", "false").unwrap());
-    assert!(plain.archive_fetches_per_object > shielded.archive_fetches_per_object, "{plain:?}");
+    assert!(
+        plain.archive_fetches_per_object > shielded.archive_fetches_per_object,
+        "{plain:?}"
+    );
 }
 
 #[test]
@@ -34,8 +45,15 @@
         ("rate = 0.0", "above 0"),
     ] {
         let field = text.split(' ').next().unwrap();
-        let lines: Vec<&str> = SMALL.lines().filter(|l| !l.starts_with(field)).chain([text]).collect();
+        let lines: Vec<&str> = SMALL
+            .lines()
+            .filter(|l| !l.starts_with(field))
+            .chain([text])
+            .collect();
         let error = Scenario::parse("s.toml", &lines.join("\n")).unwrap_err();
-        assert!(error.starts_with("s.toml: ") && error.contains(why), "{error}");
+        assert!(
+            error.starts_with("s.toml: ") && error.contains(why),
+            "{error}"
+        );
     }
 }
--- a/rigs/lab/src/scenario.rs
+++ b/rigs/lab/src/scenario.rs
@@ -97,9 +97,18 @@
         within("hubs", self.hubs, 1, 60)?;
         within("low_hubs", self.low_hubs, 0, self.hubs - 1)?;
         within("objects", self.objects, 1, 5_000_000)?;
-        let sound = [self.seconds, self.rate, self.archive_fills_per_s, self.hub_kb_per_s, self.zipf];
+        let sound = [
+            self.seconds,
+            self.rate,
+            self.archive_fills_per_s,
+            self.hub_kb_per_s,
+            self.zipf,
+        ];
         if sound.iter().any(|x| !x.is_finite() || *x <= 0.0) || self.seconds * self.rate > 20e6 {
-            return Err("seconds, rate, paces and zipf are above 0; 20 million requests at most".to_string());
+            return Err(
+                "seconds, rate, paces and zipf are above 0; 20 million requests at most"
+                    .to_string(),
+            );
         }
         Ok(())
     }
--- a/rigs/lab/src/storm/boxes.rs
+++ b/rigs/lab/src/storm/boxes.rs
@@ -30,11 +30,15 @@
     pub(super) fn fetch(&mut self, mut fetch: Fetch) {
         let id = fetch.id.0;
         let draw = self.rng.random_range(0.0..1.0);
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         let attempt = open.attempts as u8;
         let mut pause = Some(0);
         if let (Some((gate, _)), Some((at, resolved))) = (&mut self.gate, &open.limits) {
-            pause = gate.attempt(at, &resolved.values, open.attempts, draw).map(|ms| ms * 1_000);
+            pause = gate
+                .attempt(at, &resolved.values, open.attempts, draw)
+                .map(|ms| ms * 1_000);
             fetch.time_out = resolved.values.time_out(fetch.time_out);
         }
         open.attempts += 1;
@@ -61,9 +65,14 @@
 
     pub(super) fn send(&mut self, id: u64, fetch: Fetch, attempt: u8) {
         let (now, fails, count) = (self.now, self.failing, self.failed_boxes());
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         if let (Some(ran), 2) = (open.ran, open.class) {
-            let window = open.limits.as_ref().map_or(2_000_000, |(_, r)| r.values.window_ms * 1_000);
+            let window = open
+                .limits
+                .as_ref()
+                .map_or(2_000_000, |(_, r)| r.values.window_ms * 1_000);
             if now >= ran + window {
                 // Decided within the window, and paused beyond it: looked at once more, and not sent.
                 return self.limited(id, attempt);
@@ -84,30 +93,61 @@
         let second = self.second(now);
         if number >= self.s.boxes {
             // A parent or the origin by itself: this day has all at its boxes.
-            return self.after(2.0 * WAY, Event::Ended { id, attempt, outcome: Outcome::Miss, sent: now });
+            return self.after(
+                2.0 * WAY,
+                Event::Ended {
+                    id,
+                    attempt,
+                    outcome: Outcome::Miss,
+                    sent: now,
+                },
+            );
         }
         if number >= count {
             self.load[second] += 1;
         }
         let end = |world: &mut World, us: f64, outcome| {
-            let limit = if fetch.time_out > 0 { fetch.time_out as f64 } else { f64::INFINITY };
-            let (us, outcome) = if us > limit { (limit, Outcome::TimedOut) } else { (us, outcome) };
-            world.after(us, Event::Ended { id, attempt, outcome, sent: now });
+            let limit = if fetch.time_out > 0 {
+                fetch.time_out as f64
+            } else {
+                f64::INFINITY
+            };
+            let (us, outcome) = if us > limit {
+                (limit, Outcome::TimedOut)
+            } else {
+                (us, outcome)
+            };
+            world.after(
+                us,
+                Event::Ended {
+                    id,
+                    attempt,
+                    outcome,
+                    sent: now,
+                },
+            );
         };
         if number < count && fails {
             return match self.s.how {
                 How::Refuse => end(self, 2.0 * WAY, Outcome::ConnectFailed),
                 How::Errors => end(self, 2.0 * WAY, Outcome::Error),
                 How::Silence => {
-                    let left = self.open.get(&id).map_or(0, |open| open.deadline.saturating_sub(now));
+                    let left = self
+                        .open
+                        .get(&id)
+                        .map_or(0, |open| open.deadline.saturating_sub(now));
                     end(self, left as f64, Outcome::TimedOut)
                 }
             };
         }
         let at = now as f64 + WAY;
         let slots = &mut self.slots[number];
-        let (slot, free) =
-            slots.iter().copied().enumerate().min_by(|a, b| a.1.total_cmp(&b.1)).expect("a box has slots");
+        let (slot, free) = slots
+            .iter()
+            .copied()
+            .enumerate()
+            .min_by(|a, b| a.1.total_cmp(&b.1))
+            .expect("a box has slots");
         let begins = free.max(at);
         if begins - at > self.s.full_after_ms * 1e3 {
             return end(self, 2.0 * WAY, Outcome::Full);
--- a/rigs/lab/src/storm/mod.rs
+++ b/rigs/lab/src/storm/mod.rs
@@ -114,7 +114,8 @@
     pub fn parse(name: &str, text: &str) -> Result<Storm, String> {
         let storm: Storm = toml::from_str(text).map_err(|e| format!("{name}: {e}"))?;
         let sound = storm.boxes > 0 && storm.boxes <= 200 && storm.slots > 0 && storm.rate > 0.0;
-        let sound = sound && storm.seconds > 0.0 && storm.seconds * (storm.rate + storm.flood) <= 5e6;
+        let sound =
+            sound && storm.seconds > 0.0 && storm.seconds * (storm.rate + storm.flood) <= 5e6;
         match sound && (0.0..=1.0).contains(&storm.fail_part) {
             true => Ok(storm),
             false => Err(format!(
@@ -169,7 +170,9 @@
 
 /// The limits that a scenario names, checked as the program checks them.
 pub fn limits(storm: &Storm, beside: &Path) -> Result<Draft, String> {
-    let Some(file) = &storm.limits else { return Ok(Draft::default()) };
+    let Some(file) = &storm.limits else {
+        return Ok(Draft::default());
+    };
     let file = beside.parent().unwrap_or(Path::new(".")).join(file);
     let operator = foldmux_operator::load(&file).map_err(|faults| faults.join("; "))?;
     let draft = operator.limits.unwrap_or_default();
@@ -181,6 +184,17 @@
 
 pub fn report(storm: &Storm, draft: &Draft) -> Report {
     let (limited, today) = (play(storm, Some(draft)), play(storm, None));
-    let Day { load_factor, recovery_s, worth_kept, .. } = limited;
-    Report { load_factor, recovery_s, worth_kept, limited, today }
+    let Day {
+        load_factor,
+        recovery_s,
+        worth_kept,
+        ..
+    } = limited;
+    Report {
+        load_factor,
+        recovery_s,
+        worth_kept,
+        limited,
+        today,
+    }
 }
--- a/rigs/lab/src/storm/play.rs
+++ b/rigs/lab/src/storm/play.rs
@@ -117,7 +117,8 @@
 
     pub(super) fn after(&mut self, us: f64, event: Event) {
         self.next += 1;
-        self.events.push(Reverse((self.now + us.max(0.0) as Time, self.next)));
+        self.events
+            .push(Reverse((self.now + us.max(0.0) as Time, self.next)));
         self.bodies.insert(self.next, event);
     }
 
@@ -141,9 +142,15 @@
         };
         let mut members: Vec<Member> = (0..self.s.boxes).map(|n| member(n, 1, 0)).collect();
         members.extend([member(1_000, 0, 1), member(2_000, 0, 2)]);
-        self.tell(foldmux::interface::Event::Members { full: true, members });
+        self.tell(foldmux::interface::Event::Members {
+            full: true,
+            members,
+        });
         self.after(self.s.fail_at_s * SECOND, Event::Fails(true));
-        self.after((self.s.fail_at_s + self.s.fail_for_s) * SECOND, Event::Fails(false));
+        self.after(
+            (self.s.fail_at_s + self.s.fail_for_s) * SECOND,
+            Event::Fails(false),
+        );
         self.schedule();
         let end = START + (self.s.seconds * SECOND) as Time;
         while let Some(Reverse((at, number))) = self.events.pop() {
@@ -151,7 +158,9 @@
             if at > end && self.open.is_empty() {
                 break;
             }
-            let Some(event) = self.bodies.remove(&number) else { continue };
+            let Some(event) = self.bodies.remove(&number) else {
+                continue;
+            };
             self.handle(event);
             if let Some((gate, _)) = &mut self.gate {
                 for id in gate.expired(at) {
@@ -193,14 +202,32 @@
     pub(super) fn arrival(&mut self, at: f64, class: usize) {
         self.serial += 1;
         let (key, budget) = (self.serial, self.classes[class].deadline);
-        self.after(at * SECOND, Event::Arrive { class, tries: 0, budget, key });
+        self.after(
+            at * SECOND,
+            Event::Arrive {
+                class,
+                tries: 0,
+                budget,
+                key,
+            },
+        );
     }
 
     pub(super) fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrive { class, tries, budget, key } => self.arrive(class, tries, budget, key),
+            Event::Arrive {
+                class,
+                tries,
+                budget,
+                key,
+            } => self.arrive(class, tries, budget, key),
             Event::Send { id, fetch, attempt } => self.send(id, fetch, attempt),
-            Event::Ended { id, attempt, outcome, sent } => self.ended(id, attempt, outcome, sent),
+            Event::Ended {
+                id,
+                attempt,
+                outcome,
+                sent,
+            } => self.ended(id, attempt, outcome, sent),
             Event::Timer { token } => self.tell(foldmux::interface::Event::Timer { token }),
             Event::Overdue(id) => {
                 if self.open.get(&id).is_some_and(|open| !open.asked) {
@@ -212,7 +239,9 @@
                 self.failing = fails;
                 let count = self.failed_boxes();
                 // Nothing waits at them any more.
-                self.slots[..count].iter_mut().for_each(|slots| slots.fill(0.0));
+                self.slots[..count]
+                    .iter_mut()
+                    .for_each(|slots| slots.fill(0.0));
             }
         }
     }
--- a/rigs/lab/src/storm/requests.rs
+++ b/rigs/lab/src/storm/requests.rs
@@ -19,7 +19,10 @@
         let id = self.serial | 1 << 40;
         let object = self.rng.random_range(0..OBJECTS);
         let limits = self.gate.as_ref().and_then(|(_, table)| {
-            let resolved = table.find(class, "edge", "", "msgpack").filter(|r| !r.at.is_empty())?.clone();
+            let resolved = table
+                .find(class, "edge", "", "msgpack")
+                .filter(|r| !r.at.is_empty())?
+                .clone();
             Some((place(&resolved), resolved))
         });
         let mut budget = budget;
@@ -29,7 +32,9 @@
             self.wanted[second] += self.classes[class].worth;
             self.records.0 += (class == 2) as u64;
         }
-        limits.iter().for_each(|(_, r)| budget = budget.min(r.values.deadline_ms * 1_000));
+        limits
+            .iter()
+            .for_each(|(_, r)| budget = budget.min(r.values.deadline_ms * 1_000));
         let ask = Ask {
             id: RequestId(id),
             class,
@@ -70,10 +75,15 @@
     }
 
     pub(super) fn ask(&mut self, id: u64) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         open.asked = true;
         let budget = open.deadline.saturating_sub(self.now).max(1);
-        let ask = Ask { budget, ..open.ask.clone() };
+        let ask = Ask {
+            budget,
+            ..open.ask.clone()
+        };
         self.tell(foldmux::interface::Event::Request(ask));
     }
 
@@ -82,9 +92,17 @@
             if let Some(open) = self.open.get(&id) {
                 let class = &self.classes[open.class];
                 // In time by the client's first try.
-                let began = open.deadline.saturating_sub(class.deadline).max(START).min(open.arrived);
+                let began = open
+                    .deadline
+                    .saturating_sub(class.deadline)
+                    .max(START)
+                    .min(open.arrived);
                 let took = self.now - began;
-                let worth = if took <= class.aim { class.worth } else { class.worth * class.late_worth };
+                let worth = if took <= class.aim {
+                    class.worth
+                } else {
+                    class.worth * class.late_worth
+                };
                 let second = self.second(self.now);
                 self.worth[second] += worth;
                 self.records.1 += (open.class == 2) as u64;
@@ -96,13 +114,21 @@
     /// The client leaves without an answer, and comes again at once. The module hears of it as from the core: what is out
     /// is cancelled, and the client is gone.
     pub(super) fn leaves(&mut self, id: u64) {
-        let Some(open) = self.open.get(&id) else { return };
+        let Some(open) = self.open.get(&id) else {
+            return;
+        };
         let (request, out, attempts) = (RequestId(id), open.out, open.attempts);
         if out > 0 {
             let attempt = (attempts - 1) as u8;
             let (outcome, note) = (Outcome::Cancelled, Note::Untold);
-            let report =
-                Told { id: request, attempt, outcome, note, elapsed: self.now - open.arrived, last: true };
+            let report = Told {
+                id: request,
+                attempt,
+                outcome,
+                note,
+                elapsed: self.now - open.arrived,
+                last: true,
+            };
             self.tell(foldmux::interface::Event::Outcome(report));
         }
         self.tell(foldmux::interface::Event::ClientGone { id: request });
@@ -112,7 +138,9 @@
     /// The end of a try: its place goes to whoever waits, and a client that is refused may come back. `wait`: none where
     /// it failed or had no place, the greatest where it was served.
     pub(super) fn finish(&mut self, id: u64, wait: Option<Time>) {
-        let Some(open) = self.open.remove(&id) else { return };
+        let Some(open) = self.open.remove(&id) else {
+            return;
+        };
         if self.now > open.deadline + LATEST {
             self.broken("answered late");
         }
@@ -123,7 +151,10 @@
                 false => gate.left(at, id),
             }
         }
-        let advised = open.limits.as_ref().map_or(SOONEST, |(_, r)| r.values.wait_ms * 1_000);
+        let advised = open
+            .limits
+            .as_ref()
+            .map_or(SOONEST, |(_, r)| r.values.wait_ms * 1_000);
         let back = match wait {
             Some(Time::MAX) => None,
             Some(wait) => Some(wait.max(SOONEST)),
@@ -133,8 +164,18 @@
         if let Some(back) = back.filter(|_| open.tries + 1 < self.s.tries) {
             let left = open.deadline.saturating_sub(self.now + back);
             if left > 0 {
-                let Open { class, tries, key, .. } = open;
-                self.after(back as f64, Event::Arrive { class, tries: tries + 1, budget: left, key });
+                let Open {
+                    class, tries, key, ..
+                } = open;
+                self.after(
+                    back as f64,
+                    Event::Arrive {
+                        class,
+                        tries: tries + 1,
+                        budget: left,
+                        key,
+                    },
+                );
             }
         }
         next.into_iter().for_each(|id| self.ask(id));
--- a/rigs/lab/src/storm/tests.rs
+++ b/rigs/lab/src/storm/tests.rs
@@ -22,11 +22,20 @@
 fn in_a_storm_limits_cost_no_worth_and_it_recovers_within_three_seconds() {
     let storm = scenario();
     let Report { limited, today, .. } = report(&storm, &draft());
-    assert!(limited.broken.is_empty() && today.broken.is_empty(), "{limited:?} {today:?}");
+    assert!(
+        limited.broken.is_empty() && today.broken.is_empty(),
+        "{limited:?} {today:?}"
+    );
     // How far, and why no further, stands in docs/limits.md.
-    assert!(limited.load_factor <= today.load_factor + 0.02, "{limited:?} {today:?}");
+    assert!(
+        limited.load_factor <= today.load_factor + 0.02,
+        "{limited:?} {today:?}"
+    );
     assert!(limited.recovery_s <= 3.0, "{limited:?}");
-    assert!(limited.worth_kept >= 0.98 * today.worth_kept, "{limited:?} {today:?}");
+    assert!(
+        limited.worth_kept >= 0.98 * today.worth_kept,
+        "{limited:?} {today:?}"
+    );
     let again = report(&storm, &draft()).limited;
     assert_eq!(
         (again.load_factor, again.worth_kept),
@@ -47,7 +56,15 @@
     let mean = |tries: u32, fails: f64, draft: Option<&Draft>| {
         let days = seeds.map(|seed| {
             let fail_part = storm.fail_part * fails;
-            play(&Storm { seed, tries, fail_part, ..storm.clone() }, draft)
+            play(
+                &Storm {
+                    seed,
+                    tries,
+                    fail_part,
+                    ..storm.clone()
+                },
+                draft,
+            )
         });
         assert!(days.iter().all(|day| day.broken.is_empty()), "{days:?}");
         days.iter().map(|day| day.worth_after).sum::<f64>() / days.len() as f64
@@ -61,7 +78,10 @@
     let own = report(&storm, &draft);
     // Without limits it is alive to the day's end, by the bound that the mean has.
     let today = &own.today;
-    assert!(today.recovery_s.is_infinite() && today.worth_after < 0.3, "{own:?}");
+    assert!(
+        today.recovery_s.is_infinite() && today.worth_after < 0.3,
+        "{own:?}"
+    );
     let last = today.series.iter().rev().take(20).sum::<f64>() / 20.0;
     assert!(last < 0.2, "{last} of the worth in the last 20 s");
     assert!(own.recovery_s <= 3.0, "{own:?}");
@@ -69,44 +89,82 @@
 
 #[test]
 fn a_flood_of_cards_does_not_push_records_out() {
-    let storm = Storm { fail_part: 0.0, flood: 1_500.0, ..scenario() };
+    let storm = Storm {
+        fail_part: 0.0,
+        flood: 1_500.0,
+        ..scenario()
+    };
     let day = play(&storm, Some(&draft()));
-    assert!(day.records_served >= 0.99 && day.broken.is_empty(), "{day:?}");
+    assert!(
+        day.records_served >= 0.99 && day.broken.is_empty(),
+        "{day:?}"
+    );
 }
 
 /// Files made by changing good ones: whatever the checks accept, no drawn day breaks a rule under it.
 fn layers() -> impl Strategy<Value = Layer> {
     let some = |range: std::ops::Range<u64>| proptest::option::of(range);
-    let times = (some(1..6_000), some(0..4_000), some(0..10), some(0..1_200), some(0..2_000));
-    let places = (some(1..40), some(0..20), some(0..800), some(0..600), some(0..2_500));
-    let rest =
-        (proptest::option::of(0.5f64..4.0), proptest::option::of(0.0f64..120.0), 0u8..4, any::<bool>());
-    (times, places, rest).prop_map(|(times, places, (factor, jitter, budget, adaptive))| Layer {
-        deadline_ms: times.0,
-        attempt_ms: times.1,
-        attempts: times.2,
-        backoff_ms: times.3,
-        backoff_most_ms: times.4.filter(|_| times.3.is_some()).map(|most| most + times.3.unwrap_or(0)),
-        backoff_factor: factor,
-        jitter_percent: jitter,
-        concurrency: places.0.map(|most| match adaptive {
-            true => Concurrency::Adaptive { least: most.div_ceil(3), most },
-            false => Concurrency::Fixed { most },
-        }),
-        queue: places.1.filter(|_| places.0.is_some()),
-        queue_age_ms: places.2.filter(|_| places.1.is_some_and(|n| n > 0) && places.0.is_some()),
-        wait_ms: places.3,
-        window_ms: places.4,
-        budget: (budget > 0).then(|| ["a", "b", "none"][budget as usize - 1].to_string()),
-        ..Layer::default()
-    })
+    let times = (
+        some(1..6_000),
+        some(0..4_000),
+        some(0..10),
+        some(0..1_200),
+        some(0..2_000),
+    );
+    let places = (
+        some(1..40),
+        some(0..20),
+        some(0..800),
+        some(0..600),
+        some(0..2_500),
+    );
+    let rest = (
+        proptest::option::of(0.5f64..4.0),
+        proptest::option::of(0.0f64..120.0),
+        0u8..4,
+        any::<bool>(),
+    );
+    (times, places, rest).prop_map(
+        |(times, places, (factor, jitter, budget, adaptive))| Layer {
+            deadline_ms: times.0,
+            attempt_ms: times.1,
+            attempts: times.2,
+            backoff_ms: times.3,
+            backoff_most_ms: times
+                .4
+                .filter(|_| times.3.is_some())
+                .map(|most| most + times.3.unwrap_or(0)),
+            backoff_factor: factor,
+            jitter_percent: jitter,
+            concurrency: places.0.map(|most| match adaptive {
+                true => Concurrency::Adaptive {
+                    least: most.div_ceil(3),
+                    most,
+                },
+                false => Concurrency::Fixed { most },
+            }),
+            queue: places.1.filter(|_| places.0.is_some()),
+            queue_age_ms: places
+                .2
+                .filter(|_| places.1.is_some_and(|n| n > 0) && places.0.is_some()),
+            wait_ms: places.3,
+            window_ms: places.4,
+            budget: (budget > 0).then(|| ["a", "b", "none"][budget as usize - 1].to_string()),
+            ..Layer::default()
+        },
+    )
 }
 
 fn drafts() -> impl Strategy<Value = Draft> {
     let budget = |name: &'static str| {
         (0.0f64..300.0, 1u64..60).prop_map(move |(percent, burst)| Said {
             at: format!("f:{name}"),
-            value: Budget { name: name.to_string(), percent, burst, parent: None },
+            value: Budget {
+                name: name.to_string(),
+                percent,
+                burst,
+                parent: None,
+            },
         })
     };
     let class = |n: usize| {
@@ -114,21 +172,31 @@
             let mut layer = layer?;
             // Windows are for the keyed class alone; most files know that.
             layer.window_ms = layer.window_ms.filter(|_| n == 2);
-            Some(Said { at: format!("f:{n}"), value: (CLASSES[n].to_string(), layer) })
+            Some(Said {
+                at: format!("f:{n}"),
+                value: (CLASSES[n].to_string(), layer),
+            })
         })
     };
-    (class(0), class(1), class(2), budget("a"), budget("b")).prop_map(|(a, b, c, one, other)| Draft {
-        classes: [a, b, c].into_iter().flatten().collect(),
-        budgets: vec![one, other],
-        ..Draft::default()
+    (class(0), class(1), class(2), budget("a"), budget("b")).prop_map(|(a, b, c, one, other)| {
+        Draft {
+            classes: [a, b, c].into_iter().flatten().collect(),
+            budgets: vec![one, other],
+            ..Draft::default()
+        }
     })
 }
 
 #[test]
 fn whatever_the_checks_accept_breaks_no_rule_on_a_thousand_drawn_days() {
     // The same files each time.
-    let config = Config { cases: 1, failure_persistence: None, ..Config::default() };
-    let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
+    let config = Config {
+        cases: 1,
+        failure_persistence: None,
+        ..Config::default()
+    };
+    let mut runner =
+        TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
     let (mut accepted, mut refused, mut queued) = (0u64, 0u64, 0);
     while accepted < 1_000 {
         let draft = drafts().new_tree(&mut runner).unwrap().current();
@@ -138,7 +206,10 @@
             continue;
         }
         accepted += 1;
-        queued += draft.classes.iter().any(|said| said.value.1.queue.is_some_and(|n| n > 0)) as u64;
+        queued += draft
+            .classes
+            .iter()
+            .any(|said| said.value.1.queue.is_some_and(|n| n > 0)) as u64;
         let how = [How::Refuse, How::Errors, How::Silence][(accepted % 3) as usize];
         let storm = Storm {
             seed: accepted,
@@ -154,7 +225,14 @@
             ..scenario()
         };
         let day = play(&storm, Some(&draft));
-        assert!(day.broken.is_empty(), "day {accepted}: {:?}\n{draft:#?}", day.broken);
+        assert!(
+            day.broken.is_empty(),
+            "day {accepted}: {:?}\n{draft:#?}",
+            day.broken
+        );
     }
-    assert!(refused > 1_000 && queued > 50, "{refused} refused, {queued} with queues");
+    assert!(
+        refused > 1_000 && queued > 50,
+        "{refused} refused, {queued} with queues"
+    );
 }
--- a/rigs/rig/fuzz/src/calls.rs
+++ b/rigs/rig/fuzz/src/calls.rs
@@ -6,7 +6,14 @@
 use rmpv::Value;
 
 fn text() -> BoxedStrategy<String> {
-    prop_oneof!["[a-z0-9.+-]{0,12}", ".{0,6}", "[0-9a-f]{16}", "[0-9a-f]{32}", "[0-9]{1,4}"].boxed()
+    prop_oneof![
+        "[a-z0-9.+-]{0,12}",
+        ".{0,6}",
+        "[0-9a-f]{16}",
+        "[0-9a-f]{32}",
+        "[0-9]{1,4}"
+    ]
+    .boxed()
 }
 
 fn value() -> BoxedStrategy<Value> {
@@ -26,7 +33,8 @@
             vec((inner.clone(), inner), 0..3).prop_map(Value::Map)
         ]
     };
-    leaf.prop_recursive(10, 24, 3, move |inner| deeper(inner.boxed())).boxed()
+    leaf.prop_recursive(10, 24, 3, move |inner| deeper(inner.boxed()))
+        .boxed()
 }
 
 /// Good calls, some with another field, some spoilt; and notifications.
@@ -45,21 +53,36 @@
     let fields = (any::<u64>(), any::<u64>(), any::<u32>(), 0..300u32).prop_map(good);
     let key = prop_oneof!["i", "d", "o", "nth", "batch", "m", "r", "k", "got", "x"];
     let other = vec((key, text()), 0..3);
-    let parameters =
-        (fields, other, any::<bool>(), vec(value(), 0..4)).prop_map(|(mut map, other, add, rest)| {
+    let parameters = (fields, other, any::<bool>(), vec(value(), 0..4)).prop_map(
+        |(mut map, other, add, rest)| {
             for (key, text) in other {
-                match map.iter_mut().find(|(k, _)| k.as_str() == Some(&key)).filter(|_| !add) {
+                match map
+                    .iter_mut()
+                    .find(|(k, _)| k.as_str() == Some(&key))
+                    .filter(|_| !add)
+                {
                     Some(pair) => pair.1 = text.into(),
                     None => map.push((key.into(), text.into())),
                 }
             }
-            std::iter::once(Value::Map(map)).chain(rest).collect::<Vec<_>>()
-        });
+            std::iter::once(Value::Map(map))
+                .chain(rest)
+                .collect::<Vec<_>>()
+        },
+    );
     let parameters = prop_oneof![8 => parameters, 1 => vec(value(), 0..3)];
     let call = (any::<u32>(), text(), parameters).prop_map(|(id, method, parameters)| {
-        Value::Array(vec![0.into(), id.into(), method.into(), Value::Array(parameters)])
+        Value::Array(vec![
+            0.into(),
+            id.into(),
+            method.into(),
+            Value::Array(parameters),
+        ])
     });
-    let ids = prop_oneof![vec(any::<u32>().prop_map(Value::from), 0..5), vec(value(), 0..3)];
+    let ids = prop_oneof![
+        vec(any::<u32>().prop_map(Value::from), 0..5),
+        vec(value(), 0..3)
+    ];
     let forget = (prop_oneof![Just("forget".to_string()), text()], ids)
         .prop_map(|(method, ids)| Value::Array(vec![2.into(), method.into(), Value::Array(ids)]));
     let message = prop_oneof![6 => call, 2 => forget, 1 => value()];
@@ -68,5 +91,7 @@
         let _ = rmpv::encode::write_value(&mut bytes, &value);
         bytes
     });
-    (encoded, spoils(4)).prop_map(|(bytes, spoils)| spoil(bytes, &spoils)).boxed()
+    (encoded, spoils(4))
+        .prop_map(|(bytes, spoils)| spoil(bytes, &spoils))
+        .boxed()
 }
--- a/rigs/rig/fuzz/src/frames.rs
+++ b/rigs/rig/fuzz/src/frames.rs
@@ -64,7 +64,9 @@
     (0..stream.len()).try_for_each(|cut| {
         let whole = ends.iter().filter(|end| **end <= cut).count() - 1;
         let opened = open(&stream[..cut], &key(fleet), End::Dialler);
-        (opened == parts[..whole]).then_some(()).ok_or_else(|| format!("cut at {cut}: {}", opened.len()))
+        (opened == parts[..whole])
+            .then_some(())
+            .ok_or_else(|| format!("cut at {cut}: {}", opened.len()))
     })
 }
 
@@ -78,17 +80,40 @@
     let place = bytes.len() * 7_919 % stream.len();
     let mut other = stream.clone();
     other[place] ^= 1 << (bytes.len() & 7);
-    let whole = (0..=parts.len()).filter(|n| seal(&parts[..*n], &key(fleet)).len() <= place).count() - 1;
+    let whole = (0..=parts.len())
+        .filter(|n| seal(&parts[..*n], &key(fleet)).len() <= place)
+        .count()
+        - 1;
     let told = |opened: usize, most: usize, what: &str| {
         (opened <= most)
             .then_some(())
             .ok_or_else(|| format!("{what}: {opened} frames opened, {most} at most"))
     };
-    told(open(&other, &key(fleet), End::Dialler).len(), whole, "one bit turned")?;
-    told(open(&stream, &key(fleet), End::Acceptor).len(), 0, "sent back")?;
+    told(
+        open(&other, &key(fleet), End::Dialler).len(),
+        whole,
+        "one bit turned",
+    )?;
+    told(
+        open(&stream, &key(fleet), End::Acceptor).len(),
+        0,
+        "sent back",
+    )?;
     let one = seal(&parts[..1], &key(fleet));
-    told(open(&[&one[..], &one[..]].concat(), &key(fleet), End::Dialler).len(), 1, "sent twice")?;
-    told(open(&stream[one.len()..], &key(fleet), End::Dialler).len(), 0, "the first left out")?;
+    told(
+        open(&[&one[..], &one[..]].concat(), &key(fleet), End::Dialler).len(),
+        1,
+        "sent twice",
+    )?;
+    told(
+        open(&stream[one.len()..], &key(fleet), End::Dialler).len(),
+        0,
+        "the first left out",
+    )?;
     let elsewhere = LinkKey::new(&fleet, b"onet", b"wo");
-    told(open(&stream, &elsewhere, End::Dialler).len(), 0, "another link's")
+    told(
+        open(&stream, &elsewhere, End::Dialler).len(),
+        0,
+        "another link's",
+    )
 }
--- a/rigs/rig/fuzz/src/http.rs
+++ b/rigs/rig/fuzz/src/http.rs
@@ -16,7 +16,8 @@
 /// What a reader makes of bytes that come in pieces, and then the end.
 fn sent<T>(bytes: &[u8], piece: usize, read: impl FnOnce(&TcpStream) -> T) -> T {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut near = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
+    let mut near =
+        TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
     let far = listener.accept().expect("a connection").0;
     std::thread::scope(|scope| {
         scope.spawn(move || {
@@ -51,11 +52,25 @@
         let (mut buffer, mut filled, mut fields) = (vec![0; BUFFER], 0, Vec::new());
         let until = Instant::now() + PATIENCE;
         let mut field = |name: &str, value: &[u8]| {
-            fields.push((name.to_string(), String::from_utf8_lossy(value).into_owned()));
+            fields.push((
+                name.to_string(),
+                String::from_utf8_lossy(value).into_owned(),
+            ));
         };
-        let head = read_request(stream, &mut buffer, &mut filled, until, || until, &mut field).ok()?;
+        let head = read_request(
+            stream,
+            &mut buffer,
+            &mut filled,
+            until,
+            || until,
+            &mut field,
+        )
+        .ok()?;
         // A head is shown anew with each piece: the last showing counts.
-        let hosts = fields.iter().rposition(|(name, _)| name == "Host").unwrap_or(0);
+        let hosts = fields
+            .iter()
+            .rposition(|(name, _)| name == "Host")
+            .unwrap_or(0);
         let (method, path, length, keep) = (head.method, head.path, head.length, head.keep);
         Some(Asked {
             method,
@@ -82,7 +97,13 @@
     let mut fields = vec![("Host".to_string(), "x".to_string())];
     for _ in 0..draw.int_in_range(0..=8)? {
         let (name, value) = (word(draw, NAME, 12)?, word(draw, VALUE, 30)?);
-        let own = ["host", "content-length", "transfer-encoding", "connection", "srv-untouched"];
+        let own = [
+            "host",
+            "content-length",
+            "transfer-encoding",
+            "connection",
+            "srv-untouched",
+        ];
         if !own.contains(&name.to_ascii_lowercase().as_str()) {
             fields.push((name, value.trim().to_string()));
         }
@@ -92,16 +113,41 @@
 
 pub fn request(bytes: &[u8]) -> Result<(), String> {
     fn drawn(draw: &mut Unstructured) -> arbitrary::Result<(Asked, usize)> {
-        let method = draw.choose(&["GET", "POST", "PUT", "M-SEARCH"])?.to_string();
+        let method = draw
+            .choose(&["GET", "POST", "PUT", "M-SEARCH"])?
+            .to_string();
         let (path, fields) = ("/".to_string() + &word(draw, PATH, 60)?, fields(draw)?);
-        let (length, keep, piece) =
-            (draw.int_in_range(0..=99_999)?, draw.arbitrary()?, draw.int_in_range(1..=40)?);
-        Ok((Asked { method, path, length, keep, fields, behind: b"behind".to_vec() }, piece))
+        let (length, keep, piece) = (
+            draw.int_in_range(0..=99_999)?,
+            draw.arbitrary()?,
+            draw.int_in_range(1..=40)?,
+        );
+        Ok((
+            Asked {
+                method,
+                path,
+                length,
+                keep,
+                fields,
+                behind: b"behind".to_vec(),
+            },
+            piece,
+        ))
     }
-    let Ok((asked, piece)) = drawn(&mut Unstructured::new(bytes)) else { return Ok(()) };
-    let Asked { method, path, length, .. } = &asked;
+    let Ok((asked, piece)) = drawn(&mut Unstructured::new(bytes)) else {
+        return Ok(());
+    };
+    let Asked {
+        method,
+        path,
+        length,
+        ..
+    } = &asked;
     let mut text = format!("{method} {path} HTTP/1.1\r\n");
-    asked.fields.iter().for_each(|(name, value)| text += &format!("{name}: {value}\r\n"));
+    asked
+        .fields
+        .iter()
+        .for_each(|(name, value)| text += &format!("{name}: {value}\r\n"));
     text += &format!(
         "Content-Length: {length}\r\nConnection: {}\r\n\r\n",
         ["close", "keep-alive"][asked.keep as usize]
@@ -109,9 +155,19 @@
     let cut = bytes.len() * 31 % text.len();
     let whole = text.clone() + "behind";
     let seen = ask(whole.as_bytes(), piece).ok_or_else(|| format!("refused: {text:?}"))?;
-    if (&seen.method, &seen.path, seen.length, seen.keep, &seen.fields)
-        != (&asked.method, &asked.path, asked.length, asked.keep, &asked.fields)
-        || !asked.behind.starts_with(&seen.behind)
+    if (
+        &seen.method,
+        &seen.path,
+        seen.length,
+        seen.keep,
+        &seen.fields,
+    ) != (
+        &asked.method,
+        &asked.path,
+        asked.length,
+        asked.keep,
+        &asked.fields,
+    ) || !asked.behind.starts_with(&seen.behind)
     {
         return Err(format!("{seen:?} in place of {asked:?}"));
     }
@@ -134,7 +190,12 @@
         let mut buffer = vec![0; BUFFER];
         let read = read_response(stream, &mut buffer, Instant::now() + PATIENCE).ok()?;
         let body = buffer[read.body].to_vec();
-        Some(Said { status: read.status, body, reusable: read.reusable, untouched: read.untouched })
+        Some(Said {
+            status: read.status,
+            body,
+            reusable: read.reusable,
+            untouched: read.untouched,
+        })
     })
 }
 
@@ -168,9 +229,20 @@
             out.extend_from_slice(format!("Content-Length: {}\r\n\r\n", body.len()).as_bytes());
             out.extend_from_slice(&body);
         }
-        Ok((Said { status, body, reusable, untouched }, out, draw.int_in_range(1..=40)?))
+        Ok((
+            Said {
+                status,
+                body,
+                reusable,
+                untouched,
+            },
+            out,
+            draw.int_in_range(1..=40)?,
+        ))
     }
-    let Ok((said, written, piece)) = drawn(&mut Unstructured::new(bytes)) else { return Ok(()) };
+    let Ok((said, written, piece)) = drawn(&mut Unstructured::new(bytes)) else {
+        return Ok(());
+    };
     let seen = say(&written, piece);
     if seen.as_ref() != Some(&said) {
         return Err(format!("{seen:?} in place of {said:?}"));
@@ -178,7 +250,10 @@
     let cut = bytes.len() * 31 % written.len();
     match say(&written[..cut], piece) {
         None => Ok(()),
-        Some(seen) => Err(format!("cut at {cut} of {}, taken for whole: {seen:?}", written.len())),
+        Some(seen) => Err(format!(
+            "cut at {cut} of {}, taken for whole: {seen:?}",
+            written.len()
+        )),
     }
 }
 
@@ -190,7 +265,9 @@
         Just("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\nETag: x\r\n\r\nbody"),
         Just("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\n1\r\nd\r\n0\r\n\r\n"),
     ];
-    (whole, spoils(3)).prop_map(|(text, spoils)| spoil(text.as_bytes().to_vec(), &spoils)).boxed()
+    (whole, spoils(3))
+        .prop_map(|(text, spoils)| spoil(text.as_bytes().to_vec(), &spoils))
+        .boxed()
 }
 
 /// Whatever comes, each reading is the same in one piece and in many: nothing is found by where a packet ended.
@@ -204,7 +281,9 @@
     let (whole, pieces) = (ask(bytes, usize::MAX), ask(bytes, 3));
     let plain = |a: &Asked| (a.method.clone(), a.path.clone(), a.length, a.keep);
     if !same || whole.as_ref().map(plain) != pieces.as_ref().map(plain) {
-        return Err(format!("in one piece {one:?} {whole:?}, in many {many:?} {pieces:?}"));
+        return Err(format!(
+            "in one piece {one:?} {whole:?}, in many {many:?} {pieces:?}"
+        ));
     }
     if one.is_some() && whole.is_some() {
         return Err("both a request and an answer".into());
--- a/rigs/rig/fuzz/src/lib.rs
+++ b/rigs/rig/fuzz/src/lib.rs
@@ -32,17 +32,72 @@
 
 pub fn targets() -> Vec<Target> {
     vec![
-        Target { name: "msgpack-call", draw: calls::calls, check: msgpack::call, turn: 512 },
-        Target { name: "msgpack-answer", draw: drawn, check: msgpack::answer, turn: 512 },
-        Target { name: "http-request", draw: drawn, check: http::request, turn: 64 },
-        Target { name: "http-answer", draw: drawn, check: http::answer, turn: 64 },
-        Target { name: "http-spoilt", draw: http::heads, check: http::spoilt, turn: 64 },
-        Target { name: "journal", draw: json::feeds, check: json::feed, turn: 512 },
-        Target { name: "settings", draw: json::settings, check: json::setting, turn: 256 },
-        Target { name: "operator", draw: script::files, check: script::file, turn: 64 },
-        Target { name: "frames", draw: drawn, check: frames::sealed, turn: 512 },
-        Target { name: "frames-spoilt", draw: drawn, check: frames::spoilt, turn: 512 },
-        Target { name: "store", draw: drawn, check: table::kept, turn: 4 },
+        Target {
+            name: "msgpack-call",
+            draw: calls::calls,
+            check: msgpack::call,
+            turn: 512,
+        },
+        Target {
+            name: "msgpack-answer",
+            draw: drawn,
+            check: msgpack::answer,
+            turn: 512,
+        },
+        Target {
+            name: "http-request",
+            draw: drawn,
+            check: http::request,
+            turn: 64,
+        },
+        Target {
+            name: "http-answer",
+            draw: drawn,
+            check: http::answer,
+            turn: 64,
+        },
+        Target {
+            name: "http-spoilt",
+            draw: http::heads,
+            check: http::spoilt,
+            turn: 64,
+        },
+        Target {
+            name: "journal",
+            draw: json::feeds,
+            check: json::feed,
+            turn: 512,
+        },
+        Target {
+            name: "settings",
+            draw: json::settings,
+            check: json::setting,
+            turn: 256,
+        },
+        Target {
+            name: "operator",
+            draw: script::files,
+            check: script::file,
+            turn: 64,
+        },
+        Target {
+            name: "frames",
+            draw: drawn,
+            check: frames::sealed,
+            turn: 512,
+        },
+        Target {
+            name: "frames-spoilt",
+            draw: drawn,
+            check: frames::spoilt,
+            turn: 512,
+        },
+        Target {
+            name: "store",
+            draw: drawn,
+            check: table::kept,
+            turn: 4,
+        },
     ]
 }
 
@@ -56,7 +111,8 @@
 pub struct Spoil(u8, u16, u8);
 
 pub fn spoils(most: usize) -> BoxedStrategy<Vec<Spoil>> {
-    let one = (0..5u8, any::<u16>(), any::<u8>()).prop_map(|(kind, at, byte)| Spoil(kind, at, byte));
+    let one =
+        (0..5u8, any::<u16>(), any::<u8>()).prop_map(|(kind, at, byte)| Spoil(kind, at, byte));
     prop_oneof![Just(Vec::new()), vec(one, 1..=most)].boxed()
 }
 
@@ -76,12 +132,16 @@
 }
 
 pub fn corpus(target: &str) -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("corpus").join(target)
+    PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("corpus")
+        .join(target)
 }
 
 /// Plays what earlier runs found; how many there were.
 pub fn replay(target: &Target) -> Result<usize, String> {
-    let Ok(files) = std::fs::read_dir(corpus(target.name)) else { return Ok(0) };
+    let Ok(files) = std::fs::read_dir(corpus(target.name)) else {
+        return Ok(0);
+    };
     let mut count = 0;
     for file in files.flatten() {
         let bytes = std::fs::read(file.path()).map_err(|e| e.to_string())?;
@@ -102,9 +162,12 @@
     };
     let mut bytes = [0; 32];
     bytes[..8].copy_from_slice(&seed.to_le_bytes());
-    let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(Default::default(), &bytes));
+    let mut runner =
+        TestRunner::new_with_rng(config, TestRng::from_seed(Default::default(), &bytes));
     let check = target.check;
-    let ran = runner.run(&(target.draw)(), |bytes| check(&bytes).map_err(TestCaseError::fail));
+    let ran = runner.run(&(target.draw)(), |bytes| {
+        check(&bytes).map_err(TestCaseError::fail)
+    });
     match ran {
         Ok(()) => Ok(()),
         Err(TestError::Fail(why, bytes)) => Err((bytes, why.to_string())),
@@ -162,8 +225,9 @@
 pub fn keep(target: &str, bytes: &[u8]) -> std::io::Result<PathBuf> {
     let folder = corpus(target);
     std::fs::create_dir_all(&folder)?;
-    let sum =
-        bytes.iter().fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ *b as u64).wrapping_mul(0x100_0000_01b3));
+    let sum = bytes.iter().fold(0xcbf2_9ce4_8422_2325u64, |h, b| {
+        (h ^ *b as u64).wrapping_mul(0x100_0000_01b3)
+    });
     let file = folder.join(format!("{sum:016x}"));
     std::fs::write(&file, bytes).map(|()| file)
 }
--- a/rigs/rig/fuzz/src/main.rs
+++ b/rigs/rig/fuzz/src/main.rs
@@ -31,9 +31,15 @@
     // A panic is a finding, told once below.
     std::panic::set_hook(Box::new(|_| ()));
     let report = foldmux_fuzz::run(time, seed);
-    println!("{:<16} {:>10} {:>8} {:>16}", "target", "inputs", "corpus", "longest turn");
+    println!(
+        "{:<16} {:>10} {:>8} {:>16}",
+        "target", "inputs", "corpus", "longest turn"
+    );
     for (name, inputs, longest, kept) in &report.rows {
-        println!("{name:<16} {inputs:>10} {kept:>8} {:>13} ms", longest.as_millis());
+        println!(
+            "{name:<16} {inputs:>10} {kept:>8} {:>13} ms",
+            longest.as_millis()
+        );
     }
     for (name, bytes, why) in &report.findings {
         println!("FOUND {name}: {why}");
--- a/rigs/rig/fuzz/src/msgpack.rs
+++ b/rigs/rig/fuzz/src/msgpack.rs
@@ -30,7 +30,12 @@
     Garbled,
     Refused(u32),
     Forget(Vec<u32>),
-    Call { id: u32, method: String, asked: Option<Asked>, body: Option<Vec<u8>> },
+    Call {
+        id: u32,
+        method: String,
+        asked: Option<Asked>,
+        body: Option<Vec<u8>>,
+    },
 }
 
 /// What the front reads, and how many bytes of it.
@@ -59,19 +64,37 @@
     let short = |v: &Value| v.as_str().filter(|t| t.len() <= TEXT).map(str::to_string);
     match (list.first()?.as_u64()?, list.len()) {
         (2, 3) => {
-            let (method, rest) = (short(&list[1])?, list[2].as_array().filter(|l| l.len() <= FIELDS)?);
+            let (method, rest) = (
+                short(&list[1])?,
+                list[2].as_array().filter(|l| l.len() <= FIELDS)?,
+            );
             if method != "forget" {
-                return rest.iter().all(|v| passed(v, DEPTH)).then(|| Seen::Forget(Vec::new()));
+                return rest
+                    .iter()
+                    .all(|v| passed(v, DEPTH))
+                    .then(|| Seen::Forget(Vec::new()));
             }
             let ids: Option<Vec<u64>> = rest.iter().map(Value::as_u64).collect();
-            Some(Seen::Forget(ids?.into_iter().filter_map(|id| id.try_into().ok()).collect()))
+            Some(Seen::Forget(
+                ids?.into_iter()
+                    .filter_map(|id| id.try_into().ok())
+                    .collect(),
+            ))
         }
         (0, 4) => {
             let id = u32::try_from(list[1].as_u64()?).ok()?;
-            let (method, rest) = (short(&list[2])?, list[3].as_array().filter(|l| l.len() <= FIELDS)?);
-            let Some(fields) = rest.first() else { return Some(Seen::Refused(id)) };
-            let pairs: Option<Vec<(String, String)>> =
-                fields.as_map()?.iter().map(|(k, v)| Some((short(k)?, short(v)?))).collect();
+            let (method, rest) = (
+                short(&list[2])?,
+                list[3].as_array().filter(|l| l.len() <= FIELDS)?,
+            );
+            let Some(fields) = rest.first() else {
+                return Some(Seen::Refused(id));
+            };
+            let pairs: Option<Vec<(String, String)>> = fields
+                .as_map()?
+                .iter()
+                .map(|(k, v)| Some((short(k)?, short(v)?)))
+                .collect();
             let pairs = pairs.filter(|p| p.len() <= FIELDS)?;
             let body = match rest.get(1) {
                 None | Some(Value::Nil) => None,
@@ -81,7 +104,12 @@
                 Some(_) => return None,
             };
             let fit = rest.iter().skip(2).all(|v| passed(v, DEPTH));
-            fit.then(|| Seen::Call { id, method, asked: asked(&pairs), body })
+            fit.then(|| Seen::Call {
+                id,
+                method,
+                asked: asked(&pairs),
+                body,
+            })
         }
         _ => None,
     }
@@ -89,10 +117,14 @@
 
 /// Whether a value can be passed over.
 fn passed(value: &Value, depth: usize) -> bool {
-    let Some(depth) = depth.checked_sub(1) else { return false };
+    let Some(depth) = depth.checked_sub(1) else {
+        return false;
+    };
     match value {
         Value::Array(list) => list.iter().all(|v| passed(v, depth)),
-        Value::Map(pairs) => pairs.iter().all(|(k, v)| passed(k, depth) && passed(v, depth)),
+        Value::Map(pairs) => pairs
+            .iter()
+            .all(|(k, v)| passed(k, depth) && passed(v, depth)),
         Value::Ext(..) => false,
         _ => true,
     }
@@ -101,11 +133,17 @@
 /// The fields, each taken only where it is written as this would write it.
 fn asked(pairs: &[(String, String)]) -> Option<Asked> {
     let mut asked = Asked::default();
-    let hex = |v: &str| u64::from_str_radix(v, 16).ok().filter(|n| format!("{n:016x}") == v);
+    let hex = |v: &str| {
+        u64::from_str_radix(v, 16)
+            .ok()
+            .filter(|n| format!("{n:016x}") == v)
+    };
     let whole = |v: &str| v.parse::<u32>().ok().filter(|n| n.to_string() == v);
     let amount = |v: &str, most: f64| {
         let digit = v.bytes().next().is_some_and(|b| b.is_ascii_digit());
-        v.parse::<f64>().ok().filter(|n| digit && n.is_finite() && *n >= 0.0 && *n <= most)
+        v.parse::<f64>()
+            .ok()
+            .filter(|n| digit && n.is_finite() && *n >= 0.0 && *n <= most)
     };
     for (key, v) in pairs {
         if pairs.iter().filter(|(other, _)| other == key).count() > 1 {
@@ -125,7 +163,9 @@
                 asked.token.as_ref()?;
             }
             "got" => {
-                let fit = v.chars().all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
+                let fit = v
+                    .chars()
+                    .all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
                 asked.got = Some(v.clone()).filter(|v| fit && (1..=64).contains(&v.len()));
                 asked.got.as_ref()?;
             }
@@ -133,7 +173,10 @@
         }
     }
     let has = |key: &&str| pairs.iter().any(|(k, _)| k == key);
-    ["i", "d", "o", "nth", "batch", "m"].iter().all(has).then_some(asked)
+    ["i", "d", "o", "nth", "batch", "m"]
+        .iter()
+        .all(has)
+        .then_some(asked)
 }
 
 pub fn call(bytes: &[u8]) -> Result<(), String> {
@@ -159,7 +202,10 @@
         (_, Err(error)) => Err(format!("{seen:?} where the library says {error}")),
         (_, Ok(value)) => {
             if expected(value).as_ref() != Some(&seen) || used != whole {
-                return Err(format!("{seen:?} of {used} bytes; {:?} of {whole}", expected(value)));
+                return Err(format!(
+                    "{seen:?} of {used} bytes; {:?} of {whole}",
+                    expected(value)
+                ));
             }
             // Cut off anywhere, it is never taken for whole.
             (0..used).try_for_each(|cut| match read(&bytes[..cut], 1).0 {
@@ -177,26 +223,44 @@
     let (id, wait, body, well) = arbitrary().unwrap_or_default();
     let mut buffer = [&[0; 64][..], &body[..], &[0; 64][..]].concat();
     let at = codec::served(id, &mut buffer, 64..64 + body.len()).ok_or("no room for a body")?;
-    let map =
-        |pairs: &[(&str, &str)]| Value::Map(pairs.iter().map(|(k, v)| ((*k).into(), (*v).into())).collect());
+    let map = |pairs: &[(&str, &str)]| {
+        Value::Map(
+            pairs
+                .iter()
+                .map(|(k, v)| ((*k).into(), (*v).into()))
+                .collect(),
+        )
+    };
     let said = |error: Value, result: Value| Value::Array(vec![1.into(), id.into(), error, result]);
-    let ok = |result: Value, with: &[(&str, &str)]| said(Value::Nil, Value::Array(vec![result, map(with)]));
-    let bad =
-        |word: &str, with: &[(&str, &str)]| said(Value::Array(vec![word.into(), map(with)]), Value::Nil);
+    let ok = |result: Value, with: &[(&str, &str)]| {
+        said(Value::Nil, Value::Array(vec![result, map(with)]))
+    };
+    let bad = |word: &str, with: &[(&str, &str)]| {
+        said(Value::Array(vec![word.into(), map(with)]), Value::Nil)
+    };
     let ms = (wait as u64 / 1000).to_string();
     let waits = [("w", ms.as_str())];
     let with = if ms == "0" { &[][..] } else { &waits[..] };
     for (written, expected) in [
         (buffer[at].to_vec(), ok(Value::Binary(body.clone()), &[])),
-        (codec::same(id), ok(Value::Binary(Vec::new()), &[("ok304", "1")])),
+        (
+            codec::same(id),
+            ok(Value::Binary(Vec::new()), &[("ok304", "1")]),
+        ),
         (codec::well(id, well), ok(well.into(), &[])),
         (codec::shed(id, wait as u64), bad("Shed", with)),
-        (codec::error(id, "Late", Some(("at", "x"))), bad("Late", &[("at", "x")])),
+        (
+            codec::error(id, "Late", Some(("at", "x"))),
+            bad("Late", &[("at", "x")]),
+        ),
     ] {
         let mut rest = &written[..];
         let value = rmpv::decode::read_value(&mut rest).map_err(|e| e.to_string())?;
         if value != expected || !rest.is_empty() {
-            return Err(format!("{value} in place of {expected}, {} bytes behind", rest.len()));
+            return Err(format!(
+                "{value} in place of {expected}, {} bytes behind",
+                rest.len()
+            ));
         }
     }
     Ok(())
--- a/rigs/rig/fuzz/src/script.rs
+++ b/rigs/rig/fuzz/src/script.rs
@@ -15,7 +15,9 @@
     match one {
         Err(faults) if faults.is_empty() => Err("refused without a reason".into()),
         Err(faults) => {
-            let broken = faults.iter().find(|f| f.contains('\n') || !f.starts_with("file.star"));
+            let broken = faults
+                .iter()
+                .find(|f| f.contains('\n') || !f.starts_with("file.star"));
             broken.map_or(Ok(()), |fault| Err(format!("no plain line: {fault:?}")))
         }
         Ok(_) => Ok(()),
@@ -46,9 +48,12 @@
     ];
     let key = "epoch|domain|overlap_ms|address|parents|memory_mb|connections|listen|zone|lease_ms|path|method|key|\
                entries|remember_ms|secret|number|attempts|key_file|drift_percent|site|uncovered|slots|by|slow";
-    let argument =
-        prop_oneof![value.clone(), (key, value).prop_map(|(key, value)| format!("{key} = {value}"))];
-    let call = (name, vec(argument, 0..5)).prop_map(|(name, list)| format!("{name}({})\n", list.join(", ")));
+    let argument = prop_oneof![
+        value.clone(),
+        (key, value).prop_map(|(key, value)| format!("{key} = {value}"))
+    ];
+    let call = (name, vec(argument, 0..5))
+        .prop_map(|(name, list)| format!("{name}({})\n", list.join(", ")));
     let loops = prop_oneof![
         Just("def f(n):\n    return f(n + 1)\nf(0)\n".to_string()),
         Just("x = \"a\" * 1000\nfor i in range(30):\n    x = x + x\n".to_string()),
@@ -56,5 +61,7 @@
     ];
     let calls = vec(prop_oneof![12 => call, 1 => loops], 0..8).prop_map(|lines| lines.concat());
     let text = prop_oneof![2 => calls, 2 => Just(SHIPPED.to_string())];
-    (text, spoils(4)).prop_map(|(text, spoils)| spoil(text.into_bytes(), &spoils)).boxed()
+    (text, spoils(4))
+        .prop_map(|(text, spoils)| spoil(text.into_bytes(), &spoils))
+        .boxed()
 }
--- a/rigs/rig/fuzz/src/table.rs
+++ b/rigs/rig/fuzz/src/table.rs
@@ -28,14 +28,24 @@
         Ok(())
     })?;
     let held = loaded.lock().map_err(|e| e.to_string())?.take();
-    Ok((store, held.ok_or("opened, and nothing was told")?.into_iter().collect()))
+    Ok((
+        store,
+        held.ok_or("opened, and nothing was told")?
+            .into_iter()
+            .collect(),
+    ))
 }
 
 pub fn kept(bytes: &[u8]) -> Result<(), String> {
     let folder = tempfile::tempdir().map_err(|e| e.to_string())?;
     let path = folder.path().join("store");
     let mut draw = Unstructured::new(bytes);
-    let steps: Vec<Step> = draw.arbitrary_iter().map_err(|e| e.to_string())?.flatten().take(STEPS).collect();
+    let steps: Vec<Step> = draw
+        .arbitrary_iter()
+        .map_err(|e| e.to_string())?
+        .flatten()
+        .take(STEPS)
+        .collect();
     let (mut store, mut table) = (open(&path)?.0, Table::new());
     let (told, heard) = channel();
     for step in steps {
@@ -43,7 +53,10 @@
             Step::Put(key, value) => {
                 let told = told.clone();
                 store.put(&[key], &value, Box::new(move |done| drop(told.send(done))));
-                heard.recv().map_err(|e| e.to_string())?.map_err(|fault| fault.to_string())?;
+                heard
+                    .recv()
+                    .map_err(|e| e.to_string())?
+                    .map_err(|fault| fault.to_string())?;
                 table.insert(vec![key], value);
             }
             Step::Remove(key) => {
@@ -64,7 +77,10 @@
     // One byte of the file is another: it is refused, or opens. The library ends the thread on some of these
     // ("Malformed allocator state"), which ends a start as a refusal does, though not in one plain line: known, and open.
     let mut whole = std::fs::read(&path).map_err(|e| e.to_string())?;
-    let at = bytes.iter().fold(17usize, |n, b| n.wrapping_mul(31) + *b as usize) % whole.len().max(1);
+    let at = bytes
+        .iter()
+        .fold(17usize, |n, b| n.wrapping_mul(31) + *b as usize)
+        % whole.len().max(1);
     whole[at] ^= 1 << (bytes.len() & 7);
     std::fs::write(&path, whole).map_err(|e| e.to_string())?;
     drop(std::panic::catch_unwind(|| drop(open(&path))));
--- a/rigs/rig/fuzz/tests/short.rs
+++ b/rigs/rig/fuzz/tests/short.rs
@@ -21,11 +21,25 @@
     // A call of which one byte more is read than there is, and a frame under another key, are what the checks look for.
     assert!(foldmux_fuzz::json::feed(br#"{"pos":1,"entries":[]}"#).is_ok());
     let seen = std::panic::catch_unwind(|| {
-        let wrong: foldmux_fuzz::Check = |bytes| if bytes.len() > 3 { Err("long".into()) } else { Ok(()) };
-        let target =
-            foldmux_fuzz::Target { name: "planted", draw: foldmux_fuzz::drawn, check: wrong, turn: 64 };
+        let wrong: foldmux_fuzz::Check = |bytes| {
+            if bytes.len() > 3 {
+                Err("long".into())
+            } else {
+                Ok(())
+            }
+        };
+        let target = foldmux_fuzz::Target {
+            name: "planted",
+            draw: foldmux_fuzz::drawn,
+            check: wrong,
+            turn: 64,
+        };
         turn(&target, 1)
     });
     let (bytes, why) = seen.unwrap().unwrap_err();
-    assert_eq!((bytes, why.contains("long")), (vec![0; 4], true), "found, and shrunk to the least");
+    assert_eq!(
+        (bytes, why.contains("long")),
+        (vec![0; 4], true),
+        "found, and shrunk to the least"
+    );
 }
--- a/rigs/rig/src/archive.rs
+++ b/rigs/rig/src/archive.rs
@@ -41,7 +41,14 @@
 impl Default for Policy {
     fn default() -> Policy {
         let ms = Duration::from_millis;
-        Policy { window: Some(ms(2_000)), terms: true, work: ms(25), read: ms(8), slow: None, cap: None }
+        Policy {
+            window: Some(ms(2_000)),
+            terms: true,
+            work: ms(25),
+            read: ms(8),
+            slow: None,
+            cap: None,
+        }
     }
 }
 
@@ -73,7 +80,13 @@
 
 impl Archive {
     /// `direct`: nobody asks who dialled.
-    pub fn start(policy: Policy, record: &Record, who: &Who, pools: Pools, direct: bool) -> Archive {
+    pub fn start(
+        policy: Policy,
+        record: &Record,
+        who: &Who,
+        pools: Pools,
+        direct: bool,
+    ) -> Archive {
         let shared = Arc::new(Shared {
             policy: Mutex::new(policy),
             keys: Mutex::default(),
@@ -112,7 +125,11 @@
     }
 
     pub fn set(&self, policy: Policy) {
-        *self.shared.policy.lock().unwrap_or_else(PoisonError::into_inner) = policy;
+        *self
+            .shared
+            .policy
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = policy;
     }
 }
 
@@ -143,25 +160,39 @@
         let entry = keys.entry(key()).or_default();
         if let Some(term) = term.filter(|_| policy.terms) {
             if term < entry.term {
-                self.record.add(Event::Stale { key: key(), by, term });
+                self.record.add(Event::Stale {
+                    key: key(),
+                    by,
+                    term,
+                });
                 return Verdict::Stale;
             }
             entry.term = term;
         }
         let now = Instant::now();
-        let within = policy.window.zip(entry.first).is_some_and(|(window, first)| now < first + window);
+        let within = policy
+            .window
+            .zip(entry.first)
+            .is_some_and(|(window, first)| now < first + window);
         if !within {
             entry.first = Some(now);
             entry.runs += 1;
             entry.running = true;
             let run = entry.runs;
-            self.record.add(Event::Ran { key: key(), by, term });
+            self.record.add(Event::Ran {
+                key: key(),
+                by,
+                term,
+            });
             return Verdict::Run(run);
         }
         let run = entry.runs;
         self.record.add(Event::Dropped { key: key(), by });
         let runs = |keys: &mut HashMap<String, Key>| keys.get(name).is_some_and(|key| key.running);
-        drop(self.done.wait_timeout_while(keys, crate::gate::PATIENCE, runs));
+        drop(
+            self.done
+                .wait_timeout_while(keys, crate::gate::PATIENCE, runs),
+        );
         Verdict::Repeat(run)
     }
 
@@ -174,27 +205,60 @@
 }
 
 /// Serves one request; whether the connection may carry another.
-fn one(stream: &TcpStream, (cache, kind): (usize, &str), shared: &Shared, by: &mut Option<usize>) -> bool {
-    let Some(ask) = read_ask(stream) else { return false };
+fn one(
+    stream: &TcpStream,
+    (cache, kind): (usize, &str),
+    shared: &Shared,
+    by: &mut Option<usize>,
+) -> bool {
+    let Some(ask) = read_ask(stream) else {
+        return false;
+    };
     // Looked up once bytes are here: the line knows by then whose they are.
-    *by = by.or_else(|| (!shared.direct).then(|| shared.who.dialled(stream)).flatten());
+    *by = by.or_else(|| {
+        (!shared.direct)
+            .then(|| shared.who.dialled(stream))
+            .flatten()
+    });
     let by = *by;
     let max_age_ms = ask.field("x-max-age-ms").parse().ok();
-    shared.record.add(Event::Came { cache, by, object: ask.object, max_age_ms });
+    shared.record.add(Event::Came {
+        cache,
+        by,
+        object: ask.object,
+        max_age_ms,
+    });
     let policy = *shared.policy.lock().unwrap_or_else(PoisonError::into_inner);
     let Some(key) = ask.fields.get("via-token").cloned() else {
-        let pool = shared.pools.of(kind, ask.field("x-fill-from")).map(String::from);
+        let pool = shared
+            .pools
+            .of(kind, ask.field("x-fill-from"))
+            .map(String::from);
         policy.cap.iter().for_each(|most| shared.places.take(*most));
-        pool.iter().for_each(|pool| shared.record.add(Event::Taken { pool: pool.clone(), by }));
+        pool.iter().for_each(|pool| {
+            shared.record.add(Event::Taken {
+                pool: pool.clone(),
+                by,
+            })
+        });
         let slow = policy.slow.filter(|(class, _)| *class == ask.class);
         works(stream, slow.map_or(policy.read, |(_, time)| time));
         // Written down before the answer leaves: whoever has it may use the slot again.
-        pool.iter().for_each(|pool| shared.record.add(Event::Given { pool: pool.clone(), by }));
+        pool.iter().for_each(|pool| {
+            shared.record.add(Event::Given {
+                pool: pool.clone(),
+                by,
+            })
+        });
         policy.cap.iter().for_each(|_| shared.places.give());
         return say(stream, 200, &ask, &body(ask.object, ask.part, 1, LENGTH));
     };
     let term = ask.field(TERM).parse().ok();
-    shared.record.add(Event::Reached { key: key.clone(), by, term });
+    shared.record.add(Event::Reached {
+        key: key.clone(),
+        by,
+        term,
+    });
     shared.gates.pass(Point::Read, &key);
     let run = match shared.judge(&key, by, term, policy) {
         Verdict::Run(run) => {
@@ -227,6 +291,14 @@
         200 => format!("ETag: {:x}-1\r\nX-Born-Ms: {}\r\n", ask.object, unix_ms()),
         _ => "Srv-Untouched: 1\r\n".to_string(),
     };
-    let head = format!("HTTP/1.1 {status} Said\r\n{fields}Content-Length: {}\r\n\r\n", bytes.len());
-    write_all(stream, &[head.as_bytes(), bytes], Instant::now() + crate::gate::PATIENCE).is_ok()
+    let head = format!(
+        "HTTP/1.1 {status} Said\r\n{fields}Content-Length: {}\r\n\r\n",
+        bytes.len()
+    );
+    write_all(
+        stream,
+        &[head.as_bytes(), bytes],
+        Instant::now() + crate::gate::PATIENCE,
+    )
+    .is_ok()
 }
--- a/rigs/rig/src/check.rs
+++ b/rigs/rig/src/check.rs
@@ -102,8 +102,11 @@
 /// Reads a whole record.
 pub fn read(lines: &[Line]) -> Verdict {
     let mut verdict = Verdict::default();
-    let (mut keys, mut streams, mut slots) =
-        (keys::Keys::default(), streams::Streams::default(), slots::Slots::default());
+    let (mut keys, mut streams, mut slots) = (
+        keys::Keys::default(),
+        streams::Streams::default(),
+        slots::Slots::default(),
+    );
     let mut caches = caches::Caches::default();
     for line in lines {
         keys.take(line, &mut verdict);
--- a/rigs/rig/src/check/caches.rs
+++ b/rigs/rig/src/check/caches.rs
@@ -20,9 +20,18 @@
         match &line.event {
             Event::Drained { cache } => drop(self.drained.insert(*cache, line.at)),
             Event::Purged { object } => drop(self.purged.insert(*object, line.at)),
-            Event::Came { cache, object, max_age_ms, .. } => {
-                verdict.after_drain.extend(self.drained.get(cache).map(|told| line.at - told));
-                let Some(ago) = self.purged.get(object).map(|told| line.at - told) else { return };
+            Event::Came {
+                cache,
+                object,
+                max_age_ms,
+                ..
+            } => {
+                verdict
+                    .after_drain
+                    .extend(self.drained.get(cache).map(|told| line.at - told));
+                let Some(ago) = self.purged.get(object).map(|told| line.at - told) else {
+                    return;
+                };
                 let bound = ago / 1_000 + SLACK_MS;
                 if ago < SHOWS && max_age_ms.is_none_or(|age| age > bound) {
                     verdict.after_purge.push(ago);
--- a/rigs/rig/src/check/keys.rs
+++ b/rigs/rig/src/check/keys.rs
@@ -36,7 +36,12 @@
         let at = line.at;
         self.state(line);
         match &line.event {
-            Event::Asked { key, process, covered, again } => {
+            Event::Asked {
+                key,
+                process,
+                covered,
+                again,
+            } => {
                 let key = self.keys.entry(key.clone()).or_default();
                 verdict.again += *again as u64;
                 if !key.asked {
@@ -58,14 +63,23 @@
                     (key.hand, key.gone) = (None, None);
                 }
             }
-            Event::Answered { key, outcome, result, .. } => self.answered(at, key, *outcome, result, verdict),
+            Event::Answered {
+                key,
+                outcome,
+                result,
+                ..
+            } => self.answered(at, key, *outcome, result, verdict),
             Event::GaveUp { key } => {
                 self.keys.entry(key.clone()).or_default().given_up = Some(at);
             }
             Event::Reached { key, by, .. } => {
                 let key = self.keys.entry(key.clone()).or_default();
                 if let (Some((gone, left)), true) = (key.gone.take(), key.covered) {
-                    let times = if left { &mut verdict.after_leave } else { &mut verdict.after_kill };
+                    let times = if left {
+                        &mut verdict.after_leave
+                    } else {
+                        &mut verdict.after_kill
+                    };
                     times.push(at - gone);
                     if !left && self.several.is_none_or(|last| last < gone) {
                         verdict.after_kill_alone.push(at - gone);
@@ -74,15 +88,24 @@
                 key.hand = by.or(key.hand);
                 key.begun = true;
             }
-            Event::Ran { key: name, by, term } => {
+            Event::Ran {
+                key: name,
+                by,
+                term,
+            } => {
                 let key = self.keys.entry(name.clone()).or_default();
                 key.runs += 1;
                 if key.runs > 1 {
-                    let count =
-                        if key.covered { &mut verdict.run_twice } else { &mut verdict.run_twice_uncovered };
+                    let count = if key.covered {
+                        &mut verdict.run_twice
+                    } else {
+                        &mut verdict.run_twice_uncovered
+                    };
                     *count += 1;
                     let run = key.runs;
-                    verdict.tell(at, || format!("run {run} of {name}, by {by:?}, term {term:?}"));
+                    verdict.tell(at, || {
+                        format!("run {run} of {name}, by {by:?}, term {term:?}")
+                    });
                 }
             }
             Event::Dropped { .. } => verdict.repeats += 1,
@@ -121,11 +144,21 @@
 
     /// All that a process has in hand is another's from here on.
     fn gone(&mut self, at: Time, process: usize, left: bool) {
-        let open = self.keys.values_mut().filter(|key| key.hand == Some(process) && key.result.is_none());
+        let open = self
+            .keys
+            .values_mut()
+            .filter(|key| key.hand == Some(process) && key.result.is_none());
         open.for_each(|key| key.gone = Some((at, left)));
     }
 
-    fn answered(&mut self, at: Time, name: &str, outcome: Outcome, result: &str, verdict: &mut Verdict) {
+    fn answered(
+        &mut self,
+        at: Time,
+        name: &str,
+        outcome: Outcome,
+        result: &str,
+        verdict: &mut Verdict,
+    ) {
         let key = self.keys.entry(name.to_string()).or_default();
         match outcome {
             Outcome::Served => verdict.served += 1,
@@ -152,8 +185,11 @@
 
     /// Who got no answer, now that nothing more comes.
     pub fn end(self, verdict: &mut Verdict) {
-        let mut lost: Vec<(String, Key)> =
-            self.keys.into_iter().filter(|(_, key)| key.asked && key.result.is_none()).collect();
+        let mut lost: Vec<(String, Key)> = self
+            .keys
+            .into_iter()
+            .filter(|(_, key)| key.asked && key.result.is_none())
+            .collect();
         lost.sort_by_key(|(_, key)| key.given_up);
         for (name, key) in lost {
             // Refused each time, and never sent: its client knows that nothing was done.
@@ -161,10 +197,16 @@
                 verdict.turned_away += 1;
                 continue;
             }
-            let count = if key.covered { &mut verdict.lost } else { &mut verdict.lost_uncovered };
+            let count = if key.covered {
+                &mut verdict.lost
+            } else {
+                &mut verdict.lost_uncovered
+            };
             *count += 1;
             let runs = key.runs;
-            verdict.tell(key.given_up.unwrap_or(0), || format!("{name} has no answer; it ran {runs} times"));
+            verdict.tell(key.given_up.unwrap_or(0), || {
+                format!("{name} has no answer; it ran {runs} times")
+            });
         }
     }
 }
--- a/rigs/rig/src/check/slots.rs
+++ b/rigs/rig/src/check/slots.rs
@@ -24,7 +24,9 @@
 impl Slots {
     pub fn take(&mut self, line: &Line, verdict: &mut Verdict) {
         match &line.event {
-            Event::Cap { pool, slots } => self.pools.entry(pool.clone()).or_default().cap = Some(*slots),
+            Event::Cap { pool, slots } => {
+                self.pools.entry(pool.clone()).or_default().cap = Some(*slots)
+            }
             Event::Taken { pool, by } => {
                 let own = self.pools.entry(pool.clone()).or_default();
                 own.taken += 1;
@@ -46,16 +48,22 @@
 
     /// What is over the cap when the record ends stays so.
     pub fn end(mut self, verdict: &mut Verdict) {
-        self.pools.iter_mut().for_each(|(name, pool)| pool.judge(name, Time::MAX, verdict));
+        self.pools
+            .iter_mut()
+            .for_each(|(name, pool)| pool.judge(name, Time::MAX, verdict));
     }
 }
 
 impl Pool {
     fn judge(&mut self, name: &str, now: Time, verdict: &mut Verdict) {
-        let (Some((since, most, by)), Some(cap)) = (self.over.take(), self.cap) else { return };
+        let (Some((since, most, by)), Some(cap)) = (self.over.take(), self.cap) else {
+            return;
+        };
         if now - since > SEEN {
             verdict.cap_overrun += most - cap;
-            verdict.tell(since, || format!("{name}: {most} of {cap} taken, the last by {by:?}"));
+            verdict.tell(since, || {
+                format!("{name}: {most} of {cap} taken, the last by {by:?}")
+            });
         }
     }
 }
--- a/rigs/rig/src/check/streams.rs
+++ b/rigs/rig/src/check/streams.rs
@@ -26,7 +26,11 @@
 impl Streams {
     pub fn take(&mut self, line: &Line, verdict: &mut Verdict) {
         match &line.event {
-            Event::Sent { stream, epoch, number } => {
+            Event::Sent {
+                stream,
+                epoch,
+                number,
+            } => {
                 self.sent.insert((stream.clone(), *epoch), *number);
             }
             Event::Opened { stream, site } => {
@@ -37,49 +41,107 @@
                 less(&mut self.open, stream, site);
                 self.beyond(stream, verdict);
             }
-            Event::Numbered { stream, reader, number } => {
-                let had = self.own.insert((stream.clone(), *reader), *number).unwrap_or(0);
+            Event::Numbered {
+                stream,
+                reader,
+                number,
+            } => {
+                let had = self
+                    .own
+                    .insert((stream.clone(), *reader), *number)
+                    .unwrap_or(0);
                 if *number <= had {
                     verdict.numbers_twice += 1;
-                    verdict.tell(line.at, || format!("{stream}, reader {reader}: own {number} after {had}"));
+                    verdict.tell(line.at, || {
+                        format!("{stream}, reader {reader}: own {number} after {had}")
+                    });
                 } else if *number > had + 1 {
                     verdict.gaps_untold += 1;
-                    verdict.tell(line.at, || format!("{stream}, reader {reader}: own {number} after {had}"));
+                    verdict.tell(line.at, || {
+                        format!("{stream}, reader {reader}: own {number} after {had}")
+                    });
                 }
             }
-            Event::Listed { stream, reader, index } => {
-                let had = self.lists.insert((stream.clone(), *reader), *index).unwrap_or(0);
+            Event::Listed {
+                stream,
+                reader,
+                index,
+            } => {
+                let had = self
+                    .lists
+                    .insert((stream.clone(), *reader), *index)
+                    .unwrap_or(0);
                 if *index < had {
                     verdict.numbers_twice += 1;
-                    verdict.tell(line.at, || format!("{stream}, reader {reader}: list {index} after {had}"));
+                    verdict.tell(line.at, || {
+                        format!("{stream}, reader {reader}: list {index} after {had}")
+                    });
                 }
             }
-            Event::Joined { stream, site, reader } => {
-                let new = self.readers.insert((stream.clone(), *reader), None).is_none();
-                *self.sites.entry((stream.clone(), site.clone())).or_default() += new as u64;
+            Event::Joined {
+                stream,
+                site,
+                reader,
+            } => {
+                let new = self
+                    .readers
+                    .insert((stream.clone(), *reader), None)
+                    .is_none();
+                *self
+                    .sites
+                    .entry((stream.clone(), site.clone()))
+                    .or_default() += new as u64;
             }
-            Event::Parted { stream, site, reader } => {
+            Event::Parted {
+                stream,
+                site,
+                reader,
+            } => {
                 let was = self.readers.remove(&(stream.clone(), *reader)).is_some();
                 was.then(|| less(&mut self.sites, stream, site));
             }
-            Event::Heard { stream, reader, epoch, number } => {
+            Event::Heard {
+                stream,
+                reader,
+                epoch,
+                number,
+            } => {
                 verdict.heard += 1;
-                let sent = self.sent.get(&(stream.clone(), *epoch)).copied().unwrap_or(0);
+                let sent = self
+                    .sent
+                    .get(&(stream.clone(), *epoch))
+                    .copied()
+                    .unwrap_or(0);
                 if *number > sent {
                     verdict.numbers_twice += 1;
-                    verdict.tell(line.at, || format!("{stream}: {number} of {epoch} was never sent"));
+                    verdict.tell(line.at, || {
+                        format!("{stream}: {number} of {epoch} was never sent")
+                    });
                 }
                 self.follows(line, verdict, (stream, *reader), *epoch, *number, *number);
             }
-            Event::Gap { stream, reader, epoch, from, to } => {
+            Event::Gap {
+                stream,
+                reader,
+                epoch,
+                from,
+                to,
+            } => {
                 verdict.gaps += 1;
                 self.follows(line, verdict, (stream, *reader), *epoch, *from, *to);
             }
-            Event::Snapshot { stream, reader, epoch, number } => {
+            Event::Snapshot {
+                stream,
+                reader,
+                epoch,
+                number,
+            } => {
                 let place = self.readers.entry((stream.clone(), *reader)).or_default();
                 if place.is_some_and(|had| had > (*epoch, *number)) {
                     verdict.numbers_twice += 1;
-                    verdict.tell(line.at, || format!("{stream}, reader {reader}: a snapshot of before"));
+                    verdict.tell(line.at, || {
+                        format!("{stream}, reader {reader}: a snapshot of before")
+                    });
                 }
                 *place = Some((*epoch, *number));
             }
@@ -97,7 +159,10 @@
         from: u64,
         to: u64,
     ) {
-        let place = self.readers.entry((stream.to_string(), reader)).or_default();
+        let place = self
+            .readers
+            .entry((stream.to_string(), reader))
+            .or_default();
         let next = match *place {
             None => from,
             Some((own, number)) if own == epoch => number + 1,
@@ -107,19 +172,30 @@
         let had = *place;
         if from < next {
             verdict.numbers_twice += 1;
-            verdict.tell(line.at, || format!("{stream}, reader {reader}: {from} of {epoch} after {had:?}"));
+            verdict.tell(line.at, || {
+                format!("{stream}, reader {reader}: {from} of {epoch} after {had:?}")
+            });
         } else if from > next {
             verdict.gaps_untold += 1;
-            verdict.tell(line.at, || format!("{stream}, reader {reader}: nothing of {next} to {from}"));
+            verdict.tell(line.at, || {
+                format!("{stream}, reader {reader}: nothing of {next} to {from}")
+            });
         }
         *place = Some((epoch, to)).max(had);
     }
 
     fn beyond(&mut self, stream: &str, verdict: &mut Verdict) {
         let of = |counts: &BTreeMap<(String, String), u64>| -> Vec<u64> {
-            counts.iter().filter(|((name, _), _)| name == stream).map(|(_, count)| *count).collect()
+            counts
+                .iter()
+                .filter(|((name, _), _)| name == stream)
+                .map(|(_, count)| *count)
+                .collect()
         };
-        let (open, sites) = (of(&self.open).iter().sum::<u64>(), of(&self.sites).len() as u64);
+        let (open, sites) = (
+            of(&self.open).iter().sum::<u64>(),
+            of(&self.sites).len() as u64,
+        );
         if sites > 0 && open <= sites {
             self.settled.insert(stream.to_string());
         } else if sites > 0 && !self.settled.contains(stream) {
--- a/rigs/rig/src/cost.rs
+++ b/rigs/rig/src/cost.rs
@@ -20,18 +20,40 @@
 /// Times of each, without and with (us), for an archive that works for so long.
 pub fn measure(requests: u64, seed: u64, work: Duration) -> Result<[Vec<u64>; 2], String> {
     let fleet = |covered: bool| {
-        let operator = if covered { wired::lines(MS(2_000)) } else { String::new() };
-        let archive = Policy { work, ..Policy::default() };
-        Fleet::start(&Plan { processes: PROCESSES, seed, fleet: true, operator, archive, ..Plan::default() })
+        let operator = if covered {
+            wired::lines(MS(2_000))
+        } else {
+            String::new()
+        };
+        let archive = Policy {
+            work,
+            ..Policy::default()
+        };
+        Fleet::start(&Plan {
+            processes: PROCESSES,
+            seed,
+            fleet: true,
+            operator,
+            archive,
+            ..Plan::default()
+        })
     };
     let fleets = [fleet(false)?, fleet(true)?];
     let manner = |covered, longest| {
         let (class, patience, deadline) = (KEYED.to_string(), MS(3_000), MS(3_000));
-        Manner { class, covered, patience, deadline, longest }
+        Manner {
+            class,
+            covered,
+            patience,
+            deadline,
+            longest,
+        }
     };
     for (covered, fleet) in [false, true].into_iter().zip(&fleets) {
         // Its seats are silent at first.
-        let first = fleet.customer(MS(3_000)).ask(0, &manner(covered, MS(20_000)), 1, &key(0, 0));
+        let first = fleet
+            .customer(MS(3_000))
+            .ask(0, &manner(covered, MS(20_000)), 1, &key(0, 0));
         first.ok_or("no request was served at the start")?;
     }
     let (next, times) = (AtomicU64::new(0), [Mutex::default(), Mutex::default()]);
@@ -76,7 +98,12 @@
         let [without, with] = measure(requests, seed, work)?;
         all &= without.len() as u64 == requests && with.len() as u64 == requests;
         let ms = |times: &[u64], part| percentile(times, part).unwrap_or(0) as f64 / 1e3;
-        let [a, b, c, d] = [ms(&without, 0.5), ms(&without, 0.99), ms(&with, 0.5), ms(&with, 0.99)];
+        let [a, b, c, d] = [
+            ms(&without, 0.5),
+            ms(&without, 0.99),
+            ms(&with, 0.5),
+            ms(&with, 0.99),
+        ];
         println!(
             "{:>8} ms    {a:>11.2} {b:>8.2} {c:>11.2} {d:>8.2} {:>12.2} {:>6.2}",
             work.as_millis(),
--- a/rigs/rig/src/demo.rs
+++ b/rigs/rig/src/demo.rs
@@ -30,12 +30,17 @@
         fleet: true,
         operator: wired::lines(Duration::from_secs(2)) + &neighbours::weights([1.0; 4]),
         tenants: 2,
-        archive: Policy { slow: Some((settings::TENANTS[0], neighbours::SLOW)), ..Policy::default() },
+        archive: Policy {
+            slow: Some((settings::TENANTS[0], neighbours::SLOW)),
+            ..Policy::default()
+        },
         ..Plan::default()
     };
     let fleet = Fleet::start(&plan)?;
     let wired = Wired::of(&fleet);
-    println!("{PROCESSES} processes at 3 sites, a journal service, caches and an archive (stand-ins)");
+    println!(
+        "{PROCESSES} processes at 3 sites, a journal service, caches and an archive (stand-ins)"
+    );
     let (over, next, began) = (AtomicBool::new(false), AtomicU64::new(0), Instant::now());
     let served = [const { AtomicU64::new(0) }; 2];
     thread::scope(|scope| {
@@ -56,7 +61,11 @@
     println!("\ntwo tenants: {quick} quick and {slow} slow requests served");
     let mut facts = String::new();
     let _ = verdict.facts(&mut facts);
-    println!("\n{facts}\n{wired}\n{}{:.1} s", wired.judge(&verdict), began.elapsed().as_secs_f64());
+    println!(
+        "\n{facts}\n{wired}\n{}{:.1} s",
+        wired.judge(&verdict),
+        began.elapsed().as_secs_f64()
+    );
     Ok(verdict.sound() && verdict.served > 0 && slow > 0 && quick > 0 && wired.all())
 }
 
@@ -89,12 +98,21 @@
 fn ask_on(fleet: &Fleet, seed: u64, covered: bool, next: &AtomicU64, over: &AtomicBool) {
     let mut customer = fleet.customer(MS(900));
     let (patience, deadline, longest) = (MS(900), MS(3_000), MS(12_000));
-    let manner = Manner { class: KEYED.into(), covered, patience, deadline, longest };
+    let manner = Manner {
+        class: KEYED.into(),
+        covered,
+        patience,
+        deadline,
+        longest,
+    };
     while !over.load(Ordering::SeqCst) {
         let number = next.fetch_add(1, Ordering::SeqCst);
         let process = number as usize % PROCESSES;
         if number.is_multiple_of(3) {
-            let manner = Manner { class: READS[number as usize % 2].into(), ..manner.clone() };
+            let manner = Manner {
+                class: READS[number as usize % 2].into(),
+                ..manner.clone()
+            };
             let _ = customer.once(process, &manner, number % 500, None);
         }
         customer.ask(process, &manner, number % 500, &key(seed, number));
@@ -103,13 +121,19 @@
 }
 
 fn tenant(fleet: &Fleet, client: usize, over: &AtomicBool, served: &AtomicU64) {
-    let (mut customer, manner) = (fleet.customer(MS(3_000)), neighbours::manner(client % 2, MS(2_500)));
+    let (mut customer, manner) = (
+        fleet.customer(MS(3_000)),
+        neighbours::manner(client % 2, MS(2_500)),
+    );
     for object in 0.. {
         if over.load(Ordering::SeqCst) {
             return;
         }
         let said = customer.once(client % PROCESSES, &manner, (1 << 32) | (object % 64), None);
-        served.fetch_add(matches!(said, Some(Said::Served(_))) as u64, Ordering::SeqCst);
+        served.fetch_add(
+            matches!(said, Some(Said::Served(_))) as u64,
+            Ordering::SeqCst,
+        );
         thread::sleep(MS(20));
     }
 }
--- a/rigs/rig/src/fanout.rs
+++ b/rigs/rig/src/fanout.rs
@@ -30,7 +30,13 @@
 
 fn ms(times: &[Time]) -> String {
     let of = |part| percentile(times, part).map_or(f64::NAN, |time| time as f64 / 1e3);
-    format!("{:>9}   p50 {:.1} ms, p99 {:.1} ms, most {:.1} ms", times.len(), of(0.5), of(0.99), of(1.0))
+    format!(
+        "{:>9}   p50 {:.1} ms, p99 {:.1} ms, most {:.1} ms",
+        times.len(),
+        of(0.5),
+        of(0.99),
+        of(1.0)
+    )
 }
 
 /// Plays it; whether no promise was broken.
@@ -46,7 +52,11 @@
     };
     let began = Instant::now();
     let fleet = Fleet::start(&plan)?;
-    let settled = || fleet.streams(size.sites, SOON).map_err(|open| format!("streams of {open:?}"));
+    let settled = || {
+        fleet
+            .streams(size.sites, SOON)
+            .map_err(|open| format!("streams of {open:?}"))
+    };
     settled()?;
     println!(
         "{} processes at {} sites, one stream each, after {:.1} s",
@@ -57,14 +67,23 @@
     let readers = fleet.readers(6).map_err(|e| e.to_string())?;
     let direct = fleet.readers(1).map_err(|e| e.to_string())?;
     for process in 0..size.processes {
-        (0..SAMPLED).for_each(|n| fleet.begin(&readers, process as u64 * SAMPLED + n, process, MS(1_000)));
+        (0..SAMPLED)
+            .for_each(|n| fleet.begin(&readers, process as u64 * SAMPLED + n, process, MS(1_000)));
         let site = "direct".to_string();
         let addresses = vec![fleet.journal().address()];
-        direct.begin(Begin { reader: DIRECT + process as u64, site, addresses, wait: MS(1_000) });
+        direct.begin(Begin {
+            reader: DIRECT + process as u64,
+            site,
+            addresses,
+            wait: MS(1_000),
+        });
     }
     let few = size.processes as u64 * SAMPLED;
     told(&fleet, &readers, few)?;
-    let silences = [faults(&fleet, &readers, size, few, true)?, faults(&fleet, &readers, size, few, false)?];
+    let silences = [
+        faults(&fleet, &readers, size, few, true)?,
+        faults(&fleet, &readers, size, few, false)?,
+    ];
     settled()?;
     let quiet = delays(&fleet, &readers, &direct, few, 100, MS(20))?;
     // What was told for the faults is no longer in the whole that a new subscriber is told.
@@ -80,8 +99,16 @@
     let lines = fleet.record().lines().ok_or("the record is full")?;
     let verdict = check::read(&lines);
     println!("\n{:<44} {:>9}", "subscribers", all);
-    println!("{:<44} {:>9}", "streams at the source: relayed, direct", most.saturating_sub(size.processes));
-    println!("{:<44} {:>9}", "  with one poll each", size.processes as u64 + all);
+    println!(
+        "{:<44} {:>9}",
+        "streams at the source: relayed, direct",
+        most.saturating_sub(size.processes)
+    );
+    println!(
+        "{:<44} {:>9}",
+        "  with one poll each",
+        size.processes as u64 + all
+    );
     let direct_part = size.processes as f64 / most.max(1) as f64;
     let (bytes, polls) = (after.0 - before.0, after.1 - before.1);
     println!(
@@ -91,14 +118,29 @@
         size.processes
     );
     for (name, times) in [("few", &quiet), ("all", &busy)] {
-        println!("{:<44} {}", format!("delay, {name}, by the relay"), ms(&times.0));
+        println!(
+            "{:<44} {}",
+            format!("delay, {name}, by the relay"),
+            ms(&times.0)
+        );
         println!("{:<44} {}", format!("delay, {name}, direct"), ms(&times.1));
     }
     for (name, silence) in [("kill", &silences[0]), ("leaving", &silences[1])] {
-        println!("{:<44} {}", format!("silence after a {name}, who stayed"), ms(&silence.0));
-        println!("{:<44} {}", "  who read from the one that went", ms(&silence.1));
+        println!(
+            "{:<44} {}",
+            format!("silence after a {name}, who stayed"),
+            ms(&silence.0)
+        );
+        println!(
+            "{:<44} {}",
+            "  who read from the one that went",
+            ms(&silence.1)
+        );
         println!("{:<44} {}", "  at other sites meanwhile", ms(&silence.2));
-        println!("{:<44} {:>9}", "  streams beyond one a site, at most", silence.3);
+        println!(
+            "{:<44} {:>9}",
+            "  streams beyond one a site, at most", silence.3
+        );
     }
     println!("\n{verdict}{:.1} s", secs(began));
     Ok(verdict.sound())
@@ -128,7 +170,11 @@
         }
     }
     told(fleet, readers, size.subscribers)?;
-    println!("{} subscribers are there, after {:.1} s", size.subscribers, secs(began));
+    println!(
+        "{} subscribers are there, after {:.1} s",
+        size.subscribers,
+        secs(began)
+    );
     Ok(())
 }
 
@@ -143,7 +189,9 @@
     pause: Duration,
 ) -> Result<Delays, String> {
     told(fleet, readers, count)?;
-    [readers, direct].iter().for_each(|all| all.look(|heard| heard.delays.clear()));
+    [readers, direct]
+        .iter()
+        .for_each(|all| all.look(|heard| heard.delays.clear()));
     for _ in 0..purges {
         fleet.journal().purge();
         std::thread::sleep(pause);
@@ -157,11 +205,19 @@
 type Silences = (Vec<Time>, Vec<Time>, Vec<Time>, usize);
 
 /// A purge each 20 ms, and in the midst of them the relay of one site after the other goes.
-fn faults(fleet: &Fleet, readers: &Readers, size: &Size, few: u64, kill: bool) -> Result<Silences, String> {
+fn faults(
+    fleet: &Fleet,
+    readers: &Readers,
+    size: &Size,
+    few: u64,
+    kill: bool,
+) -> Result<Silences, String> {
     let mut found: Silences = Default::default();
     for round in 0..size.faults {
         let site = round % size.sites;
-        fleet.streams(size.sites, SOON).map_err(|open| format!("streams of {open:?}"))?;
+        fleet
+            .streams(size.sites, SOON)
+            .map_err(|open| format!("streams of {open:?}"))?;
         let relay = fleet.relay(site).ok_or("no relay")?;
         let _ = fleet.journal().most();
         let from = fleet.record().lines().ok_or("the record is full")?.len();
@@ -177,7 +233,10 @@
                 std::thread::sleep(MS(20));
             }
         });
-        let most = fleet.journal().most().saturating_sub(size.processes + size.sites);
+        let most = fleet
+            .journal()
+            .most()
+            .saturating_sub(size.processes + size.sites);
         found.3 = found.3.max(most);
         told(fleet, readers, few)?;
         let lines = fleet.record().lines().ok_or("the record is full")?;
@@ -191,10 +250,14 @@
 /// The longest time between two purges heard, of each subscriber, from the fault on.
 fn silences(lines: &[Line], size: &Size, relay: usize, found: &mut Silences) {
     let went = |line: &Line| matches!(line.event, Event::Killed { process } | Event::Left { process } if process == relay);
-    let Some(at) = lines.iter().find(|line| went(line)).map(|line| line.at) else { return };
+    let Some(at) = lines.iter().find(|line| went(line)).map(|line| line.at) else {
+        return;
+    };
     let (mut last, mut longest) = (BTreeMap::<u64, Time>::new(), BTreeMap::<u64, Time>::new());
     for line in lines {
-        let Event::Heard { reader, .. } = &line.event else { continue };
+        let Event::Heard { reader, .. } = &line.event else {
+            continue;
+        };
         if let Some(before) = last.insert(*reader, line.at).filter(|_| line.at > at) {
             let own = longest.entry(*reader).or_default();
             *own = (*own).max(line.at - before);
--- a/rigs/rig/src/faults.rs
+++ b/rigs/rig/src/faults.rs
@@ -38,26 +38,42 @@
 pub fn run(run: &Run) -> Result<(Fleet, Verdict), String> {
     let fleet = Fleet::start(&run.plan)?;
     let ms = Duration::from_millis;
-    let among =
-        Among { processes: run.plan.processes, together: run.together, lasts: [ms(300), run.plan.lease * 3] };
+    let among = Among {
+        processes: run.plan.processes,
+        together: run.together,
+        lasts: [ms(300), run.plan.lease * 3],
+    };
     if run.covered {
         // Nothing of a new fleet is covered until its seats speak.
         let manner = manner(run);
-        let first =
-            fleet.customer(LONGEST * 3).ask(0, &Manner { longest: LONGEST * 3, ..manner }, 1, &key(0, 0));
+        let first = fleet.customer(LONGEST * 3).ask(
+            0,
+            &Manner {
+                longest: LONGEST * 3,
+                ..manner
+            },
+            1,
+            &key(0, 0),
+        );
         first.ok_or("no request was covered at the start")?;
     }
     let steps = draw(run.plan.seed, run.span, among, run.counts);
     let (next, over, began) = (AtomicU64::new(0), AtomicBool::new(false), Instant::now());
     thread::scope(|scope| {
         let broken = scope.spawn(|| play(&fleet, &steps, &over));
-        let customers: Vec<_> =
-            (0..run.customers).map(|_| scope.spawn(|| ask_on(&fleet, run, &next, began))).collect();
+        let customers: Vec<_> = (0..run.customers)
+            .map(|_| scope.spawn(|| ask_on(&fleet, run, &next, began)))
+            .collect();
         customers.into_iter().for_each(|one| drop(one.join()));
         over.store(true, Ordering::SeqCst);
-        broken.join().map_err(|_| "the schedule failed".to_string())?
+        broken
+            .join()
+            .map_err(|_| "the schedule failed".to_string())?
     })?;
-    let lines = fleet.record().lines().ok_or("the record is full: the run can't be judged")?;
+    let lines = fleet
+        .record()
+        .lines()
+        .ok_or("the record is full: the run can't be judged")?;
     Ok((fleet, check::read(&lines)))
 }
 
@@ -82,9 +98,15 @@
         let due = began + run.span.mul_f64(number as f64 / run.requests as f64);
         thread::sleep(due.saturating_duration_since(Instant::now()));
         let mut chance = StdRng::seed_from_u64(run.plan.seed ^ number.rotate_left(32));
-        let (process, object) = (chance.random_range(0..fleet.size()), chance.random_range(0..2_000));
+        let (process, object) = (
+            chance.random_range(0..fleet.size()),
+            chance.random_range(0..2_000),
+        );
         if number.is_multiple_of(READ_OF) {
-            let manner = Manner { class: READS[(object % 2) as usize].into(), ..manner.clone() };
+            let manner = Manner {
+                class: READS[(object % 2) as usize].into(),
+                ..manner.clone()
+            };
             let _ = customer.once(process, &manner, object, None);
         }
         customer.ask(process, &manner, object, &key(run.plan.seed, number));
--- a/rigs/rig/src/fleet.rs
+++ b/rigs/rig/src/fleet.rs
@@ -46,42 +46,86 @@
     pub fn start(plan: &Plan) -> Result<Fleet, String> {
         static NUMBER: AtomicU64 = AtomicU64::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("foldmux-rig-{}-{number}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("foldmux-rig-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let (record, who, program) = (Record::default(), Who::default(), program()?);
-        record.add(Event::Planned { seed: plan.seed, processes: plan.processes, sites: plan.sites });
+        record.add(Event::Planned {
+            seed: plan.seed,
+            processes: plan.processes,
+            sites: plan.sites,
+        });
         let pools = settings::pools(&plan.operator);
-        let cap = |(pool, slots): &(String, u64)| Event::Cap { pool: pool.clone(), slots: *slots };
+        let cap = |(pool, slots): &(String, u64)| Event::Cap {
+            pool: pool.clone(),
+            slots: *slots,
+        };
         pools.iter().for_each(|pool| record.add(cap(pool)));
-        let archive = Archive::start(plan.archive, &record, &who, Pools::new(pools, plan.sites), plan.direct);
+        let archive = Archive::start(
+            plan.archive,
+            &record,
+            &who,
+            Pools::new(pools, plan.sites),
+            plan.direct,
+        );
         let line = |n: usize| Line::to(&format!("cache {n}"), archive.address(n), &who);
         let caches: Vec<Line> = (0..plan.sites * BOXES + 2).map(line).collect();
         let journal = News::start(plan.sites, &record, &who);
         let news = |n: usize| Line::by(Some(n), "journal", journal.address(), &who);
         let news: Vec<Line> = (0..plan.processes).map(news).collect();
-        let at = |n: usize| if plan.direct { archive.address(n) } else { caches[n].address };
+        let at = |n: usize| {
+            if plan.direct {
+                archive.address(n)
+            } else {
+                caches[n].address
+            }
+        };
         let hosts = settings::hosts(plan, at);
         journal.hosts(true, &hosts);
         let serves: Vec<SocketAddr> = (0..plan.processes).map(|_| free()).collect();
         let own: Vec<SocketAddr> = (0..plan.processes).map(|_| free()).collect();
         let count = if plan.fleet { plan.processes } else { 0 };
-        let peer = |from: usize, to: usize| Line::by(Some(from), &format!("n{from} to n{to}"), own[to], &who);
-        let peers: Vec<Vec<Line>> = (0..count).map(|i| (0..count).map(|j| peer(i, j)).collect()).collect();
+        let peer = |from: usize, to: usize| {
+            Line::by(Some(from), &format!("n{from} to n{to}"), own[to], &who)
+        };
+        let peers: Vec<Vec<Line>> = (0..count)
+            .map(|i| (0..count).map(|j| peer(i, j)).collect())
+            .collect();
         let key_file = folder.join("fleet.key");
         std::fs::write(&key_file, "0123456789abcdef".repeat(4)).map_err(|e| e.to_string())?;
         let spec = |process: usize| {
             let listen = free();
             let addresses = |lines: &Vec<Line>| -> Vec<SocketAddr> {
-                lines.iter().enumerate().map(|(n, l)| if n == process { own[n] } else { l.address }).collect()
+                lines
+                    .iter()
+                    .enumerate()
+                    .map(|(n, l)| if n == process { own[n] } else { l.address })
+                    .collect()
             };
             let key_file = key_file.display().to_string();
             let operator = peers.get(process).map(addresses);
-            let operator =
-                operator.map(|to| settings::operator(plan, [own[process], serves[process]], &to, &key_file));
-            let source = if plan.direct { journal.address() } else { news[process].address };
+            let operator = operator.map(|to| {
+                settings::operator(plan, [own[process], serves[process]], &to, &key_file)
+            });
+            let source = if plan.direct {
+                journal.address()
+            } else {
+                news[process].address
+            };
             let config = settings::config(plan, process, listen, source, &journal.known());
-            let (name, folder) = (settings::name(process), folder.join(settings::name(process)));
-            Spec { program: program.clone(), number: process, name, config, operator, listen, folder }
+            let (name, folder) = (
+                settings::name(process),
+                folder.join(settings::name(process)),
+            );
+            Spec {
+                program: program.clone(),
+                number: process,
+                name,
+                config,
+                operator,
+                listen,
+                folder,
+            }
         };
         let specs: Vec<Spec> = (0..plan.processes).map(spec).collect();
         let running = (0..plan.processes).map(|_| Mutex::default()).collect();
@@ -107,7 +151,9 @@
     }
 
     fn slot(&self, process: usize) -> MutexGuard<'_, Option<Process>> {
-        self.running[process].lock().unwrap_or_else(PoisonError::into_inner)
+        self.running[process]
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     pub fn size(&self) -> usize {
@@ -126,7 +172,9 @@
     }
 
     pub fn well(&self, process: usize) -> Result<(), String> {
-        self.slot(process).as_ref().map_or(Ok(()), |running| running.well(SOON))
+        self.slot(process)
+            .as_ref()
+            .map_or(Ok(()), |running| running.well(SOON))
     }
 
     pub fn kill(&self, process: usize) {
@@ -209,7 +257,11 @@
     }
 
     pub fn customer(&self, patience: Duration) -> Customer {
-        Customer::new(self.specs.iter().map(|spec| spec.listen).collect(), &self.record, patience)
+        Customer::new(
+            self.specs.iter().map(|spec| spec.listen).collect(),
+            &self.record,
+            patience,
+        )
     }
 
     pub fn id(&self, process: usize) -> Option<u32> {
@@ -218,13 +270,18 @@
 
     /// What a process's log says; none while it is down.
     pub fn log(&self, process: usize) -> Vec<String> {
-        self.slot(process).as_ref().map(|running| running.log.all()).unwrap_or_default()
+        self.slot(process)
+            .as_ref()
+            .map(|running| running.log.all())
+            .unwrap_or_default()
     }
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.running.iter().for_each(|slot| drop(slot.lock().unwrap_or_else(PoisonError::into_inner).take()));
+        self.running
+            .iter()
+            .for_each(|slot| drop(slot.lock().unwrap_or_else(PoisonError::into_inner).take()));
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
--- a/rigs/rig/src/gate.rs
+++ b/rigs/rig/src/gate.rs
@@ -47,15 +47,26 @@
         let mut state = self.state();
         state.next += 1;
         let number = state.next;
-        state.closed.push(Closed { number, point, key: key.map(String::from), reached: 0 });
-        Gate { gates: self.clone(), number }
+        state.closed.push(Closed {
+            number,
+            point,
+            key: key.map(String::from),
+            reached: 0,
+        });
+        Gate {
+            gates: self.clone(),
+            number,
+        }
     }
 
     /// Waits here while a gate for it is closed.
     pub fn pass(&self, point: Point, key: &str) {
         let mut state = self.state();
-        let held = |c: &&mut Closed| c.point == point && c.key.as_deref().is_none_or(|own| own == key);
-        let Some(gate) = state.closed.iter_mut().find(held) else { return };
+        let held =
+            |c: &&mut Closed| c.point == point && c.key.as_deref().is_none_or(|own| own == key);
+        let Some(gate) = state.closed.iter_mut().find(held) else {
+            return;
+        };
         gate.reached += 1;
         let number = gate.number;
         self.shared.1.notify_all();
@@ -71,9 +82,17 @@
 impl Gate {
     /// Waits until so many have come to it; false if they never do.
     pub fn reached(&self, times: u64) -> bool {
-        let fewer =
-            |state: &mut State| !state.closed.iter().any(|c| c.number == self.number && c.reached >= times);
-        let waited = self.gates.shared.1.wait_timeout_while(self.gates.state(), PATIENCE, fewer);
+        let fewer = |state: &mut State| {
+            !state
+                .closed
+                .iter()
+                .any(|c| c.number == self.number && c.reached >= times)
+        };
+        let waited = self
+            .gates
+            .shared
+            .1
+            .wait_timeout_while(self.gates.state(), PATIENCE, fewer);
         !waited.unwrap_or_else(PoisonError::into_inner).1.timed_out()
     }
 
@@ -82,7 +101,10 @@
 
 impl Drop for Gate {
     fn drop(&mut self) {
-        self.gates.state().closed.retain(|c| c.number != self.number);
+        self.gates
+            .state()
+            .closed
+            .retain(|c| c.number != self.number);
         self.gates.shared.1.notify_all();
     }
 }
--- a/rigs/rig/src/line.rs
+++ b/rigs/rig/src/line.rs
@@ -59,9 +59,19 @@
 
     /// What holds for this dialler's bytes: (delay, cut).
     pub fn now(&self, dialler: Option<usize>, way: usize) -> (Duration, bool) {
-        let of =
-            |key| self.rules.get(&key).map_or_else(Default::default, |r: &Rule| (r.delay[way], r.cut[way]));
-        let (all, own) = (of(None), if dialler.is_some() { of(dialler) } else { Default::default() });
+        let of = |key| {
+            self.rules
+                .get(&key)
+                .map_or_else(Default::default, |r: &Rule| (r.delay[way], r.cut[way]))
+        };
+        let (all, own) = (
+            of(None),
+            if dialler.is_some() {
+                of(dialler)
+            } else {
+                Default::default()
+            },
+        );
         (all.0.max(own.0), all.1 || own.1)
     }
 
@@ -72,7 +82,10 @@
     /// Breaks the connection, so that both ends see a reset where the kernel gives one.
     pub fn drop_connection(&mut self, number: u64) {
         if let Some((near, far, _)) = self.held.remove(&number) {
-            [Some(near), far].into_iter().flatten().for_each(|end| drop(end.shutdown(Shutdown::Both)));
+            [Some(near), far]
+                .into_iter()
+                .flatten()
+                .for_each(|end| drop(end.shutdown(Shutdown::Both)));
         }
     }
 }
@@ -130,22 +143,40 @@
                 open(&own, number as u64, near);
             }
         };
-        let _ = thread::Builder::new().name("line".into()).stack_size(STACK).spawn(accept).expect("a thread");
-        Line { address, name: name.to_string(), shared }
+        let _ = thread::Builder::new()
+            .name("line".into())
+            .stack_size(STACK)
+            .spawn(accept)
+            .expect("a thread");
+        Line {
+            address,
+            name: name.to_string(),
+            shared,
+        }
     }
 
     /// Where it leads from now on; connections that it has stay.
     pub fn leads_to(&self, target: SocketAddr) {
-        *self.shared.target.lock().unwrap_or_else(PoisonError::into_inner) = target;
+        *self
+            .shared
+            .target
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = target;
     }
 
     pub fn all(&self) -> Control<'_> {
-        Control { line: self, of: None }
+        Control {
+            line: self,
+            of: None,
+        }
     }
 
     /// For what this process dialled.
     pub fn of(&self, process: usize) -> Control<'_> {
-        Control { line: self, of: Some(process) }
+        Control {
+            line: self,
+            of: Some(process),
+        }
     }
 
     pub fn connections(&self) -> usize {
@@ -228,7 +259,8 @@
             .filter(|(_, held)| self.of.is_none() || held.2 == self.of)
             .map(|(number, _)| *number)
             .collect();
-        of.into_iter().for_each(|number| state.drop_connection(number));
+        of.into_iter()
+            .for_each(|number| state.drop_connection(number));
         self.line.shared.changed.notify_all();
     }
 }
@@ -238,7 +270,8 @@
         let mut state = self.shared.state();
         state.over = true;
         let all: Vec<u64> = state.held.keys().copied().collect();
-        all.into_iter().for_each(|number| state.drop_connection(number));
+        all.into_iter()
+            .for_each(|number| state.drop_connection(number));
         drop(state);
         self.shared.changed.notify_all();
         drop(TcpStream::connect(self.address));
--- a/rigs/rig/src/main.rs
+++ b/rigs/rig/src/main.rs
@@ -76,29 +76,36 @@
 }
 
 fn main() -> ExitCode {
-    let ran = read().map_err(|e| e.to_string()).and_then(|line| match line.command.as_str() {
-        "faults" => broken(&line),
-        "cost" => cost::told(line.requests.unwrap_or(1_000), line.seed),
-        "demo" => {
-            demo::play(line.seed, Duration::from_secs(if line.seconds == 0 { 30 } else { line.seconds }))
-        }
-        "neighbours" => {
-            let sizes = if line.sized { vec![line.processes] } else { vec![1, 4, 16] };
-            neighbours::table(
+    let ran = read()
+        .map_err(|e| e.to_string())
+        .and_then(|line| match line.command.as_str() {
+            "faults" => broken(&line),
+            "cost" => cost::told(line.requests.unwrap_or(1_000), line.seed),
+            "demo" => demo::play(
                 line.seed,
-                Duration::from_secs(if line.seconds == 0 { 8 } else { line.seconds }),
-                &sizes,
-            )
-        }
-        "fanout" => fanout::play(&fanout::Size {
-            processes: line.processes,
-            sites: line.sites.clamp(1, line.processes),
-            subscribers: line.subscribers,
-            faults: line.faults,
-            seed: line.seed,
-        }),
-        _ => Err(USAGE.to_string()),
-    });
+                Duration::from_secs(if line.seconds == 0 { 30 } else { line.seconds }),
+            ),
+            "neighbours" => {
+                let sizes = if line.sized {
+                    vec![line.processes]
+                } else {
+                    vec![1, 4, 16]
+                };
+                neighbours::table(
+                    line.seed,
+                    Duration::from_secs(if line.seconds == 0 { 8 } else { line.seconds }),
+                    &sizes,
+                )
+            }
+            "fanout" => fanout::play(&fanout::Size {
+                processes: line.processes,
+                sites: line.sites.clamp(1, line.processes),
+                subscribers: line.subscribers,
+                faults: line.faults,
+                seed: line.seed,
+            }),
+            _ => Err(USAGE.to_string()),
+        });
     match ran {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
@@ -128,7 +135,11 @@
         seats: line.processes,
         seed: line.seed,
         fleet,
-        operator: if fleet { wired::lines(faults::LONGEST) } else { String::new() },
+        operator: if fleet {
+            wired::lines(faults::LONGEST)
+        } else {
+            String::new()
+        },
         ..Plan::default()
     };
     let run = Run {
@@ -144,9 +155,16 @@
     let (fleet, verdict) = faults::run(&run)?;
     if let Some(file) = &line.record {
         let told = |e: std::io::Error| format!("{}: {e}", file.display());
-        fleet.record().write(BufWriter::new(File::create(file).map_err(told)?)).map_err(told)?;
+        fleet
+            .record()
+            .write(BufWriter::new(File::create(file).map_err(told)?))
+            .map_err(told)?;
     }
-    let wired = if line.alone { Wired::none() } else { Wired::of(&fleet) };
+    let wired = if line.alone {
+        Wired::none()
+    } else {
+        Wired::of(&fleet)
+    };
     let mut facts = String::new();
     let _ = verdict.facts(&mut facts);
     println!(
--- a/rigs/rig/src/neighbours.rs
+++ b/rigs/rig/src/neighbours.rs
@@ -69,7 +69,11 @@
 }
 
 pub fn weights(of: [f64; 4]) -> String {
-    TENANTS.iter().zip(of).map(|(name, weight)| format!("weight(\"{name}\", {weight:.1})\n")).collect()
+    TENANTS
+        .iter()
+        .zip(of)
+        .map(|(name, weight)| format!("weight(\"{name}\", {weight:.1})\n"))
+        .collect()
 }
 
 pub fn plan(scene: &Scene) -> Plan {
@@ -85,7 +89,11 @@
         seats: scene.processes.max(3),
         seed: scene.seed,
         fleet: scene.fair,
-        operator: if scene.fair { lines(scene.slots) } else { String::new() },
+        operator: if scene.fair {
+            lines(scene.slots)
+        } else {
+            String::new()
+        },
         tenants: TENANTS.len(),
         direct: true,
         archive,
@@ -95,7 +103,13 @@
 
 pub fn manner(tenant: usize, patience: Duration) -> Manner {
     let (deadline, longest) = (patience, patience);
-    Manner { class: TENANTS[tenant].into(), covered: false, patience: patience * 2, deadline, longest }
+    Manner {
+        class: TENANTS[tenant].into(),
+        covered: false,
+        patience: patience * 2,
+        deadline,
+        longest,
+    }
 }
 
 /// A fleet of which each process serves a read: seats that start grant nothing for one lease.
@@ -106,11 +120,19 @@
     for process in 0..fleet.size() {
         let first = 1 << 40 | process as u64;
         while !matches!(
-            customer.once(process, &manner(1, Duration::from_millis(1_500)), first, None),
+            customer.once(
+                process,
+                &manner(1, Duration::from_millis(1_500)),
+                first,
+                None
+            ),
             Some(Said::Served(_))
         ) {
             if Instant::now() > until {
-                return Err(format!("n{process} serves nothing:\n{}", fleet.log(process).join("\n")));
+                return Err(format!(
+                    "n{process} serves nothing:\n{}",
+                    fleet.log(process).join("\n")
+                ));
             }
             thread::sleep(Duration::from_millis(20));
         }
@@ -128,13 +150,19 @@
 pub fn on(fleet: &Fleet, scene: &Scene) -> Result<Seen, String> {
     let share = scene.slots as usize / TENANTS.len();
     let flood = (scene.times * share).min(MOST * scene.processes);
-    let (over, next, seen) = (AtomicBool::new(false), AtomicU64::new(1), Mutex::new(Seen::default()));
+    let (over, next, seen) = (
+        AtomicBool::new(false),
+        AtomicU64::new(1),
+        Mutex::new(Seen::default()),
+    );
     let began = fleet.record().now();
     thread::scope(|scope| {
         for client in 0..CLIENTS {
             let process = client % scene.processes;
             let (next, over, seen) = (&next, &over, &seen);
-            spawn(scope, move || neighbour(fleet, process, 1 + client % 3, next, over, seen));
+            spawn(scope, move || {
+                neighbour(fleet, process, 1 + client % 3, next, over, seen)
+            });
         }
         for client in 0..flood {
             let process = client % scene.processes;
@@ -169,13 +197,19 @@
     let (mut customer, manner) = (fleet.customer(PATIENCE * 2), manner(tenant, PATIENCE));
     while !over.load(Ordering::SeqCst) {
         let began = Instant::now();
-        let said = customer.once(process, &manner, next.fetch_add(1, Ordering::SeqCst) % OBJECTS, None);
+        let said = customer.once(
+            process,
+            &manner,
+            next.fetch_add(1, Ordering::SeqCst) % OBJECTS,
+            None,
+        );
         let took = began.elapsed();
         let Ok(mut seen) = seen.lock() else { return };
         seen.asked += 1;
         if matches!(said, Some(Said::Served(_))) {
             seen.served += (took <= PATIENCE) as u64;
-            seen.waits.push(took.saturating_sub(QUICK).as_micros() as u64);
+            seen.waits
+                .push(took.saturating_sub(QUICK).as_micros() as u64);
         }
         drop(seen);
         // The load's own pace.
@@ -185,10 +219,17 @@
 
 /// It asks again whatever it is told.
 fn floods(fleet: &Fleet, process: usize, next: &AtomicU64, over: &AtomicBool, seen: &Mutex<Seen>) {
-    let (mut customer, manner) =
-        (fleet.customer(Duration::from_millis(6_000)), manner(0, Duration::from_millis(2_900)));
+    let (mut customer, manner) = (
+        fleet.customer(Duration::from_millis(6_000)),
+        manner(0, Duration::from_millis(2_900)),
+    );
     while !over.load(Ordering::SeqCst) {
-        let said = customer.once(process, &manner, next.fetch_add(1, Ordering::SeqCst) % OBJECTS, None);
+        let said = customer.once(
+            process,
+            &manner,
+            next.fetch_add(1, Ordering::SeqCst) % OBJECTS,
+            None,
+        );
         let served = matches!(said, Some(Said::Served(_)));
         let Ok(mut seen) = seen.lock() else { return };
         seen.flood_asked += 1;
@@ -221,7 +262,14 @@
 pub fn table(seed: u64, time: Duration, sizes: &[usize]) -> Result<bool, String> {
     let mut sound = true;
     for processes in sizes.iter().copied() {
-        let scene = |times, fair| Scene { processes, slots: 16, times, fair, seed, time };
+        let scene = |times, fair| Scene {
+            processes,
+            slots: 16,
+            times,
+            fair,
+            seed,
+            time,
+        };
         let alone = play(&scene(0, true))?.1;
         for times in [10, 100] {
             let (fair, first) = (play(&scene(times, true))?.1, play(&scene(times, false))?.1);
@@ -231,7 +279,10 @@
                 alone.p99(), fair.p99(), first.p99(), alone.worth(), fair.worth(), first.worth(),
                 fair.flood_served, fair.flood_asked, fair.busy, fair.overrun
             );
-            println!("   alone {}\n   with turns {}\n   first come {}", alone.tally, fair.tally, first.tally);
+            println!(
+                "   alone {}\n   with turns {}\n   first come {}",
+                alone.tally, fair.tally, first.tally
+            );
             sound &= fair.p99() <= 1.2 * alone.p99() + SLOW.as_millis() as f64;
             sound &= fair.worth() >= 0.95 * alone.worth() && fair.overrun == 0;
         }
--- a/rigs/rig/src/news.rs
+++ b/rigs/rig/src/news.rs
@@ -71,7 +71,10 @@
 impl News {
     pub fn start(sites: usize, record: &Record, who: &Who) -> News {
         let shared = Arc::new(Shared {
-            state: Mutex::new(State { epoch: 1, ..State::default() }),
+            state: Mutex::new(State {
+                epoch: 1,
+                ..State::default()
+            }),
             more: Condvar::new(),
             bytes: AtomicU64::new(0),
             polls: AtomicU64::new(0),
@@ -99,10 +102,17 @@
         let mut state = self.shared.state();
         state.purges += 1;
         let (epoch, number) = (state.epoch, state.purges);
-        self.shared.record.add(Event::Sent { stream: PURGES.into(), epoch, number });
+        self.shared.record.add(Event::Sent {
+            stream: PURGES.into(),
+            epoch,
+            number,
+        });
         state.told.insert((epoch, number), Instant::now());
         let name = object(epoch, number);
-        self.tell(&mut state, &format!(r#""expire":{{"name":"{name:016x}","stamp":{}}}"#, unix_ms()));
+        self.tell(
+            &mut state,
+            &format!(r#""expire":{{"name":"{name:016x}","stamp":{}}}"#, unix_ms()),
+        );
         number
     }
 
@@ -148,7 +158,13 @@
 
     /// The processes that have a stream open now; one for each stream.
     pub fn open(&self) -> Vec<usize> {
-        self.shared.state().open.values().flatten().copied().collect()
+        self.shared
+            .state()
+            .open
+            .values()
+            .flatten()
+            .copied()
+            .collect()
     }
 
     /// Most streams at one time since this was last asked.
@@ -160,13 +176,20 @@
 
     /// Bytes of all answers, and polls.
     pub fn cost(&self) -> (u64, u64) {
-        (self.shared.bytes.load(Ordering::Relaxed), self.shared.polls.load(Ordering::Relaxed))
+        (
+            self.shared.bytes.load(Ordering::Relaxed),
+            self.shared.polls.load(Ordering::Relaxed),
+        )
     }
 }
 
 fn feed(events: &[String], tail: usize) -> String {
     let entries = &events[tail.min(events.len())..];
-    format!(r#"{{"pos":{},"entries":[{}]}}"#, events.len(), entries.join(","))
+    format!(
+        r#"{{"pos":{},"entries":[{}]}}"#,
+        events.len(),
+        entries.join(",")
+    )
 }
 
 fn served(stream: &TcpStream, shared: &Shared) {
@@ -175,7 +198,10 @@
     let Some((number, by)) = held else { return };
     shared.state().open.remove(&number);
     if let Some(site) = site(shared, by) {
-        shared.record.add(Event::Closed { stream: STREAM.into(), site });
+        shared.record.add(Event::Closed {
+            stream: STREAM.into(),
+            site,
+        });
     }
 }
 
@@ -193,7 +219,10 @@
     state.most = state.most.max(state.open.len());
     drop(state);
     if let Some(site) = site(shared, by) {
-        shared.record.add(Event::Opened { stream: STREAM.into(), site });
+        shared.record.add(Event::Opened {
+            stream: STREAM.into(),
+            site,
+        });
     }
     (number, by)
 }
@@ -205,16 +234,32 @@
     !matches!(seen, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
 }
 
-fn poll(stream: &TcpStream, shared: &Shared, held: &mut Option<(u64, Option<usize>)>) -> Option<()> {
+fn poll(
+    stream: &TcpStream,
+    shared: &Shared,
+    held: &mut Option<(u64, Option<usize>)>,
+) -> Option<()> {
     let (mut buffer, mut filled) = (vec![0; 16 * 1024], 0);
     let soon = || Instant::now() + Duration::from_secs(60);
-    let request = read_request(stream, &mut buffer, &mut filled, soon(), soon, &mut |_, _| ()).ok()?;
+    let request = read_request(
+        stream,
+        &mut buffer,
+        &mut filled,
+        soon(),
+        soon,
+        &mut |_, _| (),
+    )
+    .ok()?;
     if held.is_none() {
         *held = Some(opened(stream, shared));
     }
     shared.polls.fetch_add(1, Ordering::Relaxed);
     let query = request.path.strip_prefix("/journal?")?;
-    let number = |name: &str| query.split('&').find_map(|p| p.strip_prefix(name)?.parse::<u64>().ok());
+    let number = |name: &str| {
+        query
+            .split('&')
+            .find_map(|p| p.strip_prefix(name)?.parse::<u64>().ok())
+    };
     let (tail, wait) = (number("tail=")? as usize, number("max_wait=")?.min(LONGEST));
     let until = Instant::now() + Duration::from_millis(wait);
     let mut state = shared.state();
@@ -224,7 +269,11 @@
         if left.is_zero() {
             break;
         }
-        state = shared.more.wait_timeout(state, left.min(LOOK)).unwrap_or_else(PoisonError::into_inner).0;
+        state = shared
+            .more
+            .wait_timeout(state, left.min(LOOK))
+            .unwrap_or_else(PoisonError::into_inner)
+            .0;
         if state.events.len() == tail && gone(stream) {
             return None;
         }
@@ -232,6 +281,8 @@
     let body = feed(&state.events, tail);
     drop(state);
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-    shared.bytes.fetch_add((head.len() + body.len()) as u64, Ordering::Relaxed);
+    shared
+        .bytes
+        .fetch_add((head.len() + body.len()) as u64, Ordering::Relaxed);
     write_all(stream, &[head.as_bytes(), body.as_bytes()], soon()).ok()
 }
--- a/rigs/rig/src/place.rs
+++ b/rigs/rig/src/place.rs
@@ -22,7 +22,10 @@
 
 impl Place {
     pub fn new(reader: u64) -> Place {
-        Place { reader, ..Place::default() }
+        Place {
+            reader,
+            ..Place::default()
+        }
     }
 
     /// What an answer says, as lines of the record; and the purges that are new.
@@ -39,7 +42,11 @@
     }
 
     fn numbered(&mut self, number: u64, events: &mut Vec<Event>) {
-        events.push(Event::Numbered { stream: STREAM.into(), reader: self.reader, number });
+        events.push(Event::Numbered {
+            stream: STREAM.into(),
+            reader: self.reader,
+            number,
+        });
         self.own = number;
     }
 
@@ -53,11 +60,26 @@
                 (self.again, self.wholes) = (Some((0, 0)), self.wholes + 1);
             }
             let (stream, reader) = (STREAM.to_string(), self.reader);
-            events.push(Event::Listed { stream, reader, index: hosts.index });
+            events.push(Event::Listed {
+                stream,
+                reader,
+                index: hosts.index,
+            });
         }
-        let name = entry.expire.as_ref().and_then(|expire| expire.name.as_deref());
-        let Some(at) = name.and_then(|name| u64::from_str_radix(name, 16).ok()).map(numbered) else { return };
-        if let Some(before) = self.again.filter(|_| self.last.is_some_and(|last| at <= last)) {
+        let name = entry
+            .expire
+            .as_ref()
+            .and_then(|expire| expire.name.as_deref());
+        let Some(at) = name
+            .and_then(|name| u64::from_str_radix(name, 16).ok())
+            .map(numbered)
+        else {
+            return;
+        };
+        if let Some(before) = self
+            .again
+            .filter(|_| self.last.is_some_and(|last| at <= last))
+        {
             if at > before {
                 self.again = Some(at);
                 return;
@@ -76,9 +98,20 @@
         };
         if std::mem::take(&mut self.lost) && next < number {
             let (from, to) = (next, number - 1);
-            events.push(Event::Gap { stream: stream.clone(), reader, epoch, from, to });
+            events.push(Event::Gap {
+                stream: stream.clone(),
+                reader,
+                epoch,
+                from,
+                to,
+            });
         }
-        events.push(Event::Heard { stream, reader, epoch, number });
+        events.push(Event::Heard {
+            stream,
+            reader,
+            epoch,
+            number,
+        });
         (self.last, self.again) = (Some(at).max(self.last), None);
     }
 }
--- a/rigs/rig/src/plan.rs
+++ b/rigs/rig/src/plan.rs
@@ -25,7 +25,8 @@
 
 impl Default for Plan {
     fn default() -> Plan {
-        let (lease, operator, archive) = (Duration::from_millis(500), String::new(), Policy::default());
+        let (lease, operator, archive) =
+            (Duration::from_millis(500), String::new(), Policy::default());
         Plan {
             processes: 3,
             sites: 2,
--- a/rigs/rig/src/pools.rs
+++ b/rigs/rig/src/pools.rs
@@ -26,9 +26,16 @@
 
     /// That of the source that a fill names, else of the kind that was asked.
     pub fn of(&self, asked: &str, fill: &str) -> Option<&str> {
-        let host = fill.strip_prefix("s-").and_then(|n| usize::from_str_radix(n, 16).ok());
+        let host = fill
+            .strip_prefix("s-")
+            .and_then(|n| usize::from_str_radix(n, 16).ok());
         let source = host.and_then(|n| n.checked_sub(1)).map(|n| self.kind(n));
-        let named = |kind: &str| self.names.iter().map(|(name, _)| &**name).find(|name| *name == kind);
+        let named = |kind: &str| {
+            self.names
+                .iter()
+                .map(|(name, _)| &**name)
+                .find(|name| *name == kind)
+        };
         source.into_iter().chain([asked]).find_map(named)
     }
 }
--- a/rigs/rig/src/process.rs
+++ b/rigs/rig/src/process.rs
@@ -71,7 +71,9 @@
 
     /// Waits until the program has closed its log, as it does with its end.
     fn closed(&self, within: Duration) -> bool {
-        let waited = self.more.wait_timeout_while(self.lines(), within, |lines| !lines.over);
+        let waited = self
+            .more
+            .wait_timeout_while(self.lines(), within, |lines| !lines.over);
         !waited.unwrap_or_else(PoisonError::into_inner).1.timed_out()
     }
 
@@ -93,7 +95,12 @@
         return Ok(named.into());
     }
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
-    let at = own.ancestors().skip(1).take(2).map(|folder| folder.join("foldmux")).find(|file| file.is_file());
+    let at = own
+        .ancestors()
+        .skip(1)
+        .take(2)
+        .map(|folder| folder.join("foldmux"))
+        .find(|file| file.is_file());
     at.ok_or_else(|| {
         "the program is not built: cargo build -p foldmux-proxy, or name it in FOLDMUX".to_string()
     })
@@ -109,7 +116,10 @@
         SocketAddr::from(([127, 0, 0, 1], port as u16))
     };
     let free = |at: &SocketAddr| TcpListener::bind(at).is_ok();
-    std::iter::repeat_with(next).take(20_000).find(free).expect("a port")
+    std::iter::repeat_with(next)
+        .take(20_000)
+        .find(free)
+        .expect("a port")
 }
 
 impl Process {
@@ -125,9 +135,15 @@
             std::fs::write(file("foldmux.star"), operator).map_err(told)?;
             command.arg("--operator").arg(file("foldmux.star"));
         }
-        command.env("GW_NAME", &spec.name).env("GW_LISTEN", spec.listen.to_string());
-        command.env("TMPDIR", &spec.folder).env_remove("GW_OPERATOR");
-        command.env_remove("FOLDMUX_OPERATOR").env_remove("FOLDMUX_LOG");
+        command
+            .env("GW_NAME", &spec.name)
+            .env("GW_LISTEN", spec.listen.to_string());
+        command
+            .env("TMPDIR", &spec.folder)
+            .env_remove("GW_OPERATOR");
+        command
+            .env_remove("FOLDMUX_OPERATOR")
+            .env_remove("FOLDMUX_LOG");
         let mut child = command
             .stdin(Stdio::null())
             .stdout(Stdio::null())
@@ -139,16 +155,28 @@
         let log = Arc::new(Log::default());
         let own = log.clone();
         let read = move || {
-            BufReader::new(stderr).lines().map_while(Result::ok).for_each(|line| own.add(Some(line)));
+            BufReader::new(stderr)
+                .lines()
+                .map_while(Result::ok)
+                .for_each(|line| own.add(Some(line)));
             own.add(None);
         };
         let reader = thread::Builder::new().stack_size(128 * 1024).spawn(read);
         // From here on its end is this value's.
-        let process = Process { child, who: who.clone(), log, spec: spec.clone() };
+        let process = Process {
+            child,
+            who: who.clone(),
+            log,
+            spec: spec.clone(),
+        };
         reader.map_err(told)?;
         match process.log.wait(" serves on ", within) {
             Some(_) => Ok(process),
-            None => Err(format!("{} did not serve; it said:\n{}", spec.name, process.log.all().join("\n"))),
+            None => Err(format!(
+                "{} did not serve; it said:\n{}",
+                spec.name,
+                process.log.all().join("\n")
+            )),
         }
     }
 
@@ -156,8 +184,8 @@
     pub fn well(&self, within: Duration) -> Result<(), String> {
         let until = Instant::now() + within;
         loop {
-            let asked =
-                Terminal::connect(self.spec.listen, Duration::from_secs(1)).and_then(|mut t| t.well());
+            let asked = Terminal::connect(self.spec.listen, Duration::from_secs(1))
+                .and_then(|mut t| t.well());
             if matches!(asked, Ok(true)) {
                 return Ok(());
             }
--- a/rigs/rig/src/pump.rs
+++ b/rigs/rig/src/pump.rs
@@ -19,12 +19,19 @@
     near: TcpStream,
     target: SocketAddr,
 ) {
-    let one = |way| One { shared: shared.clone(), number, dialler, way };
+    let one = |way| One {
+        shared: shared.clone(),
+        number,
+        dialler,
+        way,
+    };
     // Nothing comes up at the other side while the way there is cut.
     if !one(0).open() {
         return;
     }
-    let Ok(far) = TcpStream::connect_timeout(&target, DIAL) else { return };
+    let Ok(far) = TcpStream::connect_timeout(&target, DIAL) else {
+        return;
+    };
     let end = far.local_addr().ok();
     if let (Some(end), Some(_)) = (end, dialler) {
         shared.who.passes(end, dialler);
@@ -33,7 +40,9 @@
     if let ((Ok(near_too), Ok(far_too)), true) = (both, shared.dialled(number, &far)) {
         let _ = (near.set_nodelay(true), far.set_nodelay(true));
         let back = one(1);
-        let back = thread::Builder::new().stack_size(STACK).spawn(move || back.carry(far_too, near_too));
+        let back = thread::Builder::new()
+            .stack_size(STACK)
+            .spawn(move || back.carry(far_too, near_too));
         if let Ok(back) = back {
             one(0).carry(near, far);
             let _ = back.join();
@@ -54,9 +63,14 @@
     /// Waits out a cut; false where the connection is no more.
     fn open(&self) -> bool {
         let state = self.shared.state();
-        let shut =
-            |s: &mut crate::line::State| !s.over && s.is_held(self.number) && s.now(self.dialler, self.way).1;
-        let state = self.shared.changed.wait_while(state, shut).unwrap_or_else(PoisonError::into_inner);
+        let shut = |s: &mut crate::line::State| {
+            !s.over && s.is_held(self.number) && s.now(self.dialler, self.way).1
+        };
+        let state = self
+            .shared
+            .changed
+            .wait_while(state, shut)
+            .unwrap_or_else(PoisonError::into_inner);
         !state.over && state.is_held(self.number)
     }
 
@@ -64,7 +78,8 @@
     fn late(&self, came: Instant) -> bool {
         let mut state = self.shared.state();
         loop {
-            let left = (came + state.now(self.dialler, self.way).0).saturating_duration_since(Instant::now());
+            let left = (came + state.now(self.dialler, self.way).0)
+                .saturating_duration_since(Instant::now());
             if left.is_zero() || state.over || !state.is_held(self.number) {
                 return !state.over && state.is_held(self.number);
             }
@@ -103,7 +118,11 @@
     fn spoil(&self, n: usize) -> (usize, usize) {
         let (mut state, mut keep, mut again) = (self.shared.state(), n, 0);
         let keys = [None, self.dialler];
-        let of = if self.dialler.is_some() { &keys[..] } else { &keys[..1] };
+        let of = if self.dialler.is_some() {
+            &keys[..]
+        } else {
+            &keys[..1]
+        };
         for key in of {
             let rule = state.rule(*key);
             again = again.max(std::mem::take(&mut rule.again[self.way]));
--- a/rigs/rig/src/reader.rs
+++ b/rigs/rig/src/reader.rs
@@ -89,7 +89,9 @@
     }
 
     fn go_on(&mut self, shared: &Shared) -> Option<()> {
-        let Some(stream) = &mut self.stream else { return Some(()) };
+        let Some(stream) = &mut self.stream else {
+            return Some(());
+        };
         if !self.asked {
             match stream.peer_addr() {
                 Err(e) if e.kind() == ErrorKind::NotConnected => {
@@ -112,8 +114,9 @@
                 Err(_) => return None,
             }
             while let Some((status, from, to)) = self.whole()? {
-                let feed: Feed =
-                    serde_json::from_slice(&self.filled[from..to]).ok().filter(|_| status == 200)?;
+                let feed: Feed = serde_json::from_slice(&self.filled[from..to])
+                    .ok()
+                    .filter(|_| status == 200)?;
                 self.filled.drain(..to);
                 self.take(shared, &feed);
                 self.ask()?;
@@ -126,9 +129,16 @@
     fn whole(&self) -> Option<Option<(u16, usize, usize)>> {
         let mut fields = [httparse::EMPTY_HEADER; 16];
         let mut head = httparse::Response::new(&mut fields);
-        let Ok(parsed) = head.parse(&self.filled) else { return None };
-        let httparse::Status::Complete(from) = parsed else { return Some(None) };
-        let length = head.headers.iter().find(|h| h.name.eq_ignore_ascii_case("content-length"))?;
+        let Ok(parsed) = head.parse(&self.filled) else {
+            return None;
+        };
+        let httparse::Status::Complete(from) = parsed else {
+            return Some(None);
+        };
+        let length = head
+            .headers
+            .iter()
+            .find(|h| h.name.eq_ignore_ascii_case("content-length"))?;
         let length: usize = std::str::from_utf8(length.value).ok()?.parse().ok()?;
         let (status, to) = (head.code?, from + length);
         if to > ANSWER {
@@ -140,8 +150,10 @@
     /// A request is far smaller than what a socket takes at once.
     fn ask(&mut self) -> Option<()> {
         let (tail, wait) = (self.place.own, self.begin.wait);
-        let text =
-            format!("GET /journal?tail={tail}&max_wait={} HTTP/1.1\r\nHost: rig\r\n\r\n", wait.as_millis());
+        let text = format!(
+            "GET /journal?tail={tail}&max_wait={} HTTP/1.1\r\nHost: rig\r\n\r\n",
+            wait.as_millis()
+        );
         self.asked = true;
         self.due = Instant::now() + wait + PATIENCE;
         (self.stream.as_mut()?.write(text.as_bytes()).ok()? == text.len()).then_some(())
@@ -154,7 +166,9 @@
         let (events, fresh) = self.place.take(feed);
         self.tries = 0;
         let now = Instant::now();
-        events.into_iter().for_each(|event| shared.record.add(event));
+        events
+            .into_iter()
+            .for_each(|event| shared.record.add(event));
         let delays: Vec<u64> = fresh
             .iter()
             .filter(|_| !new)
--- a/rigs/rig/src/readers.rs
+++ b/rigs/rig/src/readers.rs
@@ -81,15 +81,26 @@
             let (sender, asked) = channel();
             let (poll, own) = (Poll::new()?, shared.clone());
             asks.push(sender);
-            running
-                .push(thread::Builder::new().name("readers".into()).spawn(move || run(poll, &own, &asked))?);
+            running.push(
+                thread::Builder::new()
+                    .name("readers".into())
+                    .spawn(move || run(poll, &own, &asked))?,
+            );
         }
-        Ok(Readers { shared, asks, threads: running })
+        Ok(Readers {
+            shared,
+            asks,
+            threads: running,
+        })
     }
 
     pub fn begin(&self, begin: Begin) {
         let Begin { reader, site, .. } = begin.clone();
-        self.shared.record.add(Event::Joined { stream: PURGES.into(), site, reader });
+        self.shared.record.add(Event::Joined {
+            stream: PURGES.into(),
+            site,
+            reader,
+        });
         let _ = self.asks[reader as usize % self.asks.len()].send(Ask::Begin(begin));
     }
 
@@ -98,7 +109,9 @@
     }
 
     pub fn break_all(&self) {
-        self.asks.iter().for_each(|asks| drop(asks.send(Ask::Break)));
+        self.asks
+            .iter()
+            .for_each(|asks| drop(asks.send(Ask::Break)));
     }
 
     /// Waits until so many readers have heard a purge, or a later one; whether they have.
@@ -121,7 +134,9 @@
 impl Drop for Readers {
     fn drop(&mut self) {
         self.shared.over.store(true, Ordering::SeqCst);
-        self.threads.drain(..).for_each(|thread| drop(thread.join()));
+        self.threads
+            .drain(..)
+            .for_each(|thread| drop(thread.join()));
     }
 }
 
@@ -136,11 +151,17 @@
                     all.insert(begin.reader, One::new(begin, place));
                 }
                 Ask::End(reader) => {
-                    let Some(one) = all.remove(&reader) else { continue };
+                    let Some(one) = all.remove(&reader) else {
+                        continue;
+                    };
                     let site = one.site().to_string();
                     drop(one);
                     shared.heard().last.remove(&reader);
-                    shared.record.add(Event::Parted { stream: PURGES.into(), site, reader });
+                    shared.record.add(Event::Parted {
+                        stream: PURGES.into(),
+                        site,
+                        reader,
+                    });
                 }
                 Ask::Break => all.values_mut().for_each(|one| one.hang_up(Instant::now())),
             }
@@ -156,7 +177,8 @@
         }
         if timers.elapsed() >= LOOK {
             timers = Instant::now();
-            all.values_mut().for_each(|one| one.tick(timers, poll.registry()));
+            all.values_mut()
+                .for_each(|one| one.tick(timers, poll.registry()));
         }
     }
 }
--- a/rigs/rig/src/record.rs
+++ b/rigs/rig/src/record.rs
@@ -33,7 +33,10 @@
 
 impl Default for Record {
     fn default() -> Record {
-        Record { began: Instant::now(), kept: Arc::default() }
+        Record {
+            began: Instant::now(),
+            kept: Arc::default(),
+        }
     }
 }
 
@@ -42,7 +45,10 @@
     pub fn add(&self, event: Event) {
         let mut kept = self.kept();
         match kept.lines.len() < MOST {
-            true => kept.lines.push(Line { at: self.began.elapsed().as_micros() as Time, event }),
+            true => kept.lines.push(Line {
+                at: self.began.elapsed().as_micros() as Time,
+                event,
+            }),
             false => kept.beyond += 1,
         }
     }
@@ -72,6 +78,10 @@
 
 /// The lines of a file, as [`Record::write`] left them.
 pub fn read(from: impl BufRead) -> std::io::Result<Vec<Line>> {
-    let lines = from.lines().filter(|line| !matches!(line, Ok(text) if text.trim().is_empty()));
-    lines.map(|line| Ok(serde_json::from_str(&line?)?)).collect()
+    let lines = from
+        .lines()
+        .filter(|line| !matches!(line, Ok(text) if text.trim().is_empty()));
+    lines
+        .map(|line| Ok(serde_json::from_str(&line?)?))
+        .collect()
 }
--- a/rigs/rig/src/schedule.rs
+++ b/rigs/rig/src/schedule.rs
@@ -70,11 +70,14 @@
         (counts.cuts, 4),
         (counts.apart, 5),
     ];
-    let all = kinds.iter().flat_map(|(count, kind)| std::iter::repeat_n(*kind, *count));
+    let all = kinds
+        .iter()
+        .flat_map(|(count, kind)| std::iter::repeat_n(*kind, *count));
     for kind in all {
         for _ in 0..DRAWS {
             let process = chance.random_range(0..among.processes);
-            let other = (process + chance.random_range(1..among.processes.max(2))) % among.processes;
+            let other =
+                (process + chance.random_range(1..among.processes.max(2))) % among.processes;
             let way = [Way::There, Way::Back, Way::Both][chance.random_range(0..3)];
             let fault = [
                 Fault::Kill,
@@ -85,9 +88,18 @@
                 Fault::Apart(way),
             ][kind];
             let drawn = among.lasts[0] + (among.lasts[1] - among.lasts[0]).mul_f64(chance.random());
-            let lasts = if matches!(fault, Fault::Leave | Fault::Upgrade) { LEAVES } else { drawn };
+            let lasts = if matches!(fault, Fault::Leave | Fault::Upgrade) {
+                LEAVES
+            } else {
+                drawn
+            };
             let at = span.mul_f64(chance.random());
-            let step = Step { at, process, fault, lasts };
+            let step = Step {
+                at,
+                process,
+                fault,
+                lasts,
+            };
             if at + lasts <= span && fits(&steps, step, among) {
                 steps.push(step);
                 break;
@@ -102,7 +114,8 @@
 fn fits(steps: &[Step], step: Step, among: Among) -> bool {
     // A process is given a moment between two faults, so that it serves again.
     let moment = among.lasts[0];
-    let meets = |s: &&Step| s.at < step.at + step.lasts + moment && step.at < s.at + s.lasts + moment;
+    let meets =
+        |s: &&Step| s.at < step.at + step.lasts + moment && step.at < s.at + s.lasts + moment;
     let others: Vec<&Step> = steps.iter().filter(meets).collect();
     others.len() < among.together && others.iter().all(|other| other.process != step.process)
 }
@@ -113,10 +126,18 @@
     thread::scope(|scope| {
         let running: Vec<_> = steps
             .iter()
-            .map(|step| scope.spawn(move || wait(began + step.at, over) && one(fleet, step, over).is_err()))
+            .map(|step| {
+                scope.spawn(move || wait(began + step.at, over) && one(fleet, step, over).is_err())
+            })
             .collect();
-        let failed = running.into_iter().filter_map(|step| step.join().ok()).filter(|failed| *failed).count();
-        (failed == 0).then_some(()).ok_or_else(|| format!("{failed} steps could not be carried out"))
+        let failed = running
+            .into_iter()
+            .filter_map(|step| step.join().ok())
+            .filter(|failed| *failed)
+            .count();
+        (failed == 0)
+            .then_some(())
+            .ok_or_else(|| format!("{failed} steps could not be carried out"))
     })
 }
 
--- a/rigs/rig/src/settings.rs
+++ b/rigs/rig/src/settings.rs
@@ -26,7 +26,11 @@
 pub fn pools(operator: &str) -> Vec<(String, u64)> {
     let pool = |line: &str| {
         let (name, rest) = line.trim().strip_prefix("pool(\"")?.split_once('"')?;
-        let slots = rest.split_once("slots = ")?.1.split(|c: char| !c.is_ascii_digit()).next()?;
+        let slots = rest
+            .split_once("slots = ")?
+            .1
+            .split(|c: char| !c.is_ascii_digit())
+            .next()?;
         Some((name.to_string(), slots.parse().ok()?))
     };
     operator.lines().filter_map(pool).collect()
@@ -50,16 +54,32 @@
             _ => (format!("site{}", n % plan.sites), "box"),
         };
         let (name, kind) = (format!("s-{:08x}", n + 1), kind.to_string());
-        Host { name, address: address(n), zone, kind, status: "ready", since_ms: 0 }
+        Host {
+            name,
+            address: address(n),
+            zone,
+            kind,
+            status: "ready",
+            since_ms: 0,
+        }
     };
     (0..count).map(host).collect()
 }
 
 /// The configuration of one process. `known`: what the journal service has told so far.
-pub fn config(plan: &Plan, process: usize, listen: SocketAddr, journal: SocketAddr, known: &str) -> String {
+pub fn config(
+    plan: &Plan,
+    process: usize,
+    listen: SocketAddr,
+    journal: SocketAddr,
+    known: &str,
+) -> String {
     let sites: Vec<String> = (0..plan.sites).map(|n| format!("\"site{n}\"")).collect();
     // As long as the archive drops repeats; a real one does so for 2 s.
-    let window = plan.archive.window.map_or(2_000_000, |window| window.as_micros());
+    let window = plan
+        .archive
+        .window
+        .map_or(2_000_000, |window| window.as_micros());
     let class = |name: &str, slo: u64, worth: f64, idempotency: &str| {
         format!(
             r#"{{"name":"{name}","slo":{slo},"hardLimit":3000000,"aimStretch":2.0,"importance":{worth},"lateValue":0.1,"idempotency":"{idempotency}","group":"all","repeatWindow":{window}}}"#
@@ -101,7 +121,12 @@
 
 /// The operator's file of one process: the fleet as it sees it, each peer by the line to it; then the plan's own lines,
 /// where `{serve}` stands for where this process serves its site.
-pub fn operator(plan: &Plan, [own, serve]: [SocketAddr; 2], peers: &[SocketAddr], key_file: &str) -> String {
+pub fn operator(
+    plan: &Plan,
+    [own, serve]: [SocketAddr; 2],
+    peers: &[SocketAddr],
+    key_file: &str,
+) -> String {
     let mut text = format!(
         "fleet(listen = \"{own}\", key_file = \"{key_file}\", lease_ms = {}, drift_percent = 1.0)\n",
         plan.lease.as_millis()
--- a/rigs/rig/src/streams.rs
+++ b/rigs/rig/src/streams.rs
@@ -18,8 +18,16 @@
     pub(crate) fn reads(&self, process: usize, begins: bool) {
         let (stream, site, reader) = (STREAM.to_string(), self.site(process), process as u64);
         self.record().add(match begins {
-            true => Event::Joined { stream, site, reader },
-            false => Event::Parted { stream, site, reader },
+            true => Event::Joined {
+                stream,
+                site,
+                reader,
+            },
+            false => Event::Parted {
+                stream,
+                site,
+                reader,
+            },
         });
     }
 
@@ -28,7 +36,9 @@
     }
 
     pub fn of_site(&self, site: usize) -> Vec<usize> {
-        (0..self.size()).filter(|process| process % self.sites == site).collect()
+        (0..self.size())
+            .filter(|process| process % self.sites == site)
+            .collect()
     }
 
     pub fn serves(&self, process: usize) -> SocketAddr {
@@ -47,7 +57,12 @@
         let first = at.iter().position(|own| *own == process).unwrap_or(0);
         at.rotate_left(first);
         let addresses = at.into_iter().map(|process| self.serves(process)).collect();
-        readers.begin(Begin { reader, site: self.site(process), addresses, wait });
+        readers.begin(Begin {
+            reader,
+            site: self.site(process),
+            addresses,
+            wait,
+        });
     }
 
     /// Waits until the source has so many streams open, and no other; who has them.
@@ -67,7 +82,10 @@
 
     /// Who reads the source for a site, by what is open there.
     pub fn relay(&self, site: usize) -> Option<usize> {
-        self.journal().open().into_iter().find(|process| process % self.sites == site)
+        self.journal()
+            .open()
+            .into_iter()
+            .find(|process| process % self.sites == site)
     }
 
     /// The source says that a cache drains.
--- a/rigs/rig/src/who.rs
+++ b/rigs/rig/src/who.rs
@@ -51,15 +51,23 @@
         // The kernel's table moves while it is read, and may pass an entry over.
         // A port may be in use toward several.
         let entry = || {
-            procfs::net::tcp().ok()?.into_iter().find(|e| (e.local_address, e.remote_address) == (far, near))
+            procfs::net::tcp()
+                .ok()?
+                .into_iter()
+                .find(|e| (e.local_address, e.remote_address) == (far, near))
         };
         let inode = (0..TRIES).find_map(|_| entry())?.inode;
         let processes: Vec<(u32, usize)> =
             self.with(|t| t.processes.iter().map(|(id, n)| (*id, *n)).collect());
         let holds = |id: u32| {
             let held = Process::new(id as i32).and_then(|process| process.fd());
-            held.is_ok_and(|mut all| all.any(|fd| fd.is_ok_and(|fd| fd.target == FDTarget::Socket(inode))))
+            held.is_ok_and(|mut all| {
+                all.any(|fd| fd.is_ok_and(|fd| fd.target == FDTarget::Socket(inode)))
+            })
         };
-        processes.into_iter().find(|(id, _)| holds(*id)).map(|(_, process)| process)
+        processes
+            .into_iter()
+            .find(|(id, _)| holds(*id))
+            .map(|(_, process)| process)
     }
 }
--- a/rigs/rig/src/wired.rs
+++ b/rigs/rig/src/wired.rs
@@ -41,7 +41,12 @@
     pub fn of(fleet: &Fleet) -> Wired {
         let logs: Vec<String> = (0..fleet.size()).flat_map(|n| fleet.log(n)).collect();
         let says = |n: usize| logs.iter().any(|line| line.contains(WORDS[n].1));
-        Wired { members: says(0), cover: says(1), streams: says(2), pools: says(3) }
+        Wired {
+            members: says(0),
+            cover: says(1),
+            streams: says(2),
+            pools: says(3),
+        }
     }
 
     pub fn all(&self) -> bool {
@@ -52,7 +57,15 @@
 impl Wired {
     /// What was kept, by the part that must keep it; one that is not on keeps nothing.
     pub fn judge(&self, verdict: &Verdict) -> String {
-        let on = [self.cover, self.cover, self.cover, self.cover, self.streams, self.streams, self.pools];
+        let on = [
+            self.cover,
+            self.cover,
+            self.cover,
+            self.cover,
+            self.streams,
+            self.streams,
+            self.pools,
+        ];
         let row = |((name, count), on): ((&str, u64), bool)| {
             let word = match (on, count) {
                 (false, _) => "not wired",
@@ -62,7 +75,8 @@
             format!("{word:<10} {name:<30} {count:>9}\n")
         };
         let rows = verdict.breaks().into_iter().zip(on).map(row);
-        rows.chain(verdict.told.iter().map(|line| format!("{line}\n"))).collect()
+        rows.chain(verdict.told.iter().map(|line| format!("{line}\n")))
+            .collect()
     }
 }
 
--- a/rigs/rig/tests/common/mod.rs
+++ b/rigs/rig/tests/common/mod.rs
@@ -15,7 +15,13 @@
 /// It asks elsewhere after `patience`, and goes on asking for long.
 pub fn manner(patience: Duration) -> Manner {
     let deadline = Duration::from_secs(3);
-    Manner { class: KEYED.into(), covered: true, patience, deadline, longest: LONG }
+    Manner {
+        class: KEYED.into(),
+        covered: true,
+        patience,
+        deadline,
+        longest: LONG,
+    }
 }
 
 /// Requests of a new fleet, whose seats are silent at first: any three of the seats are those of one.
@@ -37,7 +43,10 @@
 
 /// Nothing of a new fleet is covered until its seats speak: first requests that are all served tell.
 pub fn covered(processes: usize, window: Option<Duration>) -> Fleet {
-    let archive = Policy { window, ..Policy::default() };
+    let archive = Policy {
+        window,
+        ..Policy::default()
+    };
     let plan = Plan {
         processes,
         seats: processes,
@@ -59,7 +68,9 @@
     while Instant::now() < until {
         let lines = fleet.record().lines().unwrap();
         let next = lines.iter().find_map(|line| match &line.event {
-            Event::Reached { key, by: Some(by), .. } if key == name && !former.contains(by) => Some(*by),
+            Event::Reached {
+                key, by: Some(by), ..
+            } if key == name && !former.contains(by) => Some(*by),
             _ => None,
         });
         if let Some(next) = next {
@@ -74,7 +85,10 @@
 pub fn brought(fleet: &Fleet, name: &str) -> (usize, u64) {
     let lines = fleet.record().lines().unwrap();
     let reached = |event: &Event| matches!(event, Event::Reached { key, .. } if key == name);
-    (lines.iter().filter(|line| reached(&line.event)).count(), fleet.archive().runs(name))
+    (
+        lines.iter().filter(|line| reached(&line.event)).count(),
+        fleet.archive().runs(name),
+    )
 }
 
 /// Run at most once, one answer for everyone, nothing lost.
@@ -88,5 +102,9 @@
 }
 
 pub fn served(customer: &mut Customer, process: usize, patience: Duration, name: &str) {
-    assert_eq!(customer.ask(process, &manner(patience), 7, name), Some(Outcome::Served), "{name}");
+    assert_eq!(
+        customer.ask(process, &manner(patience), 7, name),
+        Some(Outcome::Served),
+        "{name}"
+    );
 }
--- a/rigs/rig/tests/common/relayed.rs
+++ b/rigs/rig/tests/common/relayed.rs
@@ -18,8 +18,20 @@
 /// Running, with one stream at the source for each site.
 pub fn relayed(processes: usize, sites: usize, operator: &str) -> Fleet {
     let seats = processes.min(5);
-    let operator = if operator.is_empty() { RELAYED } else { operator }.to_string();
-    let plan = Plan { processes, sites, seats, fleet: true, operator, ..Plan::default() };
+    let operator = if operator.is_empty() {
+        RELAYED
+    } else {
+        operator
+    }
+    .to_string();
+    let plan = Plan {
+        processes,
+        sites,
+        seats,
+        fleet: true,
+        operator,
+        ..Plan::default()
+    };
     let fleet = Fleet::start(&plan).unwrap();
     settled(&fleet, sites);
     fleet
@@ -28,7 +40,10 @@
 pub fn settled(fleet: &Fleet, sites: usize) -> Vec<usize> {
     let open = fleet.streams(sites, SOON);
     open.unwrap_or_else(|open| {
-        panic!("streams of {open:?}, not one for each of {sites} sites; {}", logs(fleet))
+        panic!(
+            "streams of {open:?}, not one for each of {sites} sites; {}",
+            logs(fleet)
+        )
     })
 }
 
@@ -47,7 +62,12 @@
     fleet.journal().purge();
     let last = fleet.journal().last();
     let last_of = || readers.look(|heard| heard.last.clone());
-    assert!(readers.reached(count, last, SOON), "{last:?} of {:?}; {}", last_of(), logs(fleet));
+    assert!(
+        readers.reached(count, last, SOON),
+        "{last:?} of {:?}; {}",
+        last_of(),
+        logs(fleet)
+    );
 }
 
 /// Purges one after the other, each as soon as it may be.
@@ -59,12 +79,18 @@
 }
 
 pub fn logs(fleet: &Fleet) -> String {
-    (0..fleet.size()).map(|n| format!("n{n}:\n{}\n", fleet.log(n).join("\n"))).collect()
+    (0..fleet.size())
+        .map(|n| format!("n{n}:\n{}\n", fleet.log(n).join("\n")))
+        .collect()
 }
 
 /// In order, no number twice, no gap untold.
 pub fn sound(fleet: &Fleet) -> Verdict {
     let verdict = read(&fleet.record().lines().unwrap());
-    assert!(verdict.sound() && verdict.heard > 0, "{verdict}\n{}", logs(fleet));
+    assert!(
+        verdict.sound() && verdict.heard > 0,
+        "{verdict}\n{}",
+        logs(fleet)
+    );
     verdict
 }
--- a/rigs/rig/tests/fair.rs
+++ b/rigs/rig/tests/fair.rs
@@ -13,11 +13,20 @@
 const SOON: Duration = Duration::from_secs(12);
 
 fn scene(processes: usize, slots: u64, times: usize) -> Scene {
-    Scene { processes, slots, times, fair: true, seed: 5, time: Duration::from_secs(2) }
+    Scene {
+        processes,
+        slots,
+        times,
+        fair: true,
+        seed: 5,
+        time: Duration::from_secs(2),
+    }
 }
 
 fn served(fleet: &Fleet, process: usize, object: u64) -> bool {
-    let said = fleet.customer(2 * LONG).once(process, &manner(1, LONG), object, None);
+    let said = fleet
+        .customer(2 * LONG)
+        .once(process, &manner(1, LONG), object, None);
     matches!(said, Some(Said::Served(_)))
 }
 
@@ -33,7 +42,11 @@
     let mut object = 0;
     while !served(fleet, process, object) {
         object += 1;
-        assert!(began.elapsed() < SOON, "n{process} serves nothing:\n{}", fleet.log(process).join("\n"));
+        assert!(
+            began.elapsed() < SOON,
+            "n{process} serves nothing:\n{}",
+            fleet.log(process).join("\n")
+        );
     }
     began.elapsed()
 }
@@ -45,7 +58,10 @@
     let fleet = start(&plan(&scene)).unwrap();
     let seen = on(&fleet, &scene).unwrap();
     assert!(seen.worth() > 0.7, "{seen:?}");
-    assert!(seen.flood_served > 0 && seen.flood_asked > seen.flood_served, "{seen:?}");
+    assert!(
+        seen.flood_served > 0 && seen.flood_asked > seen.flood_served,
+        "{seen:?}"
+    );
     no_overrun(&fleet);
 }
 
@@ -81,7 +97,10 @@
             });
         }
     });
-    assert!(counts.iter().any(|count| count.load(Ordering::SeqCst) > 20), "{counts:?}");
+    assert!(
+        counts.iter().any(|count| count.load(Ordering::SeqCst) > 20),
+        "{counts:?}"
+    );
     no_overrun(&fleet);
 }
 
@@ -101,8 +120,10 @@
                 while !over.load(Ordering::SeqCst) {
                     let object = next.fetch_add(1, Ordering::SeqCst) % 64;
                     let said = customer.once(0, &manner(tenant, LONG), object, None);
-                    counts[tenant - 1]
-                        .fetch_add(matches!(said, Some(Said::Served(_))) as u64, Ordering::SeqCst);
+                    counts[tenant - 1].fetch_add(
+                        matches!(said, Some(Said::Served(_))) as u64,
+                        Ordering::SeqCst,
+                    );
                 }
             });
         }
@@ -123,7 +144,14 @@
         assert!(none < 50, "{none} of a tenant without a weight, beside 150");
         assert!(after.0 >= 100 && after.1 < 4 * after.0, "{after:?}");
     });
-    assert!(fleet.log(0).iter().any(|line| line.contains("weights: 4 taken")), "{:?}", fleet.log(0));
+    assert!(
+        fleet
+            .log(0)
+            .iter()
+            .any(|line| line.contains("weights: 4 taken")),
+        "{:?}",
+        fleet.log(0)
+    );
     no_overrun(&fleet);
 }
 
@@ -137,8 +165,13 @@
     let before = fleet.record().now();
     let took = until_served(&fleet, 1);
     let early = |line: &foldmux_rig::record::Line| {
-        matches!(line.event, Event::Taken { .. }) && line.at >= before && line.at < before + 4_000_000
+        matches!(line.event, Event::Taken { .. })
+            && line.at >= before
+            && line.at < before + 4_000_000
     };
-    assert!(!fleet.record().lines().unwrap().iter().any(early), "a slot within the lease: {took:?}");
+    assert!(
+        !fleet.record().lines().unwrap().iter().any(early),
+        "a slot within the lease: {took:?}"
+    );
     no_overrun(&fleet);
 }
--- a/rigs/rig/tests/fair_faults.rs
+++ b/rigs/rig/tests/fair_faults.rs
@@ -14,7 +14,14 @@
 const LEASE: Duration = Duration::from_millis(6_500);
 
 fn scene(processes: usize, slots: u64) -> Plan {
-    plan(&Scene { processes, slots, times: 0, fair: true, seed: 9, time: Duration::ZERO })
+    plan(&Scene {
+        processes,
+        slots,
+        times: 0,
+        fair: true,
+        seed: 9,
+        time: Duration::ZERO,
+    })
 }
 
 fn asks_on(fleet: &Fleet, process: usize, tenant: usize, over: &AtomicBool, count: &AtomicU64) {
@@ -42,7 +49,9 @@
         }
         fleet.kill(1);
         fleet.pause(2).unwrap();
-        (0..4).filter(|n| *n != 3).for_each(|n| fleet.cut(3, n, Way::Both));
+        (0..4)
+            .filter(|n| *n != 3)
+            .for_each(|n| fleet.cut(3, n, Way::Both));
         // The faults' own length: the lease, and a request that began within it.
         thread::sleep(LEASE + Duration::from_millis(300));
         let held = counts[3].load(Ordering::SeqCst);
@@ -53,7 +62,12 @@
         fleet.wake(2).unwrap();
         fleet.restart(1).unwrap();
         let before: Vec<u64> = counts.iter().map(|c| c.load(Ordering::SeqCst)).collect();
-        let all = || counts.iter().zip(&before).all(|(c, before)| c.load(Ordering::SeqCst) > *before);
+        let all = || {
+            counts
+                .iter()
+                .zip(&before)
+                .all(|(c, before)| c.load(Ordering::SeqCst) > *before)
+        };
         let began = Instant::now();
         while !all() && began.elapsed() < Duration::from_secs(9) {
             thread::sleep(Duration::from_millis(10));
@@ -62,7 +76,11 @@
         assert!(all(), "{before:?}, then {counts:?}");
     });
     let verdict = read(&fleet.record().lines().unwrap());
-    assert_eq!((verdict.cap_overrun, verdict.kills, verdict.pauses), (0, 1, 1), "{verdict}");
+    assert_eq!(
+        (verdict.cap_overrun, verdict.kills, verdict.pauses),
+        (0, 1, 1),
+        "{verdict}"
+    );
 }
 
 /// Three tenants that always wait, one with four times the clients of another: equal shares.
@@ -83,7 +101,10 @@
         thread::sleep(Duration::from_secs(5));
         over.store(true, Ordering::SeqCst);
     });
-    let got: Vec<f64> = counts.iter().map(|count| count.load(Ordering::SeqCst) as f64).collect();
+    let got: Vec<f64> = counts
+        .iter()
+        .map(|count| count.load(Ordering::SeqCst) as f64)
+        .collect();
     let (sum, squares): (f64, f64) = (got.iter().sum(), got.iter().map(|n| n * n).sum());
     let jain = sum * sum / (3.0 * squares);
     println!("served {got:?}: Jain's index {jain:.3}");
