--- a/rigs/rig/tests/line.rs
+++ b/rigs/rig/tests/line.rs
@@ -41,7 +41,11 @@
 
 #[test]
 fn a_cut_of_one_way_holds_bytes_back_and_lets_the_other_way_go_on() {
-    let Ends { line, mut near, mut far } = ends();
+    let Ends {
+        line,
+        mut near,
+        mut far,
+    } = ends();
     line.all().cut(Way::There);
     near.write_all(b"held").unwrap();
     // Ten times to and fro by the open way, of which each is later than what is held.
@@ -78,7 +82,11 @@
 
 #[test]
 fn bytes_are_torn_after_so_many_and_repeated_once() {
-    let Ends { line, mut near, mut far } = ends();
+    let Ends {
+        line,
+        mut near,
+        mut far,
+    } = ends();
     line.all().repeat(Way::There, 3);
     near.write_all(b"abcdef").unwrap();
     assert_eq!(read(&mut far, 9), b"abcdefdef");
@@ -87,18 +95,28 @@
     line.all().tear(Way::Back, 4);
     far.write_all(b"123456").unwrap();
     assert_eq!(read(&mut near, 4), b"1234");
-    assert!(matches!(near.read(&mut [0; 8]), Ok(0) | Err(_)), "the rest is torn off");
+    assert!(
+        matches!(near.read(&mut [0; 8]), Ok(0) | Err(_)),
+        "the rest is torn off"
+    );
 }
 
 #[test]
 fn a_reset_breaks_what_is_open_and_a_target_that_is_gone_is_felt() {
-    let Ends { line, mut near, mut far } = ends();
+    let Ends {
+        line,
+        mut near,
+        mut far,
+    } = ends();
     near.write_all(b"x").unwrap();
     read(&mut far, 1);
     line.all().reset();
     assert!(matches!(near.read(&mut [0; 8]), Ok(0) | Err(_)));
     assert!(matches!(far.read(&mut [0; 8]), Ok(0) | Err(_)));
-    let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let gone = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     line.leads_to(gone);
     let mut near = TcpStream::connect(line.address).unwrap();
     near.set_read_timeout(Some(PATIENCE)).unwrap();
@@ -107,7 +125,11 @@
 
 #[test]
 fn what_is_delayed_comes_in_order_and_not_before_its_time() {
-    let Ends { line, mut near, mut far } = ends();
+    let Ends {
+        line,
+        mut near,
+        mut far,
+    } = ends();
     let delay = Duration::from_millis(30);
     line.all().delay(Way::There, delay);
     let began = std::time::Instant::now();
--- a/rigs/rig/tests/place.rs
+++ b/rigs/rig/tests/place.rs
@@ -7,33 +7,81 @@
 use foldmux_rig::record::{Event, Line};
 
 fn purge(number: u64) -> Entry {
-    let expire = Expire { name: Some(format!("{:016x}", object(1, number))), set: None, stamp: 1 };
-    Entry { expire: Some(expire), ..Entry::default() }
+    let expire = Expire {
+        name: Some(format!("{:016x}", object(1, number))),
+        set: None,
+        stamp: 1,
+    };
+    Entry {
+        expire: Some(expire),
+        ..Entry::default()
+    }
 }
 
 fn whole() -> Entry {
-    let hosts = Hosts { index: 1, snapshot: true, endpoints: Vec::new() };
-    Entry { hosts: Some(hosts), ..Entry::default() }
+    let hosts = Hosts {
+        index: 1,
+        snapshot: true,
+        endpoints: Vec::new(),
+    };
+    Entry {
+        hosts: Some(hosts),
+        ..Entry::default()
+    }
 }
 
 fn lost() -> Entry {
-    Entry { lost: Some(Lost { from: 1, to: None }), ..Entry::default() }
+    Entry {
+        lost: Some(Lost { from: 1, to: None }),
+        ..Entry::default()
+    }
 }
 
 /// One answer, numbered from 1, of a source that told ten purges.
 fn judged(entries: Vec<Entry>) -> Verdict {
-    let entries: Vec<Entry> = entries.into_iter().zip(1..).map(|(e, pos)| Entry { pos, ..e }).collect();
-    let feed = Feed { pos: entries.len() as u64, entries };
-    let mut events = vec![Event::Sent { stream: PURGES.into(), epoch: 1, number: 10 }];
+    let entries: Vec<Entry> = entries
+        .into_iter()
+        .zip(1..)
+        .map(|(e, pos)| Entry { pos, ..e })
+        .collect();
+    let feed = Feed {
+        pos: entries.len() as u64,
+        entries,
+    };
+    let mut events = vec![Event::Sent {
+        stream: PURGES.into(),
+        epoch: 1,
+        number: 10,
+    }];
     events.extend(Place::new(1).take(&feed).0);
-    read(&events.into_iter().map(|event| Line { at: 0, event }).collect::<Vec<_>>())
+    read(
+        &events
+            .into_iter()
+            .map(|event| Line { at: 0, event })
+            .collect::<Vec<_>>(),
+    )
 }
 
 #[test]
 fn a_whole_may_tell_again_in_order_and_nothing_else_may() {
-    assert!(judged(vec![whole(), purge(1), purge(2), whole(), purge(1), purge(2), purge(3)]).sound());
-    assert_eq!(judged(vec![whole(), purge(1), purge(2), purge(2)]).numbers_twice, 1);
-    assert_eq!(judged(vec![purge(1), purge(2), whole(), purge(2), purge(1)]).numbers_twice, 1);
+    assert!(judged(vec![
+        whole(),
+        purge(1),
+        purge(2),
+        whole(),
+        purge(1),
+        purge(2),
+        purge(3)
+    ])
+    .sound());
+    assert_eq!(
+        judged(vec![whole(), purge(1), purge(2), purge(2)]).numbers_twice,
+        1
+    );
+    assert_eq!(
+        judged(vec![purge(1), purge(2), whole(), purge(2), purge(1)]).numbers_twice,
+        1
+    );
 }
 
 #[test]
--- a/rigs/rig/tests/relay.rs
+++ b/rigs/rig/tests/relay.rs
@@ -28,11 +28,20 @@
     let readers = readers(&fleet, 2);
     let relay = fleet.relay(0).unwrap();
     // The piece in which the next news goes to one that it feeds is torn.
-    let others: Vec<usize> = fleet.of_site(0).into_iter().filter(|n| *n != relay).collect();
+    let others: Vec<usize> = fleet
+        .of_site(0)
+        .into_iter()
+        .filter(|n| *n != relay)
+        .collect();
     others.iter().for_each(|other| {
         [(relay, *other, Way::There), (*other, relay, Way::Back)]
             .into_iter()
-            .for_each(|(from, to, way)| fleet.line(from, to).iter().for_each(|line| line.tear(way, 40)));
+            .for_each(|(from, to, way)| {
+                fleet
+                    .line(from, to)
+                    .iter()
+                    .for_each(|line| line.tear(way, 40))
+            });
     });
     fleet.journal().purge();
     fleet.kill(relay);
@@ -67,7 +76,9 @@
     let readers = readers(&fleet, 2);
     let relays = settled(&fleet, 2);
     std::thread::scope(|scope| {
-        relays.iter().for_each(|relay| drop(scope.spawn(|| fleet.leave(*relay).unwrap())));
+        relays
+            .iter()
+            .for_each(|relay| drop(scope.spawn(|| fleet.leave(*relay).unwrap())));
         purges(&fleet, 60);
     });
     heard(&fleet, &readers, 12);
@@ -104,7 +115,10 @@
     heard(&fleet, &readers, 1);
     purges(&fleet, 20);
     heard(&fleet, &readers, 1);
-    assert_eq!(fleet.streams(1, Duration::ZERO).map(|open| open.len()), Ok(1));
+    assert_eq!(
+        fleet.streams(1, Duration::ZERO).map(|open| open.len()),
+        Ok(1)
+    );
     sound(&fleet);
 }
 
@@ -119,7 +133,15 @@
     let before = readers.look(|heard| heard.connected);
     readers.break_all();
     heard(&fleet, &readers, many as usize);
-    assert!(readers.look(|heard| heard.connected) >= before + many, "all came back");
-    assert_eq!(fleet.streams(1, Duration::from_secs(5)).map(|open| open.len()), Ok(1));
+    assert!(
+        readers.look(|heard| heard.connected) >= before + many,
+        "all came back"
+    );
+    assert_eq!(
+        fleet
+            .streams(1, Duration::from_secs(5))
+            .map(|open| open.len()),
+        Ok(1)
+    );
     sound(&fleet);
 }
--- a/rigs/rig/tests/relay_apart.rs
+++ b/rigs/rig/tests/relay_apart.rs
@@ -12,11 +12,13 @@
     let readers = readers(&fleet, 1);
     for way in [Way::Both, Way::There, Way::Back] {
         let cut = fleet.of_site(0);
-        cut.iter().for_each(|process| fleet.cut_news(*process, Some(way)));
+        cut.iter()
+            .for_each(|process| fleet.cut_news(*process, Some(way)));
         purges(&fleet, 20);
         // Those of the other site.
         heard(&fleet, &readers, 3);
-        cut.iter().for_each(|process| fleet.cut_news(*process, None));
+        cut.iter()
+            .for_each(|process| fleet.cut_news(*process, None));
         heard(&fleet, &readers, 6);
     }
     settled(&fleet, 2);
@@ -42,8 +44,12 @@
 fn sites_cut_from_each_other_go_on_each_by_itself() {
     let fleet = relayed(6, 2, "");
     let readers = readers(&fleet, 1);
-    let pairs =
-        || fleet.of_site(0).into_iter().flat_map(|a| fleet.of_site(1).into_iter().map(move |b| (a, b)));
+    let pairs = || {
+        fleet
+            .of_site(0)
+            .into_iter()
+            .flat_map(|a| fleet.of_site(1).into_iter().map(move |b| (a, b)))
+    };
     for way in [Way::Both, Way::There] {
         pairs().for_each(|(a, b)| fleet.cut(a, b, way));
         purges(&fleet, 60);
@@ -62,7 +68,9 @@
     let relay = fleet.relay(0).unwrap();
     let others: Vec<usize> = (0..fleet.size()).filter(|n| *n != relay).collect();
     for way in [Way::There, Way::Back] {
-        others.iter().for_each(|other| fleet.cut(relay, *other, way));
+        others
+            .iter()
+            .for_each(|other| fleet.cut(relay, *other, way));
         purges(&fleet, 60);
         heard(&fleet, &readers, 6);
         others.iter().for_each(|other| fleet.heal(relay, *other));
--- a/rigs/rig/tests/relay_readers.rs
+++ b/rigs/rig/tests/relay_readers.rs
@@ -24,7 +24,8 @@
     std::thread::scope(|scope| {
         for process in 0..3 {
             let mut slow = TcpStream::connect(fleet.serves(process)).unwrap();
-            slow.write_all(b"GET /journal?tail=0&max_wait=1000 HTTP/1.1\r\nHost: rig\r\n\r\n").unwrap();
+            slow.write_all(b"GET /journal?tail=0&max_wait=1000 HTTP/1.1\r\nHost: rig\r\n\r\n")
+                .unwrap();
             let over = &over;
             scope.spawn(move || {
                 slow.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
@@ -47,13 +48,20 @@
     let readers = readers(&fleet, 1);
     let others = readers.look(|heard| heard.losses);
     // Stopped, a process and its reader lack more than the ring and the window hold.
-    let stopped = fleet.of_site(0).into_iter().find(|n| Some(*n) != fleet.relay(0)).unwrap();
+    let stopped = fleet
+        .of_site(0)
+        .into_iter()
+        .find(|n| Some(*n) != fleet.relay(0))
+        .unwrap();
     fleet.pause(stopped).unwrap();
     purges(&fleet, 200);
     heard(&fleet, &readers, 2);
     fleet.wake(stopped).unwrap();
     heard(&fleet, &readers, 3);
-    println!("{} losses told", readers.look(|heard| heard.losses) - others);
+    println!(
+        "{} losses told",
+        readers.look(|heard| heard.losses) - others
+    );
     sound(&fleet);
 }
 
@@ -79,7 +87,11 @@
     // What is left is served as before; a reader more than its bound would be turned away.
     fleet.begin(&readers, 2, 1, WAIT);
     heard(&fleet, &readers, 2);
-    let fds = || std::fs::read_dir(format!("/proc/{}/task", fleet.id(1).unwrap())).unwrap().count();
+    let fds = || {
+        std::fs::read_dir(format!("/proc/{}/task", fleet.id(1).unwrap()))
+            .unwrap()
+            .count()
+    };
     let until = std::time::Instant::now() + SOON;
     while fds() > 100 && std::time::Instant::now() < until {
         std::thread::sleep(Duration::from_millis(20));
@@ -98,7 +110,13 @@
             scope.spawn(move || {
                 let (deadline, longest) = (Duration::from_secs(2), Duration::from_secs(2));
                 let class = READS[0].to_string();
-                let manner = Manner { class, covered: false, patience: deadline, deadline, longest };
+                let manner = Manner {
+                    class,
+                    covered: false,
+                    patience: deadline,
+                    deadline,
+                    longest,
+                };
                 let mut customer = fleet.customer(deadline);
                 for object in 0.. {
                     let _ = customer.once(process, &manner, object % 97, None);
@@ -118,7 +136,10 @@
     assert!(lines.iter().any(asked), "it was asked before it drained");
     let verdict = read(&lines);
     let last = verdict.after_drain.iter().max().copied().unwrap_or(0);
-    println!("asked for the last time {} ms after the source told that it drains", last / 1_000);
+    println!(
+        "asked for the last time {} ms after the source told that it drains",
+        last / 1_000
+    );
     // 250 ms is the rule; a busy machine takes longer.
     assert!(last < 2_000_000, "{last} us");
 }
--- a/rigs/rig/tests/takeover.rs
+++ b/rigs/rig/tests/takeover.rs
@@ -49,7 +49,10 @@
 #[test]
 fn torn_in_the_middle_of_the_write_it_runs_once() {
     let (fleet, name) = (covered(5, WINDOW), key(1, 3));
-    fleet.caches().iter().for_each(|line| line.of(0).tear(Way::There, 40));
+    fleet
+        .caches()
+        .iter()
+        .for_each(|line| line.of(0).tear(Way::There, 40));
     thread::scope(|scope| {
         let asks = scope.spawn(|| served(&mut fleet.customer(LONG), 0, LONG, &name));
         asks.join().unwrap();
@@ -95,7 +98,11 @@
         line.all().reset();
         asks.join().unwrap();
     });
-    assert_eq!(brought(&fleet, &name), (1, 1), "nobody asked the archive again");
+    assert_eq!(
+        brought(&fleet, &name),
+        (1, 1),
+        "nobody asked the archive again"
+    );
     sound(&fleet);
 }
 
--- a/rigs/rig/tests/takeover_again.rs
+++ b/rigs/rig/tests/takeover_again.rs
@@ -36,7 +36,10 @@
     if !served_all {
         (0..fleet.size()).for_each(|n| println!("n{n}:\n{}", fleet.log(n).join("\n")));
     }
-    assert!(served_all, "not all were served; the processes' logs stand above");
+    assert!(
+        served_all,
+        "not all were served; the processes' logs stand above"
+    );
 }
 
 fn names(of: u64, count: u64) -> Vec<String> {
@@ -58,7 +61,9 @@
         fleet.kill(0);
         let during = ask(2);
         gate.open();
-        [first, before, during].into_iter().for_each(|one| one.join().unwrap());
+        [first, before, during]
+            .into_iter()
+            .for_each(|one| one.join().unwrap());
     });
     served(&mut fleet.customer(LONG), 3, LONG, &name);
     assert_eq!(brought(&fleet, &name).1, 1);
@@ -73,7 +78,11 @@
     (0..4).for_each(|seat| fleet.kill(seat));
     (0..4).for_each(|seat| fleet.restart(seat).unwrap());
     served(&mut fleet.customer(SHORT), 1, SHORT, &name);
-    assert_eq!(brought(&fleet, &name), (1, 1), "nobody asked the archive again");
+    assert_eq!(
+        brought(&fleet, &name),
+        (1, 1),
+        "nobody asked the archive again"
+    );
     sound(&fleet);
 }
 
@@ -118,7 +127,9 @@
             });
         },
     );
-    names.iter().for_each(|name| assert_eq!(brought(&fleet, name).1, 1, "{name}"));
+    names
+        .iter()
+        .for_each(|name| assert_eq!(brought(&fleet, name).1, 1, "{name}"));
     sound(&fleet);
 }
 
@@ -147,13 +158,18 @@
 fn a_seat_that_is_late_by_what_its_lease_allows_costs_no_answer() {
     let (fleet, names) = (covered(4, WINDOW), names(6, 12));
     for other in [0, 1, 2] {
-        for line in [fleet.line(other, 3), fleet.line(3, other)].into_iter().flatten() {
+        for line in [fleet.line(other, 3), fleet.line(3, other)]
+            .into_iter()
+            .flatten()
+        {
             line.delay(Way::Both, MS(60));
         }
     }
     asked(&fleet, &names, LONG, |n| n % 3, || {});
     fleet.kill(0);
-    names.iter().for_each(|name| served(&mut fleet.customer(LONG), 1, LONG, name));
+    names
+        .iter()
+        .for_each(|name| served(&mut fleet.customer(LONG), 1, LONG, name));
     sound(&fleet);
 }
 
--- a/rigs/rig/tests/takeover_apart.rs
+++ b/rigs/rig/tests/takeover_apart.rs
@@ -101,6 +101,8 @@
         (0..3).for_each(|process| fleet.restart(process).unwrap());
         asks.into_iter().for_each(|ask| ask.join().unwrap());
     });
-    names.iter().for_each(|name| assert_eq!(brought(&fleet, name).1, 1, "{name}"));
+    names
+        .iter()
+        .for_each(|name| assert_eq!(brought(&fleet, name).1, 1, "{name}"));
     sound(&fleet);
 }
--- a/rigs/soak/src/check.rs
+++ b/rigs/soak/src/check.rs
@@ -45,19 +45,32 @@
 
 impl fmt::Display for Broken {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        write!(out, "{:?}: request {:016x}: {}", self.rule, self.id, self.what)
+        write!(
+            out,
+            "{:?}: request {:016x}: {}",
+            self.rule, self.id, self.what
+        )
     }
 }
 
 /// All that is broken.
 pub fn check(requests: &[Request], attempts: &[Attempt]) -> Vec<Broken> {
     let mut by_id: HashMap<u64, Vec<&Attempt>> = HashMap::new();
-    attempts.iter().for_each(|attempt| by_id.entry(attempt.id).or_default().push(attempt));
-    let mut broken: Vec<Broken> =
-        requests.iter().flat_map(|r| [lost(r), unanswered(r), twice(r), spoilt(r)]).flatten().collect();
+    attempts
+        .iter()
+        .for_each(|attempt| by_id.entry(attempt.id).or_default().push(attempt));
+    let mut broken: Vec<Broken> = requests
+        .iter()
+        .flat_map(|r| [lost(r), unanswered(r), twice(r), spoilt(r)])
+        .flatten()
+        .collect();
     for request in requests {
         for attempt in by_id.get(&request.id).into_iter().flatten() {
-            broken.extend([after_gone(request, attempt), deadline(request, attempt)].into_iter().flatten());
+            broken.extend(
+                [after_gone(request, attempt), deadline(request, attempt)]
+                    .into_iter()
+                    .flatten(),
+            );
         }
     }
     broken.extend(by_id.into_values().filter_map(at_once));
@@ -65,11 +78,20 @@
 }
 
 fn lost(request: &Request) -> Option<Broken> {
-    let ended = request.ended.filter(|_| request.answers.is_empty() && request.gone.is_none())?;
+    let ended = request
+        .ended
+        .filter(|_| request.answers.is_empty() && request.gone.is_none())?;
     let open = ended.saturating_duration_since(request.written);
-    let what =
-        format!("connection {} ended {} ms after it was written", request.connection, open.as_millis());
-    Some(Broken { rule: Rule::Lost, id: request.id, what })
+    let what = format!(
+        "connection {} ended {} ms after it was written",
+        request.connection,
+        open.as_millis()
+    );
+    Some(Broken {
+        rule: Rule::Lost,
+        id: request.id,
+        what,
+    })
 }
 
 fn unanswered(request: &Request) -> Option<Broken> {
@@ -84,41 +106,81 @@
             if after <= most {
                 return None;
             }
-            format!("{answer:?} after {} ms of {}", after.as_millis(), request.wait.as_millis())
+            format!(
+                "{answer:?} after {} ms of {}",
+                after.as_millis(),
+                request.wait.as_millis()
+            )
         }
     };
-    Some(Broken { rule: Rule::Unanswered, id: request.id, what })
+    Some(Broken {
+        rule: Rule::Unanswered,
+        id: request.id,
+        what,
+    })
 }
 
 fn twice(request: &Request) -> Option<Broken> {
     let more = request.answers.len() > 1;
-    more.then(|| Broken { rule: Rule::Twice, id: request.id, what: format!("{:?}", request.answers) })
+    more.then(|| Broken {
+        rule: Rule::Twice,
+        id: request.id,
+        what: format!("{:?}", request.answers),
+    })
 }
 
 fn spoilt(request: &Request) -> Option<Broken> {
-    let spoilt = request.answers.iter().any(|(answer, _)| *answer == Answer::Spoilt);
-    spoilt.then(|| Broken { rule: Rule::Spoilt, id: request.id, what: "served with other bytes".to_string() })
+    let spoilt = request
+        .answers
+        .iter()
+        .any(|(answer, _)| *answer == Answer::Spoilt);
+    spoilt.then(|| Broken {
+        rule: Rule::Spoilt,
+        id: request.id,
+        what: "served with other bytes".to_string(),
+    })
 }
 
 fn after_gone(request: &Request, attempt: &Attempt) -> Option<Broken> {
     let (gone, at) = request.gone?;
     let after = attempt.at.saturating_duration_since(at);
     let late = after > AFTER_GONE + SLACK;
-    let what = format!("an attempt arrived {} ms after its client had {gone:?}", after.as_millis());
-    late.then_some(Broken { rule: Rule::AfterGone, id: request.id, what })
+    let what = format!(
+        "an attempt arrived {} ms after its client had {gone:?}",
+        after.as_millis()
+    );
+    late.then_some(Broken {
+        rule: Rule::AfterGone,
+        id: request.id,
+        what,
+    })
 }
 
 fn deadline(request: &Request, attempt: &Attempt) -> Option<Broken> {
     let left = (request.written + request.wait).saturating_duration_since(attempt.at);
     let over = attempt.wait > left + DEADLINE_SLACK;
-    let what = format!("told to wait {} ms with {} left", attempt.wait.as_millis(), left.as_millis());
-    over.then_some(Broken { rule: Rule::Deadline, id: request.id, what })
+    let what = format!(
+        "told to wait {} ms with {} left",
+        attempt.wait.as_millis(),
+        left.as_millis()
+    );
+    over.then_some(Broken {
+        rule: Rule::Deadline,
+        id: request.id,
+        what,
+    })
 }
 
 fn at_once(mut attempts: Vec<&Attempt>) -> Option<Broken> {
     attempts.sort_by_key(|attempt| attempt.at);
-    let pair = attempts.windows(2).find(|pair| pair[1].at + SLACK < pair[0].until)?;
+    let pair = attempts
+        .windows(2)
+        .find(|pair| pair[1].at + SLACK < pair[0].until)?;
     let overlap = pair[0].until.saturating_duration_since(pair[1].at);
     let what = format!("two attempts out at once for {} ms", overlap.as_millis());
-    Some(Broken { rule: Rule::AtOnce, id: pair[0].id, what })
+    Some(Broken {
+        rule: Rule::AtOnce,
+        id: pair[0].id,
+        what,
+    })
 }
--- a/rigs/soak/src/client.rs
+++ b/rigs/soak/src/client.rs
@@ -71,7 +71,11 @@
         };
         let _ = stream.set_nodelay(true);
         let number = world.connections.fetch_add(1, Ordering::SeqCst);
-        let connection = Arc::new(Connection { stream, number, state: Mutex::default() });
+        let connection = Arc::new(Connection {
+            stream,
+            number,
+            state: Mutex::default(),
+        });
         let (reads, read_world) = (connection.clone(), world.clone());
         let reader = thread::spawn(move || read(&reads, &read_world));
         talk(world, &connection, &mut dice);
@@ -92,7 +96,11 @@
             4..5 => return close(connection),
             5..8 => thread::sleep(Duration::from_millis(dice.number(100, 700))),
             kind => {
-                let burst = if kind < 12 { dice.number(2, BURST) as u32 } else { 1 };
+                let burst = if kind < 12 {
+                    dice.number(2, BURST) as u32
+                } else {
+                    1
+                };
                 (next..next + burst).for_each(|number| ask(world, connection, dice, number));
                 next += burst;
             }
@@ -103,13 +111,25 @@
 fn ask(world: &World, connection: &Connection, dice: &mut Dice, number: u32) {
     let id = world.ids.fetch_add(1, Ordering::SeqCst);
     let (keyed, object) = (dice.chance(10), dice.number(1, 500));
-    let shortest = if dice.chance(5) { HOPELESS_MS } else { SHORTEST_MS };
+    let shortest = if dice.chance(5) {
+        HOPELESS_MS
+    } else {
+        SHORTEST_MS
+    };
     let wait = Duration::from_millis(dice.number(shortest, DEADLINE_MS.min(shortest * 20)));
     let message = call(number, id, keyed, object, wait);
     let (answers, written) = (Vec::new(), Instant::now());
     let connection_number = connection.number;
-    let request =
-        Request { id, keyed, connection: connection_number, written, wait, answers, gone: None, ended: None };
+    let request = Request {
+        id,
+        keyed,
+        connection: connection_number,
+        written,
+        wait,
+        answers,
+        gone: None,
+        ended: None,
+    };
     let mut state = connection.state();
     if state.open.len() >= OPEN || state.ended {
         return;
@@ -146,10 +166,22 @@
     if keyed {
         fields.push(("k", format!("{id:032x}")));
     }
-    let fields = fields.into_iter().map(|(name, value)| (Value::from(name), Value::from(value))).collect();
-    let body = if keyed { Value::Binary(vec![7; 300]) } else { Value::Nil };
+    let fields = fields
+        .into_iter()
+        .map(|(name, value)| (Value::from(name), Value::from(value)))
+        .collect();
+    let body = if keyed {
+        Value::Binary(vec![7; 300])
+    } else {
+        Value::Nil
+    };
     let class = if keyed { RECORD } else { SHEET };
-    let parts = vec![0.into(), number.into(), class.into(), Value::Array(vec![Value::Map(fields), body])];
+    let parts = vec![
+        0.into(),
+        number.into(),
+        class.into(),
+        Value::Array(vec![Value::Map(fields), body]),
+    ];
     let mut bytes = Vec::new();
     let _ = rmpv::encode::write_value(&mut bytes, &Value::Array(parts));
     bytes
@@ -158,8 +190,14 @@
 /// Gives up one open request, where there is one.
 fn forget(connection: &Connection) {
     let mut state = connection.state();
-    let Some(number) = state.open.keys().next().copied() else { return };
-    let message = Value::Array(vec![2.into(), "forget".into(), Value::Array(vec![number.into()])]);
+    let Some(number) = state.open.keys().next().copied() else {
+        return;
+    };
+    let message = Value::Array(vec![
+        2.into(),
+        "forget".into(),
+        Value::Array(vec![number.into()]),
+    ]);
     let mut bytes = Vec::new();
     let _ = rmpv::encode::write_value(&mut bytes, &message);
     if (&connection.stream).write_all(&bytes).is_ok() {
@@ -185,15 +223,21 @@
 fn read(connection: &Connection, world: &World) {
     let mut reader = BufReader::new(&connection.stream);
     while let Ok(message) = rmpv::decode::read_value(&mut reader) {
-        let Some((number, answer)) = understood(&message) else { break };
+        let Some((number, answer)) = understood(&message) else {
+            break;
+        };
         let mut state = connection.state();
         let now = Instant::now();
         if let Some((mut request, object)) = state.open.remove(&number) {
-            request.answers.push((answer.unwrap_or_else(|bytes| checked(&bytes, object)), now));
+            request
+                .answers
+                .push((answer.unwrap_or_else(|bytes| checked(&bytes, object)), now));
             state.done.insert(number, request);
         } else if let Some(request) = state.done.get_mut(&number) {
             // What was given up may be answered once; its bytes are not looked at.
-            request.answers.push((answer.unwrap_or(Answer::Served), now));
+            request
+                .answers
+                .push((answer.unwrap_or(Answer::Served), now));
         }
     }
     ended(connection, world);
@@ -223,7 +267,9 @@
     let now = Instant::now();
     let mut state = connection.state();
     state.ended = true;
-    std::mem::take(&mut state.done).into_values().for_each(|request| world.record.request(request));
+    std::mem::take(&mut state.done)
+        .into_values()
+        .for_each(|request| world.record.request(request));
     let crossing = |request: &Request| now.saturating_duration_since(request.written) <= CROSSING;
     let rested = state.open.values().all(|(request, _)| crossing(request));
     let open = std::mem::take(&mut state.open);
--- a/rigs/soak/src/config.rs
+++ b/rigs/soak/src/config.rs
@@ -42,7 +42,12 @@
 
 /// The configuration as the program reads it.
 pub fn config(plan: &Plan, journal: SocketAddr, known: &str) -> String {
-    let Plan { seed, sockets, memory_mb, .. } = plan;
+    let Plan {
+        seed,
+        sockets,
+        memory_mb,
+        ..
+    } = plan;
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"{seed:x}","limits":{{"memory_mb":{memory_mb},"sockets":{sockets}}},
         "journal":"{journal}","known":{known},"settings":{SETTINGS}}}"#
--- a/rigs/soak/src/main.rs
+++ b/rigs/soak/src/main.rs
@@ -31,7 +31,9 @@
         match arg {
             Arg::Long("seeds") => {
                 let text = parser.value()?.string()?;
-                let (from, to) = text.split_once("..").ok_or("--seeds: a range such as 1..11")?;
+                let (from, to) = text
+                    .split_once("..")
+                    .ok_or("--seeds: a range such as 1..11")?;
                 line.seeds = from.parse().map_err(|_| "--seeds: no number")?
                     ..to.parse().map_err(|_| "--seeds: no number")?;
             }
@@ -84,14 +86,26 @@
 }
 
 fn tell(seed: u64, verdict: &Verdict, folder: &Path) {
-    let Verdict { requests, served, attempts, crossed, injected, killed, broken, crashed } = verdict;
+    let Verdict {
+        requests,
+        served,
+        attempts,
+        crossed,
+        injected,
+        killed,
+        broken,
+        crashed,
+    } = verdict;
     println!(
         "seed {seed}: {requests} requests, {served} answered, {attempts} attempts, {crossed} crossed, {injected} faults, \
          killed {killed}, {} broken",
         broken.len()
     );
     crashed.iter().for_each(|how| println!("  crashed: {how}"));
-    broken.iter().take(SHOWN).for_each(|broken| println!("  {broken}"));
+    broken
+        .iter()
+        .take(SHOWN)
+        .for_each(|broken| println!("  {broken}"));
     if !verdict.is_good() {
         println!("  its files: {}", folder.display());
     }
--- a/rigs/soak/src/plan.rs
+++ b/rigs/soak/src/plan.rs
@@ -10,7 +10,9 @@
 impl Dice {
     /// Those of one purpose of a seed.
     pub fn new(seed: u64, purpose: u64) -> Dice {
-        Dice(Draws::new(seed.wrapping_mul(1_000_003).wrapping_add(purpose)))
+        Dice(Draws::new(
+            seed.wrapping_mul(1_000_003).wrapping_add(purpose),
+        ))
     }
 
     /// A number in `from..to`.
@@ -30,11 +32,35 @@
 }
 
 /// Errors of calls on a connection that is up.
-const ON_STREAM: [&str; 8] =
-    ["EINTR", "EAGAIN", "ENOMEM", "ENOBUFS", "ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "EPROTO"];
-const ON_DIAL: [&str; 8] =
-    ["EINTR", "ENOMEM", "ENOBUFS", "EMFILE", "ENFILE", "EADDRNOTAVAIL", "ENETUNREACH", "ETIMEDOUT"];
-const ON_ACCEPT: [&str; 7] = ["ECONNABORTED", "EINTR", "EPROTO", "ENFILE", "EMFILE", "ENOBUFS", "ENOMEM"];
+const ON_STREAM: [&str; 8] = [
+    "EINTR",
+    "EAGAIN",
+    "ENOMEM",
+    "ENOBUFS",
+    "ETIMEDOUT",
+    "EHOSTUNREACH",
+    "ENETUNREACH",
+    "EPROTO",
+];
+const ON_DIAL: [&str; 8] = [
+    "EINTR",
+    "ENOMEM",
+    "ENOBUFS",
+    "EMFILE",
+    "ENFILE",
+    "EADDRNOTAVAIL",
+    "ENETUNREACH",
+    "ETIMEDOUT",
+];
+const ON_ACCEPT: [&str; 7] = [
+    "ECONNABORTED",
+    "EINTR",
+    "EPROTO",
+    "ENFILE",
+    "EMFILE",
+    "ENOBUFS",
+    "ENOMEM",
+];
 const ON_OPTION: [&str; 3] = ["EINTR", "ENOBUFS", "ENOMEM"];
 const ON_SHUTDOWN: [&str; 2] = ["EINTR", "ENOBUFS"];
 /// An hour, by which the clock of the day may step (ms).
@@ -73,10 +99,17 @@
     pub fn of(seed: u64, time: Duration) -> Plan {
         let mut dice = Dice::new(seed, 0);
         let last = time.as_millis() as u64;
-        let reloads = (0..dice.number(0, 4)).map(|_| Duration::from_millis(dice.number(0, last))).collect();
+        let reloads = (0..dice.number(0, 4))
+            .map(|_| Duration::from_millis(dice.number(0, last)))
+            .collect();
         let after = [After::EndAgain, After::Reload];
         let after_end = (0..dice.number(0, 3))
-            .map(|_| (*dice.one_of(&after), Duration::from_millis(dice.number(0, 1_000))))
+            .map(|_| {
+                (
+                    *dice.one_of(&after),
+                    Duration::from_millis(dice.number(0, 1_000)),
+                )
+            })
             .collect();
         Plan {
             seed,
@@ -98,8 +131,18 @@
     for role in ["client", "server"] {
         for call in ["recv", "send", "setsockopt"] {
             if dice.chance(50) {
-                let errors = if call == "setsockopt" { &ON_OPTION[..] } else { &ON_STREAM[..] };
-                rule(&mut text, dice, last_ms, &format!("{call} role={role}"), errors);
+                let errors = if call == "setsockopt" {
+                    &ON_OPTION[..]
+                } else {
+                    &ON_STREAM[..]
+                };
+                rule(
+                    &mut text,
+                    dice,
+                    last_ms,
+                    &format!("{call} role={role}"),
+                    errors,
+                );
             }
         }
     }
@@ -116,15 +159,29 @@
         }
     }
     if dice.chance(20) {
-        writeln!(text, "recv role=client effect=short every={}", dice.number(2, 30)).unwrap_or_default();
+        writeln!(
+            text,
+            "recv role=client effect=short every={}",
+            dice.number(2, 30)
+        )
+        .unwrap_or_default();
     }
     if dice.chance(20) {
-        writeln!(text, "send role=client effect=short every={}", dice.number(2, 30)).unwrap_or_default();
+        writeln!(
+            text,
+            "send role=client effect=short every={}",
+            dice.number(2, 30)
+        )
+        .unwrap_or_default();
     }
     if dice.chance(40) {
         let (sign, step) = (*dice.one_of(&["", "-"]), dice.number(1_000, HOUR_MS));
-        writeln!(text, "clock step_ms={sign}{step} from_ms={}", dice.number(1_000, 1_000 + last_ms))
-            .unwrap_or_default();
+        writeln!(
+            text,
+            "clock step_ms={sign}{step} from_ms={}",
+            dice.number(1_000, 1_000 + last_ms)
+        )
+        .unwrap_or_default();
     }
     text
 }
@@ -133,15 +190,26 @@
 fn rule(text: &mut String, dice: &mut Dice, last_ms: u64, call: &str, errors: &[&str]) {
     let error = *dice.one_of(errors);
     let written = if dice.chance(50) {
-        writeln!(text, "{call} error={error} every={} skip=20", dice.number(3, 40))
+        writeln!(
+            text,
+            "{call} error={error} every={} skip=20",
+            dice.number(3, 40)
+        )
     } else if call != "poll" && dice.chance(50) {
         // Each call, for less than a client waits beyond its time.
         let from = dice.number(1_000, 1_000 + last_ms);
-        writeln!(text, "{call} error={error} from_ms={from} until_ms={}", from + dice.number(100, 400))
+        writeln!(
+            text,
+            "{call} error={error} from_ms={from} until_ms={}",
+            from + dice.number(100, 400)
+        )
     } else {
         let from = dice.number(1_000, 1_000 + last_ms);
         let until = from + dice.number(100, 800);
-        writeln!(text, "{call} error={error} every=2 from_ms={from} until_ms={until}")
+        writeln!(
+            text,
+            "{call} error={error} every=2 from_ms={from} until_ms={until}"
+        )
     };
     written.unwrap_or_default();
 }
--- a/rigs/soak/src/process.rs
+++ b/rigs/soak/src/process.rs
@@ -46,7 +46,10 @@
         let serves = loop {
             let line = lines.next().ok_or_else(|| {
                 let _ = child.wait();
-                format!("the program ended before it served; its log is in {}", folder.display())
+                format!(
+                    "the program ended before it served; its log is in {}",
+                    folder.display()
+                )
             })?;
             let _ = writeln!(log, "{line}");
             if let Some((_, at)) = line.split_once(" serves on ") {
@@ -84,8 +87,13 @@
 /// The library that makes calls fail, as cargo leaves it beside this program or its tests.
 pub fn shim() -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
-    let folders =
-        own.ancestors().skip(1).take(2).flat_map(|folder| [folder.to_path_buf(), folder.join("deps")]);
-    let found = folders.map(|folder| folder.join("libfoldmux_fault_shim.so")).find(|path| path.exists());
+    let folders = own
+        .ancestors()
+        .skip(1)
+        .take(2)
+        .flat_map(|folder| [folder.to_path_buf(), folder.join("deps")]);
+    let found = folders
+        .map(|folder| folder.join("libfoldmux_fault_shim.so"))
+        .find(|path| path.exists());
     found.ok_or_else(|| format!("no libfoldmux_fault_shim.so beside {}", own.display()))
 }
--- a/rigs/soak/src/record.rs
+++ b/rigs/soak/src/record.rs
@@ -62,18 +62,26 @@
 impl Record {
     /// Keeps what its client saw of a request.
     pub fn request(&self, request: Request) {
-        self.requests.lock().unwrap_or_else(PoisonError::into_inner).push(request);
+        self.requests
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(request);
     }
 
     /// Keeps what a cache saw of an attempt.
     pub fn attempt(&self, attempt: Attempt) {
-        self.attempts.lock().unwrap_or_else(PoisonError::into_inner).push(attempt);
+        self.attempts
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(attempt);
     }
 
     /// Everything, once all is over.
     pub fn take(&self) -> (Vec<Request>, Vec<Attempt>) {
-        let requests = std::mem::take(&mut *self.requests.lock().unwrap_or_else(PoisonError::into_inner));
-        let attempts = std::mem::take(&mut *self.attempts.lock().unwrap_or_else(PoisonError::into_inner));
+        let requests =
+            std::mem::take(&mut *self.requests.lock().unwrap_or_else(PoisonError::into_inner));
+        let attempts =
+            std::mem::take(&mut *self.attempts.lock().unwrap_or_else(PoisonError::into_inner));
         (requests, attempts)
     }
 }
--- a/rigs/soak/src/run.rs
+++ b/rigs/soak/src/run.rs
@@ -46,15 +46,20 @@
 /// Plays one seed; what the program was told and what it said stay in `folder`.
 pub fn run(program: &Path, plan: &Plan, folder: &Path) -> Result<Verdict, String> {
     let record = Arc::new(Record::default());
-    let servers: Vec<_> =
-        (0..SERVERS).map(|n| cache(plan.seed.wrapping_add(n), plan.hangs, record.clone())).collect();
+    let servers: Vec<_> = (0..SERVERS)
+        .map(|n| cache(plan.seed.wrapping_add(n), plan.hangs, record.clone()))
+        .collect();
     let addresses: Vec<_> = servers.iter().map(|server| server.address).collect();
     let journal = Journal::start();
     journal.tell(&journal::hosts(true, &hosts(&addresses)));
     let write = |name: &str, text: &str| {
         std::fs::write(folder.join(name), text).map_err(|e| format!("{}: {e}", folder.display()))
     };
-    let at = if plan.journal_down { nobody()? } else { journal.address() };
+    let at = if plan.journal_down {
+        nobody()?
+    } else {
+        journal.address()
+    };
     write("config.json", &config(plan, at, &journal.known()))?;
     write("faults", &plan.faults)?;
     let mut process = Process::start(program, &shim()?, folder)?;
@@ -77,12 +82,25 @@
     clients.into_iter().for_each(|client| drop(client.join()));
     drop(servers);
     let (requests, attempts) = record.take();
-    let served = requests.iter().filter(|request| !request.answers.is_empty()).count();
-    let injected = std::fs::read_to_string(folder.join("trace")).map_or(0, |trace| trace.lines().count());
+    let served = requests
+        .iter()
+        .filter(|request| !request.answers.is_empty())
+        .count();
+    let injected =
+        std::fs::read_to_string(folder.join("trace")).map_or(0, |trace| trace.lines().count());
     let crossed = world.crossed.load(Ordering::SeqCst);
     let broken = check(&requests, &attempts);
     let (requests, attempts) = (requests.len(), attempts.len());
-    Ok(Verdict { requests, served, attempts, crossed, injected, killed, broken, crashed })
+    Ok(Verdict {
+        requests,
+        served,
+        attempts,
+        crossed,
+        injected,
+        killed,
+        broken,
+        crashed,
+    })
 }
 
 /// An address at which nobody listens.
--- a/rigs/soak/src/traffic.rs
+++ b/rigs/soak/src/traffic.rs
@@ -24,27 +24,51 @@
 }
 
 fn one(stream: &TcpStream, seed: u64, hangs: u64, record: &Record) -> bool {
-    let Some(ask) = read_ask(stream) else { return false };
+    let Some(ask) = read_ask(stream) else {
+        return false;
+    };
     let id = u64::from_str_radix(ask.field("via-id"), 16).unwrap_or(UNKNOWN);
     let wait = Duration::from_millis(ask.field("via-wait").parse().unwrap_or(0));
     let mut dice = Dice::new(seed ^ id, 1);
     let after = Duration::from_millis(dice.number(0, 60));
-    let act = if dice.chance(hangs) { Act::Silence(SILENCE) } else { act(&mut dice, &ask) };
+    let act = if dice.chance(hangs) {
+        Act::Silence(SILENCE)
+    } else {
+        act(&mut dice, &ask)
+    };
     // A request that is given up while it is worked on ends there.
     let kept = !closes(stream, after) && carry_out(stream, &ask, act);
-    record.attempt(Attempt { id, at: ask.at, wait, until: Instant::now() });
+    record.attempt(Attempt {
+        id,
+        at: ask.at,
+        wait,
+        until: Instant::now(),
+    });
     kept
 }
 
 fn act(dice: &mut Dice, ask: &Ask) -> Act {
     let length = length(ask.object);
-    let untouched = |status| Act::Say { status, fields: "Srv-Untouched: 1\r\n".to_string() };
+    let untouched = |status| Act::Say {
+        status,
+        fields: "Srv-Untouched: 1\r\n".to_string(),
+    };
     match dice.number(0, 100) {
-        0..5 => Act::Say { status: 500, fields: String::new() },
+        0..5 => Act::Say {
+            status: 500,
+            fields: String::new(),
+        },
         5..9 => untouched(503),
-        9..11 => Act::Say { status: 404, fields: String::new() },
+        9..11 => Act::Say {
+            status: 404,
+            fields: String::new(),
+        },
         11..14 => Act::Reset,
-        14..16 => Act::Cut { version: 1, length, bytes: length / 2 },
+        14..16 => Act::Cut {
+            version: 1,
+            length,
+            bytes: length / 2,
+        },
         _ => Act::give(length, Duration::ZERO),
     }
 }
--- a/rigs/standins/src/backlog.rs
+++ b/rigs/standins/src/backlog.rs
@@ -32,14 +32,17 @@
 
     /// Accepts and closes all of them: the queue has room again.
     pub fn make_room(self, listener: &TcpListener) {
-        self.0.iter().for_each(|_| drop(listener.accept().expect("one that filled the queue")));
+        self.0
+            .iter()
+            .for_each(|_| drop(listener.accept().expect("one that filled the queue")));
     }
 }
 
 /// Whether a socket of this machine is being connected to this address and has not come up.
 pub fn is_dialled(at: SocketAddr) -> bool {
     let port = format!(":{:04X}", at.port());
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table of connections");
+    let table =
+        std::fs::read_to_string("/proc/net/tcp").expect("the system's table of connections");
     table.lines().skip(1).any(|line| {
         let fields: Vec<&str> = line.split_whitespace().collect();
         fields[2].ends_with(&port) && fields[3] == SYN_SENT
--- a/rigs/standins/src/cache.rs
+++ b/rigs/standins/src/cache.rs
@@ -47,7 +47,11 @@
 
     /// Where a source is, by the name that requests give it.
     pub fn knows(&self, name: &str, address: SocketAddr) {
-        self.shared.sources.lock().unwrap().insert(name.to_string(), address);
+        self.shared
+            .sources
+            .lock()
+            .unwrap()
+            .insert(name.to_string(), address);
     }
 
     pub fn forget(&self) {
@@ -56,10 +60,16 @@
 }
 
 fn one(stream: &TcpStream, shared: &Shared) -> bool {
-    let Some(ask) = read_ask(stream) else { return false };
+    let Some(ask) = read_ask(stream) else {
+        return false;
+    };
     shared.asked.fetch_add(1, Ordering::SeqCst);
     let answer = answer(&ask, shared);
-    let mut head = format!("HTTP/1.1 {} Said\r\nContent-Length: {}\r\n", answer.status, answer.body.len());
+    let mut head = format!(
+        "HTTP/1.1 {} Said\r\nContent-Length: {}\r\n",
+        answer.status,
+        answer.body.len()
+    );
     for name in ["etag", "x-born-ms"] {
         if let Some(value) = answer.fields.get(name) {
             head.push_str(&format!("{name}: {value}\r\n"));
@@ -69,16 +79,27 @@
         head.push_str("Srv-Untouched: 1\r\n");
     }
     head.push_str("\r\n");
-    write_all(stream, &[head.as_bytes(), &answer.body], Instant::now() + Duration::from_secs(20)).is_ok()
+    write_all(
+        stream,
+        &[head.as_bytes(), &answer.body],
+        Instant::now() + Duration::from_secs(20),
+    )
+    .is_ok()
 }
 
 fn said(status: u16, untouched: bool) -> Answer {
-    Answer { status, untouched, ..Answer::default() }
+    Answer {
+        status,
+        untouched,
+        ..Answer::default()
+    }
 }
 
 fn answer(ask: &Ask, shared: &Shared) -> Answer {
     let number = |name: &str| ask.field(name).parse::<u64>().ok();
-    let oldest = number("x-max-age-ms").filter(|age| *age > 0).map_or(0, |age| unix_ms().saturating_sub(age));
+    let oldest = number("x-max-age-ms")
+        .filter(|age| *age > 0)
+        .map_or(0, |age| unix_ms().saturating_sub(age));
     let write = ask.fields.contains_key("via-token");
     let part = (ask.class.clone(), ask.object, ask.part);
     if !write {
@@ -87,10 +108,21 @@
             return copy;
         }
     }
-    let from = shared.sources.lock().unwrap().get(ask.field("x-fill-from")).copied();
-    let Some(from) = from else { return said(404, false) };
+    let from = shared
+        .sources
+        .lock()
+        .unwrap()
+        .get(ask.field("x-fill-from"))
+        .copied();
+    let Some(from) = from else {
+        return said(404, false);
+    };
     let wait = Duration::from_millis(number("via-wait").unwrap_or(5_000));
-    let mut fields = format!("Via-Id: {}\r\nVia-Wait: {}\r\n", ask.field("via-id"), wait.as_millis());
+    let mut fields = format!(
+        "Via-Id: {}\r\nVia-Wait: {}\r\n",
+        ask.field("via-id"),
+        wait.as_millis()
+    );
     if oldest > 0 {
         fields.push_str(&format!("X-Max-Age-Ms: {}\r\n", ask.field("x-max-age-ms")));
     }
@@ -99,10 +131,20 @@
     }
     if write {
         let key = ask.field("via-token").to_string();
-        *shared.writes.lock().unwrap().entry(key.clone()).or_default() += 1;
+        *shared
+            .writes
+            .lock()
+            .unwrap()
+            .entry(key.clone())
+            .or_default() += 1;
         fields.push_str(&format!("Via-Token: {key}\r\n"));
     }
-    match client::get(from, &client::path(&ask.class, ask.object, ask.part), &fields, wait) {
+    match client::get(
+        from,
+        &client::path(&ask.class, ask.object, ask.part),
+        &fields,
+        wait,
+    ) {
         Ok(answer) if answer.status == 200 => {
             shared.filled.fetch_add(1, Ordering::SeqCst);
             if !write && ask.fields.contains_key("x-keep") {
--- a/rigs/standins/src/caller.rs
+++ b/rigs/standins/src/caller.rs
@@ -37,13 +37,22 @@
 impl Request {
     /// A plain read.
     pub fn get(path: &str) -> Request {
-        Request { method: "GET".into(), path: path.into(), ..Request::default() }
+        Request {
+            method: "GET".into(),
+            path: path.into(),
+            ..Request::default()
+        }
     }
 
     /// A write with its idempotency key in `header`.
     pub fn keyed(path: &str, header: &str, key: &str) -> Request {
         let fields = BTreeMap::from([(header.to_string(), key.to_string())]);
-        Request { method: "POST".into(), path: path.into(), fields, body: Vec::new() }
+        Request {
+            method: "POST".into(),
+            path: path.into(),
+            fields,
+            body: Vec::new(),
+        }
     }
 }
 
@@ -81,19 +90,32 @@
 }
 
 fn failed(status: u16) -> Answer {
-    Answer { status, ..Answer::default() }
+    Answer {
+        status,
+        ..Answer::default()
+    }
 }
 
 impl Caller {
     /// A caller with threads of its own.
     pub fn new(setup: Setup) -> Arc<Caller> {
-        let runtime = Builder::new_multi_thread().worker_threads(2).enable_all().build().expect("threads");
+        let runtime = Builder::new_multi_thread()
+            .worker_threads(2)
+            .enable_all()
+            .build()
+            .expect("threads");
         let channels = {
             let _inside = runtime.enter();
             setup.instances.iter().map(|at| channel(*at)).collect()
         };
         let (next, counts) = (AtomicU64::new(0), Counts::default());
-        Arc::new(Caller { setup, channels: Mutex::new(channels), runtime, next, counts })
+        Arc::new(Caller {
+            setup,
+            channels: Mutex::new(channels),
+            runtime,
+            next,
+            counts,
+        })
     }
 
     /// An instance is at another place now.
@@ -116,20 +138,34 @@
         let (mut buffer, mut filled, mut fields) = (vec![0; 64 * 1024], 0, BTreeMap::new());
         let soon = || Instant::now() + Duration::from_secs(60);
         let mut field = |name: &str, value: &[u8]| {
-            fields.insert(name.to_ascii_lowercase(), String::from_utf8_lossy(value).into_owned());
+            fields.insert(
+                name.to_ascii_lowercase(),
+                String::from_utf8_lossy(value).into_owned(),
+            );
         };
         let head = read_request(stream, &mut buffer, &mut filled, soon(), soon, &mut field).ok()?;
         let mut body = buffer[..filled.min(head.length)].to_vec();
         while body.len() < head.length {
-            let n = read_some(stream, &mut buffer, soon()).ok().filter(|n| *n > 0)?;
+            let n = read_some(stream, &mut buffer, soon())
+                .ok()
+                .filter(|n| *n > 0)?;
             body.extend_from_slice(&buffer[..n]);
         }
         fields.remove("content-length");
         fields.remove("host");
-        let request = Request { method: head.method, path: head.path, fields, body };
+        let request = Request {
+            method: head.method,
+            path: head.path,
+            fields,
+            body,
+        };
         // A client that left gets nothing.
         let answer = self.ask(&request)?;
-        let mut out = format!("HTTP/1.1 {} Said\r\nContent-Length: {}\r\n", answer.status, answer.body.len());
+        let mut out = format!(
+            "HTTP/1.1 {} Said\r\nContent-Length: {}\r\n",
+            answer.status,
+            answer.body.len()
+        );
         for name in ["etag", "x-born-ms", "retry-after", "proxy-status"] {
             if let Some(value) = answer.fields.get(name) {
                 out.push_str(&format!("{name}: {value}\r\n"));
@@ -147,7 +183,9 @@
         loop {
             self.counts.attempts.fetch_add(1, Ordering::SeqCst);
             let play = (self.setup.play)(number, attempt);
-            let end = self.runtime.block_on(self.attempt(request, token.as_deref(), instance, play));
+            let end =
+                self.runtime
+                    .block_on(self.attempt(request, token.as_deref(), instance, play));
             attempt += 1;
             match end {
                 End::Final(answer) => return Some(answer),
@@ -155,7 +193,11 @@
                     self.counts.left.fetch_add(1, Ordering::SeqCst);
                     return None;
                 }
-                End::Again { token: shown, asked, last } => {
+                End::Again {
+                    token: shown,
+                    asked,
+                    last,
+                } => {
                     if !shown.is_empty() && !self.setup.forgets {
                         token = Some(shown);
                     }
@@ -185,7 +227,14 @@
 
     /// `failure_mode_allow`: as the client sent it.
     fn unplaced(&self, request: &Request, to: SocketAddr) -> Answer {
-        match send(request, &request.path, &request.fields, to, self.setup.attempt, None) {
+        match send(
+            request,
+            &request.path,
+            &request.fields,
+            to,
+            self.setup.attempt,
+            None,
+        ) {
             Sent::Head(open) => body(*open, self.setup.attempt).unwrap_or_else(|_| failed(502)),
             Sent::Local(status, _) => failed(status),
         }
@@ -194,5 +243,7 @@
 
 fn channel(address: SocketAddr) -> Channel {
     let endpoint = Endpoint::from_shared(format!("http://{address}")).expect("an address");
-    endpoint.connect_timeout(Duration::from_secs(1)).connect_lazy()
+    endpoint
+        .connect_timeout(Duration::from_secs(1))
+        .connect_lazy()
 }
--- a/rigs/standins/src/caller/attempt.rs
+++ b/rigs/standins/src/caller/attempt.rs
@@ -24,14 +24,21 @@
     /// The client left.
     Left,
     /// Another try is due; by the processor's word, or by the caller's own policy.
-    Again { token: String, asked: bool, last: Option<Answer> },
+    Again {
+        token: String,
+        asked: bool,
+        last: Option<Answer>,
+    },
     /// The processor gave no answer.
     Unasked,
 }
 
 impl Caller {
     /// Makes one attempt at an instance, as far as the script lets it.
-    #[expect(clippy::too_many_lines, reason = "one attempt of the stand-in from send to end; to be split")]
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one attempt of the stand-in from send to end; to be split"
+    )]
     pub(super) async fn attempt(
         &self,
         request: &Request,
@@ -67,18 +74,30 @@
             let _ = tokio::time::timeout(Duration::from_micros(200), asked).await;
             return end;
         }
-        let asked =
-            tokio::time::timeout(self.setup.message, client.process(ReceiverStream::new(messages))).await;
-        let Ok(Ok(answers)) = asked else { return End::Unasked };
+        let asked = tokio::time::timeout(
+            self.setup.message,
+            client.process(ReceiverStream::new(messages)),
+        )
+        .await;
+        let Ok(Ok(answers)) = asked else {
+            return End::Unasked;
+        };
         let mut answers = answers.into_inner();
-        let Some(response) = self.answer(&mut answers).await else { return End::Unasked };
+        let Some(response) = self.answer(&mut answers).await else {
+            return End::Unasked;
+        };
         let mut path = request.path.clone();
         let mutation = match response.response {
             Some(Said::ImmediateResponse(now)) => {
                 self.counts.immediate.fetch_add(1, Ordering::SeqCst);
                 let status = now.status.map_or(500, |s| s.code as u16);
                 let fields = set(now.headers.as_ref()).collect();
-                return End::Final(Answer { status, fields, body: now.body, ..Answer::default() });
+                return End::Final(Answer {
+                    status,
+                    fields,
+                    body: now.body,
+                    ..Answer::default()
+                });
             }
             Some(Said::RequestHeaders(headers)) => headers.response.and_then(|r| r.header_mutation),
             _ => return End::Unasked,
@@ -93,9 +112,13 @@
             tokio::time::sleep(play.slow).await;
         }
         let to: Option<SocketAddr> = fields.get("x-foldmux-cache").and_then(|at| at.parse().ok());
-        let Some(to) = to.or(self.setup.open) else { return End::Final(failed(404)) };
+        let Some(to) = to.or(self.setup.open) else {
+            return End::Final(failed(404));
+        };
         self.counts.placed.fetch_add(1, Ordering::SeqCst);
-        let good_until = fields.get("x-foldmux-good-until-ms").and_then(|t| t.parse::<u64>().ok());
+        let good_until = fields
+            .get("x-foldmux-good-until-ms")
+            .and_then(|t| t.parse::<u64>().ok());
         let stale = good_until.is_some_and(|until| unix_ms() >= until);
         let sent = if stale {
             self.counts.stale.fetch_add(1, Ordering::SeqCst);
@@ -108,13 +131,17 @@
         } else {
             None
         };
-        let cut = [Point::DuringSend, Point::AfterSend].into_iter().find(|at| over(*at, told).is_some());
+        let cut = [Point::DuringSend, Point::AfterSend]
+            .into_iter()
+            .find(|at| over(*at, told).is_some());
         let sent = match sent {
             Some(sent) => sent,
             None => {
                 let (request, fields, path) = (request.clone(), fields.clone(), path.clone());
                 let time = self.setup.attempt;
-                let send = tokio::task::spawn_blocking(move || send(&request, &path, &fields, to, time, cut));
+                let send = tokio::task::spawn_blocking(move || {
+                    send(&request, &path, &fields, to, time, cut)
+                });
                 match send.await {
                     Ok(sent) => sent,
                     Err(_) => return own(told),
@@ -153,7 +180,12 @@
                 self.counts.immediate.fetch_add(1, Ordering::SeqCst);
                 let status = now.status.map_or(500, |s| s.code as u16);
                 let fields = set(now.headers.as_ref()).collect();
-                return End::Final(Answer { status, fields, body: now.body, ..Answer::default() });
+                return End::Final(Answer {
+                    status,
+                    fields,
+                    body: now.body,
+                    ..Answer::default()
+                });
             }
             Some(Said::ResponseHeaders(headers)) => {
                 let mutation = headers.response.and_then(|r| r.header_mutation);
@@ -167,9 +199,17 @@
             (open, Some(token)) => {
                 self.counts.again.fetch_add(1, Ordering::SeqCst);
                 let last = Some(open.map_or_else(|answer| answer, |open| open.answer));
-                End::Again { token, asked: true, last }
+                End::Again {
+                    token,
+                    asked: true,
+                    last,
+                }
             }
-            (Err(answer), None) => End::Again { token: shown, asked: false, last: Some(answer) },
+            (Err(answer), None) => End::Again {
+                token: shown,
+                asked: false,
+                last: Some(answer),
+            },
             (Ok(open), None) if open.answer.status == 200 => {
                 let time = self.setup.attempt;
                 let read = tokio::task::spawn_blocking(move || body(*open, time)).await;
@@ -188,14 +228,21 @@
     }
 
     /// The next answer that says something; a longer time where the processor asks for it.
-    async fn answer(&self, answers: &mut Streaming<ProcessingResponse>) -> Option<ProcessingResponse> {
+    async fn answer(
+        &self,
+        answers: &mut Streaming<ProcessingResponse>,
+    ) -> Option<ProcessingResponse> {
         let mut patience = self.setup.message;
         loop {
-            let response = tokio::time::timeout(patience, answers.message()).await.ok()?.ok()??;
+            let response = tokio::time::timeout(patience, answers.message())
+                .await
+                .ok()?
+                .ok()??;
             match (&response.response, &response.override_message_timeout) {
                 (None, Some(longer)) => {
                     self.counts.longer.fetch_add(1, Ordering::SeqCst);
-                    patience = Duration::new(longer.seconds.max(0) as u64, longer.nanos.max(0) as u32);
+                    patience =
+                        Duration::new(longer.seconds.max(0) as u64, longer.nanos.max(0) as u32);
                 }
                 _ => return Some(response),
             }
--- a/rigs/standins/src/caller/hold.rs
+++ b/rigs/standins/src/caller/hold.rs
@@ -14,14 +14,20 @@
 
 /// Streams that are held open after their placement.
 pub struct Held {
-    _streams: Vec<(mpsc::Sender<ProcessingRequest>, Streaming<ProcessingResponse>)>,
+    _streams: Vec<(
+        mpsc::Sender<ProcessingRequest>,
+        Streaming<ProcessingResponse>,
+    )>,
     _runtime: Runtime,
 }
 
 /// Opens so many streams, a hundred on a connection, each as far as its placement.
 pub fn hold(address: SocketAddr, streams: usize, class: &str) -> Result<Held, String> {
-    let runtime =
-        Builder::new_multi_thread().worker_threads(2).enable_all().build().map_err(|e| e.to_string())?;
+    let runtime = Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()
+        .map_err(|e| e.to_string())?;
     let open = async {
         let mut all = Vec::with_capacity(streams);
         let mut client = None;
@@ -33,9 +39,16 @@
             let (sender, messages) = mpsc::channel(2);
             let request = Request::get(&crate::client::path(class, n as u64, 0));
             let _ = sender.send(heads(&request, &request.fields)).await;
-            let answers = client.process(ReceiverStream::new(messages)).await.map_err(|e| e.to_string())?;
+            let answers = client
+                .process(ReceiverStream::new(messages))
+                .await
+                .map_err(|e| e.to_string())?;
             let mut answers = answers.into_inner();
-            let answer = answers.message().await.map_err(|e| e.to_string())?.and_then(|r| r.response);
+            let answer = answers
+                .message()
+                .await
+                .map_err(|e| e.to_string())?
+                .and_then(|r| r.response);
             match answer {
                 Some(Said::RequestHeaders(_)) => all.push((sender, answers)),
                 other => return Err(format!("stream {n} was not placed: {other:?}")),
@@ -44,5 +57,8 @@
         Ok(all)
     };
     let streams = runtime.block_on(open)?;
-    Ok(Held { _streams: streams, _runtime: runtime })
+    Ok(Held {
+        _streams: streams,
+        _runtime: runtime,
+    })
 }
--- a/rigs/standins/src/caller/upstream.rs
+++ b/rigs/standins/src/caller/upstream.rs
@@ -33,21 +33,41 @@
 ) -> Sent {
     let until = Instant::now() + time;
     let refused = "upstream_reset_before_response_started{remote_connection_failure}";
-    let Ok(stream) = TcpStream::connect_timeout(&to, time) else { return Sent::Local(503, refused) };
+    let Ok(stream) = TcpStream::connect_timeout(&to, time) else {
+        return Sent::Local(503, refused);
+    };
     let _ = stream.set_nodelay(true);
     let mut head = format!("{} {path} HTTP/1.1\r\nHost: {to}\r\n", request.method);
-    fields.iter().for_each(|(name, value)| head.push_str(&format!("{name}: {value}\r\n")));
+    fields
+        .iter()
+        .for_each(|(name, value)| head.push_str(&format!("{name}: {value}\r\n")));
     head.push_str(&format!("Content-Length: {}\r\n\r\n", request.body.len()));
     let bytes = [head.as_bytes(), &request.body].concat();
-    let part = if cut == Some(Point::DuringSend) { bytes.len() / 2 } else { bytes.len() };
-    let broken = Sent::Local(503, "upstream_reset_before_response_started{connection_termination}");
+    let part = if cut == Some(Point::DuringSend) {
+        bytes.len() / 2
+    } else {
+        bytes.len()
+    };
+    let broken = Sent::Local(
+        503,
+        "upstream_reset_before_response_started{connection_termination}",
+    );
     if write_all(&stream, &[&bytes[..part]], until).is_err() || cut.is_some() {
         return broken;
     }
     let (mut buffer, mut filled, mut found) = (vec![0; 32 * 1024], 0, HashMap::new());
-    let read = read_head(&stream, &mut buffer, &mut filled, until, &mut |name, value| {
-        found.insert(name.to_ascii_lowercase(), String::from_utf8_lossy(value).into_owned());
-    });
+    let read = read_head(
+        &stream,
+        &mut buffer,
+        &mut filled,
+        until,
+        &mut |name, value| {
+            found.insert(
+                name.to_ascii_lowercase(),
+                String::from_utf8_lossy(value).into_owned(),
+            );
+        },
+    );
     match read {
         Ok((response, Length::Known(length))) => {
             let body = buffer[response.body.start..filled].to_vec();
@@ -58,7 +78,13 @@
             }
             Sent::Head(Box::new(Open {
                 stream,
-                answer: Answer { status, untouched, length, fields: found, body },
+                answer: Answer {
+                    status,
+                    untouched,
+                    length,
+                    fields: found,
+                    body,
+                },
                 left,
             }))
         }
--- a/rigs/standins/src/client.rs
+++ b/rigs/standins/src/client.rs
@@ -40,17 +40,31 @@
     }
 
     pub fn send(&self, bytes: &[u8]) -> Result<(), Broken> {
-        Ok(write_all(&self.stream, &[bytes], Instant::now() + self.time)?)
+        Ok(write_all(
+            &self.stream,
+            &[bytes],
+            Instant::now() + self.time,
+        )?)
     }
 
     pub fn read(&self, no_body: bool) -> Result<Answer, Broken> {
         let (mut buffer, mut filled, mut fields) = (vec![0; 32 * 1024], 0, HashMap::new());
         let until = Instant::now() + self.time;
-        let (response, length) =
-            read_head(&self.stream, &mut buffer, &mut filled, until, &mut |name, value| {
-                fields.insert(name.to_ascii_lowercase(), String::from_utf8_lossy(value).into_owned());
-            })?;
-        let Length::Known(told) = length else { return Err(Broken::Unreadable) };
+        let (response, length) = read_head(
+            &self.stream,
+            &mut buffer,
+            &mut filled,
+            until,
+            &mut |name, value| {
+                fields.insert(
+                    name.to_ascii_lowercase(),
+                    String::from_utf8_lossy(value).into_owned(),
+                );
+            },
+        )?;
+        let Length::Known(told) = length else {
+            return Err(Broken::Unreadable);
+        };
         let length = if no_body { 0 } else { told };
         let mut body = buffer[response.body.start..filled].to_vec();
         while body.len() < length {
@@ -60,7 +74,13 @@
             }
         }
         body.truncate(length);
-        Ok(Answer { status: response.status, untouched: response.untouched, length: told, fields, body })
+        Ok(Answer {
+            status: response.status,
+            untouched: response.untouched,
+            length: told,
+            fields,
+            body,
+        })
     }
 
     pub fn get(&self, path: &str, fields: &str) -> Result<Answer, Broken> {
@@ -70,8 +90,15 @@
 }
 
 /// One request on a connection of its own. `fields`: lines that each end in `\r\n`.
-pub fn get(address: SocketAddr, path: &str, fields: &str, time: Duration) -> Result<Answer, Broken> {
-    Client::connect(address, time).map_err(|_| Broken::Reset)?.get(path, fields)
+pub fn get(
+    address: SocketAddr,
+    path: &str,
+    fields: &str,
+    time: Duration,
+) -> Result<Answer, Broken> {
+    Client::connect(address, time)
+        .map_err(|_| Broken::Reset)?
+        .get(path, fields)
 }
 
 /// The path of a part.
--- a/rigs/standins/src/guarded.rs
+++ b/rigs/standins/src/guarded.rs
@@ -44,7 +44,14 @@
         let (mut runs, now) = (self.runs.lock().unwrap(), Instant::now());
         match runs.get_mut(key) {
             None => {
-                runs.insert(key.to_string(), Run { first: now, group, open: 1 });
+                runs.insert(
+                    key.to_string(),
+                    Run {
+                        first: now,
+                        group,
+                        open: 1,
+                    },
+                );
                 self.ran.fetch_add(1, Ordering::SeqCst);
             }
             Some(run) => {
--- a/rigs/standins/src/journal.rs
+++ b/rigs/standins/src/journal.rs
@@ -32,7 +32,14 @@
 
 impl Host {
     pub fn json(&self) -> String {
-        let Host { name, address, zone, kind, status, since_ms } = self;
+        let Host {
+            name,
+            address,
+            zone,
+            kind,
+            status,
+            since_ms,
+        } = self;
         format!(
             r#"{{"name":"{name}","address":"{address}","zone":"{zone}","type":"{kind}","group":0,"status":"{status}","weight":1,"since_ms":{since_ms}}}"#
         )
@@ -42,7 +49,10 @@
 /// The event that tells of hosts; `whole` where it is the list.
 pub fn hosts(whole: bool, hosts: &[Host]) -> String {
     let lines: Vec<String> = hosts.iter().map(Host::json).collect();
-    format!(r#""hosts":{{"index":1,"snapshot":{whole},"endpoints":[{}]}}"#, lines.join(","))
+    format!(
+        r#""hosts":{{"index":1,"snapshot":{whole},"endpoints":[{}]}}"#,
+        lines.join(",")
+    )
 }
 
 pub fn purged(object: u64, stamp_ms: u64) -> String {
@@ -78,19 +88,38 @@
 
 fn feed(events: &[String], tail: usize) -> String {
     let entries = &events[tail.min(events.len())..];
-    format!(r#"{{"pos":{},"entries":[{}]}}"#, events.len(), entries.join(","))
+    format!(
+        r#"{{"pos":{},"entries":[{}]}}"#,
+        events.len(),
+        entries.join(",")
+    )
 }
 
 fn serve(stream: &TcpStream, state: &State) -> Option<()> {
     let (mut buffer, mut filled) = (vec![0; 16 * 1024], 0);
     let soon = || Instant::now() + Duration::from_secs(60);
-    let request = read_request(stream, &mut buffer, &mut filled, soon(), soon, &mut |_, _| ()).ok()?;
+    let request = read_request(
+        stream,
+        &mut buffer,
+        &mut filled,
+        soon(),
+        soon,
+        &mut |_, _| (),
+    )
+    .ok()?;
     let query = request.path.strip_prefix("/journal?")?;
-    let number = |name: &str| query.split('&').find_map(|p| p.strip_prefix(name)?.parse::<u64>().ok());
+    let number = |name: &str| {
+        query
+            .split('&')
+            .find_map(|p| p.strip_prefix(name)?.parse::<u64>().ok())
+    };
     let (tail, wait) = (number("tail=")? as usize, number("max_wait=")?.min(5_000));
     let events = state.events.lock().unwrap();
     let none = |events: &mut Vec<String>| events.len() <= tail;
-    let (events, _) = state.more.wait_timeout_while(events, Duration::from_millis(wait), none).unwrap();
+    let (events, _) = state
+        .more
+        .wait_timeout_while(events, Duration::from_millis(wait), none)
+        .unwrap();
     let body = feed(&events, tail);
     drop(events);
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
--- a/rigs/standins/src/lib.rs
+++ b/rigs/standins/src/lib.rs
@@ -20,7 +20,9 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 pub fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_millis() as u64)
 }
 
 /// The bytes of a part in one version: any reader can tell whether they are whole and the right ones.
--- a/rigs/standins/src/rpc.rs
+++ b/rigs/standins/src/rpc.rs
@@ -49,7 +49,12 @@
         )
     }
 
-    pub fn ask(&mut self, class: &str, fields: &BTreeMap<&str, String>, body: &[u8]) -> io::Result<Said> {
+    pub fn ask(
+        &mut self,
+        class: &str,
+        fields: &BTreeMap<&str, String>,
+        body: &[u8],
+    ) -> io::Result<Said> {
         let (error, result) = self.call(class, fields, Some(body))?;
         match (error, result) {
             (Value::Nil, Value::List(mut list)) if !list.is_empty() => match list.swap_remove(0) {
@@ -63,7 +68,10 @@
                 };
                 let name = list.first().map(text).unwrap_or_default();
                 let wait = match list.get(1) {
-                    Some(Value::Map(map)) => map.iter().find(|(k, _)| text(k) == "w").map(|(_, v)| text(v)),
+                    Some(Value::Map(map)) => map
+                        .iter()
+                        .find(|(k, _)| text(k) == "w")
+                        .map(|(_, v)| text(v)),
                     _ => None,
                 };
                 match name.as_str() {
@@ -100,9 +108,14 @@
         self.stream.write_all(&bytes)?;
         match read(&mut self.stream, 0)? {
             Value::List(mut list) if list.len() == 4 => {
-                let (result, error) = (list.pop().unwrap_or(Value::Nil), list.pop().unwrap_or(Value::Nil));
+                let (result, error) = (
+                    list.pop().unwrap_or(Value::Nil),
+                    list.pop().unwrap_or(Value::Nil),
+                );
                 match list[..] {
-                    [Value::Number(1), Value::Number(id)] if id == self.next as i64 => Ok((error, result)),
+                    [Value::Number(1), Value::Number(id)] if id == self.next as i64 => {
+                        Ok((error, result))
+                    }
                     _ => Err(bad("an answer to something else")),
                 }
             }
@@ -143,9 +156,11 @@
             let n = big(take(4)?) as u32;
             Value::Bytes(take(n.min(1 << 24))?)
         }
-        Marker::FixArray(n) => {
-            Value::List((0..n).map(|_| read(stream, depth + 1)).collect::<io::Result<_>>()?)
-        }
+        Marker::FixArray(n) => Value::List(
+            (0..n)
+                .map(|_| read(stream, depth + 1))
+                .collect::<io::Result<_>>()?,
+        ),
         Marker::FixMap(n) => Value::Map(
             (0..n)
                 .map(|_| Ok((read(stream, depth + 1)?, read(stream, depth + 1)?)))
--- a/rigs/standins/src/server.rs
+++ b/rigs/standins/src/server.rs
@@ -37,12 +37,14 @@
                 if let Ok(held) = stream.try_clone() {
                     own.sockets.lock().unwrap().insert(number, held);
                 }
-                let spawned = thread::Builder::new().stack_size(192 * 1024).spawn(move || {
-                    let _ = stream.set_nodelay(true);
-                    serve(&stream);
-                    let _ = stream.shutdown(Shutdown::Both);
-                    own.sockets.lock().unwrap().remove(&number);
-                });
+                let spawned = thread::Builder::new()
+                    .stack_size(192 * 1024)
+                    .spawn(move || {
+                        let _ = stream.set_nodelay(true);
+                        serve(&stream);
+                        let _ = stream.shutdown(Shutdown::Both);
+                        own.sockets.lock().unwrap().remove(&number);
+                    });
                 drop(spawned);
             }
         });
@@ -58,7 +60,12 @@
 impl Drop for Server {
     fn drop(&mut self) {
         self.shared.over.store(true, Ordering::SeqCst);
-        self.shared.sockets.lock().unwrap().values().for_each(|s| drop(s.shutdown(Shutdown::Both)));
+        self.shared
+            .sockets
+            .lock()
+            .unwrap()
+            .values()
+            .for_each(|s| drop(s.shutdown(Shutdown::Both)));
         drop(TcpStream::connect(self.address));
     }
 }
--- a/rigs/standins/src/source.rs
+++ b/rigs/standins/src/source.rs
@@ -43,7 +43,11 @@
         between: Duration,
     },
     /// As [`Act::Give`], but the connection breaks after so many bytes.
-    Cut { version: u64, length: usize, bytes: usize },
+    Cut {
+        version: u64,
+        length: usize,
+        bytes: usize,
+    },
     /// Just a head, with these fields.
     Say { status: u16, fields: String },
     /// A connection that is closed without a word.
@@ -54,7 +58,14 @@
 
 impl Act {
     pub fn give(length: usize, after: Duration) -> Act {
-        Act::Give { version: 1, length, born_ms: None, after, pieces: 1, between: Duration::ZERO }
+        Act::Give {
+            version: 1,
+            length,
+            born_ms: None,
+            after,
+            pieces: 1,
+            between: Duration::ZERO,
+        }
     }
 }
 
@@ -73,7 +84,12 @@
         window: Duration,
         most: impl Fn(Duration) -> f64 + Send + Sync + 'static,
     ) -> Arc<Bears> {
-        Arc::new(Bears { began, window, most: Box::new(most), state: Mutex::default() })
+        Arc::new(Bears {
+            began,
+            window,
+            most: Box::new(most),
+            state: Mutex::default(),
+        })
     }
 
     /// Counts one request; what is to be done about it: `act`, or silence where it has fallen over.
@@ -112,7 +128,12 @@
 
 impl Asked {
     pub fn of(&self, object: u64, part: u32) -> u64 {
-        self.counts.lock().unwrap().get(&(object, part)).copied().unwrap_or(0)
+        self.counts
+            .lock()
+            .unwrap()
+            .get(&(object, part))
+            .copied()
+            .unwrap_or(0)
     }
 
     pub fn total(&self) -> u64 {
@@ -136,7 +157,10 @@
         Source::on(TcpListener::bind("127.0.0.1:0").expect("a port"), script)
     }
 
-    pub fn on(listener: TcpListener, script: impl Fn(&Ask) -> Act + Send + Sync + 'static) -> Source {
+    pub fn on(
+        listener: TcpListener,
+        script: impl Fn(&Ask) -> Act + Send + Sync + 'static,
+    ) -> Source {
         let asked = Arc::new(Asked::default());
         let own = asked.clone();
         let server = Server::on(listener, move |stream| while one(stream, &own, &script) {});
@@ -155,7 +179,10 @@
     let (mut buffer, mut filled, mut fields) = (vec![0; 96 * 1024], 0, HashMap::new());
     let soon = || Instant::now() + PATIENCE;
     let mut field = |name: &str, value: &[u8]| {
-        fields.insert(name.to_ascii_lowercase(), String::from_utf8_lossy(value).into_owned());
+        fields.insert(
+            name.to_ascii_lowercase(),
+            String::from_utf8_lossy(value).into_owned(),
+        );
     };
     let request = read_request(stream, &mut buffer, &mut filled, soon(), soon, &mut field).ok()?;
     let mut body = buffer[..filled.min(request.length)].to_vec();
@@ -166,11 +193,21 @@
     let class = parts.next()?.to_string();
     let object = u64::from_str_radix(parts.next()?, 16).ok()?;
     let part = parts.next()?.parse().ok()?;
-    Some(Ask { class, object, part, fields, body, before: 0, at: Instant::now() })
+    Some(Ask {
+        class,
+        object,
+        part,
+        fields,
+        body,
+        before: 0,
+        at: Instant::now(),
+    })
 }
 
 fn one(stream: &TcpStream, asked: &Asked, script: &impl Fn(&Ask) -> Act) -> bool {
-    let Some(mut ask) = read_ask(stream) else { return false };
+    let Some(mut ask) = read_ask(stream) else {
+        return false;
+    };
     {
         let mut counts = asked.counts.lock().unwrap();
         let count = counts.entry((ask.object, ask.part)).or_default();
@@ -190,22 +227,40 @@
 pub fn carry_out(stream: &TcpStream, ask: &Ask, act: Act) -> bool {
     let until = Instant::now() + PATIENCE;
     match act {
-        Act::Give { version, length, born_ms, after, pieces, between } => {
+        Act::Give {
+            version,
+            length,
+            born_ms,
+            after,
+            pieces,
+            between,
+        } => {
             std::thread::sleep(after);
             let bytes = body(ask.object, ask.part, version, length);
             let head = head(ask, version, length, born_ms.unwrap_or_else(unix_ms));
             if write_all(stream, &[head.as_bytes()], until).is_err() {
                 return false;
             }
-            bytes.chunks(length.div_ceil(pieces.max(1)).max(1)).enumerate().all(|(n, piece)| {
-                std::thread::sleep(if n == 0 { Duration::ZERO } else { between });
-                write_all(stream, &[piece], until).is_ok()
-            })
+            bytes
+                .chunks(length.div_ceil(pieces.max(1)).max(1))
+                .enumerate()
+                .all(|(n, piece)| {
+                    std::thread::sleep(if n == 0 { Duration::ZERO } else { between });
+                    write_all(stream, &[piece], until).is_ok()
+                })
         }
-        Act::Cut { version, length, bytes } => {
+        Act::Cut {
+            version,
+            length,
+            bytes,
+        } => {
             let whole = body(ask.object, ask.part, version, length);
             let head = head(ask, version, length, unix_ms());
-            let _ = write_all(stream, &[head.as_bytes(), &whole[..bytes.min(length)]], until);
+            let _ = write_all(
+                stream,
+                &[head.as_bytes(), &whole[..bytes.min(length)]],
+                until,
+            );
             false
         }
         Act::Say { status, fields } => {
--- a/shared/feed/src/desk.rs
+++ b/shared/feed/src/desk.rs
@@ -55,7 +55,9 @@
     }
 
     fn ask(&self, ask: Ask) -> Result<(), Refused> {
-        self.port.get().map_or(Err(Refused::Gone), |port| port.ask(ask))
+        self.port
+            .get()
+            .map_or(Err(Refused::Gone), |port| port.ask(ask))
     }
 
     /// An event that was read at the source: known to all that follow on this process.
@@ -68,13 +70,22 @@
         let mut counter = lock(&self.counter);
         let (epoch, items) = counter.take();
         // What finds the queue full waits for the next answer, so that there is no gap.
-        if self.ask(Ask::Fed { stream: self.stream.clone(), epoch, items: items.clone() }).is_err() {
+        if self
+            .ask(Ask::Fed {
+                stream: self.stream.clone(),
+                epoch,
+                items: items.clone(),
+            })
+            .is_err()
+        {
             counter.back(epoch, items);
         }
     }
 
     pub fn unfed(&self) {
-        let _ = self.ask(Ask::Unfed { stream: self.stream.clone() });
+        let _ = self.ask(Ask::Unfed {
+            stream: self.stream.clone(),
+        });
     }
 
     /// Others relay from now on.
@@ -88,15 +99,27 @@
         let (sender, told) = bounded(self.room);
         let ticket = self.next.fetch_add(1, Ordering::Relaxed);
         lock(&self.readers).insert(ticket, sender);
-        let reading = Reading { desk: self.clone(), ticket, told, after, taken: after };
-        let ask = Ask::Subscribe { ticket, stream: self.stream.clone(), after, place: None };
+        let reading = Reading {
+            desk: self.clone(),
+            ticket,
+            told,
+            after,
+            taken: after,
+        };
+        let ask = Ask::Subscribe {
+            ticket,
+            stream: self.stream.clone(),
+            after,
+            place: None,
+        };
         self.ask(ask).map_err(|_| Over)?;
         Ok(reading)
     }
 
     /// Tells the part of readers that have gone.
     fn sweep(&self) {
-        lock(&self.ended).retain(|reader| self.ask(Ask::Cancel { reader: *reader }) == Err(Refused::Full));
+        lock(&self.ended)
+            .retain(|reader| self.ask(Ask::Cancel { reader: *reader }) == Err(Refused::Full));
     }
 }
 
@@ -105,7 +128,10 @@
         let desk = &self.0;
         let reader = match &told {
             Told::Source { open, .. } => return desk.gate.open(*open),
-            Told::Relay { from: Some(from), stream } => return tracing::info!("{stream} comes by {from}"),
+            Told::Relay {
+                from: Some(from),
+                stream,
+            } => return tracing::info!("{stream} comes by {from}"),
             Told::Relay { stream, .. } => return tracing::info!("{stream} is read at its source"),
             Told::Opened { .. } => return,
             Told::Refused { ticket, .. } => *ticket,
@@ -114,7 +140,11 @@
         let mut readers = lock(&desk.readers);
         let over = !matches!(told, Told::News { .. });
         // One whose channel is full is at its end: a gap would be untold.
-        if over || readers.get(&reader).is_some_and(|to| to.try_send(told).is_err()) {
+        if over
+            || readers
+                .get(&reader)
+                .is_some_and(|to| to.try_send(told).is_err())
+        {
             readers.remove(&reader);
         }
     }
@@ -160,7 +190,15 @@
 
     /// It has all to there.
     pub fn took(&mut self, number: u64) {
-        if number > self.taken && self.desk.ask(Ask::Taken { reader: self.ticket, number }).is_ok() {
+        if number > self.taken
+            && self
+                .desk
+                .ask(Ask::Taken {
+                    reader: self.ticket,
+                    number,
+                })
+                .is_ok()
+        {
             self.taken = number;
         }
     }
--- a/shared/feed/src/gate.rs
+++ b/shared/feed/src/gate.rs
@@ -52,7 +52,10 @@
         let shut = |state: &State| !(state.open || state.without || state.once || state.gone);
         while shut(&state) {
             state.shut = true;
-            state = self.change.wait(state).unwrap_or_else(PoisonError::into_inner);
+            state = self
+                .change
+                .wait(state)
+                .unwrap_or_else(PoisonError::into_inner);
         }
         let once = std::mem::take(&mut state.once);
         std::mem::take(&mut state.shut) || once
--- a/shared/feed/src/items.rs
+++ b/shared/feed/src/items.rs
@@ -43,7 +43,11 @@
             }
             for line in &hosts.endpoints {
                 let (key, gone) = (Some(line.name.as_str().into()), line.status == "gone");
-                let one = Hosts { index: hosts.index, snapshot: false, endpoints: vec![line.clone()] };
+                let one = Hosts {
+                    index: hosts.index,
+                    snapshot: false,
+                    endpoints: vec![line.clone()],
+                };
                 self.add(key, gone, bytes(&one));
             }
         }
@@ -52,11 +56,22 @@
         }
     }
 
-    fn add(&mut self, key: Option<std::sync::Arc<str>>, gone: bool, bytes: Option<std::sync::Arc<[u8]>>) {
+    fn add(
+        &mut self,
+        key: Option<std::sync::Arc<str>>,
+        gone: bool,
+        bytes: Option<std::sync::Arc<[u8]>>,
+    ) {
         let Some(bytes) = bytes else { return };
         self.number += 1;
         if self.waiting.len() < WAITING {
-            self.waiting.push(Item { number: self.number, key, gone, bytes, age: 0 });
+            self.waiting.push(Item {
+                number: self.number,
+                key,
+                gone,
+                bytes,
+                age: 0,
+            });
         }
     }
 
@@ -80,7 +95,11 @@
 }
 
 fn purge(pos: u64, item: &Item) -> Entry {
-    Entry { pos, expire: read::<Expire>(item), ..Entry::default() }
+    Entry {
+        pos,
+        expire: read::<Expire>(item),
+        ..Entry::default()
+    }
 }
 
 /// The events as the journal tells them; the first has the number `pos`.
@@ -91,20 +110,42 @@
         match event {
             Event::From { .. } => {}
             Event::Lost { from, to, .. } => {
-                entries.push(Entry { pos, lost: Some(Lost { from: *from, to: *to }), ..Entry::default() });
+                entries.push(Entry {
+                    pos,
+                    lost: Some(Lost {
+                        from: *from,
+                        to: *to,
+                    }),
+                    ..Entry::default()
+                });
             }
             Event::Item { item, .. } if item.key.is_none() => entries.push(purge(pos, item)),
-            Event::Item { item, .. } => {
-                entries.push(Entry { pos, hosts: read::<Hosts>(item), ..Entry::default() })
-            }
+            Event::Item { item, .. } => entries.push(Entry {
+                pos,
+                hosts: read::<Hosts>(item),
+                ..Entry::default()
+            }),
             Event::Whole { keyed, recent, .. } => {
-                let mut whole = Hosts { index: 0, snapshot: true, endpoints: Vec::new() };
+                let mut whole = Hosts {
+                    index: 0,
+                    snapshot: true,
+                    endpoints: Vec::new(),
+                };
                 for hosts in keyed.iter().filter_map(read::<Hosts>) {
                     whole.index = whole.index.max(hosts.index);
                     whole.endpoints.extend(hosts.endpoints);
                 }
-                entries.push(Entry { pos, hosts: Some(whole), ..Entry::default() });
-                entries.extend(recent.iter().zip(pos + 1..).map(|(item, pos)| purge(pos, item)));
+                entries.push(Entry {
+                    pos,
+                    hosts: Some(whole),
+                    ..Entry::default()
+                });
+                entries.extend(
+                    recent
+                        .iter()
+                        .zip(pos + 1..)
+                        .map(|(item, pos)| purge(pos, item)),
+                );
             }
         }
         pos += span;
@@ -129,11 +170,26 @@
         );
         let purge = entry(r#"{"pos":2,"expire":{"set":17,"stamp":1764576000480}}"#);
         let mut counter = Counter::default();
-        [&list, &purge].into_iter().for_each(|entry| counter.count(entry));
+        [&list, &purge]
+            .into_iter()
+            .for_each(|entry| counter.count(entry));
         let (epoch, items) = counter.take();
-        let said: Vec<_> = items.iter().map(|i| (i.number, i.key.as_deref(), i.gone)).collect();
-        assert_eq!(said, [(1, Some("s-1"), false), (2, Some("s-2"), true), (3, None, false)]);
-        let events: Vec<Event> = items.into_iter().map(|item| Event::Item { epoch, item }).collect();
+        let said: Vec<_> = items
+            .iter()
+            .map(|i| (i.number, i.key.as_deref(), i.gone))
+            .collect();
+        assert_eq!(
+            said,
+            [
+                (1, Some("s-1"), false),
+                (2, Some("s-2"), true),
+                (3, None, false)
+            ]
+        );
+        let events: Vec<Event> = items
+            .into_iter()
+            .map(|item| Event::Item { epoch, item })
+            .collect();
         let told = entries(40, &events);
         assert_eq!(told.iter().map(|e| e.pos).collect::<Vec<_>>(), [40, 41, 42]);
         let first = told[0].hosts.as_ref().unwrap();
--- a/shared/feed/src/serve.rs
+++ b/shared/feed/src/serve.rs
@@ -49,7 +49,11 @@
 }
 
 fn named(name: &str, body: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    thread::Builder::new().name(name.to_string()).stack_size(STACK).spawn(body).map(drop)
+    thread::Builder::new()
+        .name(name.to_string())
+        .stack_size(STACK)
+        .spawn(body)
+        .map(drop)
 }
 
 fn one(stream: &TcpStream, desk: &Arc<Desk>) -> Option<()> {
@@ -60,13 +64,23 @@
     let mut told: Vec<Entry> = Vec::new();
     loop {
         let soon = || Instant::now() + PATIENCE;
-        let request = read_request(stream, &mut buffer, &mut filled, soon(), soon, &mut |_, _| ()).ok()?;
+        let request = read_request(
+            stream,
+            &mut buffer,
+            &mut filled,
+            soon(),
+            soon,
+            &mut |_, _| (),
+        )
+        .ok()?;
         let Some((tail, wait)) = asked(&request.path) else {
             return answer(stream, "404 Not Found", "");
         };
         let until = Instant::now() + Duration::from_millis(wait.min(LONGEST));
         told.retain(|entry| entry.pos > tail);
-        let known = reading.as_mut().filter(|reading| reading.after == tail || !told.is_empty());
+        let known = reading
+            .as_mut()
+            .filter(|reading| reading.after == tail || !told.is_empty());
         let reading = match known {
             Some(reading) => reading,
             None => {
@@ -75,7 +89,11 @@
                 let again = tail > 0;
                 if again {
                     let lost = Some(Lost { from: 1, to: None });
-                    told.push(Entry { pos: tail + 1, lost, ..Entry::default() });
+                    told.push(Entry {
+                        pos: tail + 1,
+                        lost,
+                        ..Entry::default()
+                    });
                 }
                 match desk.read(tail + u64::from(again)) {
                     Ok(new) => reading.insert(new),
@@ -90,18 +108,33 @@
                 Err(Over) => return answer(stream, "503 Service Unavailable", ""),
             }
         }
-        let feed = Feed { pos: reading.after, entries: told.clone() };
+        let feed = Feed {
+            pos: reading.after,
+            entries: told.clone(),
+        };
         answer(stream, "200 OK", &simd_json::serde::to_string(&feed).ok()?)?;
     }
 }
 
 fn asked(path: &str) -> Option<(u64, u64)> {
     let query = path.strip_prefix("/journal?")?;
-    let number = |name: &str| query.split('&').find_map(|part| part.strip_prefix(name)?.parse::<u64>().ok());
+    let number = |name: &str| {
+        query
+            .split('&')
+            .find_map(|part| part.strip_prefix(name)?.parse::<u64>().ok())
+    };
     Some((number("tail=")?, number("max_wait=").unwrap_or(0)))
 }
 
 fn answer(stream: &TcpStream, status: &str, body: &str) -> Option<()> {
-    let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n", body.len());
-    write_all(stream, &[head.as_bytes(), body.as_bytes()], Instant::now() + PATIENCE).ok()
+    let head = format!(
+        "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    );
+    write_all(
+        stream,
+        &[head.as_bytes(), body.as_bytes()],
+        Instant::now() + PATIENCE,
+    )
+    .ok()
 }
--- a/shared/feed/src/words.rs
+++ b/shared/feed/src/words.rs
@@ -17,16 +17,27 @@
 impl Feed {
     /// The number of the last event that there is, 0 where there is none.
     pub fn last(&self) -> u64 {
-        self.entries.iter().map(|entry| entry.pos).fold(self.pos, u64::max)
+        self.entries
+            .iter()
+            .map(|entry| entry.pos)
+            .fold(self.pos, u64::max)
     }
 }
 
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Entry {
     pub pos: u64,
-    #[serde(default, deserialize_with = "one", skip_serializing_if = "Option::is_none")]
+    #[serde(
+        default,
+        deserialize_with = "one",
+        skip_serializing_if = "Option::is_none"
+    )]
     pub hosts: Option<Hosts>,
-    #[serde(default, deserialize_with = "one", skip_serializing_if = "Option::is_none")]
+    #[serde(
+        default,
+        deserialize_with = "one",
+        skip_serializing_if = "Option::is_none"
+    )]
     pub expire: Option<Expire>,
     /// Of relays alone: what may be missing before the next; the source itself knows.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -103,7 +114,9 @@
 
 fn each<'de, D: Deserializer<'de>, T: Deserialize<'de>>(from: D) -> Result<Vec<T>, D::Error> {
     let all = Vec::<Read<T>>::deserialize(from)?.into_iter();
-    Ok(all.filter_map(|line| line.well("a line of the list")).collect())
+    Ok(all
+        .filter_map(|line| line.well("a line of the list"))
+        .collect())
 }
 
 #[cfg(test)]
@@ -138,9 +151,20 @@
             );
             let feed = feed(&text).expect(line);
             let hosts = feed.entries[0].hosts.as_ref().unwrap();
-            assert!(hosts.snapshot && hosts.endpoints.iter().all(|e| e.name == "s-1"), "{line}");
+            assert!(
+                hosts.snapshot && hosts.endpoints.iter().all(|e| e.name == "s-1"),
+                "{line}"
+            );
             let first = &hosts.endpoints[0];
-            assert_eq!((hosts.endpoints.len(), first.group, first.weight, first.since_ms), (2, 2, 4.0, 12));
+            assert_eq!(
+                (
+                    hosts.endpoints.len(),
+                    first.group,
+                    first.weight,
+                    first.since_ms
+                ),
+                (2, 2, 4.0, 12)
+            );
             assert_eq!(first.address, Some("10.1.0.9:7001".parse().unwrap()));
             assert_eq!(feed.entries[1].expire.as_ref().unwrap().set, Some(4));
         }
@@ -154,15 +178,24 @@
             r#""expire":{"set":-1,"stamp":9}"#,
             r#""expire":{"name":"a"}"#,
         ] {
-            let read =
-                feed(&format!(r#"{{"pos":2,"entries":[{{"pos":1,{said}}},{{"pos":2}}]}}"#)).expect(said);
-            assert_eq!(read.entries.iter().map(|e| e.pos).collect::<Vec<_>>(), [1, 2]);
+            let read = feed(&format!(
+                r#"{{"pos":2,"entries":[{{"pos":1,{said}}},{{"pos":2}}]}}"#
+            ))
+            .expect(said);
+            assert_eq!(
+                read.entries.iter().map(|e| e.pos).collect::<Vec<_>>(),
+                [1, 2]
+            );
             assert!(read.entries[0].hosts.is_none() && read.entries[0].expire.is_none());
         }
-        let whole = format!(r#"{{"pos":1,"entries":[{{"pos":1,"hosts":{{"endpoints":[{GOOD}]}}}}]}}"#);
+        let whole =
+            format!(r#"{{"pos":1,"entries":[{{"pos":1,"hosts":{{"endpoints":[{GOOD}]}}}}]}}"#);
         assert!(feed(&whole).is_ok());
         let part = feed(&whole.replace("\"weight\":4", "\"weight\":1.5")).unwrap();
-        assert_eq!(part.entries[0].hosts.as_ref().unwrap().endpoints[0].weight, 1.5);
+        assert_eq!(
+            part.entries[0].hosts.as_ref().unwrap().endpoints[0].weight,
+            1.5
+        );
         for cut in 1..whole.len() {
             assert!(feed(&whole[..cut]).is_err(), "{}", &whole[..cut]);
         }
--- a/shared/fleet/src/driver.rs
+++ b/shared/fleet/src/driver.rs
@@ -18,7 +18,13 @@
 
 /// A part, its kinds put away.
 pub trait Driven: Send {
-    fn heard(&mut self, now: Time, from: &Peer, bytes: &[u8], out: &mut Frames) -> Result<(), Unreadable>;
+    fn heard(
+        &mut self,
+        now: Time,
+        from: &Peer,
+        bytes: &[u8],
+        out: &mut Frames,
+    ) -> Result<(), Unreadable>;
     /// An ask of another kind than the part's is passed over.
     fn ask(&mut self, now: Time, ask: Box<dyn Any + Send>, out: &mut Frames);
     fn peer(&mut self, now: Time, peer: &Peer, alive: bool, out: &mut Frames);
@@ -39,14 +45,22 @@
 
 impl<P: Part> Driver<P> {
     pub fn new(own: Peer, part: P, sink: Box<dyn Sink<P::Told>>) -> Driver<P> {
-        Driver { own, part, sink, acts: Vec::new(), own_messages: VecDeque::new() }
+        Driver {
+            own,
+            part,
+            sink,
+            acts: Vec::new(),
+            own_messages: VecDeque::new(),
+        }
     }
 
     /// Carries out what the part wants, and what comes of that.
     fn settle(&mut self, now: Time, out: &mut Frames) {
         for _ in 0..LOOPS {
             self.carry_out(out);
-            let Some(message) = self.own_messages.pop_front() else { return };
+            let Some(message) = self.own_messages.pop_front() else {
+                return;
+            };
             self.part.heard(now, &self.own, message, &mut self.acts);
         }
         self.carry_out(out);
@@ -73,8 +87,16 @@
     P::Ask: 'static,
     P::Told: Send,
 {
-    fn heard(&mut self, now: Time, from: &Peer, bytes: &[u8], out: &mut Frames) -> Result<(), Unreadable> {
-        let Ok((message, [])) = postcard::take_from_bytes(bytes) else { return Err(Unreadable) };
+    fn heard(
+        &mut self,
+        now: Time,
+        from: &Peer,
+        bytes: &[u8],
+        out: &mut Frames,
+    ) -> Result<(), Unreadable> {
+        let Ok((message, [])) = postcard::take_from_bytes(bytes) else {
+            return Err(Unreadable);
+        };
         self.part.heard(now, from, message, &mut self.acts);
         self.settle(now, out);
         Ok(())
--- a/shared/fleet/src/members.rs
+++ b/shared/fleet/src/members.rs
@@ -38,7 +38,9 @@
 
     fn end(&self, peer: &Peer, state: State, views: &Views) {
         views.say(peer, false);
-        self.lock().entry(peer.clone()).and_modify(|seen| seen.state = state);
+        self.lock()
+            .entry(peer.clone())
+            .and_modify(|seen| seen.state = state);
     }
 }
 
@@ -66,6 +68,10 @@
     news: impl Sink<Told> + 'static,
 ) -> Result<(Port<Ask>, Roll), BadMembers> {
     let roll = Roll::default();
-    let tap = Tap { roll: roll.clone(), views: builder.views(), news };
+    let tap = Tap {
+        roll: roll.clone(),
+        views: builder.views(),
+        news,
+    };
     Ok((builder.add(PART, Members::new(setup)?, tap), roll))
 }
--- a/shared/fleet/src/port.rs
+++ b/shared/fleet/src/port.rs
@@ -61,8 +61,18 @@
 
 impl<A> Clone for Port<A> {
     fn clone(&self) -> Port<A> {
-        let Port { part, jobs, state, kind } = self;
-        Port { part: *part, jobs: jobs.clone(), state: state.clone(), kind: *kind }
+        let Port {
+            part,
+            jobs,
+            state,
+            kind,
+        } = self;
+        Port {
+            part: *part,
+            jobs: jobs.clone(),
+            state: state.clone(),
+            kind: *kind,
+        }
     }
 }
 
@@ -72,7 +82,10 @@
         if self.state.gone.load(Ordering::Acquire) {
             return Err(Refused::Gone);
         }
-        match self.jobs.try_send(Job::Ask { part: self.part, ask: Box::new(ask) }) {
+        match self.jobs.try_send(Job::Ask {
+            part: self.part,
+            ask: Box::new(ask),
+        }) {
             Ok(()) => Ok(()),
             Err(TrySendError::Full(_)) => {
                 self.state.full.fetch_add(1, Ordering::Relaxed);
--- a/shared/fleet/src/setup.rs
+++ b/shared/fleet/src/setup.rs
@@ -53,8 +53,18 @@
 impl Builder {
     pub fn new(setup: Setup) -> Builder {
         let (jobs, waiting) = bounded(setup.queue);
-        let others = setup.peers.iter().map(|(peer, _)| peer.clone()).filter(|peer| *peer != setup.name);
-        Builder { places: Vec::new(), alive: Alive::new(others), jobs, waiting, setup }
+        let others = setup
+            .peers
+            .iter()
+            .map(|(peer, _)| peer.clone())
+            .filter(|peer| *peer != setup.name);
+        Builder {
+            places: Vec::new(),
+            alive: Alive::new(others),
+            jobs,
+            waiting,
+            setup,
+        }
     }
 
     /// Adds a part, by the byte that its frames begin with.
@@ -67,8 +77,17 @@
     {
         let state = Arc::new(State::default());
         let driver = Driver::new(self.setup.name.clone(), part, Box::new(sink));
-        self.places.push(Place { byte, part: Some(Box::new(driver)), state: state.clone() });
-        Port { part: byte, jobs: self.jobs.clone(), state, kind: std::marker::PhantomData }
+        self.places.push(Place {
+            byte,
+            part: Some(Box::new(driver)),
+            state: state.clone(),
+        });
+        Port {
+            part: byte,
+            jobs: self.jobs.clone(),
+            state,
+            kind: std::marker::PhantomData,
+        }
     }
 
     /// Where the sink of the part for members says who is alive.
@@ -77,18 +96,57 @@
     }
 
     pub fn start(self, faults: impl Sink<Fault> + 'static) -> io::Result<Fleet> {
-        let Builder { setup, places, alive, jobs, waiting } = self;
-        let Setup { name, listen, peers, key, seed, bounds, .. } = setup;
+        let Builder {
+            setup,
+            places,
+            alive,
+            jobs,
+            waiting,
+        } = self;
+        let Setup {
+            name,
+            listen,
+            peers,
+            key,
+            seed,
+            bounds,
+            ..
+        } = setup;
         // Each link has its window of frames that wait here, and no other link's.
         let (sender, incoming) = bounded(bounds.window * (2 * peers.len()).max(1));
-        let links = Arc::new(Links::start(Config { name, listen, peers, key, seed, bounds }, sender)?);
+        let links = Arc::new(Links::start(
+            Config {
+                name,
+                listen,
+                peers,
+                key,
+                seed,
+                bounds,
+            },
+            sender,
+        )?);
         let counts = Arc::new(Counts::default());
         let began = Instant::now();
         let (linked, counted) = (links.clone(), counts.clone());
-        let body = Body { places, alive, links: linked, counts: counted, faults: Box::new(faults), began };
-        let thread = thread::Builder::new().name("fleet".to_string()).stack_size(STACK);
+        let body = Body {
+            places,
+            alive,
+            links: linked,
+            counts: counted,
+            faults: Box::new(faults),
+            began,
+        };
+        let thread = thread::Builder::new()
+            .name("fleet".to_string())
+            .stack_size(STACK);
         let thread = Some(thread.spawn(move || body.run(&waiting, incoming))?);
-        Ok(Fleet { jobs, thread, links, counts, began })
+        Ok(Fleet {
+            jobs,
+            thread,
+            links,
+            counts,
+            began,
+        })
     }
 }
 
@@ -121,7 +179,9 @@
     }
 
     fn finish(&mut self, within: Duration) {
-        let Some(thread) = self.thread.take() else { return };
+        let Some(thread) = self.thread.take() else {
+            return;
+        };
         // A queue that stays full for so long is given up: the thread ends with the last handle.
         if self.jobs.send_timeout(Job::End, within).is_ok() {
             let _ = thread.join();
--- a/shared/fleet/src/thread.rs
+++ b/shared/fleet/src/thread.rs
@@ -42,7 +42,12 @@
         while self.take(jobs, &mut incoming) {
             let now = self.now();
             for at in 0..self.places.len() {
-                if self.places[at].part.as_ref().and_then(|part| part.due()).is_some_and(|due| due <= now) {
+                if self.places[at]
+                    .part
+                    .as_ref()
+                    .and_then(|part| part.due())
+                    .is_some_and(|due| due <= now)
+                {
                     self.drive(at, |part, out| part.tick(now, out));
                 }
             }
@@ -76,8 +81,14 @@
     }
 
     fn wait(&self) -> Duration {
-        let due = self.places.iter().filter_map(|place| place.part.as_ref()?.due()).min();
-        due.map_or(LONGEST, |due| Duration::from_micros(due.saturating_sub(self.now())).min(LONGEST))
+        let due = self
+            .places
+            .iter()
+            .filter_map(|place| place.part.as_ref()?.due())
+            .min();
+        due.map_or(LONGEST, |due| {
+            Duration::from_micros(due.saturating_sub(self.now())).min(LONGEST)
+        })
     }
 
     fn ask(&mut self, byte: u8, ask: Box<dyn std::any::Any + Send>) {
@@ -92,12 +103,20 @@
         match incoming {
             Incoming::Up { peer, .. } => self.alive.linked(&peer, true),
             Incoming::Down { peer, .. } => self.alive.linked(&peer, false),
-            Incoming::Frame { from, session, part: byte, bytes, held } => {
+            Incoming::Frame {
+                from,
+                session,
+                part: byte,
+                bytes,
+                held,
+            } => {
                 let now = self.now();
                 let mut read = Err(Unreadable);
                 if let Some(at) = self.places.iter().position(|place| place.byte == byte) {
                     let asker = Some((&from, session));
-                    self.drive_for(at, asker, |part, out| read = part.heard(now, &from, &bytes, out));
+                    self.drive_for(at, asker, |part, out| {
+                        read = part.heard(now, &from, &bytes, out)
+                    });
                 }
                 if read.is_err() {
                     self.counts.unreadable.fetch_add(1, Ordering::Relaxed);
@@ -128,7 +147,11 @@
         asker: Option<(&Peer, Session)>,
         step: impl FnOnce(&mut dyn Driven, &mut Frames),
     ) {
-        let Place { byte, part: place, state } = &mut self.places[at];
+        let Place {
+            byte,
+            part: place,
+            state,
+        } = &mut self.places[at];
         let Some(part) = place else { return };
         let mut out = Vec::new();
         let stepped = catch_unwind(AssertUnwindSafe(|| step(&mut **part, &mut out)));
@@ -142,7 +165,9 @@
         state.gone.store(true, Ordering::Release);
         self.counts.faults.fetch_add(1, Ordering::Relaxed);
         let text = panic.downcast_ref::<&str>().map(|text| text.to_string());
-        let why = text.or_else(|| panic.downcast_ref::<String>().cloned()).unwrap_or_default();
+        let why = text
+            .or_else(|| panic.downcast_ref::<String>().cloned())
+            .unwrap_or_default();
         self.faults.told(Fault { part: *byte, why });
         let part = place.take();
         let _ = catch_unwind(AssertUnwindSafe(|| {
--- a/shared/fleet/src/views.rs
+++ b/shared/fleet/src/views.rs
@@ -33,13 +33,20 @@
 
 impl Alive {
     pub fn new(listed: impl Iterator<Item = Peer>) -> Alive {
-        Alive { peers: listed.map(|peer| (peer, One::default())).collect(), views: Views::default() }
+        Alive {
+            peers: listed.map(|peer| (peer, One::default())).collect(),
+            views: Views::default(),
+        }
     }
 
     /// A session of the peer is linked or no longer linked.
     pub fn linked(&mut self, peer: &Peer, up: bool) {
         if let Some(one) = self.peers.get_mut(peer) {
-            one.sessions = if up { one.sessions + 1 } else { one.sessions.saturating_sub(1) };
+            one.sessions = if up {
+                one.sessions + 1
+            } else {
+                one.sessions.saturating_sub(1)
+            };
             // A new session is another process: what members said of the one before it has passed.
             one.dead &= !up;
         }
--- a/shared/fleet/tests/driver.rs
+++ b/shared/fleet/tests/driver.rs
@@ -50,19 +50,34 @@
 
     fn heard(&mut self, _: Time, from: &Peer, message: Message, out: &mut Acts<Toy>) {
         match message {
-            Message::Ping(n) => out.push(Do::Send { to: from.clone(), message: Message::Pong(n) }),
+            Message::Ping(n) => out.push(Do::Send {
+                to: from.clone(),
+                message: Message::Pong(n),
+            }),
             Message::Pong(n) => out.push(Do::Tell(Told::Pong(n))),
             Message::Fall => panic!("it fell"),
-            Message::Storm => out.push(Do::Send { to: from.clone(), message: Message::Storm }),
+            Message::Storm => out.push(Do::Send {
+                to: from.clone(),
+                message: Message::Storm,
+            }),
         }
     }
 
     fn ask(&mut self, now: Time, ask: Ask, out: &mut Acts<Toy>) {
         match ask {
-            Ask::Ping(to, n) => out.push(Do::Send { to, message: Message::Ping(n) }),
+            Ask::Ping(to, n) => out.push(Do::Send {
+                to,
+                message: Message::Ping(n),
+            }),
             Ask::Wake(after) => self.due = Some(now + after),
-            Ask::Fall(to) => out.push(Do::Send { to, message: Message::Fall }),
-            Ask::Storm => out.push(Do::Send { to: peer(0), message: Message::Storm }),
+            Ask::Fall(to) => out.push(Do::Send {
+                to,
+                message: Message::Fall,
+            }),
+            Ask::Storm => out.push(Do::Send {
+                to: peer(0),
+                message: Message::Storm,
+            }),
             Ask::Block(gate) => {
                 out.push(Do::Tell(Told::Blocked));
                 let _ = gate.recv().and_then(|()| gate.recv());
@@ -104,8 +119,15 @@
 fn address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let (process, next) = (std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
-    let ip = [127, 128 + (process >> 8 & 63) as u8, process as u8, 1 + (next % 250) as u8];
-    TcpListener::bind(SocketAddr::from((ip, 0))).and_then(|l| l.local_addr()).unwrap()
+    let ip = [
+        127,
+        128 + (process >> 8 & 63) as u8,
+        process as u8,
+        1 + (next % 250) as u8,
+    ];
+    TcpListener::bind(SocketAddr::from((ip, 0)))
+        .and_then(|l| l.local_addr())
+        .unwrap()
 }
 
 struct One {
@@ -118,10 +140,21 @@
 
 /// Process `n` of those at `all`, with two toys.
 fn start(n: usize, all: &[SocketAddr]) -> One {
-    let peers = all.iter().enumerate().map(|(n, address)| (peer(n), *address)).collect();
+    let peers = all
+        .iter()
+        .enumerate()
+        .map(|(n, address)| (peer(n), *address))
+        .collect();
     let (listen, bounds) = (all[n], Bounds::default());
-    let mut builder =
-        Builder::new(Setup { name: peer(n), listen, peers, key: [3; 32], seed: n as u64, queue: 8, bounds });
+    let mut builder = Builder::new(Setup {
+        name: peer(n),
+        listen,
+        peers,
+        key: [3; 32],
+        seed: n as u64,
+        queue: 8,
+        bounds,
+    });
     let (mut ports, mut told) = (Vec::new(), Vec::new());
     for byte in [4, 9] {
         let (sender, receiver) = unbounded();
@@ -130,7 +163,13 @@
     }
     let (sender, faults) = bounded(8);
     let views = builder.views();
-    One { fleet: builder.start(sender).unwrap(), ports, told, faults, views }
+    One {
+        fleet: builder.start(sender).unwrap(),
+        ports,
+        told,
+        faults,
+        views,
+    }
 }
 
 impl One {
@@ -153,11 +192,20 @@
         n += 1;
         assert!(asked(n));
     }
-    assert!(a.told[1].try_iter().all(|told| told == Told::Peer(peer(1), true)), "another part heard of it");
+    assert!(
+        a.told[1]
+            .try_iter()
+            .all(|told| told == Told::Peer(peer(1), true)),
+        "another part heard of it"
+    );
     let unlinked = a.fleet.links().counts().unlinked.get();
     a.ports[1].ask(Ask::Ping(peer(0), 7)).unwrap();
     a.wait(1, Told::Pong(7));
-    assert_eq!(a.fleet.links().counts().unlinked.get(), unlinked, "to itself by a link");
+    assert_eq!(
+        a.fleet.links().counts().unlinked.get(),
+        unlinked,
+        "to itself by a link"
+    );
     a.ports[1].ask(Ask::Wake(2_000)).unwrap();
     a.wait(1, Told::Woke);
     drop(b);
@@ -182,7 +230,13 @@
     let one = start(0, &[address()]);
     one.ports[0].ask(Ask::Fall(peer(0))).unwrap();
     one.wait(0, Told::Gone);
-    assert_eq!(one.faults.recv_timeout(LONG), Ok(Fault { part: 4, why: "it fell".to_string() }));
+    assert_eq!(
+        one.faults.recv_timeout(LONG),
+        Ok(Fault {
+            part: 4,
+            why: "it fell".to_string()
+        })
+    );
     assert_eq!(one.ports[0].ask(Ask::Wake(0)), Err(Refused::Gone));
     assert_eq!(one.fleet.counts().faults.load(Ordering::Relaxed), 1);
     one.ports[1].ask(Ask::Ping(peer(0), 3)).unwrap();
@@ -207,7 +261,10 @@
     assert_eq!(port.ask(Ask::Wake(0)), Err(Refused::Gone));
     // All that was asked before the end was carried out, and then what is owed no more is said.
     let told: Vec<Told> = one.told[0].try_iter().collect();
-    assert!(told.len() == 9 && told.last() == Some(&Told::Gone), "{told:?}");
+    assert!(
+        told.len() == 9 && told.last() == Some(&Told::Gone),
+        "{told:?}"
+    );
 }
 
 #[test]
--- a/shared/http1/src/answer.rs
+++ b/shared/http1/src/answer.rs
@@ -13,7 +13,11 @@
 const MOST_INTERIM: usize = 8;
 
 /// Reads one answer. The buffer bounds its length; the deadline bounds the whole, not each read.
-pub fn read_response(stream: &TcpStream, buffer: &mut [u8], deadline: Instant) -> Result<Response, Broken> {
+pub fn read_response(
+    stream: &TcpStream,
+    buffer: &mut [u8],
+    deadline: Instant,
+) -> Result<Response, Broken> {
     let mut filled = 0;
     let (mut response, length) = read_head(stream, buffer, &mut filled, deadline, &mut |_, _| ())?;
     let start = response.body.start;
@@ -33,7 +37,10 @@
         Length::Chunked => {
             let (mut at, mut end) = (start, start);
             loop {
-                if buffer[at..filled].first().is_some_and(|b| !b.is_ascii_hexdigit()) {
+                if buffer[at..filled]
+                    .first()
+                    .is_some_and(|b| !b.is_ascii_hexdigit())
+                {
                     // Guards against a line without a size, which would read as the last chunk.
                     return Err(Broken::Unreadable);
                 }
@@ -43,7 +50,9 @@
                         let from = at + head;
                         // The chunk, and the line end behind it.
                         let whole = from.checked_add(size).and_then(|n| n.checked_add(2));
-                        let whole = whole.filter(|n| *n <= buffer.len()).ok_or(Broken::Unreadable)?;
+                        let whole = whole
+                            .filter(|n| *n <= buffer.len())
+                            .ok_or(Broken::Unreadable)?;
                         (filled >= whole).then_some((from, size, whole))
                     }
                     Ok(httparse::Status::Partial) => None,
--- a/shared/http1/src/answer/head.rs
+++ b/shared/http1/src/answer/head.rs
@@ -59,7 +59,10 @@
 
 /// The head, once it is whole. Guards against an answer that nothing proves whole: one without a length, which
 /// ends alike whether it was cut or not, and one whose lengths are several, signed, or at odds.
-pub(super) fn parse_head(bytes: &[u8], field: &mut dyn FnMut(&str, &[u8])) -> Result<Option<Head>, Broken> {
+pub(super) fn parse_head(
+    bytes: &[u8],
+    field: &mut dyn FnMut(&str, &[u8]),
+) -> Result<Option<Head>, Broken> {
     let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let start = match head.parse(bytes) {
@@ -129,8 +132,14 @@
     /// A length in digits alone, where none was told before.
     fn known(&self, value: &[u8]) -> Result<Length, Broken> {
         let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
-        let number = std::str::from_utf8(value).ok().filter(|_| digits).and_then(|v| v.parse().ok());
-        number.filter(|_| self.length.is_none()).map(Length::Known).ok_or(Broken::Unreadable)
+        let number = std::str::from_utf8(value)
+            .ok()
+            .filter(|_| digits)
+            .and_then(|v| v.parse().ok());
+        number
+            .filter(|_| self.length.is_none())
+            .map(Length::Known)
+            .ok_or(Broken::Unreadable)
     }
 
     fn end(self, status: u16, start: usize) -> Result<Head, Broken> {
--- a/shared/http1/src/io.rs
+++ b/shared/http1/src/io.rs
@@ -15,7 +15,11 @@
 }
 
 /// Some bytes; 0 is the end.
-pub fn read_some(stream: &TcpStream, buffer: &mut [u8], deadline: Instant) -> Result<usize, Broken> {
+pub fn read_some(
+    stream: &TcpStream,
+    buffer: &mut [u8],
+    deadline: Instant,
+) -> Result<usize, Broken> {
     Ok(read(stream, buffer, deadline)?)
 }
 
@@ -40,7 +44,10 @@
         let mut left = *part;
         while !left.is_empty() {
             let taken = write(stream, left, until);
-            let taken = taken.map_err(|stop| Unwritten { written, cause: stop.into() })?;
+            let taken = taken.map_err(|stop| Unwritten {
+                written,
+                cause: stop.into(),
+            })?;
             left = &left[taken..];
             written += taken;
         }
--- a/shared/http1/src/request.rs
+++ b/shared/http1/src/request.rs
@@ -64,7 +64,10 @@
     }
 }
 
-fn parse(bytes: &[u8], field: &mut dyn FnMut(&str, &[u8])) -> Result<Option<(Request, usize)>, Unread> {
+fn parse(
+    bytes: &[u8],
+    field: &mut dyn FnMut(&str, &[u8]),
+) -> Result<Option<(Request, usize)>, Unread> {
     let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let end = match head.parse(bytes) {
@@ -78,13 +81,23 @@
     for header in head.headers.iter() {
         let value = header.value.trim_ascii();
         if header.name.eq_ignore_ascii_case("content-length") {
-            let digits = !value.is_empty() && value.len() < 10 && value.iter().all(u8::is_ascii_digit);
-            let number = std::str::from_utf8(value).ok().filter(|_| digits).and_then(|v| v.parse().ok());
-            length = Some(number.filter(|_| length.is_none()).ok_or(Unread::Malformed)?);
+            let digits =
+                !value.is_empty() && value.len() < 10 && value.iter().all(u8::is_ascii_digit);
+            let number = std::str::from_utf8(value)
+                .ok()
+                .filter(|_| digits)
+                .and_then(|v| v.parse().ok());
+            length = Some(
+                number
+                    .filter(|_| length.is_none())
+                    .ok_or(Unread::Malformed)?,
+            );
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             return Err(Unread::LengthRequired);
         } else if header.name.eq_ignore_ascii_case("connection") {
-            keep &= !value.split(|b| *b == b',').any(|w| w.trim_ascii().eq_ignore_ascii_case(b"close"));
+            keep &= !value
+                .split(|b| *b == b',')
+                .any(|w| w.trim_ascii().eq_ignore_ascii_case(b"close"));
         } else {
             hosts += header.name.eq_ignore_ascii_case("host") as usize;
             field(header.name, value);
@@ -94,9 +107,16 @@
         // RFC 9112, 3.2.
         return Err(Unread::Malformed);
     }
-    let (method, path) = (head.method.unwrap_or_default(), head.path.unwrap_or_default());
-    let request =
-        Request { method: method.to_string(), path: path.to_string(), length: length.unwrap_or(0), keep };
+    let (method, path) = (
+        head.method.unwrap_or_default(),
+        head.path.unwrap_or_default(),
+    );
+    let request = Request {
+        method: method.to_string(),
+        path: path.to_string(),
+        length: length.unwrap_or(0),
+        keep,
+    };
     Ok(Some((request, end)))
 }
 
@@ -112,15 +132,22 @@
     fn a_head_is_read_once_it_is_whole_and_only_if_its_length_is_plain() {
         let text = "GET /a HTTP/1.1\r\nHost: x\r\nX-Keep: 2\r\n\r\nrest";
         let mut seen = Vec::new();
-        let (request, end) =
-            parse(text.as_bytes(), &mut |n, v| seen.push((n.to_string(), v.to_vec()))).unwrap().unwrap();
-        assert_eq!((request.path.as_str(), request.keep, &text[end..]), ("/a", true, "rest"));
+        let (request, end) = parse(text.as_bytes(), &mut |n, v| {
+            seen.push((n.to_string(), v.to_vec()))
+        })
+        .unwrap()
+        .unwrap();
+        assert_eq!(
+            (request.path.as_str(), request.keep, &text[end..]),
+            ("/a", true, "rest")
+        );
         assert_eq!(seen[1], ("X-Keep".to_string(), b"2".to_vec()));
         for cut in 1..end {
             assert_eq!(read(&text[..cut]), Ok(None), "{cut}");
         }
-        let with =
-            |fields: &str| read(&format!("GET /a HTTP/1.1\r\nHost: x\r\n{fields}\r\n")).map(|r| r.unwrap().0);
+        let with = |fields: &str| {
+            read(&format!("GET /a HTTP/1.1\r\nHost: x\r\n{fields}\r\n")).map(|r| r.unwrap().0)
+        };
         assert_eq!(with("Content-Length: 12\r\n").unwrap().length, 12);
         assert!(!with("Connection: x, Close\r\n").unwrap().keep);
         for bad in [
@@ -131,7 +158,10 @@
         ] {
             assert_eq!(with(bad), Err(Unread::Malformed), "{bad}");
         }
-        assert_eq!(with("Transfer-Encoding: chunked\r\n"), Err(Unread::LengthRequired));
+        assert_eq!(
+            with("Transfer-Encoding: chunked\r\n"),
+            Err(Unread::LengthRequired)
+        );
         assert_eq!(with(&"A: b\r\n".repeat(MOST_HEADERS)), Err(Unread::TooLong));
         assert_eq!(read("GET /a HTTP/1.1\r\n\r\n"), Err(Unread::Malformed));
         assert_eq!(read("\x16\x03\x01\r\n\r\n"), Err(Unread::Malformed));
--- a/shared/identity/src/lib.rs
+++ b/shared/identity/src/lib.rs
@@ -33,12 +33,21 @@
 }
 
 impl Identity {
-    pub fn load(files: Files, allowed: Vec<String>, protocol: &'static [u8]) -> Result<Identity, String> {
+    pub fn load(
+        files: Files,
+        allowed: Vec<String>,
+        protocol: &'static [u8],
+    ) -> Result<Identity, String> {
         if let Some(odd) = allowed.iter().find(|id| !id.starts_with("spiffe://")) {
             return Err(format!("{odd:?} is no SPIFFE ID"));
         }
         let held = Mutex::new((files.stamp(), files.read(protocol)?));
-        Ok(Identity { files, protocol, allowed, held })
+        Ok(Identity {
+            files,
+            protocol,
+            allowed,
+            held,
+        })
     }
 
     /// The TLS settings for the next connection. Guards against a rotation that is half done: until the files
@@ -62,7 +71,9 @@
 
     /// The peer's ID, if it is an allowed one.
     pub fn allowed_id(&self, peer: Option<&[CertificateDer]>) -> Option<String> {
-        let id = peer.and_then(|chain| chain.first()).and_then(|leaf| spiffe_id(leaf));
+        let id = peer
+            .and_then(|chain| chain.first())
+            .and_then(|leaf| spiffe_id(leaf));
         id.filter(|id| self.allowed.contains(id))
     }
 }
@@ -78,17 +89,24 @@
     fn read(&self, protocol: &'static [u8]) -> Result<Arc<ServerConfig>, String> {
         let of = |path: &PathBuf, why: String| format!("{}: {why}", path.display());
         let certs = |path: &PathBuf| {
-            let all = CertificateDer::pem_file_iter(path).and_then(Iterator::collect::<Result<Vec<_>, _>>);
+            let all = CertificateDer::pem_file_iter(path)
+                .and_then(Iterator::collect::<Result<Vec<_>, _>>);
             all.map_err(|e| of(path, e.to_string()))
         };
         let mut roots = RootCertStore::empty();
         for root in certs(&self.bundle)? {
-            roots.add(root).map_err(|e| of(&self.bundle, e.to_string()))?;
+            roots
+                .add(root)
+                .map_err(|e| of(&self.bundle, e.to_string()))?;
         }
         let provider = Arc::new(rustls::crypto::ring::default_provider());
-        let verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider.clone());
-        let verifier = verifier.build().map_err(|e| of(&self.bundle, e.to_string()))?;
-        let key = PrivateKeyDer::from_pem_file(&self.key).map_err(|e| of(&self.key, e.to_string()))?;
+        let verifier =
+            WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider.clone());
+        let verifier = verifier
+            .build()
+            .map_err(|e| of(&self.bundle, e.to_string()))?;
+        let key =
+            PrivateKeyDer::from_pem_file(&self.key).map_err(|e| of(&self.key, e.to_string()))?;
         let mut config = ServerConfig::builder_with_provider(provider)
             .with_safe_default_protocol_versions()
             .map_err(|e| e.to_string())?
@@ -104,10 +122,14 @@
 pub fn spiffe_id(leaf: &CertificateDer) -> Option<String> {
     let (_, certificate) = X509Certificate::from_der(leaf).ok()?;
     let names = certificate.subject_alternative_name().ok()??;
-    let mut uris = names.value.general_names.iter().filter_map(|name| match name {
-        GeneralName::URI(uri) => Some(*uri),
-        _ => None,
-    });
+    let mut uris = names
+        .value
+        .general_names
+        .iter()
+        .filter_map(|name| match name {
+            GeneralName::URI(uri) => Some(*uri),
+            _ => None,
+        });
     let id = uris.next().filter(|id| id.starts_with("spiffe://"))?;
     (uris.next().is_none() && !certificate.is_ca()).then(|| id.to_string())
 }
--- a/shared/operator/src/lib.rs
+++ b/shared/operator/src/lib.rs
@@ -10,8 +10,8 @@
 pub mod values;
 
 pub use values::{
-    AskRule, Cover, Dns, Durable, ExtProc, Fleet, Hierarchy, LedgerFile, Operator, PoolBy, Relay, Tls,
-    TokenKey, Unclaimed, Uncovered,
+    AskRule, Cover, Dns, Durable, ExtProc, Fleet, Hierarchy, LedgerFile, Operator, PoolBy, Relay,
+    Tls, TokenKey, Unclaimed, Uncovered,
 };
 pub use values::{Slow, Stream, StreamFirst};
 
@@ -26,7 +26,9 @@
     let told = |e: std::io::Error| vec![format!("{name}: {e}")];
     let length = std::fs::metadata(file).map_err(told)?.len();
     if length > BYTES_MOST {
-        return Err(vec![format!("{name}: {length} bytes, {BYTES_MOST} at most")]);
+        return Err(vec![format!(
+            "{name}: {length} bytes, {BYTES_MOST} at most"
+        )]);
     }
     script::evaluate(&name, std::fs::read_to_string(file).map_err(told)?)
 }
--- a/shared/operator/src/script.rs
+++ b/shared/operator/src/script.rs
@@ -68,5 +68,8 @@
         None => name.to_string(),
     };
     let why = format!("{:#}", error.without_diagnostic());
-    format!("{at}: {}", why.split_whitespace().collect::<Vec<_>>().join(" "))
+    format!(
+        "{at}: {}",
+        why.split_whitespace().collect::<Vec<_>>().join(" ")
+    )
 }
--- a/shared/operator/src/script/dns.rs
+++ b/shared/operator/src/script/dns.rs
@@ -34,7 +34,11 @@
             bundle: bundle.to_string(),
             allowed: allowed.items,
         });
-        let notify = notify.items.iter().map(|text| address("notify", text)).collect::<Result<_, _>>()?;
+        let notify = notify
+            .items
+            .iter()
+            .map(|text| address("notify", text))
+            .collect::<Result<_, _>>()?;
         let dns = valid(Dns {
             zone: zone.to_string(),
             udp: addressed("udp", udp)?,
--- a/shared/operator/src/script/ext_proc.rs
+++ b/shared/operator/src/script/ext_proc.rs
@@ -36,8 +36,15 @@
     ) -> anyhow::Result<NoneType> {
         let listen = address("listen", listen)?;
         let (svid, key, bundle) = (svid.to_string(), key.to_string(), bundle.to_string());
-        let secured = [&svid, &key, &bundle].iter().any(|file| !file.is_empty()) || !allowed.items.is_empty();
-        let tls = secured.then_some(Tls { listen, svid, key, bundle, allowed: allowed.items });
+        let secured =
+            [&svid, &key, &bundle].iter().any(|file| !file.is_empty()) || !allowed.items.is_empty();
+        let tls = secured.then_some(Tls {
+            listen,
+            svid,
+            key,
+            bundle,
+            allowed: allowed.items,
+        });
         let own = ExtProc {
             listen,
             tls,
@@ -83,8 +90,16 @@
         #[starlark(require = named)] number: i64,
         #[starlark(require = named)] secret: &str,
     ) -> anyhow::Result<NoneType> {
-        let number = u8::try_from(number).map_err(|_| anyhow!("number: {number} is not within 0 to 255"))?;
-        few(|s| &mut s.keys, valid(TokenKey { number, secret: secret.to_string() })?, "token keys")
+        let number =
+            u8::try_from(number).map_err(|_| anyhow!("number: {number} is not within 0 to 255"))?;
+        few(
+            |s| &mut s.keys,
+            valid(TokenKey {
+                number,
+                secret: secret.to_string(),
+            })?,
+            "token keys",
+        )
     }
 
     /// Where the external processor keeps what it knows of keyed attempts.
--- a/shared/operator/src/script/fleet.rs
+++ b/shared/operator/src/script/fleet.rs
@@ -5,7 +5,9 @@
 
 use super::sets::{address, addressed, here, once, valid, whole, within, SETS};
 use super::CALLS_MOST;
-use crate::values::{Cover, Fleet, Peer, Pool, PoolBy, Slow, Stream, StreamFirst, Unclaimed, Uncovered};
+use crate::values::{
+    Cover, Fleet, Peer, Pool, PoolBy, Slow, Stream, StreamFirst, Unclaimed, Uncovered,
+};
 use anyhow::{anyhow, bail};
 use foldmux_limits::table::Said;
 use starlark::environment::GlobalsBuilder;
@@ -46,8 +48,17 @@
 }
 
 fn one_of<T: Copy>(what: &str, text: &str, words: &[(&str, T)]) -> anyhow::Result<T> {
-    let found = words.iter().find(|(word, _)| *word == text).map(|(_, value)| *value);
-    let all = || words.iter().map(|(word, _)| *word).collect::<Vec<_>>().join(", ");
+    let found = words
+        .iter()
+        .find(|(word, _)| *word == text)
+        .map(|(_, value)| *value);
+    let all = || {
+        words
+            .iter()
+            .map(|(word, _)| *word)
+            .collect::<Vec<_>>()
+            .join(", ")
+    };
     found.ok_or_else(|| anyhow!("{what}: {text:?} is none of {}", all()))
 }
 
@@ -55,7 +66,15 @@
     /// The whole, where `fleet` was called; errors with their places.
     pub fn finish(self, file: &str) -> Result<Option<Fleet>, Vec<String>> {
         let values = |list: Vec<Said<String>>| list.into_iter().map(|said| said.value).collect();
-        let Parts { head, peers, seats, covers, streams, pools, weights } = self;
+        let Parts {
+            head,
+            peers,
+            seats,
+            covers,
+            streams,
+            pools,
+            weights,
+        } = self;
         let Some((at, mut fleet)) = head else {
             let none = peers.is_empty() && seats.is_empty() && covers.is_empty();
             return match none && streams.is_empty() && pools.is_empty() && weights.is_empty() {
@@ -65,13 +84,23 @@
                 )]),
             };
         };
-        let strange = |seat: &&Said<String>| !peers.iter().any(|peer| peer.value.name == seat.value);
-        let mut faults: Vec<String> =
-            seats.iter().filter(strange).map(|s| format!("{}: seat {} is no peer", s.at, s.value)).collect();
+        let strange =
+            |seat: &&Said<String>| !peers.iter().any(|peer| peer.value.name == seat.value);
+        let mut faults: Vec<String> = seats
+            .iter()
+            .filter(strange)
+            .map(|s| format!("{}: seat {} is no peer", s.at, s.value))
+            .collect();
         for (n, peer) in peers.iter().enumerate() {
             let address = peer.value.address;
-            if peers[..n].iter().any(|other| other.value.address == address) {
-                faults.push(format!("{}: another peer has the address {address}", peer.at));
+            if peers[..n]
+                .iter()
+                .any(|other| other.value.address == address)
+            {
+                faults.push(format!(
+                    "{}: another peer has the address {address}",
+                    peer.at
+                ));
             }
         }
         fleet.seats = values(seats);
@@ -135,13 +164,27 @@
         if address.port() == 0 {
             bail!("address: {address} has no port");
         }
-        let peer = valid(Peer { name: name.to_string(), address, site: site.to_string() })?;
-        add(|parts| &mut parts.peers, |peer| &peer.name, ("peer", here(eval)), peer)
+        let peer = valid(Peer {
+            name: name.to_string(),
+            address,
+            site: site.to_string(),
+        })?;
+        add(
+            |parts| &mut parts.peers,
+            |peer| &peer.name,
+            ("peer", here(eval)),
+            peer,
+        )
     }
 
     /// A peer that speaks for keys, streams and pools; three at least.
     fn seat(name: &str, eval: &mut Evaluator) -> anyhow::Result<NoneType> {
-        add(|parts| &mut parts.seats, |seat| seat, ("seat", here(eval)), name.to_string())
+        add(
+            |parts| &mut parts.seats,
+            |seat| seat,
+            ("seat", here(eval)),
+            name.to_string(),
+        )
     }
 
     /// A class whose requests another process takes over.
@@ -162,7 +205,12 @@
             keep_ms: whole("keep_ms", keep_ms)?,
             terms,
         })?;
-        add(|parts| &mut parts.covers, |cover| &cover.class, ("cover", here(eval)), cover)
+        add(
+            |parts| &mut parts.covers,
+            |cover| &cover.class,
+            ("cover", here(eval)),
+            cover,
+        )
     }
 
     /// A stream that is read once for each site.
@@ -178,9 +226,16 @@
         #[starlark(require = named, default = NoneOr::None)] serve: NoneOr<&str>,
         eval: &mut Evaluator,
     ) -> anyhow::Result<NoneType> {
-        let slows = [("all", Slow::All), ("latest", Slow::Latest), ("skip", Slow::Skip)];
-        let firsts =
-            [("whole", StreamFirst::Whole), ("ring", StreamFirst::Ring), ("live", StreamFirst::Live)];
+        let slows = [
+            ("all", Slow::All),
+            ("latest", Slow::Latest),
+            ("skip", Slow::Skip),
+        ];
+        let firsts = [
+            ("whole", StreamFirst::Whole),
+            ("ring", StreamFirst::Ring),
+            ("live", StreamFirst::Live),
+        ];
         let stream = valid(Stream {
             name: name.to_string(),
             slow: one_of("slow", slow, &slows)?,
@@ -192,7 +247,12 @@
             readers: whole("readers", readers)?,
             serve: addressed("serve", serve)?,
         })?;
-        add(|parts| &mut parts.streams, |stream| &stream.name, ("stream", here(eval)), stream)
+        add(
+            |parts| &mut parts.streams,
+            |stream| &stream.name,
+            ("stream", here(eval)),
+            stream,
+        )
     }
 
     /// Slots that all processes hold together, shared by weight.
@@ -202,15 +262,33 @@
         #[starlark(require = named, default = "tenant")] by: &str,
         eval: &mut Evaluator,
     ) -> anyhow::Result<NoneType> {
-        let bys = [("tenant", PoolBy::Tenant), ("class", PoolBy::Class), ("caller", PoolBy::Caller)];
+        let bys = [
+            ("tenant", PoolBy::Tenant),
+            ("class", PoolBy::Class),
+            ("caller", PoolBy::Caller),
+        ];
         let (slots, by) = (whole("slots", slots)?, one_of("by", by, &bys)?);
-        let pool = valid(Pool { name: name.to_string(), slots, by })?;
-        add(|parts| &mut parts.pools, |pool| &pool.name, ("pool", here(eval)), pool)
+        let pool = valid(Pool {
+            name: name.to_string(),
+            slots,
+            by,
+        })?;
+        add(
+            |parts| &mut parts.pools,
+            |pool| &pool.name,
+            ("pool", here(eval)),
+            pool,
+        )
     }
 
     /// What a tenant weighs whose share the settings do not tell; 0: served when nobody else waits.
     fn weight(name: &str, weight: UnpackFloat, eval: &mut Evaluator) -> anyhow::Result<NoneType> {
         let weight = within("weight", weight.0, 0.0, 1e6)?;
-        add(|parts| &mut parts.weights, |(name, _)| name, ("weight", here(eval)), (name.to_string(), weight))
+        add(
+            |parts| &mut parts.weights,
+            |(name, _)| name,
+            ("weight", here(eval)),
+            (name.to_string(), weight),
+        )
     }
 }
--- a/shared/operator/src/script/limits.rs
+++ b/shared/operator/src/script/limits.rs
@@ -30,7 +30,11 @@
             Ok(Some(number)) => Ok(number.0),
             _ => Err(anyhow!("{name}: {value} is no number")),
         };
-        let text = || value.unpack_str().ok_or_else(|| anyhow!("{name}: {value} is no text"));
+        let text = || {
+            value
+                .unpack_str()
+                .ok_or_else(|| anyhow!("{name}: {value} is no text"))
+        };
         match name.as_str() {
             "deadline_ms" => layer.deadline_ms = Some(number()?),
             "attempt_ms" => layer.attempt_ms = Some(number()?),
@@ -58,8 +62,9 @@
             "window_ms" => layer.window_ms = Some(number()?),
             "group" => {
                 let group = Group::parse(text()?);
-                layer.group =
-                    Some(group.ok_or_else(|| anyhow!("group: {value} is none of cell, zone and all"))?);
+                layer.group = Some(
+                    group.ok_or_else(|| anyhow!("group: {value} is none of cell, zone and all"))?,
+                );
             }
             other => bail!("{other} is no limit"),
         }
@@ -93,7 +98,10 @@
         limited(|limits| match class.into_option() {
             Some(class) => {
                 bounded(limits.classes.len(), "limits")?;
-                limits.classes.push(Said { at, value: (class.to_string(), layer) });
+                limits.classes.push(Said {
+                    at,
+                    value: (class.to_string(), layer),
+                });
                 Ok(())
             }
             None => match limits.defaults.replace(Said { at, value: layer }) {
@@ -114,9 +122,18 @@
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
         let own = |text: NoneOr<&str>| text.into_option().map(str::to_string);
-        let matching = Match { zone: own(zone), caller: own(caller), front: own(front) };
+        let matching = Match {
+            zone: own(zone),
+            caller: own(caller),
+            front: own(front),
+        };
         let (at, layer) = (here(eval), layer(&set)?);
-        let route = Route { name: name.to_string(), class: of.to_string(), matching, layer };
+        let route = Route {
+            name: name.to_string(),
+            class: of.to_string(),
+            matching,
+            layer,
+        };
         limited(|limits| {
             bounded(limits.routes.len(), "routes")?;
             limits.routes.push(Said { at, value: route });
@@ -133,8 +150,12 @@
         eval: &mut Evaluator,
     ) -> anyhow::Result<NoneType> {
         let parent = parent.into_option().map(str::to_string);
-        let budget =
-            Budget { name: name.to_string(), percent: percent.0, burst: whole("burst", burst)?, parent };
+        let budget = Budget {
+            name: name.to_string(),
+            percent: percent.0,
+            burst: whole("burst", burst)?,
+            parent,
+        };
         let at = here(eval);
         limited(|limits| {
             bounded(limits.budgets.len(), "budgets")?;
--- a/shared/operator/src/script/sets.rs
+++ b/shared/operator/src/script/sets.rs
@@ -57,11 +57,14 @@
 }
 
 pub(super) fn address(what: &str, text: &str) -> anyhow::Result<SocketAddr> {
-    SocketAddr::from_str(text).map_err(|_| anyhow!("{what}: {text:?} is no address; IP:PORT is wanted"))
+    SocketAddr::from_str(text)
+        .map_err(|_| anyhow!("{what}: {text:?} is no address; IP:PORT is wanted"))
 }
 
 pub(super) fn addressed(what: &str, text: NoneOr<&str>) -> anyhow::Result<Option<SocketAddr>> {
-    text.into_option().map(|text| address(what, text)).transpose()
+    text.into_option()
+        .map(|text| address(what, text))
+        .transpose()
 }
 
 pub(super) fn whole(what: &str, number: i64) -> anyhow::Result<u64> {
@@ -76,7 +79,9 @@
 }
 
 pub(super) fn valid<T: Validate<Context = ()>>(value: T) -> anyhow::Result<T> {
-    value.validate().map_err(|report| anyhow!("{}", report.to_string().trim().replace('\n', "; ")))?;
+    value
+        .validate()
+        .map_err(|report| anyhow!("{}", report.to_string().trim().replace('\n', "; ")))?;
     Ok(value)
 }
 
--- a/shared/operator/src/script/tree.rs
+++ b/shared/operator/src/script/tree.rs
@@ -42,7 +42,11 @@
         eval: &mut Evaluator,
     ) -> anyhow::Result<NoneType> {
         let host = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-' || b == b'.';
-        if domain.is_empty() || domain.len() > 190 || !domain.bytes().all(host) || domain.contains("..") {
+        if domain.is_empty()
+            || domain.len() > 190
+            || !domain.bytes().all(host)
+            || domain.contains("..")
+        {
             bail!("domain: {domain:?} is no host name in lower case");
         }
         let head = Head {
@@ -51,7 +55,10 @@
             domain: domain.trim_matches('.').to_string(),
             overlap_ms: whole("overlap_ms", overlap_ms)?.min(3_600_000),
             skip: skip_tiers,
-            instead_of: instead_of.into_option().map(|n| whole("instead_of", n)).transpose()?,
+            instead_of: instead_of
+                .into_option()
+                .map(|n| whole("instead_of", n))
+                .transpose()?,
         };
         once(|s| &mut s.head, head, "hierarchy")
     }
@@ -62,8 +69,19 @@
         #[starlark(require = named, default = NoneOr::None)] address: NoneOr<&str>,
         eval: &mut Evaluator,
     ) -> anyhow::Result<NoneType> {
-        let proposed = Proposed { name: name.to_string(), kind: Kind::Archive, parents: vec![] };
-        node(eval, proposed, Place { address: addressed("address", address)?, fills_per_s: 0.0 })
+        let proposed = Proposed {
+            name: name.to_string(),
+            kind: Kind::Archive,
+            parents: vec![],
+        };
+        node(
+            eval,
+            proposed,
+            Place {
+                address: addressed("address", address)?,
+                fills_per_s: 0.0,
+            },
+        )
     }
 
     /// A hub, and whom it asks, in this order.
@@ -74,9 +92,20 @@
         #[starlark(require = named, default = 0i64)] fills_per_s: i64,
         eval: &mut Evaluator,
     ) -> anyhow::Result<NoneType> {
-        let proposed = Proposed { name: name.to_string(), kind: Kind::Hub, parents: parents.items };
+        let proposed = Proposed {
+            name: name.to_string(),
+            kind: Kind::Hub,
+            parents: parents.items,
+        };
         let fills_per_s = whole("fills_per_s", fills_per_s)? as f64;
-        node(eval, proposed, Place { address: addressed("address", address)?, fills_per_s })
+        node(
+            eval,
+            proposed,
+            Place {
+                address: addressed("address", address)?,
+                fills_per_s,
+            },
+        )
     }
 
     /// A location, and the hubs that serve it, in this order.
@@ -85,8 +114,19 @@
         #[starlark(require = named)] parents: UnpackList<String>,
         eval: &mut Evaluator,
     ) -> anyhow::Result<NoneType> {
-        let proposed = Proposed { name: name.to_string(), kind: Kind::Location, parents: parents.items };
-        node(eval, proposed, Place { address: None, fills_per_s: 0.0 })
+        let proposed = Proposed {
+            name: name.to_string(),
+            kind: Kind::Location,
+            parents: parents.items,
+        };
+        node(
+            eval,
+            proposed,
+            Place {
+                address: None,
+                fills_per_s: 0.0,
+            },
+        )
     }
 
     /// What a hub that started lately may be given.
--- a/shared/operator/src/values.rs
+++ b/shared/operator/src/values.rs
@@ -6,7 +6,9 @@
 
 pub use dns::{Dns, Tls};
 pub use ext_proc::{AskRule, Durable, ExtProc, LedgerFile, TokenKey};
-pub use fleet::{Cover, Fleet, Peer, Pool, PoolBy, Slow, Stream, StreamFirst, Unclaimed, Uncovered};
+pub use fleet::{
+    Cover, Fleet, Peer, Pool, PoolBy, Slow, Stream, StreamFirst, Unclaimed, Uncovered,
+};
 
 use foldmux_hierarchy::cold::Rule;
 use foldmux_hierarchy::tree::{Kind, Tree};
@@ -100,6 +102,9 @@
 impl Hierarchy {
     /// The nodes of a kind, by name.
     pub fn names(&self, kind: Kind) -> Vec<Arc<str>> {
-        self.tree.of_kind(kind).map(|(_, node)| node.name.clone()).collect()
+        self.tree
+            .of_kind(kind)
+            .map(|(_, node)| node.name.clone())
+            .collect()
     }
 }
--- a/shared/operator/src/values/ext_proc.rs
+++ b/shared/operator/src/values/ext_proc.rs
@@ -111,7 +111,9 @@
     let fits = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
     match text.bytes().all(fits) && text.starts_with(|c: char| c.is_ascii_alphabetic()) {
         true => Ok(()),
-        false => Err(garde::Error::new("is no token of HTTP that begins with a letter")),
+        false => Err(garde::Error::new(
+            "is no token of HTTP that begins with a letter",
+        )),
     }
 }
 
@@ -119,13 +121,19 @@
     /// What no single value shows.
     pub(crate) fn fits(&self) -> Result<(), String> {
         if self.tls.is_none() && !self.listen.ip().is_loopback() {
-            return Err(format!("{} is no loopback address, and there is no TLS", self.listen));
+            return Err(format!(
+                "{} is no loopback address, and there is no TLS",
+                self.listen
+            ));
         }
         if self.ledger.is_some() && self.keys.is_empty() {
             return Err("a ledger without a token_key: repeats could not be told".to_string());
         }
         for (n, key) in self.keys.iter().enumerate() {
-            if self.keys[..n].iter().any(|other| other.number == key.number) {
+            if self.keys[..n]
+                .iter()
+                .any(|other| other.number == key.number)
+            {
                 return Err(format!("token key {} is there twice", key.number));
             }
         }
--- a/shared/operator/src/values/fleet.rs
+++ b/shared/operator/src/values/fleet.rs
@@ -138,7 +138,10 @@
     pub fn unknown<'a>(&'a self, classes: &'a [String]) -> impl Iterator<Item = String> + 'a {
         let strange = |said: &&Said<Cover>| !classes.contains(&said.value.class);
         self.covers.iter().filter(strange).map(|said| {
-            format!("{}: cover names the class {}, which the settings do not have", said.at, said.value.class)
+            format!(
+                "{}: cover names the class {}, which the settings do not have",
+                said.at, said.value.class
+            )
         })
     }
 
@@ -151,10 +154,16 @@
         let drift = foldmux_seats::Drift::percent(self.drift_percent);
         let drift = drift.map_err(|_| {
             let most = foldmux_seats::Drift::MOST;
-            format!("drift_percent: {} is not within 0 to {most}", self.drift_percent)
+            format!(
+                "drift_percent: {} is not within 0 to {most}",
+                self.drift_percent
+            )
         })?;
         // The holder asks again after a third of what it may count on, and the answers take a round trip.
-        let (held, trip) = (drift.shortened(self.lease_ms * 1_000) / 1_000, self.round_trip_ms);
+        let (held, trip) = (
+            drift.shortened(self.lease_ms * 1_000) / 1_000,
+            self.round_trip_ms,
+        );
         if held < 3 * trip {
             let d = self.drift_percent;
             return Err(format!(
--- a/shared/operator/tests/faulty.rs
+++ b/shared/operator/tests/faulty.rs
@@ -9,8 +9,10 @@
 
 fn files() -> Vec<PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../pure/limits/tests/faulty");
-    let mut files: Vec<PathBuf> =
-        std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()).collect();
+    let mut files: Vec<PathBuf> = std::fs::read_dir(folder)
+        .unwrap()
+        .map(|entry| entry.unwrap().path())
+        .collect();
     files.sort();
     files
 }
@@ -21,11 +23,17 @@
         Err(faults) => faults,
         Ok(operator) => {
             let draft = operator.limits.unwrap_or_default();
-            check(&Account::default(), &draft).iter().map(ToString::to_string).collect()
+            check(&Account::default(), &draft)
+                .iter()
+                .map(ToString::to_string)
+                .collect()
         }
     };
     let folder = format!("{}/", file.parent().unwrap().display());
-    faults.into_iter().map(|fault| fault.replace(&folder, "")).collect()
+    faults
+        .into_iter()
+        .map(|fault| fault.replace(&folder, ""))
+        .collect()
 }
 
 #[test]
@@ -35,7 +43,9 @@
     for file in files() {
         let name = file.file_name().unwrap().to_string_lossy().into_owned();
         let faults = told(&file);
-        let placed = faults.first().is_some_and(|fault| fault.starts_with(&format!("{name}:")));
+        let placed = faults
+            .first()
+            .is_some_and(|fault| fault.starts_with(&format!("{name}:")));
         if faults.len() != 1 || !placed {
             wrong.push(format!("{name}: {faults:#?}"));
             continue;
@@ -62,7 +72,10 @@
         let operator = load(&file).unwrap();
         let whole = operator.limits.unwrap();
         for said in &whole.classes {
-            let mut one = foldmux_limits::Draft { budgets: whole.budgets.clone(), ..Default::default() };
+            let mut one = foldmux_limits::Draft {
+                budgets: whole.budgets.clone(),
+                ..Default::default()
+            };
             let layer = said.value.1.clone();
             let alone = foldmux_limits::Layer {
                 attempts: layer.attempts,
@@ -75,15 +88,31 @@
             });
             let faults = check(&Account::default(), &one);
             let of_the_budgets = |check| matches!(check, Check::BurstsTogether);
-            assert!(faults.iter().all(|fault| of_the_budgets(fault.check)), "{name}: {faults:#?}");
+            assert!(
+                faults.iter().all(|fault| of_the_budgets(fault.check)),
+                "{name}: {faults:#?}"
+            );
         }
-        let singles = [Check::BurstsTogether, Check::Storm, Check::BudgetStarves, Check::ParentStarves]
-            .into_iter()
-            .chain([Check::PlacesTogether, Check::WaitStarves, Check::WindowsDiffer, Check::StaleAndWait])
-            .chain([Check::TriesPastAnswer, Check::RunsTwice]);
+        let singles = [
+            Check::BurstsTogether,
+            Check::Storm,
+            Check::BudgetStarves,
+            Check::ParentStarves,
+        ]
+        .into_iter()
+        .chain([
+            Check::PlacesTogether,
+            Check::WaitStarves,
+            Check::WindowsDiffer,
+            Check::StaleAndWait,
+        ])
+        .chain([Check::TriesPastAnswer, Check::RunsTwice]);
         let singles: BTreeSet<Check> = singles.collect();
         let faults = check(&Account::default(), &whole);
-        assert!(faults.iter().all(|fault| singles.contains(&fault.check)), "{name}: {faults:#?}");
+        assert!(
+            faults.iter().all(|fault| singles.contains(&fault.check)),
+            "{name}: {faults:#?}"
+        );
     }
 }
 
@@ -91,8 +120,16 @@
 fn every_check_is_brought_about_by_some_file() {
     let told: String = files().iter().flat_map(|file| told(file)).collect();
     // These need an account of another kind, or more lines than a file should have here.
-    let elsewhere = [Check::TooManyRoutes, Check::RepeatedOnce, Check::GroupTooWide];
+    let elsewhere = [
+        Check::TooManyRoutes,
+        Check::RepeatedOnce,
+        Check::GroupTooWide,
+    ];
     for check in Check::ALL.iter().filter(|check| !elsewhere.contains(check)) {
-        assert!(told.contains(&format!("[{}]", check.name())), "no file for {}", check.name());
+        assert!(
+            told.contains(&format!("[{}]", check.name())),
+            "no file for {}",
+            check.name()
+        );
     }
 }
--- a/shared/peers/src/frame.rs
+++ b/shared/peers/src/frame.rs
@@ -39,14 +39,20 @@
     pub fn new(fleet: &[u8; 32], dialler: &[u8], acceptor: &[u8]) -> LinkKey {
         let mut hasher = blake3::Hasher::new_keyed(fleet);
         for hello in [dialler, acceptor] {
-            hasher.update(&(hello.len() as u64).to_le_bytes()).update(hello);
+            hasher
+                .update(&(hello.len() as u64).to_le_bytes())
+                .update(hello);
         }
         LinkKey(*hasher.finalize().as_bytes())
     }
 
     fn hash(&self, end: End, number: u64, body: &[u8]) -> blake3::Hash {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
-        hasher.update(&[end as u8]).update(&number.to_le_bytes()).update(body).finalize()
+        hasher
+            .update(&[end as u8])
+            .update(&number.to_le_bytes())
+            .update(body)
+            .finalize()
     }
 }
 
@@ -60,7 +66,11 @@
 impl Way {
     /// What `end` says on a link.
     pub fn of(key: LinkKey, end: End) -> Way {
-        Way { key, end, number: 0 }
+        Way {
+            key,
+            end,
+            number: 0,
+        }
     }
 
     /// Appends the next frame.
@@ -70,7 +80,9 @@
         let whole = postcard::to_extend(envelope, std::mem::take(out));
         // A vector takes whatever an envelope holds.
         *out = whole.expect("an envelope can be written");
-        let hash = self.key.hash(self.end, self.number, &out[start + LENGTH + HASH..]);
+        let hash = self
+            .key
+            .hash(self.end, self.number, &out[start + LENGTH + HASH..]);
         self.number += 1;
         let length = (out.len() - start - LENGTH) as u32;
         out[start..start + LENGTH].copy_from_slice(&length.to_le_bytes());
@@ -81,7 +93,9 @@
     pub fn open<'a>(&mut self, frame: &'a [u8]) -> Result<Envelope<'a>, Broken> {
         let (hash, body) = frame.split_at_checked(HASH).ok_or(Broken)?;
         // Compared in constant time, by the library.
-        if self.key.hash(self.end, self.number, body) != *<&[u8; HASH]>::try_from(hash).map_err(|_| Broken)? {
+        if self.key.hash(self.end, self.number, body)
+            != *<&[u8; HASH]>::try_from(hash).map_err(|_| Broken)?
+        {
             return Err(Broken);
         }
         self.number += 1;
--- a/shared/peers/src/hello.rs
+++ b/shared/peers/src/hello.rs
@@ -71,7 +71,8 @@
         return Err(Refused::Stranger);
     }
     bytes.resize(HEAD + length, 0);
-    from.read_exact(&mut bytes[HEAD..]).map_err(|_| Refused::Stranger)?;
+    from.read_exact(&mut bytes[HEAD..])
+        .map_err(|_| Refused::Stranger)?;
     match postcard::take_from_bytes(&bytes[HEAD..]) {
         Ok((hello, [])) => Ok((hello, bytes)),
         _ => Err(Refused::Stranger),
@@ -82,10 +83,20 @@
     fn hello(&self, to: Peer) -> Result<Hello, Refused> {
         let mut nonce = [0; 16];
         getrandom::fill(&mut nonce).map_err(|_| Refused::Stranger)?;
-        Ok(Hello { name: self.config.name.clone(), to, session: self.session, nonce })
+        Ok(Hello {
+            name: self.config.name.clone(),
+            to,
+            session: self.session,
+            nonce,
+        })
     }
 
-    pub fn dial(&self, stream: &TcpStream, reader: &mut DeadlineReader, to: &Peer) -> Result<Begun, Refused> {
+    pub fn dial(
+        &self,
+        stream: &TcpStream,
+        reader: &mut DeadlineReader,
+        to: &Peer,
+    ) -> Result<Begun, Refused> {
         let own = encode(&self.hello(to.clone())?, VERSION);
         wire::write(stream, &own, reader.get_ref().until).map_err(|_| Refused::Stranger)?;
         let (hello, theirs) = read(reader)?;
@@ -96,10 +107,16 @@
         begin(stream, reader, hello, key, (End::Dialler, End::Acceptor))
     }
 
-    pub fn accept(&self, stream: &TcpStream, reader: &mut DeadlineReader) -> Result<Begun, Refused> {
+    pub fn accept(
+        &self,
+        stream: &TcpStream,
+        reader: &mut DeadlineReader,
+    ) -> Result<Begun, Refused> {
         let heard = read(reader);
         // One of another version is told this one, by the name that nobody has.
-        let to = heard.as_ref().map_or_else(|_| Peer::new(""), |(hello, _)| hello.name.clone());
+        let to = heard
+            .as_ref()
+            .map_or_else(|_| Peer::new(""), |(hello, _)| hello.name.clone());
         if heard == Err(Refused::Stranger) {
             return Err(Refused::Stranger);
         }
--- a/shared/peers/src/lib.rs
+++ b/shared/peers/src/lib.rs
@@ -97,7 +97,19 @@
 /// What comes of the links. Sessions of a peer may overlap: it is linked while one of them is up.
 #[derive(Debug)]
 pub enum Incoming {
-    Up { peer: Peer, session: Session },
-    Down { peer: Peer, session: Session },
-    Frame { from: Peer, session: Session, part: u8, bytes: Vec<u8>, held: link::Held },
+    Up {
+        peer: Peer,
+        session: Session,
+    },
+    Down {
+        peer: Peer,
+        session: Session,
+    },
+    Frame {
+        from: Peer,
+        session: Session,
+        part: u8,
+        bytes: Vec<u8>,
+        held: link::Held,
+    },
 }
--- a/shared/peers/src/link.rs
+++ b/shared/peers/src/link.rs
@@ -64,7 +64,16 @@
 impl Link {
     pub fn new(peer: Peer, session: Session, dialled: bool, stream: TcpStream) -> Link {
         let (written, room, drained) = (Condvar::new(), Condvar::new(), Condvar::new());
-        Link { peer, session, dialled, stream, inside: Mutex::default(), written, room, drained }
+        Link {
+            peer,
+            session,
+            dialled,
+            stream,
+            inside: Mutex::default(),
+            written,
+            room,
+            drained,
+        }
     }
 
     fn lock(&self) -> MutexGuard<'_, Inside> {
@@ -75,7 +84,8 @@
     pub fn send(&self, part: u8, bytes: Vec<u8>, bounds: &Bounds) -> bool {
         let mut inside = self.lock();
         let size = bytes.len() + frame::AROUND;
-        let room = inside.queue.len() < bounds.queue_frames && inside.bytes + size <= bounds.queue_bytes;
+        let room =
+            inside.queue.len() < bounds.queue_frames && inside.bytes + size <= bounds.queue_bytes;
         if inside.ended || !room || bytes.len() > bounds.frame {
             return false;
         }
@@ -101,7 +111,8 @@
     /// Waits until all that was queued is with the socket.
     pub fn drain(&self, until: Instant) {
         let left = until.saturating_duration_since(Instant::now());
-        let busy = |inside: &mut Inside| !inside.ended && (inside.writing || !inside.queue.is_empty());
+        let busy =
+            |inside: &mut Inside| !inside.ended && (inside.writing || !inside.queue.is_empty());
         drop(self.drained.wait_timeout_while(self.lock(), left, busy));
     }
 
@@ -132,7 +143,9 @@
         let mut messages = Vec::new();
         let mut size = 0;
         while size < WRITE {
-            let Some((part, message)) = inside.queue.pop_front() else { break };
+            let Some((part, message)) = inside.queue.pop_front() else {
+                break;
+            };
             size += message.len() + frame::AROUND;
             messages.push((part, message));
         }
@@ -140,7 +153,13 @@
         inside.writing = true;
         drop(inside);
         for (part, message) in &messages {
-            says.seal(&Envelope::Message { part: *part, bytes: message }, bytes);
+            says.seal(
+                &Envelope::Message {
+                    part: *part,
+                    bytes: message,
+                },
+                bytes,
+            );
         }
         if messages.is_empty() {
             says.seal(&Envelope::Beat, bytes);
@@ -173,7 +192,13 @@
                 self.lock().out += 1;
                 let held = Held(Some(self.clone()));
                 let (from, session) = (self.peer.clone(), self.session);
-                let heard = Incoming::Frame { from, session, part, bytes: bytes.to_vec(), held };
+                let heard = Incoming::Frame {
+                    from,
+                    session,
+                    part,
+                    bytes: bytes.to_vec(),
+                    held,
+                };
                 if !self.hand(heard, incoming) {
                     break;
                 }
@@ -184,7 +209,10 @@
 
     fn wait_for_room(&self, window: usize) -> bool {
         let full = |inside: &mut Inside| inside.out >= window && !inside.ended;
-        let inside = self.room.wait_while(self.lock(), full).unwrap_or_else(PoisonError::into_inner);
+        let inside = self
+            .room
+            .wait_while(self.lock(), full)
+            .unwrap_or_else(PoisonError::into_inner);
         !inside.ended
     }
 
--- a/shared/peers/src/links.rs
+++ b/shared/peers/src/links.rs
@@ -42,8 +42,13 @@
     pub fn start(config: Config, incoming: Sender<Incoming>) -> io::Result<Links> {
         let mut nonce = [0; 8];
         getrandom::fill(&mut nonce).map_err(io::Error::from)?;
-        let began = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        let session = Session { began: began.as_micros() as u64, nonce: u64::from_le_bytes(nonce) };
+        let began = SystemTime::now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .unwrap_or_default();
+        let session = Session {
+            began: began.as_micros() as u64,
+            nonce: u64::from_le_bytes(nonce),
+        };
         let listener = listen(config.listen)?;
         let shared = Arc::new(Shared {
             session,
@@ -97,7 +102,11 @@
 
     /// Where it listens; none while the address is in use by another.
     pub fn address(&self) -> Option<SocketAddr> {
-        *self.0.address.lock().unwrap_or_else(PoisonError::into_inner)
+        *self
+            .0
+            .address
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     pub fn session(&self) -> Session {
@@ -114,7 +123,13 @@
         self.0.live.end();
         // Threads may start others until each has seen the end.
         loop {
-            let taken = std::mem::take(&mut *self.0.threads.lock().unwrap_or_else(PoisonError::into_inner));
+            let taken = std::mem::take(
+                &mut *self
+                    .0
+                    .threads
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner),
+            );
             if taken.is_empty() {
                 return;
             }
@@ -124,8 +139,15 @@
 }
 
 impl Shared {
-    fn spawn(self: &Arc<Shared>, name: &str, body: impl FnOnce() + Send + 'static) -> io::Result<()> {
-        let thread = thread::Builder::new().name(name.to_string()).stack_size(STACK).spawn(body)?;
+    fn spawn(
+        self: &Arc<Shared>,
+        name: &str,
+        body: impl FnOnce() + Send + 'static,
+    ) -> io::Result<()> {
+        let thread = thread::Builder::new()
+            .name(name.to_string())
+            .stack_size(STACK)
+            .spawn(body)?;
         let mut threads = self.threads.lock().unwrap_or_else(PoisonError::into_inner);
         threads.retain(|thread| !thread.is_finished());
         threads.push(thread);
@@ -162,7 +184,14 @@
         let place = Place(self.clone());
         let _ = self.spawn("fleet-link", move || {
             let shared = &place.0;
-            if shared.one(stream, |own, stream, reader| own.accept(stream, reader), false).is_none() {
+            if shared
+                .one(
+                    stream,
+                    |own, stream, reader| own.accept(stream, reader),
+                    false,
+                )
+                .is_none()
+            {
                 shared.counts.strangers.one();
             }
         });
@@ -174,8 +203,11 @@
         let mut draws = fastrand::Rng::with_seed(self.config.seed ^ (at as u64) << 32);
         let mut most = first;
         while self.live.wait_for_none(peer) {
-            let dialled = dial(*address, self.config.bounds.dial, &|_| true).ok().and_then(Arc::into_inner);
-            let lasted = dialled.and_then(|s| self.one(s, |own, s, reader| own.dial(s, reader, peer), true));
+            let dialled = dial(*address, self.config.bounds.dial, &|_| true)
+                .ok()
+                .and_then(Arc::into_inner);
+            let lasted =
+                dialled.and_then(|s| self.one(s, |own, s, reader| own.dial(s, reader, peer), true));
             // One that lasted begins anew; any other doubles the range that its wait is drawn from.
             match lasted {
                 Some(lasted) if lasted > self.config.bounds.idle => most = first,
@@ -200,8 +232,12 @@
     ) -> Option<Duration> {
         let bounds = &self.config.bounds;
         stream::set_nodelay(&stream);
-        let mut reader = wire::deadline_reader(stream.try_clone().ok()?, Instant::now() + bounds.hello);
-        let own = Own { config: &self.config, session: self.session };
+        let mut reader =
+            wire::deadline_reader(stream.try_clone().ok()?, Instant::now() + bounds.hello);
+        let own = Own {
+            config: &self.config,
+            session: self.session,
+        };
         let begun = hello(&own, &stream, &mut reader);
         if begun.as_ref().err() == Some(&Refused::Version) {
             self.counts.versions.one();
@@ -222,7 +258,12 @@
         let (writing, shared) = (link.clone(), self.clone());
         let write = move || writing.write(says, &shared.config.bounds);
         if self.spawn("fleet-write", write).is_ok() {
-            link.read(reader, hears, &self.config.bounds, (&self.counts, &self.incoming));
+            link.read(
+                reader,
+                hears,
+                &self.config.bounds,
+                (&self.counts, &self.incoming),
+            );
         }
         link.end();
     }
--- a/shared/peers/src/listen.rs
+++ b/shared/peers/src/listen.rs
@@ -12,9 +12,16 @@
 
 /// Listens at the address; none where another has it.
 pub(crate) fn listen(address: SocketAddr) -> io::Result<Option<TcpListener>> {
-    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+    let socket = Socket::new(
+        Domain::for_address(address),
+        Type::STREAM,
+        Some(Protocol::TCP),
+    )?;
     socket.set_reuse_address(true)?;
-    match socket.bind(&address.into()).and_then(|()| socket.listen(BACKLOG)) {
+    match socket
+        .bind(&address.into())
+        .and_then(|()| socket.listen(BACKLOG))
+    {
         Err(e) if e.kind() == io::ErrorKind::AddrInUse => return Ok(None),
         bound => bound?,
     }
--- a/shared/peers/src/live.rs
+++ b/shared/peers/src/live.rs
@@ -32,7 +32,13 @@
 
 impl Live {
     pub fn new(own: Peer, incoming: Sender<Incoming>) -> Live {
-        Live { own, inside: Mutex::default(), changed: Condvar::new(), told: Mutex::default(), incoming }
+        Live {
+            own,
+            inside: Mutex::default(),
+            changed: Condvar::new(),
+            told: Mutex::default(),
+            incoming,
+        }
     }
 
     fn lock(&self) -> MutexGuard<'_, Inside> {
@@ -111,12 +117,21 @@
 
     /// The link by which the peer is sent to.
     pub fn newest(&self, peer: &Peer) -> Option<Arc<Link>> {
-        self.lock().links.get(peer).and_then(|links| links.last()).cloned()
+        self.lock()
+            .links
+            .get(peer)
+            .and_then(|links| links.last())
+            .cloned()
     }
 
     /// The link of one process among those of its name.
     pub fn of(&self, peer: &Peer, session: Session) -> Option<Arc<Link>> {
-        self.lock().links.get(peer)?.iter().find(|link| link.session == session).cloned()
+        self.lock()
+            .links
+            .get(peer)?
+            .iter()
+            .find(|link| link.session == session)
+            .cloned()
     }
 
     pub fn all(&self) -> Vec<Arc<Link>> {
@@ -126,14 +141,24 @@
     /// Waits until the peer has no link; not once all ends.
     pub fn wait_for_none(&self, peer: &Peer) -> bool {
         let linked = |inside: &mut Inside| {
-            !inside.ended && inside.links.get(peer).is_some_and(|links| !links.is_empty())
+            !inside.ended
+                && inside
+                    .links
+                    .get(peer)
+                    .is_some_and(|links| !links.is_empty())
         };
-        !self.changed.wait_while(self.lock(), linked).unwrap_or_else(PoisonError::into_inner).ended
+        !self
+            .changed
+            .wait_while(self.lock(), linked)
+            .unwrap_or_else(PoisonError::into_inner)
+            .ended
     }
 
     /// Waits so long; not once all ends.
     pub fn pause(&self, time: Duration) -> bool {
-        let waited = self.changed.wait_timeout_while(self.lock(), time, |inside| !inside.ended);
+        let waited = self
+            .changed
+            .wait_timeout_while(self.lock(), time, |inside| !inside.ended);
         !waited.unwrap_or_else(PoisonError::into_inner).0.ended
     }
 
@@ -144,7 +169,11 @@
     pub fn end(&self) {
         let mut inside = self.lock();
         inside.ended = true;
-        inside.links.drain().flat_map(|(_, links)| links).for_each(|link| link.end());
+        inside
+            .links
+            .drain()
+            .flat_map(|(_, links)| links)
+            .for_each(|link| link.end());
         drop(inside);
         self.changed.notify_all();
     }
--- a/shared/peers/tests/common/mod.rs
+++ b/shared/peers/tests/common/mod.rs
@@ -18,8 +18,15 @@
 pub fn address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let (process, next) = (std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
-    let ip = [127, 64 + (process >> 8 & 63) as u8, process as u8, 1 + (next % 250) as u8];
-    TcpListener::bind(SocketAddr::from((ip, 0))).and_then(|l| l.local_addr()).unwrap()
+    let ip = [
+        127,
+        64 + (process >> 8 & 63) as u8,
+        process as u8,
+        1 + (next % 250) as u8,
+    ];
+    TcpListener::bind(SocketAddr::from((ip, 0)))
+        .and_then(|l| l.local_addr())
+        .unwrap()
 }
 
 pub fn peer(n: usize) -> Peer {
@@ -27,8 +34,19 @@
 }
 
 pub fn config(n: usize, all: &[SocketAddr]) -> Config {
-    let peers = all.iter().enumerate().map(|(n, address)| (peer(n), *address)).collect();
-    Config { name: peer(n), listen: all[n], peers, key: KEY, seed: n as u64, bounds: Bounds::default() }
+    let peers = all
+        .iter()
+        .enumerate()
+        .map(|(n, address)| (peer(n), *address))
+        .collect();
+    Config {
+        name: peer(n),
+        listen: all[n],
+        peers,
+        key: KEY,
+        seed: n as u64,
+        bounds: Bounds::default(),
+    }
 }
 
 pub fn start(config: Config) -> (Links, Receiver<Incoming>) {
@@ -63,7 +81,9 @@
 
 pub fn frame(receiver: &Receiver<Incoming>, of: &Peer) -> (u8, Vec<u8>) {
     wait(receiver, |i| match i {
-        Incoming::Frame { from, part, bytes, .. } if from == *of => Some((part, bytes)),
+        Incoming::Frame {
+            from, part, bytes, ..
+        } if from == *of => Some((part, bytes)),
         _ => None,
     })
 }
@@ -81,15 +101,24 @@
     config.key = key;
     let stream = TcpStream::connect(all[to]).unwrap();
     let mut reader = wire::deadline_reader(stream.try_clone().unwrap(), Instant::now() + LONG);
-    let own = Own { config: &config, session: Session { began, nonce: 5 } };
+    let own = Own {
+        config: &config,
+        session: Session { began, nonce: 5 },
+    };
     let begun = own.dial(&stream, &mut reader, &peer(to)).ok()?;
-    Some(Hand { stream, says: begun.says, hears: begun.hears, reader })
+    Some(Hand {
+        stream,
+        says: begun.says,
+        hears: begun.hears,
+        reader,
+    })
 }
 
 impl Hand {
     pub fn seal(&mut self, bytes: &[u8]) -> Vec<u8> {
         let mut out = Vec::new();
-        self.says.seal(&Envelope::Message { part: 1, bytes }, &mut out);
+        self.says
+            .seal(&Envelope::Message { part: 1, bytes }, &mut out);
         out
     }
 
@@ -105,5 +134,10 @@
 }
 
 pub fn hello(n: usize, to: usize) -> Hello {
-    Hello { name: peer(n), to: peer(to), session: Session { began: 1, nonce: 1 }, nonce: [n as u8; 16] }
+    Hello {
+        name: peer(n),
+        to: peer(to),
+        session: Session { began: 1, nonce: 1 },
+        nonce: [n as u8; 16],
+    }
 }
--- a/shared/peers/tests/frames.rs
+++ b/shared/peers/tests/frames.rs
@@ -20,7 +20,13 @@
 
 impl Read for Pieces<'_> {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
-        let next = self.cuts.iter().copied().filter(|&cut| cut > self.at).min().unwrap_or(usize::MAX);
+        let next = self
+            .cuts
+            .iter()
+            .copied()
+            .filter(|&cut| cut > self.at)
+            .min()
+            .unwrap_or(usize::MAX);
         let end = next.min(self.bytes.len()).min(self.at + buffer.len());
         let piece = &self.bytes[self.at..end];
         buffer[..piece.len()].copy_from_slice(piece);
@@ -67,7 +73,11 @@
     let frames = seal(&some());
     let whole = frames.concat();
     for cut in 0..=whole.len() {
-        assert_eq!(open(&whole, vec![cut], End::Dialler), (some(), true), "split at {cut}");
+        assert_eq!(
+            open(&whole, vec![cut], End::Dialler),
+            (some(), true),
+            "split at {cut}"
+        );
         let mut ends = frames.iter().scan(0, |sum, frame| {
             *sum += frame.len();
             Some(*sum)
@@ -84,7 +94,10 @@
     let frames = seal(&some());
     assert_eq!(open(&frames[0], vec![], End::Acceptor), (vec![], false));
     let twice = [&frames[0][..], &frames[0], &frames[1]].concat();
-    assert_eq!(open(&twice, vec![], End::Dialler), (some()[..1].to_vec(), false));
+    assert_eq!(
+        open(&twice, vec![], End::Dialler),
+        (some()[..1].to_vec(), false)
+    );
     assert_eq!(open(&frames[1], vec![], End::Dialler), (vec![], false));
 }
 
--- a/shared/peers/tests/hostile.rs
+++ b/shared/peers/tests/hostile.rs
@@ -35,16 +35,24 @@
     let (links, incoming) = start(config);
 
     let mut stream = TcpStream::connect(all[0]).unwrap();
-    stream.write_all(&hello::encode(&hello(1, 0), hello::VERSION + 1)).unwrap();
+    stream
+        .write_all(&hello::encode(&hello(1, 0), hello::VERSION + 1))
+        .unwrap();
     // It is told the version that it met.
     let mut reader = wire::deadline_reader(stream.try_clone().unwrap(), Instant::now() + LONG);
-    assert_eq!(hello::read(&mut reader).map(|(hello, _)| hello.name), Ok(peer(0)));
+    assert_eq!(
+        hello::read(&mut reader).map(|(hello, _)| hello.name),
+        Ok(peer(0))
+    );
     assert!(closed(&stream));
     assert_eq!(links.counts().versions.get(), 1);
 
     assert!(dial(1, 0, &all, [8; 32], 1).is_none(), "another key");
     let strange = [&all[..], &[address()]].concat();
-    assert!(dial(3, 0, &strange, KEY, 1).is_none(), "a name that is not listed");
+    assert!(
+        dial(3, 0, &strange, KEY, 1).is_none(),
+        "a name that is not listed"
+    );
     assert!(dial(0, 0, &all, KEY, 1).is_none(), "its own name");
     for n in 0..40usize {
         let mut stream = TcpStream::connect(all[0]).unwrap();
@@ -110,9 +118,14 @@
     config.bounds.accepted = 3;
     config.bounds.hello = Duration::from_millis(300);
     let (links, incoming) = start(config);
-    let silent: Vec<_> = (0..8).map(|_| TcpStream::connect(all[0]).unwrap()).collect();
+    let silent: Vec<_> = (0..8)
+        .map(|_| TcpStream::connect(all[0]).unwrap())
+        .collect();
     assert!(silent.iter().all(closed));
-    assert_eq!((links.counts().crowded.get(), links.counts().strangers.get()), (5, 3));
+    assert_eq!(
+        (links.counts().crowded.get(), links.counts().strangers.get()),
+        (5, 3)
+    );
     let _good = dial(1, 0, &all, KEY, 1).unwrap();
     up(&incoming, &peer(1));
 }
--- a/shared/peers/tests/links.rs
+++ b/shared/peers/tests/links.rs
@@ -53,7 +53,12 @@
 fn a_flood_to_a_peer_that_does_not_read_delays_no_other_and_stays_within_its_queue() {
     let all = vec![address(), address(), address()];
     let mut own = config(0, &all);
-    own.bounds = Bounds { queue_frames: 16, write: LONG, idle: LONG, ..own.bounds };
+    own.bounds = Bounds {
+        queue_frames: 16,
+        write: LONG,
+        idle: LONG,
+        ..own.bounds
+    };
     let (a, incoming) = start(own);
     let (_c, from_a) = start(config(2, &all));
     up(&incoming, &peer(2));
@@ -76,11 +81,24 @@
 fn a_queue_holds_so_many_frames_and_bytes_and_drops_the_newest() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let bounds = Bounds { queue_frames: 10, queue_bytes: 1_000, frame: 700, ..Bounds::default() };
+    let bounds = Bounds {
+        queue_frames: 10,
+        queue_bytes: 1_000,
+        frame: 700,
+        ..Bounds::default()
+    };
     let link = Link::new(peer(1), Session { began: 1, nonce: 1 }, true, stream);
     assert!(!link.send(0, vec![0; 701], &bounds), "over a frame");
-    assert_eq!((0..20).filter(|_| link.send(0, vec![0; 1], &bounds)).count(), 10);
-    let bytes = Bounds { queue_frames: 100, ..bounds };
+    assert_eq!(
+        (0..20)
+            .filter(|_| link.send(0, vec![0; 1], &bounds))
+            .count(),
+        10
+    );
+    let bytes = Bounds {
+        queue_frames: 100,
+        ..bounds
+    };
     assert!(!link.send(0, vec![0; 700], &bytes) && link.send(0, vec![0; 100], &bytes));
     link.end();
     assert!(!link.send(0, vec![], &bytes), "it has ended");
@@ -102,7 +120,9 @@
     kind.write(&sealed);
     let mut held = Vec::new();
     wait(&incoming, |i| match i {
-        Incoming::Frame { from, held: one, .. } => {
+        Incoming::Frame {
+            from, held: one, ..
+        } => {
             held.push(one);
             (from == peer(2)).then_some(())
         }
@@ -125,7 +145,9 @@
     let mut bytes = Vec::new();
     loop {
         foldmux_peers::frame::read(&mut newer.reader, 100, &mut bytes).unwrap();
-        if let foldmux_peers::frame::Envelope::Message { bytes, .. } = newer.hears.open(&bytes).unwrap() {
+        if let foldmux_peers::frame::Envelope::Message { bytes, .. } =
+            newer.hears.open(&bytes).unwrap()
+        {
             assert_eq!(bytes, b"to the newer");
             break;
         }
@@ -150,7 +172,10 @@
     drop((b, taken));
     let _by_hand = loop {
         // Refused until the address is taken over.
-        match TcpStream::connect(all[0]).is_ok().then(|| dial(1, 0, &all, KEY, u64::MAX)) {
+        match TcpStream::connect(all[0])
+            .is_ok()
+            .then(|| dial(1, 0, &all, KEY, u64::MAX))
+        {
             Some(Some(hand)) => break hand,
             _ => std::thread::yield_now(),
         }
--- a/shared/settings/src/bounds.rs
+++ b/shared/settings/src/bounds.rs
@@ -45,12 +45,18 @@
     /// Times by class or zone, which may be left out.
     pub(crate) fn times(&self, key: &str) -> Vec<Time> {
         let times: Vec<Time> = self.optional(key).unwrap_or_default();
-        times.into_iter().map(|time| self.bounded(key, time)).collect()
+        times
+            .into_iter()
+            .map(|time| self.bounded(key, time))
+            .collect()
     }
 
     fn bounded(&self, key: &str, time: Time) -> Time {
         if time > TIME_MOST {
-            self.fault(key, format_args!("{time} is over {TIME_MOST} us, a hundred years"));
+            self.fault(
+                key,
+                format_args!("{time} is over {TIME_MOST} us, a hundred years"),
+            );
         }
         time.min(TIME_MOST)
     }
--- a/shared/settings/src/classes.rs
+++ b/shared/settings/src/classes.rs
@@ -21,7 +21,11 @@
         Some(value) if empty(value) => settings.fault("classes", "no class"),
         _ => {}
     }
-    listed.iter().enumerate().map(|(place, class)| one(class, place, by_class)).collect()
+    listed
+        .iter()
+        .enumerate()
+        .map(|(place, class)| one(class, place, by_class))
+        .collect()
 }
 
 fn one(class: &Section, place: usize, by_class: &ByClass) -> (String, Class) {
@@ -41,7 +45,11 @@
 }
 
 fn repeat(class: &Section) -> Repeat {
-    let group = match class.optional::<String>("group").unwrap_or_default().as_str() {
+    let group = match class
+        .optional::<String>("group")
+        .unwrap_or_default()
+        .as_str()
+    {
         "zone" => Group::Zone,
         "cell" => Group::Cell,
         _ => Group::All,
@@ -57,7 +65,10 @@
         "guarded" => Repeat::Keyed(group),
         "single_shot" => Repeat::SingleShot,
         other => {
-            class.fault("idempotency", format_args!("{other:?} is no effect (free, guarded, single_shot)"));
+            class.fault(
+                "idempotency",
+                format_args!("{other:?} is no effect (free, guarded, single_shot)"),
+            );
             Repeat::SingleShot
         }
     }
--- a/shared/settings/src/lib.rs
+++ b/shared/settings/src/lib.rs
@@ -32,7 +32,8 @@
 /// The settings, or all that is wrong with the text, on one line.
 pub fn parse(text: &str) -> Result<Decoded, String> {
     let mut bytes = text.as_bytes().to_vec();
-    let value: OwnedValue = simd_json::serde::from_slice(&mut bytes).map_err(|e| format!("settings: {e}"))?;
+    let value: OwnedValue =
+        simd_json::serde::from_slice(&mut bytes).map_err(|e| format!("settings: {e}"))?;
     read(&value)
 }
 
@@ -48,8 +49,11 @@
 
 /// The settings in an object. Where faults are noted, what comes of it is not to be used.
 pub fn decode(section: &Section) -> Decoded {
-    let (limits, rules, domain) =
-        (section.section("limits"), section.section("rules"), section.section("domain"));
+    let (limits, rules, domain) = (
+        section.section("limits"),
+        section.section("rules"),
+        section.section("domain"),
+    );
     let by_class = ByClass {
         fresh: domain.times("lifetimeByClass"),
         grace: domain.times("graceFor"),
@@ -57,8 +61,12 @@
     };
     let classes = classes::read(section, &by_class);
     let dial_time_out = dial_time_out(&limits, &classes);
-    let reports =
-        reports::read(section, limits.optional("probes").unwrap_or_default(), &classes, dial_time_out);
+    let reports = reports::read(
+        section,
+        limits.optional("probes").unwrap_or_default(),
+        &classes,
+        dial_time_out,
+    );
     let settings = settings(section, [&limits, &rules, &domain], &classes);
     Decoded {
         settings,
@@ -134,7 +142,10 @@
     if limits.get("dialTimeout").is_some() {
         return limits.time_above_0("dialTimeout");
     }
-    let least = classes.iter().map(|(_, class)| class.aim.min(class.deadline)).min();
+    let least = classes
+        .iter()
+        .map(|(_, class)| class.aim.min(class.deadline))
+        .min();
     least.unwrap_or_default().max(1_000)
 }
 
--- a/shared/settings/src/reports.rs
+++ b/shared/settings/src/reports.rs
@@ -23,8 +23,15 @@
         // Placing by crowding was measured and gains nothing (docs/design/deployments.md).
         acted_on: false,
         // Taken off for one probe a request.
-        price: settings.optional_section("charges").optional("probe").unwrap_or_default(),
+        price: settings
+            .optional_section("charges")
+            .optional("probe")
+            .unwrap_or_default(),
         patience: dial_time_out,
-        least_aim: classes.iter().map(|(_, class)| class.aim).min().unwrap_or(0),
+        least_aim: classes
+            .iter()
+            .map(|(_, class)| class.aim)
+            .min()
+            .unwrap_or(0),
     }
 }
--- a/shared/settings/src/section.rs
+++ b/shared/settings/src/section.rs
@@ -32,7 +32,11 @@
 impl<'a> Section<'a> {
     /// A whole document; `path` is what it is called.
     pub fn new(path: &str, document: &'a OwnedValue, faults: &'a Faults) -> Section<'a> {
-        let section = Section { path: path.to_string(), object: None, faults };
+        let section = Section {
+            path: path.to_string(),
+            object: None,
+            faults,
+        };
         section.of(path.to_string(), document)
     }
 
@@ -41,7 +45,11 @@
         if object.is_none() {
             self.faults.note(&path, "it is no object");
         }
-        Section { path, object, faults: self.faults }
+        Section {
+            path,
+            object,
+            faults: self.faults,
+        }
     }
 
     fn path_of(&self, key: &str) -> String {
@@ -60,7 +68,9 @@
 
     /// The value under `key`, where there is one; null is none.
     pub fn get(&self, key: &str) -> Option<&'a OwnedValue> {
-        self.object.and_then(|object| object.get(key)).filter(|value| !value.is_null())
+        self.object
+            .and_then(|object| object.get(key))
+            .filter(|value| !value.is_null())
     }
 
     /// A value that may be left out; one that is there has to be of its type.
@@ -94,18 +104,27 @@
         let path = self.path_of(key);
         match self.get(key) {
             Some(value) => self.of(path, value),
-            None => Section { path, object: None, faults: self.faults },
+            None => Section {
+                path,
+                object: None,
+                faults: self.faults,
+            },
         }
     }
 
     /// A list of objects that may be left out.
     pub fn sections(&self, key: &str) -> Vec<Section<'a>> {
-        let Some(value) = self.get(key) else { return Vec::new() };
+        let Some(value) = self.get(key) else {
+            return Vec::new();
+        };
         let Some(list) = value.as_array() else {
             self.fault(key, "it is no list");
             return Vec::new();
         };
         let path = self.path_of(key);
-        list.iter().enumerate().map(|(place, value)| self.of(format!("{path}[{place}]"), value)).collect()
+        list.iter()
+            .enumerate()
+            .map(|(place, value)| self.of(format!("{path}[{place}]"), value))
+            .collect()
     }
 }
--- a/shared/settings/src/value.rs
+++ b/shared/settings/src/value.rs
@@ -26,14 +26,29 @@
     };
 }
 
-read!(u64, "a whole number from 0 on", |value: &OwnedValue| value.as_u64());
-read!(u32, "a whole number from 0 to 4294967295", |value: &OwnedValue| value.as_u32());
-read!(usize, "a whole number from 0 on", |value: &OwnedValue| value.as_usize());
+read!(u64, "a whole number from 0 on", |value: &OwnedValue| value
+    .as_u64());
+read!(
+    u32,
+    "a whole number from 0 to 4294967295",
+    |value: &OwnedValue| value.as_u32()
+);
+read!(usize, "a whole number from 0 on", |value: &OwnedValue| {
+    value.as_usize()
+});
 read!(i64, "a whole number", |value: &OwnedValue| value.as_i64());
-read!(f64, "a number", |value: &OwnedValue| value.cast_f64().filter(|number| number.is_finite()));
+read!(f64, "a number", |value: &OwnedValue| value
+    .cast_f64()
+    .filter(|number| number.is_finite()));
 read!(bool, "true or false", |value: &OwnedValue| value.as_bool());
-read!(String, "a text", |value: &OwnedValue| value.as_str().map(str::to_string));
-read!(SocketAddr, "an address with a port", |value: &OwnedValue| value.as_str()?.parse().ok());
+read!(String, "a text", |value: &OwnedValue| value
+    .as_str()
+    .map(str::to_string));
+read!(
+    SocketAddr,
+    "an address with a port",
+    |value: &OwnedValue| value.as_str()?.parse().ok()
+);
 
 impl<T: Read> Read for Vec<T> {
     fn expected() -> String {
