--- a/shared/settings/tests/faults.rs
+++ b/shared/settings/tests/faults.rs
@@ -32,47 +32,154 @@
 #[test]
 fn each_kind_of_fault_is_one_line_that_names_its_key() {
     for (is, becomes, key) in [
-        ("\"hardLimit\":2500000", "\"hardLimit\":0", "settings.classes[0].hardLimit"),
-        ("\"hardLimit\":2500000", "\"hardLimit\":-5", "settings.classes[0].hardLimit"),
-        ("\"hardLimit\":2500000", "\"hardLimit\":18446744073709551615", "settings.classes[0].hardLimit"),
-        ("\"hardLimit\":2500000", "\"hardLimit\":2.5", "settings.classes[0].hardLimit"),
-        ("\"hardLimit\":2500000,", "", "settings.classes[0].hardLimit"),
-        ("\"slo\":600000", "\"slo\":\"soon\"", "settings.classes[1].slo"),
-        ("\"slo\":600000", "\"slo\":18446744073709551615", "settings.classes[1].slo"),
+        (
+            "\"hardLimit\":2500000",
+            "\"hardLimit\":0",
+            "settings.classes[0].hardLimit",
+        ),
+        (
+            "\"hardLimit\":2500000",
+            "\"hardLimit\":-5",
+            "settings.classes[0].hardLimit",
+        ),
+        (
+            "\"hardLimit\":2500000",
+            "\"hardLimit\":18446744073709551615",
+            "settings.classes[0].hardLimit",
+        ),
+        (
+            "\"hardLimit\":2500000",
+            "\"hardLimit\":2.5",
+            "settings.classes[0].hardLimit",
+        ),
+        (
+            "\"hardLimit\":2500000,",
+            "",
+            "settings.classes[0].hardLimit",
+        ),
+        (
+            "\"slo\":600000",
+            "\"slo\":\"soon\"",
+            "settings.classes[1].slo",
+        ),
+        (
+            "\"slo\":600000",
+            "\"slo\":18446744073709551615",
+            "settings.classes[1].slo",
+        ),
         (
             "\"repeatWindow\":900000",
             "\"repeatWindow\":18446744073709551615",
             "settings.classes[1].repeatWindow",
         ),
-        ("\"aimStretch\":2.0", "\"aimStretch\":1e300", "settings.classes[0].aimStretch"),
-        ("\"aimStretch\":2.0", "\"aimStretch\":-1", "settings.classes[0].aimStretch"),
-        ("\"idempotency\":\"free\"", "\"idempotency\":\"sometimes\"", "settings.classes[0].idempotency"),
-        ("\"idempotency\":\"free\"", "\"idempotency\":7", "settings.classes[0].idempotency"),
-        ("{\"name\":\"page\"", "7,{\"name\":\"page\"", "settings.classes[0]"),
-        ("\"maxAttempts\":6", "\"maxAttempts\":0", "settings.limits.maxAttempts"),
-        ("\"maxAttempts\":6", "\"maxAttempts\":4294967296", "settings.limits.maxAttempts"),
-        ("\"dialTimeout\":400000", "\"dialTimeout\":0", "settings.limits.dialTimeout"),
-        ("\"keepalive\":15000000", "\"keepalive\":18446744073709551615", "settings.limits.keepalive"),
-        ("\"cancel\":true", "\"cancel\":\"yes\"", "settings.limits.cancel"),
-        ("\"rampTime\":14000000", "\"rampTime\":-1", "settings.rules.rampTime"),
-        ("\"coldFrom\":0.16", "\"coldFrom\":-0.16", "settings.rules.coldFrom"),
-        ("\"fallMultiple\":2.0", "\"fallMultiple\":\"NaN\"", "settings.rules.fallMultiple"),
-        ("\"stopSendingWithin\":2000000,", "", "settings.rules.stopSendingWithin"),
-        ("\"hubOf\":[0,0]", "\"hubOf\":[0,18446744073709551615]", "settings.domain.hubOf"),
+        (
+            "\"aimStretch\":2.0",
+            "\"aimStretch\":1e300",
+            "settings.classes[0].aimStretch",
+        ),
+        (
+            "\"aimStretch\":2.0",
+            "\"aimStretch\":-1",
+            "settings.classes[0].aimStretch",
+        ),
+        (
+            "\"idempotency\":\"free\"",
+            "\"idempotency\":\"sometimes\"",
+            "settings.classes[0].idempotency",
+        ),
+        (
+            "\"idempotency\":\"free\"",
+            "\"idempotency\":7",
+            "settings.classes[0].idempotency",
+        ),
+        (
+            "{\"name\":\"page\"",
+            "7,{\"name\":\"page\"",
+            "settings.classes[0]",
+        ),
+        (
+            "\"maxAttempts\":6",
+            "\"maxAttempts\":0",
+            "settings.limits.maxAttempts",
+        ),
+        (
+            "\"maxAttempts\":6",
+            "\"maxAttempts\":4294967296",
+            "settings.limits.maxAttempts",
+        ),
+        (
+            "\"dialTimeout\":400000",
+            "\"dialTimeout\":0",
+            "settings.limits.dialTimeout",
+        ),
+        (
+            "\"keepalive\":15000000",
+            "\"keepalive\":18446744073709551615",
+            "settings.limits.keepalive",
+        ),
+        (
+            "\"cancel\":true",
+            "\"cancel\":\"yes\"",
+            "settings.limits.cancel",
+        ),
+        (
+            "\"rampTime\":14000000",
+            "\"rampTime\":-1",
+            "settings.rules.rampTime",
+        ),
+        (
+            "\"coldFrom\":0.16",
+            "\"coldFrom\":-0.16",
+            "settings.rules.coldFrom",
+        ),
+        (
+            "\"fallMultiple\":2.0",
+            "\"fallMultiple\":\"NaN\"",
+            "settings.rules.fallMultiple",
+        ),
+        (
+            "\"stopSendingWithin\":2000000,",
+            "",
+            "settings.rules.stopSendingWithin",
+        ),
+        (
+            "\"hubOf\":[0,0]",
+            "\"hubOf\":[0,18446744073709551615]",
+            "settings.domain.hubOf",
+        ),
         (
             "\"lifetimeByClass\":[12000000,0]",
             "\"lifetimeByClass\":[12000000,18446744073709551615]",
             "settings.domain.lifetimeByClass",
         ),
-        ("\"purgeDone\":6000000", "\"purgeDone\":18446744073709551615", "settings.domain.purgeDone"),
-        ("\"originKind\":2", "\"originKind\":-2", "settings.domain.originKind"),
-        ("\"share\":0.25", "\"share\":-0.25", "settings.projects[0].share"),
-        ("\"names\":[\"util\"]", "\"names\":\"util\"", "settings.report.names"),
+        (
+            "\"purgeDone\":6000000",
+            "\"purgeDone\":18446744073709551615",
+            "settings.domain.purgeDone",
+        ),
+        (
+            "\"originKind\":2",
+            "\"originKind\":-2",
+            "settings.domain.originKind",
+        ),
+        (
+            "\"share\":0.25",
+            "\"share\":-0.25",
+            "settings.projects[0].share",
+        ),
+        (
+            "\"names\":[\"util\"]",
+            "\"names\":\"util\"",
+            "settings.report.names",
+        ),
         ("\"balancers\":4", "\"balancers\":-4", "settings.balancers"),
     ] {
         let lines = said(is, becomes);
         assert_eq!(lines.len(), 1, "{becomes}: {lines:?}");
-        assert!(lines[0].starts_with(&format!("{key}: ")), "{becomes}: {lines:?}");
+        assert!(
+            lines[0].starts_with(&format!("{key}: ")),
+            "{becomes}: {lines:?}"
+        );
     }
 }
 
@@ -81,7 +188,10 @@
     for part in ["limits", "rules", "domain", "classes"] {
         let lines = said(&format!("\"{part}\":"), &format!("\"{part}Once\":"));
         assert_eq!(lines, [format!("settings.{part}: missing")]);
-        let lines = said(&format!("\"{part}\":"), &format!("\"{part}\":7,\"{part}Once\":"));
+        let lines = said(
+            &format!("\"{part}\":"),
+            &format!("\"{part}\":7,\"{part}Once\":"),
+        );
         assert_eq!(lines.len(), 1, "{lines:?}");
     }
     let none = r#""classes":[],"classesOnce":["#;
@@ -96,19 +206,47 @@
         .replace("\"maxAttempts\":6", "\"maxAttempts\":0")
         .replace("\"originKind\":2,", "");
     let lines = parse(&text).expect_err("four faults");
-    let keys = ["limits.maxAttempts", "classes[0].hardLimit", "classes[1].hardLimit", "domain.originKind"];
+    let keys = [
+        "limits.maxAttempts",
+        "classes[0].hardLimit",
+        "classes[1].hardLimit",
+        "domain.originKind",
+    ];
     assert_eq!(lines.split("; ").count(), keys.len(), "{lines}");
-    assert!(keys.iter().all(|key| lines.contains(&format!("settings.{key}: "))), "{lines}");
+    assert!(
+        keys.iter()
+            .all(|key| lines.contains(&format!("settings.{key}: "))),
+        "{lines}"
+    );
 }
 
 #[test]
 fn texts_that_are_no_document_are_one_line() {
-    for text in ["", " ", "{", "nonsense", "[]", "7", "null", "\u{0}", &SOUND[..SOUND.len() / 2]] {
+    for text in [
+        "",
+        " ",
+        "{",
+        "nonsense",
+        "[]",
+        "7",
+        "null",
+        "\u{0}",
+        &SOUND[..SOUND.len() / 2],
+    ] {
         let line = parse(text).expect_err("no document");
-        assert!(line.starts_with("settings: ") && !line.contains('\n'), "{text:?}: {line}");
+        assert!(
+            line.starts_with("settings: ") && !line.contains('\n'),
+            "{text:?}: {line}"
+        );
     }
-    assert!(parse(&format!("{SOUND}{SOUND}")).is_err(), "one document in the place of two");
-    assert!(parse(&format!("{SOUND}garbage")).is_err(), "something after its end");
+    assert!(
+        parse(&format!("{SOUND}{SOUND}")).is_err(),
+        "one document in the place of two"
+    );
+    assert!(
+        parse(&format!("{SOUND}garbage")).is_err(),
+        "something after its end"
+    );
 }
 
 #[test]
@@ -117,9 +255,16 @@
     assert_eq!(decoded.settings.max_attempts, ATTEMPTS_MOST);
     let without = SOUND.replace("\"dialTimeout\":400000,\"keepalive\":15000000,", "");
     let decoded = parse(&without).unwrap();
-    assert_eq!((decoded.dial_time_out, decoded.keep_alive), (300_000, 0), "the least aim; none is kept");
+    assert_eq!(
+        (decoded.dial_time_out, decoded.keep_alive),
+        (300_000, 0),
+        "the least aim; none is kept"
+    );
     let hasty = without.replace("\"slo\":300000", "\"slo\":0");
-    assert!(parse(&hasty).unwrap().dial_time_out > 0, "a connection has some time to come up");
+    assert!(
+        parse(&hasty).unwrap().dial_time_out > 0,
+        "a connection has some time to come up"
+    );
 }
 
 /// Texts that stand where a number of the settings does.
@@ -127,7 +272,9 @@
     prop_oneof![
         any::<u64>().prop_map(|n| n.to_string()),
         any::<i64>().prop_map(|n| n.to_string()),
-        any::<f64>().prop_filter("JSON has no such number", |n| n.is_finite()).prop_map(|n| format!("{n:e}")),
+        any::<f64>()
+            .prop_filter("JSON has no such number", |n| n.is_finite())
+            .prop_map(|n| format!("{n:e}")),
         prop::sample::select(vec![
             "0",
             "-1",
--- a/shared/settings/tests/settings.rs
+++ b/shared/settings/tests/settings.rs
@@ -15,22 +15,53 @@
 #[test]
 fn fresh_time_and_grace_are_read_by_class_and_parents_may_be_absent() {
     let settings = parse(LEAST).unwrap().settings;
-    let of = |k: usize| (settings.classes[k].fresh, settings.classes[k].grace, settings.classes[k].pass_on);
-    assert_eq!((of(0), of(1)), ((12_000_000, 30_000_000, false), (0, 5_000_000, true)));
-    assert_eq!((settings.parent_kind, settings.origin_kind, settings.drain_grace), (None, 1, 2_000_000));
-    let none = parse(&LEAST.replace(r#","graceFor":[30000000,5000000]"#, "")).unwrap().settings;
-    assert!(none.classes.iter().all(|c| c.grace == 0), "no grace is told: none is taken");
+    let of = |k: usize| {
+        (
+            settings.classes[k].fresh,
+            settings.classes[k].grace,
+            settings.classes[k].pass_on,
+        )
+    };
+    assert_eq!(
+        (of(0), of(1)),
+        ((12_000_000, 30_000_000, false), (0, 5_000_000, true))
+    );
+    assert_eq!(
+        (
+            settings.parent_kind,
+            settings.origin_kind,
+            settings.drain_grace
+        ),
+        (None, 1, 2_000_000)
+    );
+    let none = parse(&LEAST.replace(r#","graceFor":[30000000,5000000]"#, ""))
+        .unwrap()
+        .settings;
+    assert!(
+        none.classes.iter().all(|c| c.grace == 0),
+        "no grace is told: none is taken"
+    );
 }
 
 #[test]
 fn a_field_that_no_deployment_has_is_passed_over() {
-    let more = LEAST.replace(r#""balancers":4"#, r#""balancers":4,"moonPhase":{"at":[1,null]},"rack":"b""#);
+    let more = LEAST.replace(
+        r#""balancers":4"#,
+        r#""balancers":4,"moonPhase":{"at":[1,null]},"rack":"b""#,
+    );
     assert_eq!(parse(&more).unwrap().settings.routers, 4);
 }
 
 #[test]
 fn a_field_that_all_have_and_is_missing_is_named_in_one_line() {
-    for key in ["balancers", "locality", "maxAttempts", "stopSendingWithin", "fallMultiple", "originKind"] {
+    for key in [
+        "balancers",
+        "locality",
+        "maxAttempts",
+        "stopSendingWithin",
+        "fallMultiple",
+        "originKind",
+    ] {
         let without = LEAST.replace(&format!("\"{key}\""), &format!("\"{key}Once\""));
         let why = parse(&without).expect_err(key);
         assert!(why.contains(key) && !why.contains('\n'), "{key}: {why}");
@@ -39,13 +70,20 @@
 
 #[test]
 fn a_time_that_is_negative_no_number_or_not_above_nothing_is_refused() {
-    for (is, becomes) in
-        [("14000000", "-1"), ("14000000", "\"soon\""), ("\"maxAttempts\":6", "\"maxAttempts\":0")]
-    {
-        assert!(parse(&LEAST.replace(is, becomes)).is_err(), "{becomes} for {is}");
+    for (is, becomes) in [
+        ("14000000", "-1"),
+        ("14000000", "\"soon\""),
+        ("\"maxAttempts\":6", "\"maxAttempts\":0"),
+    ] {
+        assert!(
+            parse(&LEAST.replace(is, becomes)).is_err(),
+            "{becomes} for {is}"
+        );
     }
     let empty = LEAST.replace(r#""idempotency":"free""#, r#""idempotency":"sometimes""#);
-    assert!(parse(&empty).expect_err("an unknown word").contains("sometimes"));
+    assert!(parse(&empty)
+        .expect_err("an unknown word")
+        .contains("sometimes"));
 }
 
 #[test]
@@ -54,7 +92,10 @@
         r#""index":1,"#,
         r#""index":1,"projects":[{"name":"mill","share":0.25,"allowancePerS":40},{"name":"shop"}],"#,
     );
-    assert_eq!(parse(&told).unwrap().tenants, [("mill".to_string(), 0.25), ("shop".to_string(), 1.0)]);
+    assert_eq!(
+        parse(&told).unwrap().tenants,
+        [("mill".to_string(), 0.25), ("shop".to_string(), 1.0)]
+    );
     assert_eq!(parse(LEAST).unwrap().tenants, []);
 }
 
@@ -65,16 +106,37 @@
     let with = |report: &str, probes: bool| {
         let more = format!(r#""index":1,"report":{report},"charges":{{"probe":0.01,"moon":[]}},"#);
         let limits = format!(r#""probes":{probes},"maxAttempts":6"#);
-        let text = LEAST.replace(r#""index":1,"#, &more).replace(r#""maxAttempts":6"#, &limits);
+        let text = LEAST
+            .replace(r#""index":1,"#, &more)
+            .replace(r#""maxAttempts":6"#, &limits);
         parse(&text).unwrap().reports
     };
     let both = with(r#"{"how":"answers","names":["util","x1"],"since":3}"#, true);
-    assert_eq!((both.fields.is_empty(), both.in_answers, both.probes, both.price), (false, true, true, 0.01));
-    assert!(both.is_wanted() && !both.asks(), "allowed, but no choice goes by what they find");
-    assert_eq!((both.least_aim, both.patience), (300_000, 400_000), "in the settings' own times");
+    assert_eq!(
+        (
+            both.fields.is_empty(),
+            both.in_answers,
+            both.probes,
+            both.price
+        ),
+        (false, true, true, 0.01)
+    );
+    assert!(
+        both.is_wanted() && !both.asks(),
+        "allowed, but no choice goes by what they find"
+    );
+    assert_eq!(
+        (both.least_aim, both.patience),
+        (300_000, 400_000),
+        "in the settings' own times"
+    );
     let asked = with(r#"{"how":"probe","names":["util"]}"#, true);
     assert_eq!((asked.fields.is_empty(), asked.in_answers), (false, false));
-    for silent in [r#"{"how":"none","names":["util"]}"#, r#"{"how":"by post","names":["util"]}"#, "{}"] {
+    for silent in [
+        r#"{"how":"none","names":["util"]}"#,
+        r#"{"how":"by post","names":["util"]}"#,
+        "{}",
+    ] {
         let none = with(silent, false);
         assert!(!none.is_wanted() && none.fields.is_empty(), "{silent}");
     }
@@ -85,14 +147,25 @@
 #[test]
 fn a_price_that_is_missing_negative_or_a_word_changes_nothing_or_is_one_clear_error() {
     let plain = format!("{:?}", parse(LEAST).unwrap().settings);
-    for price in
-        ["-1", "0", "null", "\"dear\"", "{\"origin\":-0.5}", "{\"probe\":-1}", "{\"probe\":\"dear\"}", "[]"]
-    {
-        let told =
-            format!(r#""index":1,"charges":{price},"handshakePrice":{price},"overShareWorth":{price},"#);
+    for price in [
+        "-1",
+        "0",
+        "null",
+        "\"dear\"",
+        "{\"origin\":-0.5}",
+        "{\"probe\":-1}",
+        "{\"probe\":\"dear\"}",
+        "[]",
+    ] {
+        let told = format!(
+            r#""index":1,"charges":{price},"handshakePrice":{price},"overShareWorth":{price},"#
+        );
         match parse(&LEAST.replace(r#""index":1,"#, &told)) {
             Ok(with) => assert_eq!(format!("{:?}", with.settings), plain, "{price}"),
-            Err(why) => assert!(why.starts_with("settings.charges") && !why.contains('\n'), "{price}: {why}"),
+            Err(why) => assert!(
+                why.starts_with("settings.charges") && !why.contains('\n'),
+                "{price}: {why}"
+            ),
         }
     }
 }
--- a/shared/sockets/src/dial.rs
+++ b/shared/sockets/src/dial.rs
@@ -26,7 +26,11 @@
 /// A connection to `address` that comes up within `time`. Each socket is shown to `still_wanted` before it is dialled: whoever
 /// keeps it may shut it at any moment, which ends the dial. Where that answers false, the dial ends with
 /// [`io::ErrorKind::Interrupted`].
-pub fn dial(address: SocketAddr, time: Duration, still_wanted: &StillWanted) -> io::Result<Arc<TcpStream>> {
+pub fn dial(
+    address: SocketAddr,
+    time: Duration,
+    still_wanted: &StillWanted,
+) -> io::Result<Arc<TcpStream>> {
     let begun = Instant::now();
     let mut pauses = Pauses::default();
     loop {
@@ -50,7 +54,11 @@
     time: Duration,
     still_wanted: &StillWanted,
 ) -> io::Result<io::Result<Arc<TcpStream>>> {
-    let socket = match Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP)) {
+    let socket = match Socket::new(
+        Domain::for_address(address),
+        Type::STREAM,
+        Some(Protocol::TCP),
+    ) {
         Ok(socket) => socket,
         Err(error) => return Ok(Err(error)),
     };
--- a/shared/sockets/src/stream.rs
+++ b/shared/sockets/src/stream.rs
@@ -83,12 +83,20 @@
 
 /// `recv(2)` without waiting. Also for a call whose time-out could not be set: that is no reason not to see what has come.
 fn receive_now(stream: &TcpStream, buffer: &mut [u8], flags: MsgFlags) -> io::Result<usize> {
-    Ok(recv(stream.as_raw_fd(), buffer, flags | MsgFlags::MSG_DONTWAIT)?)
+    Ok(recv(
+        stream.as_raw_fd(),
+        buffer,
+        flags | MsgFlags::MSG_DONTWAIT,
+    )?)
 }
 
 /// `send(2)` without waiting.
 fn send_now(stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
-    Ok(send(stream.as_raw_fd(), bytes, MsgFlags::MSG_DONTWAIT | MsgFlags::MSG_NOSIGNAL)?)
+    Ok(send(
+        stream.as_raw_fd(),
+        bytes,
+        MsgFlags::MSG_DONTWAIT | MsgFlags::MSG_NOSIGNAL,
+    )?)
 }
 
 /// As [`repeat`], told to a watch. `drains`: whether what was read was all that stood there.
@@ -101,7 +109,12 @@
     let began = Instant::now();
     let (done, failing_since) = repeat(until, call);
     let drained = done.as_ref().is_ok_and(drains);
-    watch.over(Call { began, failing_since, drained, over: Instant::now() });
+    watch.over(Call {
+        began,
+        failing_since,
+        drained,
+        over: Instant::now(),
+    });
     done
 }
 
@@ -117,7 +130,10 @@
     loop {
         let left = until.saturating_duration_since(Instant::now());
         if left.is_zero() {
-            return (Err(last.map_or(Stop::TimedOut, Stop::Failing)), failing_since);
+            return (
+                Err(last.map_or(Stop::TimedOut, Stop::Failing)),
+                failing_since,
+            );
         }
         let error = match call(left) {
             Ok(done) => return (Ok(done), failing_since),
--- a/shared/sockets/src/verdict.rs
+++ b/shared/sockets/src/verdict.rs
@@ -52,11 +52,13 @@
 pub fn on_stream(error: &Error) -> OnStream {
     match code(error) {
         Some(libc::EINTR | libc::EAGAIN) => OnStream::Again,
-        Some(libc::ECONNRESET | libc::EPIPE | libc::ENOTCONN | libc::ECONNABORTED | libc::ESHUTDOWN) => {
+        Some(
+            libc::ECONNRESET | libc::EPIPE | libc::ENOTCONN | libc::ECONNABORTED | libc::ESHUTDOWN,
+        ) => OnStream::Over,
+        // The descriptor or an argument is wrong: no repetition mends that.
+        Some(libc::EBADF | libc::ENOTSOCK | libc::EINVAL | libc::EFAULT | libc::EDOM) => {
             OnStream::Over
         }
-        // The descriptor or an argument is wrong: no repetition mends that.
-        Some(libc::EBADF | libc::ENOTSOCK | libc::EINVAL | libc::EFAULT | libc::EDOM) => OnStream::Over,
         Some(_) => OnStream::Later,
         // Not the system's: made by a library.
         None => OnStream::Over,
--- a/shared/sockets/src/watch.rs
+++ b/shared/sockets/src/watch.rs
@@ -33,7 +33,10 @@
 impl Watch {
     /// Nothing can have come before `opened`.
     pub fn new(opened: Instant) -> Watch {
-        Watch { empty: opened, earliest: opened }
+        Watch {
+            empty: opened,
+            earliest: opened,
+        }
     }
 
     /// A call is over.
--- a/shared/sockets/tests/verdicts.rs
+++ b/shared/sockets/tests/verdicts.rs
@@ -34,9 +34,14 @@
         libc::ENOTSOCK,
         libc::EINVAL,
     ];
-    again.iter().for_each(|code| assert_eq!(on_stream(&of(*code)), OnStream::Again, "{code}"));
-    later.iter().for_each(|code| assert_eq!(on_stream(&of(*code)), OnStream::Later, "{code}"));
-    over.iter().for_each(|code| assert_eq!(on_stream(&of(*code)), OnStream::Over, "{code}"));
+    again
+        .iter()
+        .for_each(|code| assert_eq!(on_stream(&of(*code)), OnStream::Again, "{code}"));
+    later
+        .iter()
+        .for_each(|code| assert_eq!(on_stream(&of(*code)), OnStream::Later, "{code}"));
+    over.iter()
+        .for_each(|code| assert_eq!(on_stream(&of(*code)), OnStream::Over, "{code}"));
     assert_eq!(on_stream(&Error::other("of a library")), OnStream::Over);
 }
 
@@ -56,9 +61,16 @@
         libc::EPERM,
         libc::EACCES,
     ];
-    let peer = [libc::ECONNREFUSED, libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET];
-    ours.iter().for_each(|code| assert_eq!(on_dial(&of(*code)), OnDial::Ours, "{code}"));
-    peer.iter().for_each(|code| assert_eq!(on_dial(&of(*code)), OnDial::Peer, "{code}"));
+    let peer = [
+        libc::ECONNREFUSED,
+        libc::ETIMEDOUT,
+        libc::EHOSTUNREACH,
+        libc::ECONNRESET,
+    ];
+    ours.iter()
+        .for_each(|code| assert_eq!(on_dial(&of(*code)), OnDial::Ours, "{code}"));
+    peer.iter()
+        .for_each(|code| assert_eq!(on_dial(&of(*code)), OnDial::Peer, "{code}"));
 }
 
 #[test]
@@ -72,10 +84,19 @@
         libc::EHOSTUNREACH,
         libc::ETIMEDOUT,
     ];
-    let later = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EBADF];
+    let later = [
+        libc::EMFILE,
+        libc::ENFILE,
+        libc::ENOBUFS,
+        libc::ENOMEM,
+        libc::EBADF,
+    ];
     assert_eq!(on_accept(&of(libc::EAGAIN)), OnAccept::Quiet);
-    next.iter().for_each(|code| assert_eq!(on_accept(&of(*code)), OnAccept::Next, "{code}"));
-    later.iter().for_each(|code| assert_eq!(on_accept(&of(*code)), OnAccept::Later, "{code}"));
+    next.iter()
+        .for_each(|code| assert_eq!(on_accept(&of(*code)), OnAccept::Next, "{code}"));
+    later
+        .iter()
+        .for_each(|code| assert_eq!(on_accept(&of(*code)), OnAccept::Later, "{code}"));
 }
 
 #[test]
--- a/shared/sockets/tests/watch.rs
+++ b/shared/sockets/tests/watch.rs
@@ -12,7 +12,10 @@
 impl Run {
     fn new() -> Run {
         let start = Instant::now();
-        Run { start, watch: Watch::new(start) }
+        Run {
+            start,
+            watch: Watch::new(start),
+        }
     }
 
     fn at(&self, ms: u64) -> Instant {
@@ -26,7 +29,12 @@
     /// Makes a call; the earliest arrival of what it brought.
     fn made(&mut self, began: u64, failing_since: Option<u64>, over: u64, drained: bool) -> u64 {
         let failing_since = failing_since.map(|ms| self.at(ms));
-        let call = Call { began: self.at(began), failing_since, drained, over: self.at(over) };
+        let call = Call {
+            began: self.at(began),
+            failing_since,
+            drained,
+            over: self.at(over),
+        };
         self.watch.over(call);
         (self.watch.earliest() - self.start).as_millis() as u64
     }
--- a/shared/store/src/database.rs
+++ b/shared/store/src/database.rs
@@ -27,9 +27,13 @@
 pub(crate) fn open(opener: &mut Opener) -> Result<(Database, Held), Unopened> {
     let disk = |e: &dyn fmt::Display| Unopened::Disk(e.to_string());
     let backend = opener().map_err(|e| disk(&e))?;
-    let database = Builder::new().set_cache_size(CACHE).create_with_backend(backend);
+    let database = Builder::new()
+        .set_cache_size(CACHE)
+        .create_with_backend(backend);
     let database = database.map_err(|error| match &error {
-        DatabaseError::Storage(StorageError::Io(e)) if e.kind() != io::ErrorKind::InvalidData => disk(&error),
+        DatabaseError::Storage(StorageError::Io(e)) if e.kind() != io::ErrorKind::InvalidData => {
+            disk(&error)
+        }
         DatabaseError::Storage(StorageError::PreviousIo) => disk(&error),
         _ => Unopened::Unusable(error.to_string()),
     })?;
@@ -49,7 +53,8 @@
             None => drop(meta.insert("version", VERSION)?),
             Some(VERSION) => {}
             Some(other) => {
-                let why = format!("its version is {other}, and {VERSION} is what this program reads");
+                let why =
+                    format!("its version is {other}, and {VERSION} is what this program reads");
                 return Err(redb::Error::Corrupted(why));
             }
         }
@@ -68,7 +73,9 @@
 /// Writes all jobs in one transaction, and returns once it is on the disk.
 pub(crate) fn write(database: &Database, jobs: &[Job]) -> Result<(), redb::Error> {
     let mut write = database.begin_write()?;
-    write.set_durability(Durability::Immediate).map_err(|e| redb::Error::Corrupted(e.to_string()))?;
+    write
+        .set_durability(Durability::Immediate)
+        .map_err(|e| redb::Error::Corrupted(e.to_string()))?;
     {
         let mut table = write.open_table(TABLE)?;
         for job in jobs {
--- a/shared/store/src/disk.rs
+++ b/shared/store/src/disk.rs
@@ -24,9 +24,17 @@
 fn on(path: &Path, fails: Option<Arc<AtomicBool>>) -> Opener {
     let path = path.to_path_buf();
     Box::new(move || {
-        let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(&path)?;
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(&path)?;
         let file = FileBackend::new(file).map_err(|e| io::Error::other(e.to_string()))?;
-        Ok(Disk { file, fails: fails.clone() })
+        Ok(Disk {
+            file,
+            fails: fails.clone(),
+        })
     })
 }
 
@@ -44,7 +52,11 @@
 
 impl Disk {
     fn check(&self) -> Did<()> {
-        match self.fails.as_ref().is_some_and(|fails| fails.load(Ordering::SeqCst)) {
+        match self
+            .fails
+            .as_ref()
+            .is_some_and(|fails| fails.load(Ordering::SeqCst))
+        {
             true => Err(io::Error::from(io::ErrorKind::StorageFull)),
             false => Ok(()),
         }
--- a/shared/store/src/lib.rs
+++ b/shared/store/src/lib.rs
@@ -93,7 +93,9 @@
                 Ok(database)
             }
             Err(Unopened::Disk(why)) => {
-                tracing::warn!("store: {why}; opened again until it works, and each write refused meanwhile");
+                tracing::warn!(
+                    "store: {why}; opened again until it works, and each write refused meanwhile"
+                );
                 Err(why)
             }
             Err(Unopened::Unusable(why)) => return Err(why),
@@ -101,18 +103,39 @@
         let (sender, jobs) = bounded(QUEUE);
         let counts = Arc::new(Counts::default());
         let loaded = first.is_err().then(|| Box::new(loaded) as Loaded);
-        let writer = Writer { opener, loaded, database: first, jobs, commit, counts: counts.clone() };
-        let thread = thread::Builder::new().name("store".into()).stack_size(STACK);
-        let writer = thread.spawn(move || writer.run()).map_err(|e| format!("thread store: {e}"))?;
-        Ok(Store { jobs: Some(sender), writer: Some(writer), commit, counts })
+        let writer = Writer {
+            opener,
+            loaded,
+            database: first,
+            jobs,
+            commit,
+            counts: counts.clone(),
+        };
+        let thread = thread::Builder::new()
+            .name("store".into())
+            .stack_size(STACK);
+        let writer = thread
+            .spawn(move || writer.run())
+            .map_err(|e| format!("thread store: {e}"))?;
+        Ok(Store {
+            jobs: Some(sender),
+            writer: Some(writer),
+            commit,
+            counts,
+        })
     }
 
     /// Writes a value. `done` is called once: on this thread where the queue is full, else on the writer's.
     pub fn put(&self, key: &[u8], value: &[u8], done: Done) {
-        let Some(jobs) = &self.jobs else { return done(Err(Fault::Full)) };
+        let Some(jobs) = &self.jobs else {
+            return done(Err(Fault::Full));
+        };
         let behind = self.commit == Commit::Behind;
-        let (now, then): (Option<Done>, Done) =
-            if behind { (Some(done), Box::new(|_| ())) } else { (None, done) };
+        let (now, then): (Option<Done>, Done) = if behind {
+            (Some(done), Box::new(|_| ()))
+        } else {
+            (None, done)
+        };
         match jobs.try_send(Job::Put(key.to_vec(), value.to_vec(), then)) {
             Ok(()) => now.into_iter().for_each(|done| done(Ok(()))),
             Err(TrySendError::Full(job) | TrySendError::Disconnected(job)) => {
@@ -124,7 +147,9 @@
 
     /// Removes a value, some time. Where the queue is full it stays, and is found again at the next start.
     pub fn remove(&self, key: &[u8]) {
-        self.jobs.iter().for_each(|jobs| drop(jobs.try_send(Job::Remove(key.to_vec()))));
+        self.jobs
+            .iter()
+            .for_each(|jobs| drop(jobs.try_send(Job::Remove(key.to_vec()))));
     }
 }
 
@@ -132,7 +157,10 @@
     /// Writes what waits, and closes the file.
     fn drop(&mut self) {
         self.jobs = None;
-        self.writer.take().into_iter().for_each(|writer| drop(writer.join()));
+        self.writer
+            .take()
+            .into_iter()
+            .for_each(|writer| drop(writer.join()));
     }
 }
 
--- a/shared/store/src/tests.rs
+++ b/shared/store/src/tests.rs
@@ -15,7 +15,12 @@
 
 fn start(opener: Opener, commit: Commit) -> (Result<Store, String>, Receiver<Held>) {
     let (told, heard) = unbounded();
-    (Store::start(opener, commit, move |held| told.send(held).map_err(|e| e.to_string())), heard)
+    (
+        Store::start(opener, commit, move |held| {
+            told.send(held).map_err(|e| e.to_string())
+        }),
+        heard,
+    )
 }
 
 #[test]
@@ -29,12 +34,23 @@
         for n in 0..500u32 {
             let told = told.clone();
             let key = [&[commit as u8][..], &n.to_be_bytes()].concat();
-            store.put(&key, b"value", Box::new(move |result| drop(told.send(result))));
+            store.put(
+                &key,
+                b"value",
+                Box::new(move |result| drop(told.send(result))),
+            );
         }
         (0..500).for_each(|_| heard.recv_timeout(LONG).unwrap().unwrap());
         store.remove(&[&[commit as u8][..], &7u32.to_be_bytes()].concat());
         let commits = store.counts.commits.load(Ordering::SeqCst);
-        assert!(if commit == Commit::Each { commits >= 500 } else { commits < 500 }, "{commits}");
+        assert!(
+            if commit == Commit::Each {
+                commits >= 500
+            } else {
+                commits < 500
+            },
+            "{commits}"
+        );
         drop(store);
         let (again, held) = start(file(&path), commit);
         assert_eq!(held.recv_timeout(LONG).unwrap().len(), before + 499);
@@ -61,7 +77,10 @@
     let (_store, held) = start(opener(), Commit::Group);
     let held = held.recv_timeout(LONG).unwrap();
     let keys: Vec<&[u8]> = held.iter().map(|(k, _)| k.as_slice()).collect();
-    assert!(keys.contains(&&b"one"[..]) && keys.contains(&&b"three"[..]), "{keys:?}");
+    assert!(
+        keys.contains(&&b"one"[..]) && keys.contains(&&b"three"[..]),
+        "{keys:?}"
+    );
 }
 
 #[test]
@@ -76,7 +95,10 @@
     let store = store.unwrap();
     assert!(held.is_empty() && matches!(put(&store, b"two", b"2"), Err(Fault::Disk(_))));
     fails.store(false, Ordering::SeqCst);
-    assert_eq!(held.recv_timeout(LONG).unwrap(), vec![(b"one".to_vec(), b"1".to_vec())]);
+    assert_eq!(
+        held.recv_timeout(LONG).unwrap(),
+        vec![(b"one".to_vec(), b"1".to_vec())]
+    );
     put(&store, b"two", b"2").unwrap();
 }
 
--- a/shared/store/src/writer.rs
+++ b/shared/store/src/writer.rs
@@ -36,7 +36,11 @@
 impl Writer {
     /// Serves jobs until the store is dropped.
     pub(crate) fn run(mut self) {
-        let most = if self.commit == Commit::Each { 1 } else { GROUP };
+        let most = if self.commit == Commit::Each {
+            1
+        } else {
+            GROUP
+        };
         loop {
             let heard = match &self.database {
                 Ok(_) => self.jobs.recv().map_err(|_| RecvTimeoutError::Disconnected),
@@ -51,7 +55,11 @@
             if self.database.is_err() {
                 self.reopen();
             }
-            let group: Vec<Job> = first.into_iter().chain(self.jobs.try_iter()).take(most).collect();
+            let group: Vec<Job> = first
+                .into_iter()
+                .chain(self.jobs.try_iter())
+                .take(most)
+                .collect();
             if group.is_empty() {
                 continue;
             }
@@ -60,7 +68,11 @@
                 Err(why) => Err(why.clone()),
             };
             self.counts.commits.fetch_add(1, Ordering::Relaxed);
-            let count = if wrote.is_ok() { &self.counts.written } else { &self.counts.failed };
+            let count = if wrote.is_ok() {
+                &self.counts.written
+            } else {
+                &self.counts.failed
+            };
             count.fetch_add(group.len() as u64, Ordering::Relaxed);
             if let (Err(why), true) = (&wrote, self.database.is_ok()) {
                 // Guards against a database that refuses all after one failed write: it is opened anew.
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -71,12 +71,25 @@
 
     /// Bounds its first byte by another moment; the earlier one holds.
     pub fn begin_by(&mut self, by: Time) {
-        self.send_by = if self.send_by == 0 { by } else { by.min(self.send_by) };
+        self.send_by = if self.send_by == 0 {
+            by
+        } else {
+            by.min(self.send_by)
+        };
     }
 
     /// What the caches are told beside the source, the rank and the age, in their words; none: an empty text.
     pub fn flags(&self) -> String {
-        let flags = [(self.join, "coalesce"), (self.hold_only, "shallow"), (self.renew, "freshen")];
-        flags.iter().filter(|f| f.0).map(|f| f.1).collect::<Vec<_>>().join("+")
+        let flags = [
+            (self.join, "coalesce"),
+            (self.hold_only, "shallow"),
+            (self.renew, "freshen"),
+        ];
+        flags
+            .iter()
+            .filter(|f| f.0)
+            .map(|f| f.1)
+            .collect::<Vec<_>>()
+            .join("+")
     }
 }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -39,7 +39,10 @@
 impl Outcome {
     /// Proof that the attempt had no effect.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent | Outcome::Miss)
+        matches!(
+            self,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent | Outcome::Miss
+        )
     }
 
     /// The server said something, if only that its process ended: it is not hung.
@@ -68,7 +71,10 @@
 impl Note {
     /// The cache was well; its source was not, or lacked the object.
     pub fn source_fault(self) -> bool {
-        matches!(self, Note::SourceRefused | Note::SourceBroken | Note::SourceLacks | Note::OriginFailed)
+        matches!(
+            self,
+            Note::SourceRefused | Note::SourceBroken | Note::SourceLacks | Note::OriginFailed
+        )
     }
 }
 
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -133,7 +133,12 @@
 impl Settings {
     /// The least and the longest aim of the classes that are kept (us).
     pub fn aims(&self) -> [f64; 2] {
-        let kept = || self.classes.iter().filter(|c| !c.pass_on).map(|c| c.aim as f64);
+        let kept = || {
+            self.classes
+                .iter()
+                .filter(|c| !c.pass_on)
+                .map(|c| c.aim as f64)
+        };
         [kept().fold(1e9, f64::min), kept().fold(0.0, f64::max)]
     }
 
@@ -162,8 +167,16 @@
     /// its present capacity that it bears.
     pub fn cold_budget(&self, parent: bool) -> (f64, Time, f64) {
         match parent {
-            true => (self.parent_cold_from, self.parent_cold_for, self.parent_fall_multiple),
-            false => (self.cache_cold_from, self.cache_cold_for, self.cache_fall_multiple),
+            true => (
+                self.parent_cold_from,
+                self.parent_cold_for,
+                self.parent_fall_multiple,
+            ),
+            false => (
+                self.cache_cold_from,
+                self.cache_cold_for,
+                self.cache_fall_multiple,
+            ),
         }
     }
 }
--- a/src/router.rs
+++ b/src/router.rs
@@ -178,11 +178,21 @@
             asked: Rate::over(over),
             served: [Rate::over(over); 2],
             usual: [0.0; 2],
-            near: Limit { most: f64::MAX, out: 0.0 },
-            deep: Limit { most: f64::MAX, out: 0.0 },
+            near: Limit {
+                most: f64::MAX,
+                out: 0.0,
+            },
+            deep: Limit {
+                most: f64::MAX,
+                out: 0.0,
+            },
             unanswered: 0.0,
             lost: 0.0,
-            routes: [Route { open: 1.0, gap: 1.0, wanted: 0 }; 3],
+            routes: [Route {
+                open: 1.0,
+                gap: 1.0,
+                wanted: 0,
+            }; 3],
             like: [0.0; 4],
             retries: RETRY.1,
         }
@@ -201,7 +211,10 @@
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         if !self.running {
             self.running = true;
-            out.push(Action::Timer { after: TICK, token: TICK_TOKEN });
+            out.push(Action::Timer {
+                after: TICK,
+                token: TICK_TOKEN,
+            });
             if self.settings.must_ask {
                 out.push(Action::Watch);
             }
@@ -215,11 +228,21 @@
             Event::MembersFailed if self.settings.must_ask => out.push(Action::Watch),
             Event::Request(ask) => self.on_request(now, ask, out),
             Event::Outcome(report) => self.on_outcome(now, report, out),
-            Event::Started { id } => self.requests.get_mut(&id).into_iter().for_each(|r| r.started = true),
+            Event::Started { id } => self
+                .requests
+                .get_mut(&id)
+                .into_iter()
+                .for_each(|r| r.started = true),
             Event::Timer { token: TICK_TOKEN } => self.on_tick(now, out),
-            Event::Timer { .. } | Event::Probed { .. } | Event::Peer { .. } | Event::MembersFailed => {}
+            Event::Timer { .. }
+            | Event::Probed { .. }
+            | Event::Peer { .. }
+            | Event::MembersFailed => {}
             Event::ClientGone { id } => self.close(id, out),
-            Event::Closing { by } => self.requests.values_mut().for_each(|r| r.deadline = r.deadline.min(by)),
+            Event::Closing { by } => self
+                .requests
+                .values_mut()
+                .for_each(|r| r.deadline = r.deadline.min(by)),
             Event::Purged { object, group, ago } => self.on_purge(now, object, group, ago),
         }
     }
--- a/src/router/cold.rs
+++ b/src/router/cold.rs
@@ -23,12 +23,19 @@
         }
         // A front that is new, or whose zone restarted whole, goes by what it is asked for.
         let borne = self.served[parent as usize].get(now);
-        let least = if parent { 0.0 } else { ASKED_BEARABLE * self.asked.get(now) };
+        let least = if parent {
+            0.0
+        } else {
+            ASKED_BEARABLE * self.asked.get(now)
+        };
         let capacity = borne.max(least) / self.usual[parent as usize].max(1.0);
         let ramp = from + (1.0 - from) * age as f64 / cold_for.max(1) as f64;
         let budget = multiple * ramp * capacity * s.fall_window as f64 * COLD_SAFETY;
         // An answer that is still in a client's hands may be used at any time of its lease.
-        let leased = self.leases.get(&server.member.cache).map_or(0.0, |leases| leases.sum(now + 1));
+        let leased = self
+            .leases
+            .get(&server.member.cache)
+            .map_or(0.0, |leases| leases.sum(now + 1));
         let spent = server.window.sum(now.saturating_sub(s.fall_window)) + leased;
         // Shares of a few requests or none: fronts take turns, so that in all nothing is lost to rounding.
         let turn = s.index as f64 * TURN.0 + (now / s.fall_window.max(1)) as f64 * TURN.1;
--- a/src/router/health.rs
+++ b/src/router/health.rs
@@ -27,7 +27,9 @@
     pub(super) fn healthy(&self, now: Time, server: &Server) -> bool {
         let limit = FAIL_LIMIT + self.like[self.settings.tier(&server.member)];
         let trial = server.fail <= limit || server.out + server.filling == 0;
-        now >= server.shun_until && trial && (server.out == 0 || server.due.is_none_or(|due| now <= due))
+        now >= server.shun_until
+            && trial
+            && (server.out == 0 || server.due.is_none_or(|due| now <= due))
     }
 
     /// A cache that may be named as the source of what it holds.
--- a/src/router/learn.rs
+++ b/src/router/learn.rs
@@ -10,15 +10,24 @@
 impl Router {
     /// Health, latency, capacity, the query's record and the summary, all from one outcome.
     pub(super) fn learn(&mut self, now: Time, attempt: &Attempt, report: &Report) {
-        let &Report { outcome, note, elapsed, .. } = report;
+        let &Report {
+            outcome,
+            note,
+            elapsed,
+            ..
+        } = report;
         let [least, longest] = self.settings.aims();
         let extra = (elapsed as f64 - attempt.work).max(0.0);
         let untold = note == Note::Untold;
         let served = outcome == Outcome::Served;
         let from_source = served
-            && (matches!(note, Note::Filled | Note::FilledByOrigin) || (untold && !attempt.plan.listed));
+            && (matches!(note, Note::Filled | Note::FilledByOrigin)
+                || (untold && !attempt.plan.listed));
         let hit = note == Note::Hit || (untold && attempt.plan.listed);
-        let (own, above) = (self.tier_of(attempt.plan.cache), self.tier_of(attempt.plan.source));
+        let (own, above) = (
+            self.tier_of(attempt.plan.cache),
+            self.tier_of(attempt.plan.source),
+        );
         if let Some(server) = self.servers.get_mut(&attempt.plan.cache) {
             let like = &mut self.like[own];
             server.out = server.out.saturating_sub(1);
@@ -31,7 +40,11 @@
                     let stretch = elapsed as f64 / attempt.work.max(1.0);
                     let slow = stretch > STRETCH && attempt.work > START * least;
                     let capacity = server.capacity.unwrap_or(beside);
-                    let sample = if slow { beside / stretch } else { beside.max(capacity) };
+                    let sample = if slow {
+                        beside / stretch
+                    } else {
+                        beside.max(capacity)
+                    };
                     if hit && (slow || sample > capacity) {
                         server.capacity = Some(capacity + SMOOTH * (sample - capacity));
                     }
@@ -51,7 +64,8 @@
             // Past the wanted time, no sooner: guards against taking a far parent, whose fills need most of
             // it in the calmest hour, for a crowded one: what is refused is never kept, and the limit stays.
             let over = timed_out || extra > attempt.patience;
-            self.deep.ended((timed_out || (served && !hit)).then_some(over));
+            self.deep
+                .ended((timed_out || (served && !hit)).then_some(over));
             // Answers that are lost where nothing is filled are lost here too, and say nothing of the origin.
             self.deep.most += LIMIT_STEPS.0 * self.unanswered;
         } else if attempt.kept {
@@ -64,30 +78,44 @@
             // What is held comes late too: the links are crowded, and fills would crowd them more.
             self.routes[0].cut();
         }
-        let lost = matches!(outcome, Outcome::Full | Outcome::TimedOut) || note == Note::OriginFailed;
+        let lost =
+            matches!(outcome, Outcome::Full | Outcome::TimedOut) || note == Note::OriginFailed;
         if above == 2 && asked && !attempt.plan.hold_only {
             self.lost += SMOOTH * ((lost || outcome == Outcome::Error) as u8 as f64 - self.lost);
         }
         if ((late && from_source) || lost) && filling && !attempt.plan.query {
             // A parent's own copy that comes late, or no fill place, speaks of the link; else of the source.
             let filled = note == Note::Filled && self.settings.notes == Notes::All;
-            let link = !attempt.above || attempt.plan.hold_only || filled || note == Note::NoFillPlace;
+            let link =
+                !attempt.above || attempt.plan.hold_only || filled || note == Note::NoFillPlace;
             self.routes[if link { 0 } else { above.max(2) - 1 }].cut();
             if note == Note::OriginFailed {
                 self.routes[2].cut();
             }
         }
         let failed = matches!(outcome, Outcome::Error | Outcome::TimedOut);
-        let blamed = if untold { asked && failed } else { note.source_fault() };
+        let blamed = if untold {
+            asked && failed
+        } else {
+            note.source_fault()
+        };
         let blamed = blamed && !matches!(note, Note::SourceLacks | Note::OriginFailed);
-        let source = self.servers.get_mut(&attempt.plan.source).filter(|_| filling);
+        let source = self
+            .servers
+            .get_mut(&attempt.plan.source)
+            .filter(|_| filling);
         if let Some(server) = source {
             server.filling = server.filling.saturating_sub(asked as u32);
             // Where nothing is told, a refusal may be the cache's own: then it falls to all sources alike.
             let refused = asked && untold && outcome == Outcome::Full;
             if from_source || refused {
                 let latency = server.latency.get(now, HEARD).unwrap_or(extra);
-                server.latency.add(now, latency, if refused { REFUSED_AS * longest } else { extra }, SMOOTH);
+                server.latency.add(
+                    now,
+                    latency,
+                    if refused { REFUSED_AS * longest } else { extra },
+                    SMOOTH,
+                );
             }
             if from_source && above == 2 {
                 self.served[1].add(now, attempt.weight);
@@ -96,18 +124,34 @@
                 server.note(now, !from_source, false, &mut self.like[above]);
             }
         }
-        if attempt.plan.query && (from_source || failed || matches!(outcome, Outcome::Full | Outcome::Miss)) {
-            let gain = if from_source { self.parent_latency(now) - extra } else { -(elapsed as f64) };
+        if attempt.plan.query
+            && (from_source || failed || matches!(outcome, Outcome::Full | Outcome::Miss))
+        {
+            let gain = if from_source {
+                self.parent_latency(now) - extra
+            } else {
+                -(elapsed as f64)
+            };
             // No try counts for more than the longest aim: one hung sibling must not close the gate.
             self.query_gain += SMOOTH * (gain.clamp(-longest, longest) - self.query_gain);
         }
         let cache = attempt.plan.cache;
-        if outcome == Outcome::Miss && self.local.get(attempt.key, now).is_some_and(|e| e.cache == cache) {
+        if outcome == Outcome::Miss
+            && self
+                .local
+                .get(attempt.key, now)
+                .is_some_and(|e| e.cache == cache)
+        {
             self.local.remove(attempt.key);
         }
-        let mine = self.servers.get(&cache).is_some_and(|s| s.ready() && self.settings.tier(&s.member) == 0);
+        let mine = self
+            .servers
+            .get(&cache)
+            .is_some_and(|s| s.ready() && self.settings.tier(&s.member) == 0);
         // A fill that began before a purge says nothing of what is held after it.
-        let void = self.purged_at(now, attempt.key, attempt.group).is_some_and(|at| at > attempt.sent);
+        let void = self
+            .purged_at(now, attempt.key, attempt.group)
+            .is_some_and(|at| at > attempt.sent);
         if served && attempt.kept && mine && !void {
             self.local.put(attempt.key, cache, attempt.group, now);
         }
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -12,7 +12,10 @@
         gone.into_iter().for_each(|cache| self.forget(cache));
         for member in members {
             let cache = member.cache;
-            let same = self.servers.get(&cache).is_some_and(|s| s.member.boot == member.boot);
+            let same = self
+                .servers
+                .get(&cache)
+                .is_some_and(|s| s.member.boot == member.boot);
             if member.state == State::Gone || !same {
                 // What was known of the former process is void, and the new one came back empty.
                 self.forget(cache);
@@ -23,13 +26,27 @@
         }
         // Kept by tier on list changes, so that a request's work does not grow with the fleet.
         let apart = |s: &Server| self.settings.hubs_apart(s.member.zone);
-        let siblings = || self.servers.values().filter(|s| self.settings.tier(&s.member) == 1);
+        let siblings = || {
+            self.servers
+                .values()
+                .filter(|s| self.settings.tier(&s.member) == 1)
+        };
         let nearest = siblings().map(apart).min();
-        let wired = |s: &Server| self.wired.as_ref().is_none_or(|hubs| hubs.contains(&s.member.zone));
-        let near = |t: usize, s: &Server| (t != 1 || Some(apart(s)) == nearest) && (t != 2 || wired(s));
+        let wired = |s: &Server| {
+            self.wired
+                .as_ref()
+                .is_none_or(|hubs| hubs.contains(&s.member.zone))
+        };
+        let near =
+            |t: usize, s: &Server| (t != 1 || Some(apart(s)) == nearest) && (t != 2 || wired(s));
         self.tiers = std::array::from_fn(|tier| {
-            let all = self.servers.iter().filter(|(_, s)| self.settings.tier(&s.member) == tier);
-            all.filter(|(_, s)| near(tier, s)).map(|(&c, _)| c).collect()
+            let all = self
+                .servers
+                .iter()
+                .filter(|(_, s)| self.settings.tier(&s.member) == tier);
+            all.filter(|(_, s)| near(tier, s))
+                .map(|(&c, _)| c)
+                .collect()
         });
         let ready = self.ready();
         self.usual = std::array::from_fn(|n| self.usual[n].max(ready[n]));
@@ -37,11 +54,18 @@
 
     /// Own caches and parents that serve; one that drains is no one's usual share.
     pub(super) fn ready(&self) -> [f64; 2] {
-        [0, 2].map(|tier| self.tiers[tier].iter().filter(|c| self.servers[c].ready()).count() as f64)
+        [0, 2].map(|tier| {
+            self.tiers[tier]
+                .iter()
+                .filter(|c| self.servers[c].ready())
+                .count() as f64
+        })
     }
 
     pub(super) fn tier_of(&self, cache: CacheId) -> usize {
-        self.servers.get(&cache).map_or(0, |s| self.settings.tier(&s.member))
+        self.servers
+            .get(&cache)
+            .map_or(0, |s| self.settings.tier(&s.member))
     }
 
     pub(super) fn forget(&mut self, cache: CacheId) {
@@ -59,15 +83,25 @@
             self.purges.clear();
             self.purges.insert((u64::MAX, u32::MAX), (now, until));
         }
-        let held = self.purges.entry((key, if object.is_some() { 0 } else { group })).or_insert((at, until));
+        let held = self
+            .purges
+            .entry((key, if object.is_some() { 0 } else { group }))
+            .or_insert((at, until));
         *held = (held.0.max(at), held.1.max(until));
         let of_group = |e: &Entry| object.is_none() && e.group == group;
-        self.local.retain(|k, e| !(of_group(e) || (object.is_some() && k & OBJECT_BITS == key)));
+        self.local
+            .retain(|k, e| !(of_group(e) || (object.is_some() && k & OBJECT_BITS == key)));
     }
 
     /// When a copy of this must have left the origin at the earliest, if a purge binds.
     pub(super) fn purged_at(&self, now: Time, key: u64, group: u32) -> Option<Time> {
-        let keys = [(key & OBJECT_BITS, 0), (u64::MAX, group), (u64::MAX, u32::MAX)];
-        keys.iter().filter_map(|k| self.purges.get(k).filter(|p| p.1 > now).map(|p| p.0)).max()
+        let keys = [
+            (key & OBJECT_BITS, 0),
+            (u64::MAX, group),
+            (u64::MAX, u32::MAX),
+        ];
+        keys.iter()
+            .filter_map(|k| self.purges.get(k).filter(|p| p.1 > now).map(|p| p.0))
+            .max()
     }
 }
--- a/src/router/place.rs
+++ b/src/router/place.rs
@@ -7,7 +7,17 @@
 
 impl Router {
     pub(super) fn on_request(&mut self, now: Time, ask: Ask, out: &mut Vec<Action>) {
-        let Ask { id, class, object, part, group, size_kb, budget, lease, within } = ask;
+        let Ask {
+            id,
+            class,
+            object,
+            part,
+            group,
+            size_kb,
+            budget,
+            lease,
+            within,
+        } = ask;
         if class >= self.settings.classes.len() || self.requests.contains_key(&id) {
             return;
         }
@@ -15,9 +25,17 @@
         let told = self.settings.client_kb_per_s > 0.0 && size_kb > 0.0 && size_kb.is_finite();
         let mean = self.class_work[class];
         let rules = &self.settings.classes[class];
-        let work = if told { size_kb / self.settings.client_kb_per_s * 1e6 } else { mean };
+        let work = if told {
+            size_kb / self.settings.client_kb_per_s * 1e6
+        } else {
+            mean
+        };
         let work = work.min(rules.deadline as f64);
-        self.class_work[class] = if mean == 0.0 { work } else { mean + 0.01 * (work - mean) };
+        self.class_work[class] = if mean == 0.0 {
+            work
+        } else {
+            mean + 0.01 * (work - mean)
+        };
         let request = Request {
             class,
             key,
@@ -61,8 +79,14 @@
             let server = &self.servers[c];
             server.out as f64 / server.capacity.unwrap_or(f64::INFINITY).max(0.1)
         };
-        let able: Vec<CacheId> = order.iter().copied().filter(|c| well(c) && fresh(c)).collect();
+        let able: Vec<CacheId> = order
+            .iter()
+            .copied()
+            .filter(|c| well(c) && fresh(c))
+            .collect();
         let calm = able.iter().find(|c| load(c) < SPILL_AT).or(able.first());
-        calm.or_else(|| order.iter().find(|c| well(c) || fresh(c))).or(order.first()).copied()
+        calm.or_else(|| order.iter().find(|c| well(c) || fresh(c)))
+            .or(order.first())
+            .copied()
     }
 }
--- a/src/router/retry.rs
+++ b/src/router/retry.rs
@@ -9,19 +9,33 @@
 
 impl Router {
     pub(super) fn on_outcome(&mut self, now: Time, report: Report, out: &mut Vec<Action>) {
-        let Report { id, outcome, note, last, .. } = report;
-        let Some(attempt) = self.attempts.remove(&(id, report.attempt)) else { return };
+        let Report {
+            id,
+            outcome,
+            note,
+            last,
+            ..
+        } = report;
+        let Some(attempt) = self.attempts.remove(&(id, report.attempt)) else {
+            return;
+        };
         self.learn(now, &attempt, &report);
         if outcome == Outcome::Served {
             // Guards against blaming caches for what none can serve, such as a bad client's objects: an error
             // counts once the same request was served.
-            let erred = self.requests.get_mut(&id).map(|r| std::mem::take(&mut r.erred)).unwrap_or_default();
+            let erred = self
+                .requests
+                .get_mut(&id)
+                .map(|r| std::mem::take(&mut r.erred))
+                .unwrap_or_default();
             erred.into_iter().for_each(|cache| self.blame(now, cache));
         }
         if last || outcome == Outcome::Served {
             return self.close(id, out);
         }
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         if outcome == Outcome::Error && !note.source_fault() {
             request.erred.push(attempt.plan.cache);
         }
@@ -31,13 +45,23 @@
         }
         let source_slow = attempt.plan.query && outcome == Outcome::TimedOut;
         // After a reset the object may well be where it was asked for: the work ran, its answer was lost.
-        if !matches!(outcome, Outcome::Miss | Outcome::Reset) && !note.source_fault() && !source_slow {
+        if !matches!(outcome, Outcome::Miss | Outcome::Reset)
+            && !note.source_fault()
+            && !source_slow
+        {
             request.tried.push(attempt.plan.cache);
         }
-        request.tried.extend((attempt.plan.source != attempt.plan.cache).then_some(attempt.plan.source));
+        request
+            .tried
+            .extend((attempt.plan.source != attempt.plan.cache).then_some(attempt.plan.source));
         let safe = self.settings.classes[request.class].repeat == Repeat::Safe;
         let above_lacks = attempt.plan.hold_only && attempt.above && outcome == Outcome::Miss;
-        if self.attempts.range((id, 0)..=(id, u8::MAX)).next().is_some() {
+        if self
+            .attempts
+            .range((id, 0)..=(id, u8::MAX))
+            .next()
+            .is_some()
+        {
             return;
         }
         if above_lacks || hopeless || (note == Note::OriginFailed && safe) {
@@ -58,11 +82,17 @@
     /// Effects: an attempt that may have run binds where the next may go.
     pub(super) fn may_repeat_at(&self, now: Time, request: &Request, cache: CacheId) -> bool {
         let rules = &self.settings.classes[request.class];
-        let elsewhere = |g| self.servers.get(&cache).is_none_or(|s| rules.repeat.group_of(&s.member) != g);
+        let elsewhere = |g| {
+            self.servers
+                .get(&cache)
+                .is_none_or(|s| rules.repeat.group_of(&s.member) != g)
+        };
         if request.within.is_some_and(elsewhere) {
             return false;
         }
-        let Some((sent, first)) = request.may_have_run else { return true };
+        let Some((sent, first)) = request.may_have_run else {
+            return true;
+        };
         let (Some(a), Some(b)) = (self.servers.get(&first), self.servers.get(&cache)) else {
             return rules.repeat == Repeat::Safe;
         };
@@ -76,32 +106,58 @@
     /// Ends a request that has its answer: what is still out for it is called off.
     pub(super) fn close(&mut self, id: RequestId, out: &mut Vec<Action>) {
         self.requests.remove(&id);
-        let left = self.attempts.range((id, 0)..=(id, u8::MAX)).filter(|_| self.settings.may_cancel);
+        let left = self
+            .attempts
+            .range((id, 0)..=(id, u8::MAX))
+            .filter(|_| self.settings.may_cancel);
         out.extend(left.map(|(&(id, attempt), _)| Action::Cancel { id, attempt }));
     }
 
     /// The final answer at once. Refused where trying again is harmless, else failed.
     pub(super) fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         let mut left = self.attempts.range((id, 0)..=(id, u8::MAX));
-        let ran = request.may_have_run.is_some() || request.within.is_some() || left.next().is_some();
-        let Class { repeat, deadline, .. } = self.settings.classes[request.class];
+        let ran =
+            request.may_have_run.is_some() || request.within.is_some() || left.next().is_some();
+        let Class {
+            repeat, deadline, ..
+        } = self.settings.classes[request.class];
         let refuse = !ran || matches!(repeat, Repeat::Safe | Repeat::Keyed(Group::All));
         let least = RETRY_AFTER.min(deadline / 10);
         let wait = least + self.draw(least);
-        let retry_after = self.settings.retry_after.map_or(0, |longest| wait.min(longest));
-        out.push(if refuse { Action::Refuse { id, retry_after } } else { Action::Fail { id } });
+        let retry_after = self
+            .settings
+            .retry_after
+            .map_or(0, |longest| wait.min(longest));
+        out.push(if refuse {
+            Action::Refuse { id, retry_after }
+        } else {
+            Action::Fail { id }
+        });
         self.close(id, out);
     }
 
     pub(super) fn on_tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        out.push(Action::Timer { after: TICK, token: TICK_TOKEN });
+        out.push(Action::Timer {
+            after: TICK,
+            token: TICK_TOKEN,
+        });
         // A time-out at the deadline that never came: the answer is still owed in time.
         let slack = self.settings.answer_slack / 2;
         let overdue = |r: &Request| !r.started && now >= r.deadline + slack;
-        let late: Vec<_> = self.requests.iter().filter(|(_, r)| overdue(r)).map(|(&id, _)| id).collect();
+        let late: Vec<_> = self
+            .requests
+            .iter()
+            .filter(|(_, r)| overdue(r))
+            .map(|(&id, _)| id)
+            .collect();
         late.into_iter().for_each(|id| self.give_up(id, out));
-        let (ready, over) = (self.ready(), self.settings.longest_cold().max(OVER_LEAST) as f64);
+        let (ready, over) = (
+            self.ready(),
+            self.settings.longest_cold().max(OVER_LEAST) as f64,
+        );
         for (usual, ready) in self.usual.iter_mut().zip(ready) {
             *usual = ready.max(*usual + (ready - *usual) * TICK as f64 / over);
         }
--- a/src/router/routes.rs
+++ b/src/router/routes.rs
@@ -61,7 +61,9 @@
 
     pub(super) fn ended(&mut self, late: Option<bool>) {
         match late {
-            Some(true) => self.most = (self.most.min(2.0 * self.out) - LIMIT_STEPS.0).max(LIMIT_ROOM.0),
+            Some(true) => {
+                self.most = (self.most.min(2.0 * self.out) - LIMIT_STEPS.0).max(LIMIT_ROOM.0)
+            }
             Some(false) if self.out > self.most / 2.0 => self.most += LIMIT_STEPS.1,
             _ => {}
         }
--- a/src/router/send.rs
+++ b/src/router/send.rs
@@ -12,17 +12,22 @@
 impl Router {
     /// Sends the next attempt, or gives the request up.
     pub(super) fn try_next(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         let kept = !self.settings.classes[request.class].pass_on;
         let first = request.attempts == 0;
         let spent = request.attempts >= self.settings.max_attempts || now >= request.deadline;
         let plan = if spent { None } else { self.plan(now, id) };
-        let Some(mut plan) = plan else { return self.give_up(id, out) };
+        let Some(mut plan) = plan else {
+            return self.give_up(id, out);
+        };
         let tier = self.tier_of(plan.source);
         let draws: [u64; 3] = std::array::from_fn(|_| self.draw(1 << 32));
         if kept && plan.source != plan.cache && !self.routes[0].admit(now, draws[0]) {
             // Guards against a jam of fills, whatever slows them: look at what is held, else refuse at once.
-            (plan.source, plan.query, plan.hold_only, plan.time_out) = (plan.cache, false, false, 0);
+            (plan.source, plan.query, plan.hold_only, plan.time_out) =
+                (plan.cache, false, false, 0);
             plan.ageing = true;
         } else if kept && tier >= 2 {
             // With little room the small come first: more are answered for what origin and links carry.
@@ -36,7 +41,10 @@
                 let (instead, held) = match tier {
                     3 if plan.listed => (None, plan.cache),
                     3 => (None, self.sibling(now, request).unwrap_or(plan.cache)),
-                    _ => (self.round_parents(now, request).filter(|_| !plan.listed), plan.source),
+                    _ => (
+                        self.round_parents(now, request).filter(|_| !plan.listed),
+                        plan.source,
+                    ),
                 };
                 let instead = instead.filter(|_| self.routes[2].admit(now, draws[1]) && room);
                 (plan.hold_only, plan.ageing) = (instead.is_none(), instead.is_none());
@@ -60,11 +68,23 @@
         // With a quarter of the fills out that may be, or few allowed at all, an older copy beats a fill.
         let ageing = plan.ageing || self.deep.out * 4.0 + 2.0 > self.deep.most;
         let oldest = class.fresh + class.grace * (ageing && class.fresh > 0) as Time;
-        let max_age = [max_age, oldest].into_iter().filter(|&age| age > 0).min().unwrap_or(0);
+        let max_age = [max_age, oldest]
+            .into_iter()
+            .filter(|&age| age > 0)
+            .min()
+            .unwrap_or(0);
         // Guards against servers that take work and answer nothing: seen when the answer is far from in time.
         let overdue = OVERDUE * request.aim_at.saturating_sub(now);
-        let time_out = if plan.query || class.repeat != Repeat::Safe { plan.time_out } else { overdue };
-        let keep = if class.pass_on { 0 } else { 1 + self.local.get(request.key, now).is_some() as u8 };
+        let time_out = if plan.query || class.repeat != Repeat::Safe {
+            plan.time_out
+        } else {
+            overdue
+        };
+        let keep = if class.pass_on {
+            0
+        } else {
+            1 + self.local.get(request.key, now).is_some() as u8
+        };
         let weight = self.class_work[request.class];
         let above = self.tier_of(plan.source) >= 2;
         let attempt = Attempt {
@@ -84,7 +104,9 @@
             id,
             cache: plan.cache,
             time_out,
-            send_by: request.may_have_run.map_or(0, |(sent, _)| class.repeat_by(sent)),
+            send_by: request
+                .may_have_run
+                .map_or(0, |(sent, _)| class.repeat_by(sent)),
             source: plan.source,
             keep,
             max_age,
@@ -97,20 +119,36 @@
         let servers = [Some(plan.cache), filled.then_some(plan.source)];
         for (n, cache) in servers.into_iter().flatten().enumerate() {
             if let Some(server) = self.servers.get_mut(&cache) {
-                server.window.add(now, weight, now.saturating_sub(self.settings.fall_window), SENT_MAX);
-                *(if n == 0 { &mut server.out } else { &mut server.filling }) += 1;
+                server.window.add(
+                    now,
+                    weight,
+                    now.saturating_sub(self.settings.fall_window),
+                    SENT_MAX,
+                );
+                *(if n == 0 {
+                    &mut server.out
+                } else {
+                    &mut server.filling
+                }) += 1;
                 let due = request.aim_at.max(now + request.work as Time);
                 server.due = server.due.or((n == 0).then_some(due));
             }
             if lease > 0 {
-                self.leases.entry(cache).or_default().add(now + lease, weight, now + 1, SENT_MAX);
+                self.leases
+                    .entry(cache)
+                    .or_default()
+                    .add(now + lease, weight, now + 1, SENT_MAX);
             }
         }
         let request = self.requests.get_mut(&id).expect("open");
         let number = request.attempts as u8;
         request.attempts += 1;
         request.queried |= plan.query;
-        let limit = if attempt.deep { &mut self.deep } else { &mut self.near };
+        let limit = if attempt.deep {
+            &mut self.deep
+        } else {
+            &mut self.near
+        };
         limit.out += attempt.kept as u8 as f64;
         self.attempts.insert((id, number), attempt);
     }
--- a/src/router/source.rs
+++ b/src/router/source.rs
@@ -16,23 +16,51 @@
         let pass_on = self.settings.classes[request.class].pass_on;
         let Some(cache) = self.place(now, request) else {
             // No cache of the own zone may take it: straight to a parent or the origin where that is allowed.
-            let source = self.parent(now, request, false).filter(|_| self.settings.direct)?;
-            let direct = Plan { cache: source, source, ..Plan::default() };
+            let source = self
+                .parent(now, request, false)
+                .filter(|_| self.settings.direct)?;
+            let direct = Plan {
+                cache: source,
+                source,
+                ..Plan::default()
+            };
             return self.may_repeat_at(now, request, source).then_some(direct);
         };
-        let mut plan = Plan { cache, source: cache, ..Plan::default() };
+        let mut plan = Plan {
+            cache,
+            source: cache,
+            ..Plan::default()
+        };
         let listed = self.local.get(request.key, now).map(|entry| entry.cache);
         plan.listed = listed == Some(cache);
         let elsewhere = listed.filter(|c| !plan.listed && !request.tried.contains(c));
         let gives = |c: &CacheId| self.servers.get(c).is_some_and(|s| self.gives(now, s));
-        if let Some(source) = elsewhere.filter(|_| self.settings.siblings != Siblings::None).filter(gives) {
+        if let Some(source) = elsewhere
+            .filter(|_| self.settings.siblings != Siblings::None)
+            .filter(gives)
+        {
             // The listed holder fills it, from what it holds.
-            return Some(Plan { source, hold_only: true, ..plan });
+            return Some(Plan {
+                source,
+                hold_only: true,
+                ..plan
+            });
         }
-        let asked = if plan.listed || pass_on { None } else { self.sibling(now, request) };
-        if let Some((source, time_out)) = asked.and_then(|s| Some((s, self.query_time(now, request, draw)?)))
+        let asked = if plan.listed || pass_on {
+            None
+        } else {
+            self.sibling(now, request)
+        };
+        if let Some((source, time_out)) =
+            asked.and_then(|s| Some((s, self.query_time(now, request, draw)?)))
         {
-            return Some(Plan { source, hold_only: true, query: true, time_out, ..plan });
+            return Some(Plan {
+                source,
+                hold_only: true,
+                query: true,
+                time_out,
+                ..plan
+            });
         }
         plan.source = self.parent(now, request, plan.listed)?;
         Some(plan)
@@ -48,19 +76,34 @@
             server.ready() && self.cold_room(now, server, weight) && !cold_for_none
         };
         let fit = |c: &&CacheId| self.healthy(now, &self.servers[c]) && !request.tried.contains(c);
-        let mut parents: Vec<CacheId> = self.tiers[2].iter().filter(room).filter(fit).copied().collect();
+        let mut parents: Vec<CacheId> = self.tiers[2]
+            .iter()
+            .filter(room)
+            .filter(fit)
+            .copied()
+            .collect();
         parents.sort_by_key(|&c| (rank(request.key, c.0 as u64), c));
         // Guards against one slow spell leaving a parent out for good: one not heard of lately is average.
         let average = self.parent_latency(now);
         let latency = |c: &CacheId| self.servers[c].latency.get(now, HEARD).unwrap_or(average);
-        let drawn = parents.iter().take(2).min_by(|a, b| latency(a).total_cmp(&latency(b)));
+        let drawn = parents
+            .iter()
+            .take(2)
+            .min_by(|a, b| latency(a).total_cmp(&latency(b)));
         // Guards against a parent that refuses, or is crowded, being asked for all as it is the one left.
         // From the longest aim on, no class has its answer in time.
         let [_, slow] = self.settings.aims();
-        let quick = |c: &&CacheId| self.servers[c].latency.get(now, HEARD).is_none_or(|l| l < slow);
+        let quick = |c: &&CacheId| {
+            self.servers[c]
+                .latency
+                .get(now, HEARD)
+                .is_none_or(|l| l < slow)
+        };
         let origin = || self.tiers[3].iter().filter(room).find(quick);
         let above = drawn.filter(quick).or_else(origin).or(drawn);
-        above.or_else(|| self.tiers[3].iter().chain(&self.tiers[2]).find(room)).copied()
+        above
+            .or_else(|| self.tiers[3].iter().chain(&self.tiers[2]).find(room))
+            .copied()
     }
 
     pub(super) fn parent_latency(&self, now: Time) -> f64 {
@@ -75,7 +118,11 @@
         let quick = |s: &Server| s.latency.get(now, HEARD).is_none_or(|l| l < slow);
         let well = |c: &&CacheId| self.servers[c].ready() && quick(&self.servers[c]);
         let fit = |c: &&CacheId| !request.tried.contains(c) && well(c);
-        self.tiers[3].iter().find(fit).filter(|_| self.lost > LOST).copied()
+        self.tiers[3]
+            .iter()
+            .find(fit)
+            .filter(|_| self.lost > LOST)
+            .copied()
     }
 
     /// The sibling asked: the object's home cache in a neighbouring zone, same hub first. Cold siblings are
--- a/src/router/summary.rs
+++ b/src/router/summary.rs
@@ -21,7 +21,14 @@
 
 impl Table {
     pub fn put(&mut self, key: u64, cache: CacheId, group: u32, now: Time) {
-        self.0.insert(key, Entry { cache, group, until: now + LIFE });
+        self.0.insert(
+            key,
+            Entry {
+                cache,
+                group,
+                until: now + LIFE,
+            },
+        );
         while self.0.len() > TABLE_MAX || self.0.front().is_some_and(|(_, e)| e.until <= now) {
             self.0.pop_front();
         }
--- a/tests/any_events.rs
+++ b/tests/any_events.rs
@@ -23,7 +23,11 @@
         x % n
     };
     let told = [Notes::None, Notes::HitOnly, Notes::All][(seed % 3) as usize];
-    let choice = Settings { notes: told, may_duplicate: seed.is_multiple_of(2), ..settings() };
+    let choice = Settings {
+        notes: told,
+        may_duplicate: seed.is_multiple_of(2),
+        ..settings()
+    };
     let mut front = Front::new(choice, members());
     let mut state: BTreeMap<u32, State> = members().iter().map(|m| (m.cache.0, m.state)).collect();
     let mut open: BTreeMap<RequestId, (Time, u8)> = BTreeMap::new();
@@ -32,7 +36,9 @@
     let mut log = Vec::new();
     for step in 0..4_000 {
         front.now += draw(20) * MS;
-        let overdue = out.iter().position(|(f, _, _)| open.get(&f.id).is_some_and(|o| front.now >= o.0));
+        let overdue = out
+            .iter()
+            .position(|(f, _, _)| open.get(&f.id).is_some_and(|o| front.now >= o.0));
         let mut closing = None;
         let actions = match (overdue, draw(10)) {
             (None, 0..=3) if step < 3_500 => {
@@ -42,7 +48,8 @@
             }
             (None, 4) => {
                 let cache = [10, 11, 12, 13, 20, 21, 22, 30, 31][draw(9) as usize];
-                let new = [State::Ready, State::Ready, State::Draining, State::Gone][draw(4) as usize];
+                let new =
+                    [State::Ready, State::Ready, State::Draining, State::Gone][draw(4) as usize];
                 state.insert(cache, new);
                 let boot = front.now;
                 front.change(cache, |m| (m.state, m.boot) = (new, boot))
@@ -50,7 +57,11 @@
             (None, 5) => front.event(Event::Timer { token: 1 }),
             (None, 6) => {
                 let object = (draw(2) == 0).then(|| ObjectId(draw(200) + 1));
-                front.event(Event::Purged { object, group: draw(8) as u32, ago: draw(300) * MS })
+                front.event(Event::Purged {
+                    object,
+                    group: draw(8) as u32,
+                    ago: draw(300) * MS,
+                })
             }
             (at, _) => {
                 if out.is_empty() {
@@ -81,9 +92,19 @@
         for action in &actions {
             match action {
                 Action::Fetch(fetch) => {
-                    assert_eq!(state[&fetch.cache.0], State::Ready, "sent to a cache that is not ready");
-                    assert_eq!(state[&fetch.source.0], State::Ready, "a source that is not ready");
-                    let entry = open.get_mut(&fetch.id).expect("nothing is sent after the end");
+                    assert_eq!(
+                        state[&fetch.cache.0],
+                        State::Ready,
+                        "sent to a cache that is not ready"
+                    );
+                    assert_eq!(
+                        state[&fetch.source.0],
+                        State::Ready,
+                        "a source that is not ready"
+                    );
+                    let entry = open
+                        .get_mut(&fetch.id)
+                        .expect("nothing is sent after the end");
                     out.push((fetch.clone(), entry.1, front.now));
                     entry.1 += 1;
                 }
@@ -92,7 +113,10 @@
                     *ended.entry(*id).or_default() += 1;
                 }
                 Action::Cancel { id, attempt } => {
-                    assert!(out.iter().any(|(f, a, _)| f.id == *id && a == attempt), "cancels what is out");
+                    assert!(
+                        out.iter().any(|(f, a, _)| f.id == *id && a == attempt),
+                        "cancels what is out"
+                    );
                 }
                 _ => {}
             }
--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -22,20 +22,45 @@
     let (write, sent) = front.request(1, 78);
     only_fetch(&sent);
     let by = front.now + 500 * MS;
-    assert!(by < front.now + 3 * SECOND, "both have more time than the process");
-    assert!(front.event(Event::Closing { by }).is_empty(), "nothing is given up before its time");
+    assert!(
+        by < front.now + 3 * SECOND,
+        "both have more time than the process"
+    );
+    assert!(
+        front.event(Event::Closing { by }).is_empty(),
+        "nothing is given up before its time"
+    );
     front.now = by - 100 * MS;
     assert_eq!(finals(&front.event(Event::Timer { token: 1 })), 0);
     let answers = look_after(&mut front, by);
-    let refused = |id| answers.iter().any(|a| matches!(a, Action::Refuse { id: other, .. } if *other == id));
-    let failed = |id| answers.iter().any(|a| matches!(a, Action::Fail { id: other } if *other == id));
-    let called_off =
-        |id| answers.iter().any(|a| matches!(a, Action::Cancel { id: other, .. } if *other == id));
-    assert!(refused(read) && called_off(read), "trying again elsewhere is harmless: {answers:?}");
-    assert!(failed(write) && called_off(write), "a single-shot write may have run: {answers:?}");
+    let refused = |id| {
+        answers
+            .iter()
+            .any(|a| matches!(a, Action::Refuse { id: other, .. } if *other == id))
+    };
+    let failed = |id| {
+        answers
+            .iter()
+            .any(|a| matches!(a, Action::Fail { id: other } if *other == id))
+    };
+    let called_off = |id| {
+        answers
+            .iter()
+            .any(|a| matches!(a, Action::Cancel { id: other, .. } if *other == id))
+    };
+    assert!(
+        refused(read) && called_off(read),
+        "trying again elsewhere is harmless: {answers:?}"
+    );
+    assert!(
+        failed(write) && called_off(write),
+        "a single-shot write may have run: {answers:?}"
+    );
     assert_eq!(finals(&answers), 2, "one answer each");
     // What the attempt still gives changes nothing.
-    assert!(front.outcome(&read_attempt, 0, Outcome::Cancelled, Note::Untold).is_empty());
+    assert!(front
+        .outcome(&read_attempt, 0, Outcome::Cancelled, Note::Untold)
+        .is_empty());
 }
 
 #[test]
@@ -59,7 +84,9 @@
     front.event(Event::Closing { by });
     let answers = look_after(&mut front, START + 200 * MS);
     assert!(
-        answers.iter().any(|a| matches!(a, Action::Refuse { id: other, .. } if *other == id)),
+        answers
+            .iter()
+            .any(|a| matches!(a, Action::Refuse { id: other, .. } if *other == id)),
         "{answers:?}"
     );
 }
--- a/tests/cold_fleet/fleet.rs
+++ b/tests/cold_fleet/fleet.rs
@@ -35,8 +35,22 @@
     pub cold: u32,
 }
 
-const fn draw(routers: u32, rate: f64, window_ms: Time, cold_from: f64, multiple: f64, cold: u32) -> Draw {
-    Draw { routers, rate, window: window_ms * MS, cold_from, multiple, cold }
+const fn draw(
+    routers: u32,
+    rate: f64,
+    window_ms: Time,
+    cold_from: f64,
+    multiple: f64,
+    cold: u32,
+) -> Draw {
+    Draw {
+        routers,
+        rate,
+        window: window_ms * MS,
+        cold_from,
+        multiple,
+        cold,
+    }
 }
 
 pub const DRAWS: [Draw; 10] = [
@@ -80,17 +94,34 @@
 
 impl fmt::Display for Played {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Some(Window { sent, allowed, over }) = self.worst else { return write!(f, "nothing sent") };
+        let Some(Window {
+            sent,
+            allowed,
+            over,
+        }) = self.worst
+        else {
+            return write!(f, "nothing sent");
+        };
         write!(
             f,
             "at worst {sent} in a window of which {allowed:.2} are allowed, {over:+.2} beyond the bound; "
         )?;
-        write!(f, "at most {:.2} of what is allowed; {} in all", self.of_allowed, self.sent)
+        write!(
+            f,
+            "at most {:.2} of what is allowed; {} in all",
+            self.of_allowed, self.sent
+        )
     }
 }
 
 fn settings_of(play: &Play) -> Vec<Settings> {
-    let Draw { routers, window, cold_from, multiple, .. } = play.draw;
+    let Draw {
+        routers,
+        window,
+        cold_from,
+        multiple,
+        ..
+    } = play.draw;
     let base = Settings {
         routers: play.told,
         routers_by_zone: vec![0, 0, play.told],
@@ -104,13 +135,21 @@
         fall_window: window,
         ..settings()
     };
-    (0..routers).map(|index| Settings { index, ..base.clone() }).collect()
+    (0..routers)
+        .map(|index| Settings {
+            index,
+            ..base.clone()
+        })
+        .collect()
 }
 
 fn list() -> Vec<Member> {
     let caches = (0..CACHES).map(|k| member(FIRST_CACHE + k, 2, 0));
     let parents = (0..PARENTS).map(|k| member(FIRST_PARENT + k, 0, PARENT));
-    caches.chain(parents).chain([member(9, 0, ORIGIN)]).collect()
+    caches
+        .chain(parents)
+        .chain([member(9, 0, ORIGIN)])
+        .collect()
 }
 
 /// What is sent is held at the cache, or filled by the parent.
@@ -131,9 +170,13 @@
     let mut world = World::new(settings_of(play), &list(), draw.rate);
     if play.uneven {
         // From a tenth of the most to the most, the mean as told.
-        let part = |router: u32| 0.1 + 0.9 * f64::from(router * 7 % draw.routers) / f64::from(draw.routers);
+        let part = |router: u32| {
+            0.1 + 0.9 * f64::from(router * 7 % draw.routers) / f64::from(draw.routers)
+        };
         let mean = (0..draw.routers).map(part).sum::<f64>() / f64::from(draw.routers);
-        world.rates = (0..draw.routers).map(|router| part(router) / mean * draw.rate).collect();
+        world.rates = (0..draw.routers)
+            .map(|router| part(router) / mean * draw.rate)
+            .collect();
     }
     // Caches hold what few objects there are; parents are asked for new ones.
     world.objects = if target == Target::Cache { 400 } else { 0 };
@@ -145,25 +188,52 @@
     };
     let from = world.now - BEFORE / 2;
     let servers = first..first + count;
-    let of_tier = |sent: &Sent| servers.clone().find(|server| reaches(target, *server, sent));
+    let of_tier = |sent: &Sent| {
+        servers
+            .clone()
+            .find(|server| reaches(target, *server, sent))
+    };
     let carried: usize = world.count(from, of_tier).values().sum();
     // What one carried on average: no more than its capacity.
     let capacity = carried as f64 / count as f64 / (BEFORE / 2) as f64;
     let boot = world.now;
     let cold: Vec<u32> = (first..first + draw.cold).collect();
-    let anew = |member: &Member| Member { boot, ..member.clone() };
-    let started: Vec<Member> = list().iter().filter(|m| cold.contains(&m.cache.0)).map(anew).collect();
+    let anew = |member: &Member| Member {
+        boot,
+        ..member.clone()
+    };
+    let started: Vec<Member> = list()
+        .iter()
+        .filter(|m| cold.contains(&m.cache.0))
+        .map(anew)
+        .collect();
     for router in 0..draw.routers as usize {
-        world.tell(router, Event::Members { full: false, members: started.clone() }, &mut end);
+        world.tell(
+            router,
+            Event::Members {
+                full: false,
+                members: started.clone(),
+            },
+            &mut end,
+        );
     }
     world.run(AFTER, &mut end);
     let windows = cold.iter().map(|server| {
         let reached = |sent: &&Sent| sent.at >= boot && reaches(target, *server, sent);
-        let times: Vec<Time> = world.sent.iter().filter(reached).map(|sent| sent.at).collect();
+        let times: Vec<Time> = world
+            .sent
+            .iter()
+            .filter(reached)
+            .map(|sent| sent.at)
+            .collect();
         look(&times, &settings_of(play)[0], target, boot, capacity)
     });
     windows.fold(Played::default(), |all, one| Played {
-        worst: all.worst.into_iter().chain(one.worst).max_by(|a, b| a.over.total_cmp(&b.over)),
+        worst: all
+            .worst
+            .into_iter()
+            .chain(one.worst)
+            .max_by(|a, b| a.over.total_cmp(&b.over)),
         of_allowed: all.of_allowed.max(one.of_allowed),
         sent: all.sent + one.sent,
     })
@@ -177,10 +247,21 @@
         let allowed = multiple * ramp * capacity * settings.fall_window as f64;
         let recent = |before: &&Time| **before + settings.fall_window > *at;
         let sent = times[..=n].iter().rev().take_while(recent).count();
-        Window { sent, allowed, over: sent as f64 - (allowed + 2.0 * allowed.sqrt() + 2.0) }
+        Window {
+            sent,
+            allowed,
+            over: sent as f64 - (allowed + 2.0 * allowed.sqrt() + 2.0),
+        }
     };
     let windows: Vec<Window> = times.iter().enumerate().map(window).collect();
-    let of_allowed = windows.iter().map(|one| one.sent as f64 / one.allowed).fold(0.0, f64::max);
+    let of_allowed = windows
+        .iter()
+        .map(|one| one.sent as f64 / one.allowed)
+        .fold(0.0, f64::max);
     let worst = windows.into_iter().max_by(|a, b| a.over.total_cmp(&b.over));
-    Played { worst, of_allowed, sent: times.len() }
+    Played {
+        worst,
+        of_allowed,
+        sent: times.len(),
+    }
 }
--- a/tests/cold_fleet/main.rs
+++ b/tests/cold_fleet/main.rs
@@ -17,7 +17,14 @@
     let mut broken = Vec::new();
     for draw in draws {
         for uneven in [false, true] {
-            let played = play(target, &Play { draw: *draw, uneven, told: draw.routers });
+            let played = play(
+                target,
+                &Play {
+                    draw: *draw,
+                    uneven,
+                    told: draw.routers,
+                },
+            );
             println!("{target:?} uneven {uneven} {draw:?}: {played}");
             if played.worst.is_some_and(|worst| worst.over > 0.0) {
                 broken.push(format!("{target:?} uneven {uneven} {draw:?}: {played}"));
@@ -44,7 +51,14 @@
 fn cold_caches_are_used_as_they_warm() {
     let seen = |draw: &Draw| draw.rate * draw.window as f64 / SECOND as f64;
     for draw in DRAWS.iter().filter(|draw| seen(draw) >= 0.5) {
-        let played = play(Target::Cache, &Play { draw: *draw, uneven: true, told: draw.routers });
+        let played = play(
+            Target::Cache,
+            &Play {
+                draw: *draw,
+                uneven: true,
+                told: draw.routers,
+            },
+        );
         assert!(played.sent > 0, "{draw:?}: {played}");
     }
 }
@@ -53,10 +67,24 @@
 #[test]
 fn the_number_of_routers_that_settings_tell_changes_nothing() {
     for draw in &DRAWS {
-        let told = |told| play(Target::Cache, &Play { draw: *draw, uneven: true, told });
+        let told = |told| {
+            play(
+                Target::Cache,
+                &Play {
+                    draw: *draw,
+                    uneven: true,
+                    told,
+                },
+            )
+        };
         let right = told(draw.routers);
         for wrong in [1, 5, 300] {
-            assert_eq!(told(wrong), right, "{wrong} told of {}: {draw:?}", draw.routers);
+            assert_eq!(
+                told(wrong),
+                right,
+                "{wrong} told of {}: {draw:?}",
+                draw.routers
+            );
         }
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -24,7 +24,12 @@
         grace: 0,
         pass_on: false,
     };
-    let write = Class { aim_stretch: 0.0, repeat: Repeat::SingleShot, pass_on: true, ..kept.clone() };
+    let write = Class {
+        aim_stretch: 0.0,
+        repeat: Repeat::SingleShot,
+        pass_on: true,
+        ..kept.clone()
+    };
     Settings {
         index: 0,
         routers: 2,
@@ -64,7 +69,15 @@
 
 pub fn member(cache: u32, zone: usize, kind: usize) -> Member {
     let cache = CacheId(cache);
-    Member { cache, zone, kind, cell: 0, state: State::Ready, weight: 1.0, boot: 0 }
+    Member {
+        cache,
+        zone,
+        kind,
+        cell: 0,
+        state: State::Ready,
+        weight: 1.0,
+        boot: 0,
+    }
 }
 
 /// Own caches 10 to 13, the neighbour's 20 to 22, parents 30 and 31, origin 40.
@@ -92,12 +105,25 @@
     let mut by_zone = vec![0, 0];
     by_zone.extend((0..zones).map(|_| 5));
     let hub_of = (0..zones + 2).map(|z| (z % 2) as usize).collect();
-    (Settings { routers: zones * 5, routers_by_zone: by_zone, hub_of, ..settings() }, list)
+    (
+        Settings {
+            routers: zones * 5,
+            routers_by_zone: by_zone,
+            hub_of,
+            ..settings()
+        },
+        list,
+    )
 }
 
 /// Settings in which nothing stands above but the origin, and pages are fresh for 12 s and good for 30 s more.
 pub fn stale_pages() -> Settings {
-    let mut choice = Settings { notes: Notes::None, parent_kind: None, max_attempts: 6, ..settings() };
+    let mut choice = Settings {
+        notes: Notes::None,
+        parent_kind: None,
+        max_attempts: 6,
+        ..settings()
+    };
     choice.classes[0].fresh = 12 * SECOND;
     choice.classes[0].grace = 30 * SECOND;
     choice.drain_grace = 2 * SECOND;
@@ -113,8 +139,15 @@
 
 impl Front {
     pub fn new(settings: Settings, members: Vec<Member>) -> Front {
-        let mut front = Front { router: Router::new(settings, 7), now: START, next: 0 };
-        front.event(Event::Members { full: true, members });
+        let mut front = Front {
+            router: Router::new(settings, 7),
+            now: START,
+            next: 0,
+        };
+        front.event(Event::Members {
+            full: true,
+            members,
+        });
         front
     }
 
@@ -129,7 +162,12 @@
         self.request_of(class, object, 500.0)
     }
 
-    pub fn request_of(&mut self, class: usize, object: u64, size_kb: f64) -> (RequestId, Vec<Action>) {
+    pub fn request_of(
+        &mut self,
+        class: usize,
+        object: u64,
+        size_kb: f64,
+    ) -> (RequestId, Vec<Action>) {
         self.request_for(class, object, size_kb, 3 * SECOND)
     }
 
@@ -157,7 +195,13 @@
         (id, self.event(event))
     }
 
-    pub fn outcome(&mut self, fetch: &Fetch, attempt: u8, outcome: Outcome, note: Note) -> Vec<Action> {
+    pub fn outcome(
+        &mut self,
+        fetch: &Fetch,
+        attempt: u8,
+        outcome: Outcome,
+        note: Note,
+    ) -> Vec<Action> {
         self.outcome_after(fetch, attempt, outcome, note, 60 * MS)
     }
 
@@ -171,7 +215,14 @@
     ) -> Vec<Action> {
         let last = outcome == Outcome::Served;
         let id = fetch.id;
-        self.event(Event::Outcome(Report { id, attempt, outcome, note, elapsed, last }))
+        self.event(Event::Outcome(Report {
+            id,
+            attempt,
+            outcome,
+            note,
+            elapsed,
+            last,
+        }))
     }
 
     /// One request, served at once as `note` says; gives the fetch that was made.
@@ -184,14 +235,29 @@
     }
 
     pub fn change(&mut self, cache: u32, change: impl Fn(&mut Member)) -> Vec<Action> {
-        let mut member = members().into_iter().find(|m| m.cache.0 == cache).expect("a member");
+        let mut member = members()
+            .into_iter()
+            .find(|m| m.cache.0 == cache)
+            .expect("a member");
         change(&mut member);
-        self.event(Event::Members { full: false, members: vec![member] })
+        self.event(Event::Members {
+            full: false,
+            members: vec![member],
+        })
     }
 }
 
 pub fn fetches(actions: &[Action]) -> Vec<Fetch> {
-    actions.iter().filter_map(|a| if let Action::Fetch(f) = a { Some(f.clone()) } else { None }).collect()
+    actions
+        .iter()
+        .filter_map(|a| {
+            if let Action::Fetch(f) = a {
+                Some(f.clone())
+            } else {
+                None
+            }
+        })
+        .collect()
 }
 
 pub fn only_fetch(actions: &[Action]) -> Fetch {
@@ -201,5 +267,8 @@
 }
 
 pub fn finals(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })).count()
+    actions
+        .iter()
+        .filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }))
+        .count()
 }
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -52,7 +52,8 @@
 impl World {
     /// Routers with these settings, seeds of their own and the same list.
     pub fn new(settings: Vec<Settings>, list: &[Member], rate: f64) -> World {
-        let seeded = |(k, s): (usize, Settings)| foldmux::Router::new(s, 0x51ed_2701 * (k as u64 + 1));
+        let seeded =
+            |(k, s): (usize, Settings)| foldmux::Router::new(s, 0x51ed_2701 * (k as u64 + 1));
         let mut world = World {
             routers: settings.into_iter().enumerate().map(seeded).collect(),
             now: START,
@@ -70,7 +71,14 @@
             ids: 0,
         };
         for front in 0..world.routers.len() {
-            world.tell(front, Event::Members { full: true, members: list.to_vec() }, &mut |_| unreachable!());
+            world.tell(
+                front,
+                Event::Members {
+                    full: true,
+                    members: list.to_vec(),
+                },
+                &mut |_| unreachable!(),
+            );
             world.arrive(front);
         }
         world
@@ -89,29 +97,54 @@
     }
 
     /// Hands one router an event now. `fate`: how an attempt ends, and after what time.
-    pub fn tell(&mut self, front: usize, event: Event, fate: &mut dyn FnMut(&Sent) -> (Outcome, Time)) {
+    pub fn tell(
+        &mut self,
+        front: usize,
+        event: Event,
+        fate: &mut dyn FnMut(&Sent) -> (Outcome, Time),
+    ) {
         let mut actions = Vec::new();
         self.routers[front].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Timer { after, token } => self.push(self.now + after, front, Next::Timer(token)),
+                Action::Timer { after, token } => {
+                    self.push(self.now + after, front, Next::Timer(token))
+                }
                 Action::Refuse { id, retry_after } => {
                     self.refused.push((self.now, retry_after));
                     self.end(front, id);
                 }
                 Action::Fail { id } => self.end(front, id),
                 Action::Fetch(fetch) => {
-                    let open = self.open.get_mut(&(front, fetch.id)).expect("a request that is open");
-                    assert_eq!(open.ends, 0, "nothing is sent for a request that has its answer");
-                    let sent =
-                        Sent { at: self.now, front, fetch, object: open.object, attempt: open.attempts };
+                    let open = self
+                        .open
+                        .get_mut(&(front, fetch.id))
+                        .expect("a request that is open");
+                    assert_eq!(
+                        open.ends, 0,
+                        "nothing is sent for a request that has its answer"
+                    );
+                    let sent = Sent {
+                        at: self.now,
+                        front,
+                        fetch,
+                        object: open.object,
+                        attempt: open.attempts,
+                    };
                     open.attempts += 1;
                     let (mut outcome, mut elapsed) = fate(&sent);
                     if sent.fetch.time_out > 0 && elapsed > sent.fetch.time_out {
                         (outcome, elapsed) = (Outcome::TimedOut, sent.fetch.time_out);
                     }
-                    self.push(self.now + elapsed, front, Next::Answer(sent.fetch.id, sent.attempt));
-                    self.out.insert((front, sent.fetch.id, sent.attempt), (sent.clone(), outcome, elapsed));
+                    self.push(
+                        self.now + elapsed,
+                        front,
+                        Next::Answer(sent.fetch.id, sent.attempt),
+                    );
+                    self.out.insert(
+                        (front, sent.fetch.id, sent.attempt),
+                        (sent.clone(), outcome, elapsed),
+                    );
                     self.sent.push(sent);
                 }
                 _ => {}
@@ -120,7 +153,10 @@
     }
 
     fn end(&mut self, front: usize, id: RequestId) {
-        let open = self.open.get_mut(&(front, id)).expect("a request that is open");
+        let open = self
+            .open
+            .get_mut(&(front, id))
+            .expect("a request that is open");
         open.ends += 1;
         assert_eq!(open.ends, 1, "one final answer");
     }
@@ -145,7 +181,14 @@
                         0 => 1 << 40 | self.ids,
                         n => 1 + self.draws.draw() % n,
                     };
-                    self.open.insert((front, id), Open { at: self.now, object, ..Open::default() });
+                    self.open.insert(
+                        (front, id),
+                        Open {
+                            at: self.now,
+                            object,
+                            ..Open::default()
+                        },
+                    );
                     let ask = Ask {
                         id,
                         class: 0,
@@ -160,13 +203,21 @@
                     self.tell(front, Event::Request(ask), fate);
                 }
                 Next::Answer(id, attempt) => {
-                    let (_, outcome, elapsed) = self.out.remove(&(front, id, attempt)).expect("sent");
+                    let (_, outcome, elapsed) =
+                        self.out.remove(&(front, id, attempt)).expect("sent");
                     let last = outcome == Outcome::Served;
                     if last {
                         let open = self.open.get_mut(&(front, id)).expect("open");
                         open.ends += 1;
                     }
-                    let report = Report { id, attempt, outcome, note: Note::Untold, elapsed, last };
+                    let report = Report {
+                        id,
+                        attempt,
+                        outcome,
+                        note: Note::Untold,
+                        elapsed,
+                        last,
+                    };
                     self.tell(front, Event::Outcome(report), fate);
                 }
             }
@@ -176,7 +227,10 @@
 
     /// Requests that came before `at` and have no answer.
     pub fn owed(&self, at: Time) -> usize {
-        self.open.values().filter(|open| open.at < at && open.ends == 0).count()
+        self.open
+            .values()
+            .filter(|open| open.at < at && open.ends == 0)
+            .count()
     }
 
     /// What was sent since `from`, counted by `of`.
@@ -200,5 +254,11 @@
         max_attempts: 4,
         ..base.clone()
     };
-    (0..count).map(|index| Settings { index, zone: 2 + (index % zones) as usize, ..base.clone() }).collect()
+    (0..count)
+        .map(|index| Settings {
+            index,
+            zone: 2 + (index % zones) as usize,
+            ..base.clone()
+        })
+        .collect()
 }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -7,13 +7,20 @@
 fn a_never_twice_request_whose_connection_breaks_is_sent_again_only_where_nothing_was_written() {
     let list = members_of(4, 0, 0);
     // Before the write: proof that nothing ran. During or after it: it may have run.
-    for (end, again) in [(Outcome::ConnectFailed, true), (Outcome::NeverSent, true), (Outcome::Reset, false)]
-    {
+    for (end, again) in [
+        (Outcome::ConnectFailed, true),
+        (Outcome::NeverSent, true),
+        (Outcome::Reset, false),
+    ] {
         let mut front = Front::new(stale_pages(), list.clone());
         let first = only_fetch(&front.request(1, 7).1);
         let next = front.outcome(&first, 0, end, Note::Untold);
         assert_eq!(fetches(&next).len(), again as usize, "{end:?}: {next:?}");
-        assert_eq!(matches!(next[..], [Action::Fail { .. }]), !again, "{end:?}: failed, not refused");
+        assert_eq!(
+            matches!(next[..], [Action::Fail { .. }]),
+            !again,
+            "{end:?}: failed, not refused"
+        );
     }
 }
 
@@ -24,7 +31,11 @@
         front.serve(k, Note::Untold);
     }
     for group in 0..32 {
-        front.event(Event::Purged { object: None, group, ago: 100 * MS });
+        front.event(Event::Purged {
+            object: None,
+            group,
+            ago: 100 * MS,
+        });
     }
     for k in 0..60 {
         front.now += 20 * MS;
@@ -45,11 +56,27 @@
     for k in 0..40 {
         assert_eq!(front.serve(k, Note::Untold).cache.0, 10);
     }
-    let gone = Member { state: State::Gone, ..member(10, 2, 0) };
-    front.event(Event::Members { full: false, members: vec![gone] });
-    assert_eq!(finals(&front.request(0, 1).1), 1, "nobody may take it: answered at once");
+    let gone = Member {
+        state: State::Gone,
+        ..member(10, 2, 0)
+    };
+    front.event(Event::Members {
+        full: false,
+        members: vec![gone],
+    });
+    assert_eq!(
+        finals(&front.request(0, 1).1),
+        1,
+        "nobody may take it: answered at once"
+    );
     let boot = front.now;
-    front.event(Event::Members { full: false, members: vec![Member { boot, ..member(11, 2, 0) }] });
+    front.event(Event::Members {
+        full: false,
+        members: vec![Member {
+            boot,
+            ..member(11, 2, 0)
+        }],
+    });
     let mut sent = 0;
     for k in 100..400 {
         front.now += 40 * MS;
@@ -71,9 +98,18 @@
         front.now += 40 * MS;
         if k % 100 == 50 {
             let (old, new, boot) = (listed.remove(0), 50 + k as u32 / 100, front.now);
-            let drained = Member { state: State::Draining, ..member(old, 2, 0) };
-            let started = Member { boot, ..member(new, 2, 0) };
-            front.event(Event::Members { full: false, members: vec![drained, started] });
+            let drained = Member {
+                state: State::Draining,
+                ..member(old, 2, 0)
+            };
+            let started = Member {
+                boot,
+                ..member(new, 2, 0)
+            };
+            front.event(Event::Members {
+                full: false,
+                members: vec![drained, started],
+            });
             listed.push(new);
         }
         asked += 1;
@@ -101,7 +137,10 @@
             front.outcome_after(&fetch, 0, Outcome::Served, Note::Untold, work + 60 * MS);
         }
     }
-    assert_eq!(refused, 0, "nothing is turned away for being beside a large one");
+    assert_eq!(
+        refused, 0,
+        "nothing is turned away for being beside a large one"
+    );
 }
 
 #[test]
@@ -111,7 +150,10 @@
         front.serve(k, Note::Untold);
     }
     // Fills are late, so that few may be out: older copies will do, to the very edge and not beyond.
-    for first in (100..160).flat_map(|k| fetches(&front.request(0, k).1)).collect::<Vec<_>>() {
+    for first in (100..160)
+        .flat_map(|k| fetches(&front.request(0, k).1))
+        .collect::<Vec<_>>()
+    {
         let fills = match first.source.0 {
             40 => vec![(first, 0)],
             // The sibling that was asked first has none.
@@ -140,10 +182,18 @@
     }
     assert!(asked > 0, "copies past their fresh time are asked for");
     // With a purge since, the edge is the purge's.
-    front.event(Event::Purged { object: None, group: 5, ago: 100 * MS });
+    front.event(Event::Purged {
+        object: None,
+        group: 5,
+        ago: 100 * MS,
+    });
     front.now += 10 * MS;
     for fetch in (0..20).flat_map(|k| fetches(&front.request(0, k).1)) {
-        assert!((1..=110 * MS).contains(&fetch.max_age), "{} us", fetch.max_age);
+        assert!(
+            (1..=110 * MS).contains(&fetch.max_age),
+            "{} us",
+            fetch.max_age
+        );
     }
 }
 
@@ -163,14 +213,21 @@
         self.objects.insert(id, object);
         self.carry_out(&actions, 0, origin, &mut ended);
         let until = self.front.now + 20 * MS;
-        while let Some(at) =
-            (0..self.out.len()).min_by_key(|&k| self.out[k].0).filter(|&k| self.out[k].0 <= until)
+        while let Some(at) = (0..self.out.len())
+            .min_by_key(|&k| self.out[k].0)
+            .filter(|&k| self.out[k].0 <= until)
         {
             let (due, fetch, attempt, outcome) = self.out.swap_remove(at);
             self.front.now = self.front.now.max(due);
             let object = self.objects[&fetch.id];
-            let took = if fetch.source.0 == 40 && outcome == Outcome::Served { origin } else { 60 * MS };
-            let next = self.front.outcome_after(&fetch, attempt, outcome, Note::Untold, took);
+            let took = if fetch.source.0 == 40 && outcome == Outcome::Served {
+                origin
+            } else {
+                60 * MS
+            };
+            let next = self
+                .front
+                .outcome_after(&fetch, attempt, outcome, Note::Untold, took);
             match outcome {
                 Outcome::Served => {
                     self.held.insert((fetch.cache.0, object));
@@ -184,11 +241,19 @@
         ended
     }
 
-    fn carry_out(&mut self, actions: &[Action], attempt: u8, origin: Time, ended: &mut Vec<(u64, bool)>) {
+    fn carry_out(
+        &mut self,
+        actions: &[Action],
+        attempt: u8,
+        origin: Time,
+        ended: &mut Vec<(u64, bool)>,
+    ) {
         for action in actions {
             match action {
                 Action::Fetch(fetch) => {
-                    let held = self.held.contains(&(fetch.cache.0, self.objects[&fetch.id]));
+                    let held = self
+                        .held
+                        .contains(&(fetch.cache.0, self.objects[&fetch.id]));
                     let (took, how) = match (held, fetch.source.0) {
                         (true, _) => (60 * MS, Outcome::Served),
                         (_, 40) => (origin, Outcome::Served),
@@ -197,9 +262,12 @@
                     let out_of_time = fetch.time_out > 0 && took > fetch.time_out;
                     let how = if out_of_time { Outcome::TimedOut } else { how };
                     let took = if out_of_time { fetch.time_out } else { took };
-                    self.out.push((self.front.now + took, fetch.clone(), attempt, how));
+                    self.out
+                        .push((self.front.now + took, fetch.clone(), attempt, how));
+                }
+                Action::Refuse { id, .. } | Action::Fail { id } => {
+                    ended.push((self.objects[id], false))
                 }
-                Action::Refuse { id, .. } | Action::Fail { id } => ended.push((self.objects[id], false)),
                 _ => {}
             }
         }
@@ -207,9 +275,15 @@
 }
 
 #[test]
-fn with_the_origin_five_times_slower_and_no_parent_what_is_held_is_served_and_the_rest_does_not_pile_up() {
+fn with_the_origin_five_times_slower_and_no_parent_what_is_held_is_served_and_the_rest_does_not_pile_up(
+) {
     let front = Front::new(stale_pages(), members_of(4, 3, 0));
-    let mut world = World { front, held: Default::default(), out: Vec::new(), objects: Default::default() };
+    let mut world = World {
+        front,
+        held: Default::default(),
+        out: Vec::new(),
+        objects: Default::default(),
+    };
     let mut new = 1_000_000;
     // Two of three ask for one of 60 objects, the third for a new one.
     let mut spell = |world: &mut World, steps: u64, origin: Time| {
@@ -221,7 +295,13 @@
                 let count = if object < 60 { &mut hot } else { &mut cold };
                 count[served as usize] += 1;
             }
-            most = most.max(world.out.iter().filter(|o| o.1.source.0 == 40 && o.3 != Outcome::Miss).count());
+            most = most.max(
+                world
+                    .out
+                    .iter()
+                    .filter(|o| o.1.source.0 == 40 && o.3 != Outcome::Miss)
+                    .count(),
+            );
         }
         let part = |[not, served]: [u64; 2]| served as f64 / (not + served).max(1) as f64;
         (part(hot), part(cold), most)
@@ -234,5 +314,8 @@
     );
     assert!(before.0 > 0.95 && before.1 > 0.9, "{before:?}");
     assert!(slow.0 > 0.9, "what is held is served on: {slow:?}");
-    assert!(after.1 > 0.5, "and fills come back with the origin: {after:?}");
+    assert!(
+        after.1 > 0.5,
+        "and fills come back with the origin: {after:?}"
+    );
 }
--- a/tests/fetches.rs
+++ b/tests/fetches.rs
@@ -11,7 +11,10 @@
 #[test]
 fn a_bound_on_age_rounds_down_but_never_to_no_bound() {
     let rounded = [0, 1, 999, 1_000, 1_999, 2_500_000].map(bound_ms);
-    assert_eq!(rounded, [None, Some(1), Some(1), Some(1), Some(1), Some(2_500)]);
+    assert_eq!(
+        rounded,
+        [None, Some(1), Some(1), Some(1), Some(1), Some(2_500)]
+    );
 }
 
 #[test]
@@ -20,10 +23,15 @@
     let (_, actions) = front.request(0, 1);
     let mut fetch = only_fetch(&actions);
     assert_eq!(fetch.send_by, 0);
-    assert!([0, START, Time::MAX].iter().all(|now| fetch.may_begin(*now)));
+    assert!([0, START, Time::MAX]
+        .iter()
+        .all(|now| fetch.may_begin(*now)));
     fetch.begin_by(500);
     fetch.begin_by(900);
-    assert_eq!([499, 500, 501].map(|now| fetch.may_begin(now)), [true, false, false]);
+    assert_eq!(
+        [499, 500, 501].map(|now| fetch.may_begin(now)),
+        [true, false, false]
+    );
     fetch.begin_by(400);
     assert_eq!([399, 400].map(|now| fetch.may_begin(now)), [true, false]);
 }
@@ -31,7 +39,11 @@
 /// The bounds on the first bytes of a request's attempts, where `repeat` says what may follow and the first ended so.
 fn bounds(repeat: Repeat, first_end: Outcome) -> (Time, Option<Time>) {
     let mut choice = settings();
-    choice.classes[1] = Class { repeat, repeat_window: WINDOW, ..choice.classes[1].clone() };
+    choice.classes[1] = Class {
+        repeat,
+        repeat_window: WINDOW,
+        ..choice.classes[1].clone()
+    };
     let mut front = Front::new(choice, members());
     let sent = front.now;
     let (_, actions) = front.request(1, 5);
@@ -39,14 +51,21 @@
     front.now += 300 * MS;
     let then = front.outcome(&first, 0, first_end, Note::Untold);
     assert_eq!(sent, START);
-    (first.send_by, fetches(&then).first().map(|fetch| fetch.send_by))
+    (
+        first.send_by,
+        fetches(&then).first().map(|fetch| fetch.send_by),
+    )
 }
 
 #[test]
 fn a_keyed_repeat_must_begin_while_the_caches_remember_what_may_have_run() {
     let keyed = Repeat::Keyed(Group::All);
     for may_have_run in [Outcome::Reset, Outcome::TimedOut, Outcome::Cancelled] {
-        assert_eq!(bounds(keyed, may_have_run), (0, Some(START + WINDOW)), "{may_have_run:?}");
+        assert_eq!(
+            bounds(keyed, may_have_run),
+            (0, Some(START + WINDOW)),
+            "{may_have_run:?}"
+        );
     }
     for never_ran in [Outcome::ConnectFailed, Outcome::NeverSent] {
         assert_eq!(bounds(keyed, never_ran), (0, Some(0)), "{never_ran:?}");
--- a/tests/fleets.rs
+++ b/tests/fleets.rs
@@ -25,7 +25,13 @@
             assert!(cache.zone == zone && cache.kind == 0 && by_id.contains_key(&fetch.source));
             sent += 1;
             front.now += 20 * MS;
-            let outcomes = [Outcome::Served, Outcome::Miss, Outcome::Error, Outcome::Reset, Outcome::Served];
+            let outcomes = [
+                Outcome::Served,
+                Outcome::Miss,
+                Outcome::Error,
+                Outcome::Reset,
+                Outcome::Served,
+            ];
             let outcome = outcomes[((k + attempt as u64) % 5) as usize];
             served = outcome == Outcome::Served;
             actions = front.outcome(&fetch, attempt, outcome, Note::Untold);
@@ -49,7 +55,12 @@
 fn one_router_alone_in_its_zone_and_zones_that_settings_do_not_know() {
     let (choice, mut list) = fleet(3, 4, 2);
     list.extend((0..5).map(|k| member(5_000 + k, 77, 0)));
-    let alone = Settings { routers: 1, routers_by_zone: vec![0, 0, 1], hub_of: vec![0, 1], ..choice };
+    let alone = Settings {
+        routers: 1,
+        routers_by_zone: vec![0, 0, 1],
+        hub_of: vec![0, 1],
+        ..choice
+    };
     assert!(play(alone, list) > 500);
 }
 
@@ -58,12 +69,30 @@
     let (choice, list) = fleet(3, 4, 2);
     let empty: Vec<Member> = list.iter().filter(|m| m.zone != 2).cloned().collect();
     let mut front = Front::new(choice.clone(), empty);
-    assert_eq!(finals(&front.request(0, 77).1), 1, "nobody to ask: refused at once");
-    let mut front = Front::new(Settings { siblings: Siblings::None, ..choice }, list.clone());
-    let gone = list.iter().filter(|m| m.kind == PARENT).map(|m| Member { state: State::Gone, ..m.clone() });
-    front.event(Event::Members { full: false, members: gone.collect() });
-    let sources: Vec<CacheId> =
-        (1..60).flat_map(|k| fetches(&front.request(0, k).1)).map(|f| f.source).collect();
+    assert_eq!(
+        finals(&front.request(0, 77).1),
+        1,
+        "nobody to ask: refused at once"
+    );
+    let mut front = Front::new(
+        Settings {
+            siblings: Siblings::None,
+            ..choice
+        },
+        list.clone(),
+    );
+    let gone = list.iter().filter(|m| m.kind == PARENT).map(|m| Member {
+        state: State::Gone,
+        ..m.clone()
+    });
+    front.event(Event::Members {
+        full: false,
+        members: gone.collect(),
+    });
+    let sources: Vec<CacheId> = (1..60)
+        .flat_map(|k| fetches(&front.request(0, k).1))
+        .map(|f| f.source)
+        .collect();
     assert!(sources.contains(&CacheId(9)), "the origin fills");
     assert!(sources.iter().all(|s| s.0 == 9 || s.0 >= 1_000));
 }
@@ -98,7 +127,11 @@
         lease: 0,
         within: None,
     }));
-    front.event(Event::Purged { object: None, group: u32::MAX, ago: Time::MAX });
+    front.event(Event::Purged {
+        object: None,
+        group: u32::MAX,
+        ago: Time::MAX,
+    });
     front.event(Event::ClientGone { id: RequestId(77) });
     front.event(Event::Started { id: RequestId(78) });
     let lost = Report {
@@ -116,8 +149,21 @@
 /// Ten locations' traffic at four proxies that share nothing, turned to one parent as it starts anew and empty.
 #[test]
 fn a_parent_that_starts_cold_as_all_are_rewired_to_it_is_not_pushed_over() {
-    let lone = Settings { siblings: Siblings::None, routers: 4, notes: Notes::None, ..settings() };
-    let front = |index| Front::new(Settings { index, ..lone.clone() }, members());
+    let lone = Settings {
+        siblings: Siblings::None,
+        routers: 4,
+        notes: Notes::None,
+        ..settings()
+    };
+    let front = |index| {
+        Front::new(
+            Settings {
+                index,
+                ..lone.clone()
+            },
+            members(),
+        )
+    };
     let mut fronts: Vec<Front> = (0..4).map(front).collect();
     let (each, work) = (8 * MS, 0.05);
     // 125 fills a second at each of four, of 50 ms: what the two parents carried together before.
@@ -130,23 +176,33 @@
             object += 1;
             let mut actions = front.request(0, object).1;
             for attempt in 0..8 {
-                let Some(fetch) = fetches(&actions).first().cloned() else { break };
+                let Some(fetch) = fetches(&actions).first().cloned() else {
+                    break;
+                };
                 if fetch.source == CacheId(31) {
                     sent.push(front.now);
                 }
-                actions = front.outcome_after(&fetch, attempt, Outcome::Served, Note::Untold, 110 * MS);
+                actions =
+                    front.outcome_after(&fetch, attempt, Outcome::Served, Note::Untold, 110 * MS);
             }
         }
     };
     (0..3_000).for_each(|_| step(&mut fronts, &mut sent));
-    assert!(sent.len() > 4_000, "both parents are used before: {}", sent.len());
+    assert!(
+        sent.len() > 4_000,
+        "both parents are used before: {}",
+        sent.len()
+    );
     sent.clear();
     let boot = fronts[0].now;
     for (at, front) in fronts.iter_mut().enumerate() {
         // Each hears of the start and of the wiring at a moment of its own.
         front.now += at as Time * 2 * MS;
         front.change(31, |m| m.boot = boot);
-        front.event(Event::Wired { hubs: vec![1], hub_of: settings().hub_of });
+        front.event(Event::Wired {
+            hubs: vec![1],
+            hub_of: settings().hub_of,
+        });
     }
     (0..2_400).for_each(|_| step(&mut fronts, &mut sent));
     sent.sort();
@@ -154,7 +210,11 @@
     let worst = sent.iter().enumerate().map(|(n, at)| {
         let ramp = (*at - boot) as f64 / s.parent_cold_for as f64;
         let part = s.parent_cold_from + (1.0 - s.parent_cold_from) * ramp.min(1.0);
-        let within = sent[..=n].iter().rev().take_while(|b| **b + window > *at).count();
+        let within = sent[..=n]
+            .iter()
+            .rev()
+            .take_while(|b| **b + window > *at)
+            .count();
         within as f64 * work / (s.parent_fall_multiple * part * carried * window as f64 / 1e6)
     });
     let worst = worst.fold(0.0, f64::max);
--- a/tests/guards_caches.rs
+++ b/tests/guards_caches.rs
@@ -21,8 +21,9 @@
         }
     }
     assert_eq!(used.len(), 4);
-    let last: std::collections::BTreeSet<CacheId> =
-        (1_000..1_050).map(|k| only_fetch(&front.request(0, k).1).cache).collect();
+    let last: std::collections::BTreeSet<CacheId> = (1_000..1_050)
+        .map(|k| only_fetch(&front.request(0, k).1).cache)
+        .collect();
     assert_eq!(last.len(), 4, "all four are still in use");
 }
 
@@ -32,7 +33,9 @@
     let held = front.serve(77, Note::Filled);
     // Four at once take twice their sending time: it carries about two.
     for _ in 0..40 {
-        let all: Vec<Fetch> = (0..4).flat_map(|_| fetches(&front.request_of(0, 77, 2_000.0).1)).collect();
+        let all: Vec<Fetch> = (0..4)
+            .flat_map(|_| fetches(&front.request_of(0, 77, 2_000.0).1))
+            .collect();
         front.now += 400 * MS;
         for fetch in &all {
             if fetch.cache == held.cache {
@@ -44,8 +47,13 @@
             }
         }
     }
-    let all: Vec<Fetch> = (0..12).map(|_| only_fetch(&front.request(0, 77).1)).collect();
-    let spilled = all.iter().find(|f| f.cache != held.cache).expect("some go elsewhere");
+    let all: Vec<Fetch> = (0..12)
+        .map(|_| only_fetch(&front.request(0, 77).1))
+        .collect();
+    let spilled = all
+        .iter()
+        .find(|f| f.cache != held.cache)
+        .expect("some go elsewhere");
     assert!(spilled.source == held.cache && spilled.hold_only);
 }
 
@@ -69,13 +77,24 @@
         front.now += 3 * SECOND;
         front.outcome(&only_fetch(&actions), 0, Outcome::TimedOut, Note::Untold);
     }
-    let next: Vec<Fetch> = (0..4).map(|_| only_fetch(&front.request(0, 77).1)).collect();
-    assert!(next.iter().filter(|f| f.cache == hung).count() <= 1, "one trial at most");
+    let next: Vec<Fetch> = (0..4)
+        .map(|_| only_fetch(&front.request(0, 77).1))
+        .collect();
+    assert!(
+        next.iter().filter(|f| f.cache == hung).count() <= 1,
+        "one trial at most"
+    );
 }
 
 #[test]
 fn safe_attempts_end_long_before_the_client_and_single_shot_ones_do_not() {
-    let mut front = Front::new(Settings { siblings: Siblings::None, ..settings() }, members());
+    let mut front = Front::new(
+        Settings {
+            siblings: Siblings::None,
+            ..settings()
+        },
+        members(),
+    );
     let safe = only_fetch(&front.request(0, 77).1);
     // The aim is 400 ms and twice a sending time of 50 ms.
     assert_eq!(safe.time_out, 2 * 500 * MS);
@@ -84,7 +103,11 @@
 
 #[test]
 fn answers_lost_at_caches_are_not_taken_for_a_slow_origin() {
-    let lone = Settings { siblings: Siblings::None, notes: Notes::None, ..settings() };
+    let lone = Settings {
+        siblings: Siblings::None,
+        notes: Notes::None,
+        ..settings()
+    };
     let mut front = Front::new(lone, members());
     front.serve(77, Note::Untold);
     for k in 0..400 {
@@ -92,23 +115,40 @@
         let object = if k % 2 == 0 { 77 } else { 1_000 + k };
         for fetch in fetches(&front.request(0, object).1) {
             let lost = k % 14 < 4;
-            let outcome = if lost { Outcome::TimedOut } else { Outcome::Served };
+            let outcome = if lost {
+                Outcome::TimedOut
+            } else {
+                Outcome::Served
+            };
             let mut next = front.outcome_after(&fetch, 0, outcome, Note::Untold, 60 * MS);
             for attempt in 1..8 {
-                let Some(again) = fetches(&next).first().cloned() else { break };
+                let Some(again) = fetches(&next).first().cloned() else {
+                    break;
+                };
                 next = front.outcome_after(&again, attempt, Outcome::Served, Note::Untold, 60 * MS);
             }
         }
     }
     front.now += SECOND;
-    let sent: Vec<Fetch> = (9_000..9_020).flat_map(|k| fetches(&front.request(0, k).1)).collect();
-    let deep = sent.iter().filter(|f| f.source != f.cache && !f.hold_only).count();
+    let sent: Vec<Fetch> = (9_000..9_020)
+        .flat_map(|k| fetches(&front.request(0, k).1))
+        .collect();
+    let deep = sent
+        .iter()
+        .filter(|f| f.source != f.cache && !f.hold_only)
+        .count();
     assert!(deep >= 5, "{deep} of 20 may fetch from above");
 }
 
 #[test]
 fn the_parent_that_passes_an_origins_failure_on_is_not_blamed() {
-    let mut front = Front::new(Settings { siblings: Siblings::None, ..settings() }, members());
+    let mut front = Front::new(
+        Settings {
+            siblings: Siblings::None,
+            ..settings()
+        },
+        members(),
+    );
     for object in 1_000..1_100 {
         front.now += 300 * MS;
         for fetch in fetches(&front.request(0, object).1) {
@@ -118,14 +158,19 @@
             };
         }
     }
-    let sources: Vec<CacheId> =
-        (5_000..5_030).flat_map(|k| fetches(&front.request(0, k).1)).map(|f| f.source).collect();
+    let sources: Vec<CacheId> = (5_000..5_030)
+        .flat_map(|k| fetches(&front.request(0, k).1))
+        .map(|f| f.source)
+        .collect();
     assert!(sources.contains(&CacheId(30)), "still asked: {sources:?}");
 }
 
 #[test]
 fn what_no_cache_can_serve_ends_after_two_errors_and_has_no_cache_shunned() {
-    let untold = Settings { notes: Notes::None, ..settings() };
+    let untold = Settings {
+        notes: Notes::None,
+        ..settings()
+    };
     let mut front = Front::new(untold.clone(), members());
     let home = only_fetch(&front.request(0, 1).1).cache;
     for object in 1_000..1_100 {
@@ -141,10 +186,18 @@
             actions = front.outcome(fetch, attempts, Outcome::Error, Note::Untold);
             attempts += 1;
         }
-        assert!(attempts == 2 && matches!(actions[..], [Action::Refuse { .. }]), "{attempts}: {actions:?}");
+        assert!(
+            attempts == 2 && matches!(actions[..], [Action::Refuse { .. }]),
+            "{attempts}: {actions:?}"
+        );
     }
-    let used = (5_000..5_050).filter(|&k| only_fetch(&front.request(0, k).1).cache == home).count();
-    assert!(used > 5, "{used} of 50 still go to the cache that was asked");
+    let used = (5_000..5_050)
+        .filter(|&k| only_fetch(&front.request(0, k).1).cache == home)
+        .count();
+    assert!(
+        used > 5,
+        "{used} of 50 still go to the cache that was asked"
+    );
 
     // One cache errs where others serve: that is its own fault.
     let mut front = Front::new(untold, members());
@@ -152,22 +205,37 @@
     for object in 1_000..1_100 {
         front.now += 5 * MS;
         let fetch = only_fetch(&front.request(0, object).1);
-        let own = if fetch.cache == sick { Outcome::Error } else { Outcome::Served };
+        let own = if fetch.cache == sick {
+            Outcome::Error
+        } else {
+            Outcome::Served
+        };
         for again in fetches(&front.outcome(&fetch, 0, own, Note::Untold)) {
             front.outcome(&again, 1, Outcome::Served, Note::Untold);
         }
     }
-    let used = (5_000..5_050).filter(|&k| only_fetch(&front.request(0, k).1).cache == sick).count();
+    let used = (5_000..5_050)
+        .filter(|&k| only_fetch(&front.request(0, k).1).cache == sick)
+        .count();
     assert!(used <= 1, "{used} of 50 still go to the cache that errs");
 }
 
 #[test]
 fn a_full_answer_without_notes_has_one_other_source_tried() {
-    let mut front = Front::new(Settings { notes: Notes::None, ..settings() }, members());
+    let mut front = Front::new(
+        Settings {
+            notes: Notes::None,
+            ..settings()
+        },
+        members(),
+    );
     let (_, actions) = front.request(0, 100);
     let first = only_fetch(&actions);
     let second = only_fetch(&front.outcome(&first, 0, Outcome::Full, Note::Untold));
     assert_ne!(second.source, first.source);
     let end = front.outcome(&second, 1, Outcome::Full, Note::Untold);
-    assert!(fetches(&end).is_empty() && finals(&end) == 1, "the second full answer ends the try");
+    assert!(
+        fetches(&end).is_empty() && finals(&end) == 1,
+        "the second full answer ends the try"
+    );
 }
--- a/tests/guards_sources.rs
+++ b/tests/guards_sources.rs
@@ -5,7 +5,11 @@
 
 #[test]
 fn a_parent_that_refuses_is_left_for_the_other_then_for_the_origin_and_asked_again_later() {
-    let lone = Settings { siblings: Siblings::None, notes: Notes::None, ..settings() };
+    let lone = Settings {
+        siblings: Siblings::None,
+        notes: Notes::None,
+        ..settings()
+    };
     let mut front = Front::new(lone, members());
     // Asks for so many new objects; which sources refuse, however quickly. How often each is asked first.
     let mut ask = |objects: std::ops::Range<u64>, refusing: &[u32], wait: Time| {
@@ -15,9 +19,15 @@
             let mut actions = front.request(0, object).1;
             *asked.entry(only_fetch(&actions).source.0).or_insert(0) += 1;
             for attempt in 0..8 {
-                let Some(fetch) = fetches(&actions).first().cloned() else { break };
+                let Some(fetch) = fetches(&actions).first().cloned() else {
+                    break;
+                };
                 let refused = refusing.contains(&fetch.source.0);
-                let outcome = if refused { Outcome::Full } else { Outcome::Served };
+                let outcome = if refused {
+                    Outcome::Full
+                } else {
+                    Outcome::Served
+                };
                 let elapsed = if refused { 5 * MS } else { 110 * MS };
                 actions = front.outcome_after(&fetch, attempt, outcome, Note::Untold, elapsed);
             }
@@ -27,7 +37,10 @@
     ask(1_000..1_060, &[], 20 * MS);
     ask(2_000..2_060, &[30], 20 * MS);
     let one = ask(3_000..3_060, &[30], 20 * MS);
-    assert!(one.get(&30).is_none_or(|n| *n <= 6) && one[&31] >= 45, "{one:?}");
+    assert!(
+        one.get(&30).is_none_or(|n| *n <= 6) && one[&31] >= 45,
+        "{one:?}"
+    );
     ask(4_000..4_300, &[], 20 * MS);
     ask(5_000..5_015, &[30, 31], 20 * MS);
     let both = ask(6_000..6_015, &[30, 31], 20 * MS);
@@ -39,41 +52,74 @@
 
 #[test]
 fn what_the_parents_fail_is_asked_of_an_origin_that_serves_and_not_refused() {
-    let lone = Settings { siblings: Siblings::None, notes: Notes::None, ..settings() };
+    let lone = Settings {
+        siblings: Siblings::None,
+        notes: Notes::None,
+        ..settings()
+    };
     let mut front = Front::new(lone, members());
     let (mut served, mut refused) = (0, 0);
     for object in 1_000..1_600 {
         front.now += 100 * MS;
         let mut actions = front.request(0, object).1;
         for attempt in 0..8 {
-            let Some(fetch) = fetches(&actions).first().cloned() else { break };
+            let Some(fetch) = fetches(&actions).first().cloned() else {
+                break;
+            };
             let origin = fetch.source.0 == 40;
-            let outcome = if origin { Outcome::Served } else { Outcome::TimedOut };
+            let outcome = if origin {
+                Outcome::Served
+            } else {
+                Outcome::TimedOut
+            };
             served += (origin && object >= 1_200) as u32;
             actions = front.outcome_after(&fetch, attempt, outcome, Note::Untold, 90 * MS);
         }
         refused += (finals(&actions) == 1 && object >= 1_200) as u32;
     }
-    assert!(served > 300 && refused < 100, "{served} served, {refused} refused of 400");
+    assert!(
+        served > 300 && refused < 100,
+        "{served} served, {refused} refused of 400"
+    );
 }
 
 #[test]
 fn a_fill_that_ends_badly_after_its_parent_left_harms_nothing() {
-    for (parent, note) in [(30, Note::Untold), (31, Note::OriginFailed), (30, Note::NoFillPlace)] {
-        let mut front = Front::new(Settings { siblings: Siblings::None, ..settings() }, members());
+    for (parent, note) in [
+        (30, Note::Untold),
+        (31, Note::OriginFailed),
+        (30, Note::NoFillPlace),
+    ] {
+        let mut front = Front::new(
+            Settings {
+                siblings: Siblings::None,
+                ..settings()
+            },
+            members(),
+        );
         let fetch = (1..50).find_map(|k| {
             let fetch = only_fetch(&front.request(0, k).1);
             (fetch.source.0 == parent).then_some(fetch)
         });
         front.change(parent, |m| m.state = State::Gone);
         let next = front.outcome(&fetch.expect("both are drawn"), 0, Outcome::TimedOut, note);
-        assert_eq!(finals(&next) + fetches(&next).len(), 1, "answered, or tried elsewhere: {next:?}");
+        assert_eq!(
+            finals(&next) + fetches(&next).len(),
+            1,
+            "answered, or tried elsewhere: {next:?}"
+        );
     }
 }
 
 #[test]
 fn fills_follow_the_wiring_and_go_to_the_origin_where_it_names_no_parent() {
-    let mut front = Front::new(Settings { siblings: Siblings::None, ..settings() }, members());
+    let mut front = Front::new(
+        Settings {
+            siblings: Siblings::None,
+            ..settings()
+        },
+        members(),
+    );
     let sources = |front: &mut Front, objects: std::ops::Range<u64>| {
         let mut named = std::collections::BTreeSet::new();
         for object in objects {
@@ -84,11 +130,17 @@
         }
         named.into_iter().collect::<Vec<_>>()
     };
-    let hubs: Vec<usize> =
-        members().iter().filter(|m| [30, 31].contains(&m.cache.0)).map(|m| m.zone).collect();
+    let hubs: Vec<usize> = members()
+        .iter()
+        .filter(|m| [30, 31].contains(&m.cache.0))
+        .map(|m| m.zone)
+        .collect();
     assert_eq!(sources(&mut front, 0..60), [30, 31]);
     let hub_of = settings().hub_of;
-    front.event(Event::Wired { hubs: vec![], hub_of: hub_of.clone() });
+    front.event(Event::Wired {
+        hubs: vec![],
+        hub_of: hub_of.clone(),
+    });
     assert_eq!(sources(&mut front, 100..160), [40], "no parent is wired");
     front.event(Event::Wired { hubs, hub_of });
     assert_eq!(sources(&mut front, 200..260), [30, 31]);
@@ -108,13 +160,23 @@
         }
         if retune {
             let mut other = settings();
-            other.classes[1] = Class { aim: 300 * MS, ..other.classes[0].clone() };
+            other.classes[1] = Class {
+                aim: 300 * MS,
+                ..other.classes[0].clone()
+            };
             front.router.retune(other);
         }
         let boot = front.now;
         front.change(10, |m| m.boot = boot);
         let of = |f: &Fetch| f.cache.0 == 10;
-        (1000..1100).map(|k| fetches(&front.request(1, k).1).into_iter().filter(of).count()).sum::<usize>()
+        (1000..1100)
+            .map(|k| {
+                fetches(&front.request(1, k).1)
+                    .into_iter()
+                    .filter(of)
+                    .count()
+            })
+            .sum::<usize>()
     };
     let (kept, given) = (sent_to_cold(false), sent_to_cold(true));
     assert!(
@@ -125,7 +187,11 @@
 
 #[test]
 fn what_is_late_by_way_of_parents_that_lose_nothing_is_not_added_to_the_origin() {
-    let lone = Settings { siblings: Siblings::None, notes: Notes::None, ..settings() };
+    let lone = Settings {
+        siblings: Siblings::None,
+        notes: Notes::None,
+        ..settings()
+    };
     let mut front = Front::new(lone, members());
     let mut straight = 0;
     for object in 1_000..1_400 {
@@ -136,5 +202,8 @@
             front.outcome_after(&fetch, 0, Outcome::Served, Note::Untold, 390 * MS);
         }
     }
-    assert_eq!(straight, 0, "no misses of 400 went round crowded links, straight to the origin");
+    assert_eq!(
+        straight, 0,
+        "no misses of 400 went round crowded links, straight to the origin"
+    );
 }
--- a/tests/hundred.rs
+++ b/tests/hundred.rs
@@ -24,19 +24,40 @@
     let (choice, list) = fleet(ZONES, CACHES, 4);
     let of_zone = |z: u32| FRONTS / ZONES + (z < FRONTS % ZONES) as u32;
     let routers_by_zone: Vec<u32> = [0, 0].into_iter().chain((0..ZONES).map(of_zone)).collect();
-    let base = Settings { routers: FRONTS, routers_by_zone, notes: Notes::None, max_attempts: 4, ..choice };
+    let base = Settings {
+        routers: FRONTS,
+        routers_by_zone,
+        notes: Notes::None,
+        max_attempts: 4,
+        ..choice
+    };
     let one = |index: u32| {
-        let choice = Settings { index, zone: 2 + (index % ZONES) as usize, ..base.clone() };
+        let choice = Settings {
+            index,
+            zone: 2 + (index % ZONES) as usize,
+            ..base.clone()
+        };
         let router = foldmux::Router::new(choice, 0x51ed_2701 * (index as u64 + 1));
-        let mut front = Front { router, now: START, next: 0 };
-        front.event(Event::Members { full: true, members: list.clone() });
+        let mut front = Front {
+            router,
+            now: START,
+            next: 0,
+        };
+        front.event(Event::Members {
+            full: true,
+            members: list.clone(),
+        });
         front
     };
     (0..FRONTS).map(one).collect()
 }
 
 /// One second: each front has eight requests, each for an object of its own; `fate` says how an attempt ends.
-fn second(fronts: &mut [Front], key: &mut u64, fate: impl Fn(&Fetch, Time) -> (Outcome, Time)) -> Second {
+fn second(
+    fronts: &mut [Front],
+    key: &mut u64,
+    fate: impl Fn(&Fetch, Time) -> (Outcome, Time),
+) -> Second {
     let mut sum = Second::default();
     for _ in 0..8 {
         for front in fronts.iter_mut() {
@@ -51,7 +72,9 @@
                         *sum.advice.entry(retry_after / (50 * MS)).or_default() += 1;
                     }
                 }
-                let Some(fetch) = fetches(&actions).first().cloned() else { break };
+                let Some(fetch) = fetches(&actions).first().cloned() else {
+                    break;
+                };
                 *sum.by_cache.entry(fetch.cache.0).or_default() += 1;
                 *sum.by_source.entry(fetch.source.0).or_default() += 1;
                 let (outcome, elapsed) = fate(&fetch, front.now);
@@ -87,11 +110,25 @@
         (10..=13, true) => (Outcome::TimedOut, 500 * MS),
         _ => calm(fetch, now),
     };
-    let seconds: Vec<Second> = (0..12).map(|_| second(&mut fleet, &mut key, down)).collect();
-    let (asked, refused) = seconds[4..].iter().fold((0, 0), |(a, r), s| (a + s.asked, r + s.refused));
-    assert!(refused * 4 < asked, "{refused} of {asked} refused though the origin serves");
-    let tries = seconds[10].by_source.range(10..14).map(|(_, n)| n).sum::<usize>();
-    assert!(tries * 2 < seconds[10].asked, "{tries} tries of dead parents in a second of {asked}");
+    let seconds: Vec<Second> = (0..12)
+        .map(|_| second(&mut fleet, &mut key, down))
+        .collect();
+    let (asked, refused) = seconds[4..]
+        .iter()
+        .fold((0, 0), |(a, r), s| (a + s.asked, r + s.refused));
+    assert!(
+        refused * 4 < asked,
+        "{refused} of {asked} refused though the origin serves"
+    );
+    let tries = seconds[10]
+        .by_source
+        .range(10..14)
+        .map(|(_, n)| n)
+        .sum::<usize>();
+    assert!(
+        tries * 2 < seconds[10].asked,
+        "{tries} tries of dead parents in a second of {asked}"
+    );
 }
 
 #[test]
@@ -103,19 +140,38 @@
     }
     for front in fleet.iter_mut() {
         let boot = front.now;
-        let cold = Member { boot, ..member(1_000, 2, 0) };
-        front.event(Event::Members { full: false, members: vec![cold] });
+        let cold = Member {
+            boot,
+            ..member(1_000, 2, 0)
+        };
+        front.event(Event::Members {
+            full: false,
+            members: vec![cold],
+        });
     }
     // 13 fronts of its location ask 8 a second each of 50 ms: what six caches did before, a sixth for each.
     let share = 13.0 * 8.0 / 6.0;
     let sums: Vec<usize> = (0..10)
-        .map(|_| second(&mut fleet, &mut key, held).by_cache.get(&1_000).copied().unwrap_or_default())
+        .map(|_| {
+            second(&mut fleet, &mut key, held)
+                .by_cache
+                .get(&1_000)
+                .copied()
+                .unwrap_or_default()
+        })
         .collect();
     for (k, &sent) in sums.iter().enumerate() {
         let ramp = 0.2 + 0.8 * (k + 1) as f64 / 16.0;
-        assert!(sent as f64 <= 2.5 * ramp * share, "second {k}: {sent} of {}", 2.5 * ramp * share);
+        assert!(
+            sent as f64 <= 2.5 * ramp * share,
+            "second {k}: {sent} of {}",
+            2.5 * ramp * share
+        );
     }
-    assert!(sums.iter().sum::<usize>() > 20, "and it is not starved: {sums:?}");
+    assert!(
+        sums.iter().sum::<usize>() > 20,
+        "and it is not starved: {sums:?}"
+    );
 }
 
 #[test]
@@ -128,8 +184,14 @@
             *advice.entry(wait).or_default() += n;
         }
     }
-    let (all, most) = (advice.values().sum::<usize>(), advice.values().max().copied().unwrap_or_default());
-    assert!(all > 1_000 && most * 3 < all, "{most} of {all} told the same 50 ms: {advice:?}");
+    let (all, most) = (
+        advice.values().sum::<usize>(),
+        advice.values().max().copied().unwrap_or_default(),
+    );
+    assert!(
+        all > 1_000 && most * 3 < all,
+        "{most} of {all} told the same 50 ms: {advice:?}"
+    );
 }
 
 #[test]
@@ -147,7 +209,11 @@
         let parents: usize = s.by_source.range(10..14).map(|(_, n)| n).sum();
         s.by_source.get(&10).copied().unwrap_or_default() as f64 / parents.max(1) as f64
     };
-    assert!(share(&shunned) < 0.15, "a dead parent is left out: {:?}", shunned.by_source);
+    assert!(
+        share(&shunned) < 0.15,
+        "a dead parent is left out: {:?}",
+        shunned.by_source
+    );
     for _ in 0..20 {
         second(&mut fleet, &mut key, calm);
     }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -18,7 +18,11 @@
     assert!((10..14).contains(&fetch.cache.0) && is_sibling(fetch.source) && fetch.hold_only);
     assert!(fetch.time_out > 0, "the query has its own time-out");
     let (_, again) = front.request(0, 77);
-    assert_eq!(only_fetch(&again).cache, fetch.cache, "the same object has the same home");
+    assert_eq!(
+        only_fetch(&again).cache,
+        fetch.cache,
+        "the same object has the same home"
+    );
 }
 
 #[test]
@@ -29,7 +33,10 @@
         let query = only_fetch(&actions);
         front.now += 100 * MS;
         let then = only_fetch(&front.outcome(&query, 0, outcome, Note::Untold));
-        assert!(then.cache == query.cache && is_above(then.source) && !then.hold_only, "{outcome:?}");
+        assert!(
+            then.cache == query.cache && is_above(then.source) && !then.hold_only,
+            "{outcome:?}"
+        );
     }
 }
 
@@ -67,11 +74,19 @@
     let expired = void(&|f, _| f.now += 120 * SECOND);
     assert_eq!(expired.keep, 1);
     let purged = void(&|f, _| {
-        f.event(Event::Purged { object: Some(ObjectId(77)), group: 5, ago: 100 * MS });
+        f.event(Event::Purged {
+            object: Some(ObjectId(77)),
+            group: 5,
+            ago: 100 * MS,
+        });
     });
     assert_eq!(purged.keep, 1);
     let group = void(&|f, _| {
-        f.event(Event::Purged { object: None, group: 5, ago: 100 * MS });
+        f.event(Event::Purged {
+            object: None,
+            group: 5,
+            ago: 100 * MS,
+        });
     });
     assert_eq!(group.keep, 1);
     let restarted = void(&|f, c| {
@@ -102,10 +117,21 @@
                 front.now += 40 * MS;
                 front.outcome(&then, 1, Outcome::Served, Note::Filled);
             } else {
-                let elapsed = if is_sibling(fetch.source) { 55 * MS } else { 200 * MS };
+                let elapsed = if is_sibling(fetch.source) {
+                    55 * MS
+                } else {
+                    200 * MS
+                };
                 let id = fetch.id;
                 let (outcome, note) = (Outcome::Served, Note::Filled);
-                front.event(Event::Outcome(Report { id, attempt: 0, outcome, note, elapsed, last: true }));
+                front.event(Event::Outcome(Report {
+                    id,
+                    attempt: 0,
+                    outcome,
+                    note,
+                    elapsed,
+                    last: true,
+                }));
             }
         }
         queries
@@ -122,11 +148,21 @@
 fn no_cache_no_parent_no_origin_an_empty_list() {
     let none = |keep: &dyn Fn(&Member) -> bool, direct: bool| {
         let list = members().into_iter().filter(|m| keep(m)).collect();
-        let mut front = Front::new(Settings { direct, ..settings() }, list);
+        let mut front = Front::new(
+            Settings {
+                direct,
+                ..settings()
+            },
+            list,
+        );
         front.request(0, 77).1
     };
     assert_eq!(finals(&none(&|_| false, true)), 1, "an empty list");
-    assert_eq!(finals(&none(&|m| m.zone != 2, false)), 1, "no cache in the zone");
+    assert_eq!(
+        finals(&none(&|m| m.zone != 2, false)),
+        1,
+        "no cache in the zone"
+    );
     let direct = only_fetch(&none(&|m| m.zone != 2, true));
     assert!(is_above(direct.cache) && direct.source == direct.cache);
     let no_parent = only_fetch(&none(&|m| m.kind != PARENT && m.zone != 3, false));
@@ -143,7 +179,12 @@
     let told = front.event(Event::Timer { token: 1 });
     assert!(told.is_empty(), "{told:?}");
     for length in [0, 1, 13, 14, 252] {
-        assert!(front.event(Event::Peer { from: 9, message: vec![7; length] }).is_empty());
+        assert!(front
+            .event(Event::Peer {
+                from: 9,
+                message: vec![7; length]
+            })
+            .is_empty());
     }
     assert_eq!(only_fetch(&front.request(0, 77).1).cache, first.cache);
 }
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -57,7 +57,15 @@
 
 fn note() -> impl Strategy<Value = Note> {
     use Note::*;
-    prop::sample::select(vec![Untold, Hit, Filled, SourceRefused, SourceBroken, SourceLacks, OriginFailed])
+    prop::sample::select(vec![
+        Untold,
+        Hit,
+        Filled,
+        SourceRefused,
+        SourceBroken,
+        SourceLacks,
+        OriginFailed,
+    ])
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -96,7 +104,13 @@
 impl Table {
     fn new() -> Table {
         let (open, out, ended) = Default::default();
-        Table { front: Front::new(settings(), members()), members: members(), open, out, ended }
+        Table {
+            front: Front::new(settings(), members()),
+            members: members(),
+            open,
+            out,
+            ended,
+        }
     }
 
     /// Only one that is out, and is known to be, is told of.
@@ -109,12 +123,24 @@
             match action {
                 Action::Fetch(fetch) => {
                     let out = self.has_out(fetch.id);
-                    let request = self.open.get_mut(&fetch.id).expect("an attempt for one that is not open");
+                    let request = self
+                        .open
+                        .get_mut(&fetch.id)
+                        .expect("an attempt for one that is not open");
                     let single = settings().classes[request.class].repeat == Repeat::SingleShot;
-                    assert!(!single || !out && !request.may_have_run, "an effect is risked twice");
-                    let listed =
-                        |cache| self.members.iter().any(|m| m.cache == cache && m.state != State::Gone);
-                    assert!(listed(fetch.cache) && listed(fetch.source), "{fetch:?} is not listed");
+                    assert!(
+                        !single || !out && !request.may_have_run,
+                        "an effect is risked twice"
+                    );
+                    let listed = |cache| {
+                        self.members
+                            .iter()
+                            .any(|m| m.cache == cache && m.state != State::Gone)
+                    };
+                    assert!(
+                        listed(fetch.cache) && listed(fetch.source),
+                        "{fetch:?} is not listed"
+                    );
                     assert!(self.out.insert((fetch.id, request.attempts)));
                     request.attempts += 1;
                     assert!(u32::from(request.attempts) <= settings().max_attempts);
@@ -123,7 +149,10 @@
                     let out = self.has_out(id);
                     let request = self.open.remove(&id).expect("refused, and not open");
                     let single = settings().classes[request.class].repeat == Repeat::SingleShot;
-                    assert!(!single || !out && !request.may_have_run, "refused, and it may have run");
+                    assert!(
+                        !single || !out && !request.may_have_run,
+                        "refused, and it may have run"
+                    );
                     assert!(self.ended.insert(id), "two answers");
                 }
                 Action::Fail { id } => {
@@ -133,7 +162,10 @@
                 Action::Cancel { id, attempt } => {
                     assert!(self.out.contains(&(id, attempt)) && !self.open.contains_key(&id));
                 }
-                Action::Timer { .. } | Action::Probe { .. } | Action::TellPeers { .. } | Action::Watch => {}
+                Action::Timer { .. }
+                | Action::Probe { .. }
+                | Action::TellPeers { .. }
+                | Action::Watch => {}
             }
         }
     }
@@ -147,16 +179,33 @@
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Ask { class, object, budget } => {
+            Step::Ask {
+                class,
+                object,
+                budget,
+            } => {
                 let id = RequestId(self.front.next + 1);
                 let deadline = self.front.now + budget;
-                let open = Open { class, deadline, started: false, attempts: 0, may_have_run: false };
+                let open = Open {
+                    class,
+                    deadline,
+                    started: false,
+                    attempts: 0,
+                    may_have_run: false,
+                };
                 self.open.insert(id, open);
                 let (_, actions) = self.front.request_for(class, object, 500.0, budget);
                 self.acts(actions);
             }
-            Step::Ended { which, outcome, note } => {
-                let Some(&(id, attempt)) = self.out.iter().nth(which % self.out.len().max(1)) else { return };
+            Step::Ended {
+                which,
+                outcome,
+                note,
+            } => {
+                let Some(&(id, attempt)) = self.out.iter().nth(which % self.out.len().max(1))
+                else {
+                    return;
+                };
                 self.out.remove(&(id, attempt));
                 let last = outcome == Outcome::Served;
                 if let Some(request) = self.open.get_mut(&id) {
@@ -166,25 +215,51 @@
                 if last && self.open.remove(&id).is_some() {
                     assert!(self.ended.insert(id), "two answers");
                 }
-                let report = Report { id, attempt, outcome, note, elapsed: 60 * MS, last };
+                let report = Report {
+                    id,
+                    attempt,
+                    outcome,
+                    note,
+                    elapsed: 60 * MS,
+                    last,
+                };
                 let actions = self.front.event(Event::Outcome(report));
                 self.acts(actions);
             }
-            Step::Stray { id, attempt, outcome } if !self.out.contains(&(RequestId(id), attempt)) => {
+            Step::Stray {
+                id,
+                attempt,
+                outcome,
+            } if !self.out.contains(&(RequestId(id), attempt)) => {
                 let (id, note) = (RequestId(id), Note::Untold);
-                let report = Report { id, attempt, outcome, note, elapsed: MS, last: false };
-                assert_eq!(self.front.event(Event::Outcome(report)), [], "for what is not out");
+                let report = Report {
+                    id,
+                    attempt,
+                    outcome,
+                    note,
+                    elapsed: MS,
+                    last: false,
+                };
+                assert_eq!(
+                    self.front.event(Event::Outcome(report)),
+                    [],
+                    "for what is not out"
+                );
             }
             Step::Stray { .. } => {}
             Step::Started(which) | Step::Gone(which) => {
-                let Some(&id) = self.open.keys().nth(which % self.open.len().max(1)) else { return };
+                let Some(&id) = self.open.keys().nth(which % self.open.len().max(1)) else {
+                    return;
+                };
                 let event = match step {
                     Step::Gone(_) => {
                         self.open.remove(&id);
                         Event::ClientGone { id }
                     }
                     _ => {
-                        self.open.iter_mut().for_each(|(own, open)| open.started |= *own == id);
+                        self.open
+                            .iter_mut()
+                            .for_each(|(own, open)| open.started |= *own == id);
                         Event::Started { id }
                     }
                 };
@@ -196,27 +271,43 @@
                 let actions = self.front.event(Event::Timer { token: 1 });
                 self.acts(actions);
                 let (now, slack) = (self.front.now, settings().answer_slack);
-                let late = self.open.values().find(|open| !open.started && now >= open.deadline + slack);
+                let late = self
+                    .open
+                    .values()
+                    .find(|open| !open.started && now >= open.deadline + slack);
                 assert!(late.is_none(), "an answer is overdue");
             }
             Step::Member { which, state } => {
                 let which = which % self.members.len();
                 self.members[which].state = state;
                 let members = vec![self.members[which].clone()];
-                let actions = self.front.event(Event::Members { full: false, members });
+                let actions = self.front.event(Event::Members {
+                    full: false,
+                    members,
+                });
                 self.acts(actions);
             }
             Step::Purged(object) => {
                 let object = Some(ObjectId(object));
-                let actions = self.front.event(Event::Purged { object, group: 5, ago: 0 });
+                let actions = self.front.event(Event::Purged {
+                    object,
+                    group: 5,
+                    ago: 0,
+                });
                 self.acts(actions);
             }
             Step::Restart => {
                 let (now, next) = (self.front.now, self.front.next);
-                *self = Table { members: self.members.clone(), ..Table::new() };
+                *self = Table {
+                    members: self.members.clone(),
+                    ..Table::new()
+                };
                 (self.front.now, self.front.next) = (now, next);
                 let members = self.members.clone();
-                let actions = self.front.event(Event::Members { full: true, members });
+                let actions = self.front.event(Event::Members {
+                    full: true,
+                    members,
+                });
                 self.acts(actions);
             }
         }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -11,8 +11,16 @@
     front.now += 3 * SECOND;
     let end = front.outcome(&fetch, 0, Outcome::TimedOut, Note::Untold);
     assert!(finals(&end) == 1 && fetches(&end).is_empty());
-    assert!(front.outcome(&fetch, 0, Outcome::TimedOut, Note::Untold).is_empty(), "a late outcome");
-    assert!(front.event(Event::ClientGone { id }).is_empty(), "a client gone after the end");
+    assert!(
+        front
+            .outcome(&fetch, 0, Outcome::TimedOut, Note::Untold)
+            .is_empty(),
+        "a late outcome"
+    );
+    assert!(
+        front.event(Event::ClientGone { id }).is_empty(),
+        "a client gone after the end"
+    );
     front.now += SECOND;
     assert_eq!(finals(&front.event(Event::Timer { token: 1 })), 0);
 }
@@ -51,7 +59,13 @@
 
 #[test]
 fn one_attempt_at_a_time_where_a_second_copy_is_not_allowed() {
-    let mut front = Front::new(Settings { may_duplicate: false, ..settings() }, members());
+    let mut front = Front::new(
+        Settings {
+            may_duplicate: false,
+            ..settings()
+        },
+        members(),
+    );
     front.request(0, 77);
     for _ in 0..80 {
         front.now += 25 * MS;
@@ -95,7 +109,12 @@
         .map(|index| {
             let by_zone = vec![0, 0, fronts, 1];
             Front::new(
-                Settings { index, routers: fronts + 1, routers_by_zone: by_zone, ..settings() },
+                Settings {
+                    index,
+                    routers: fronts + 1,
+                    routers_by_zone: by_zone,
+                    ..settings()
+                },
                 members(),
             )
         })
@@ -123,7 +142,9 @@
             front.change(cache, |m| m.boot = boot);
         }
     }
-    let cold: Vec<usize> = (0..8).map(|k| second(&mut zone, 1_000_000 + 1_000 * k, 10)).collect();
+    let cold: Vec<usize> = (0..8)
+        .map(|k| second(&mut zone, 1_000_000 + 1_000 * k, 10))
+        .collect();
     let all = cold.iter().sum();
     (cold, all)
 }
@@ -137,9 +158,16 @@
         for (k, &sent) in each.iter().enumerate() {
             let ramp = 0.2 + 0.8 * (k + 1) as f64 / 16.0;
             let limit = 2.5 * ramp * capacity;
-            assert!(sent as f64 * 0.2 <= limit, "{fronts} fronts, second {k}: {sent} of {}", limit / 0.2);
+            assert!(
+                sent as f64 * 0.2 <= limit,
+                "{fronts} fronts, second {k}: {sent} of {}",
+                limit / 0.2
+            );
         }
-        assert!(all as f64 * 0.2 > 0.2 * capacity * 8.0, "{fronts} fronts starve it: {all} in 8 s");
+        assert!(
+            all as f64 * 0.2 > 0.2 * capacity * 8.0,
+            "{fronts} fronts starve it: {all} in 8 s"
+        );
     }
 }
 
@@ -150,16 +178,26 @@
         let (each, all) = cold_zone(fronts, 4, 20);
         for (k, &sent) in each.iter().enumerate() {
             let limit = 2.5 * (0.2 + 0.8 * (k + 1) as f64 / 16.0) * fronts as f64 * 0.2;
-            assert!(sent as f64 * 0.2 <= limit, "{fronts} fronts, second {k}: {sent} of {}", limit / 0.2);
+            assert!(
+                sent as f64 * 0.2 <= limit,
+                "{fronts} fronts, second {k}: {sent} of {}",
+                limit / 0.2
+            );
         }
-        assert!(each[0] > 0 && all > fronts as usize, "{fronts} fronts starve it: {each:?}");
+        assert!(
+            each[0] > 0 && all > fronts as usize,
+            "{fronts} fronts starve it: {each:?}"
+        );
     }
 }
 
 /// What one front sends in eight seconds to a cold cache beside warm ones; `draining`: others that are on their way out.
 fn sent_to_one_cold(draining: u32, size_kb: f64) -> usize {
     let mut all = members();
-    all.extend((50..50 + draining).map(|c| Member { state: State::Draining, ..member(c, 2, 0) }));
+    all.extend((50..50 + draining).map(|c| Member {
+        state: State::Draining,
+        ..member(c, 2, 0)
+    }));
     let mut front = Front::new(settings(), all);
     let send = |front: &mut Front, object: u64| {
         front.now += 50 * MS;
@@ -178,10 +216,19 @@
 #[test]
 fn a_cold_cache_s_share_is_not_lost_to_rounding_nor_to_caches_that_leave() {
     // A request is 0.1 s of work, and one of four caches bears 0.5 s of it a second: of that, 0.6 * 2.5 of the ramp.
-    let wanted: f64 = (0..8).map(|k| 0.6 * 2.5 * (0.2 + 0.8 * k as f64 / 16.0) * 0.5 / 0.1).sum();
+    let wanted: f64 = (0..8)
+        .map(|k| 0.6 * 2.5 * (0.2 + 0.8 * k as f64 / 16.0) * 0.5 / 0.1)
+        .sum();
     let sent = sent_to_one_cold(0, 1_000.0) as f64;
-    assert!(sent > 0.85 * wanted && sent <= wanted / 0.6, "{sent} of {wanted}");
-    assert_eq!(sent_to_one_cold(4, 1_000.0) as f64, sent, "four that drain beside them bear nothing");
+    assert!(
+        sent > 0.85 * wanted && sent <= wanted / 0.6,
+        "{sent} of {wanted}"
+    );
+    assert_eq!(
+        sent_to_one_cold(4, 1_000.0) as f64,
+        sent,
+        "four that drain beside them bear nothing"
+    );
 }
 
 #[test]
@@ -196,7 +243,11 @@
     let (_, actions) = front.request(0, 77);
     let first = only_fetch(&actions);
     assert_eq!(first.max_age, 0);
-    front.event(Event::Purged { object: None, group: 5, ago: 0 });
+    front.event(Event::Purged {
+        object: None,
+        group: 5,
+        ago: 0,
+    });
     let retry = only_fetch(&front.outcome(&first, 0, Outcome::Error, Note::Untold));
     assert_eq!(retry.max_age, 1, "0 would mean any age");
     front.now += 500 * MS;
--- a/tests/settings/drawn.rs
+++ b/tests/settings/drawn.rs
@@ -14,7 +14,9 @@
 
 impl Drawn {
     pub fn settings(&self) -> Settings {
-        foldmux_settings::parse(&self.text).expect("a text that says all").settings
+        foldmux_settings::parse(&self.text)
+            .expect("a text that says all")
+            .settings
     }
 }
 
@@ -36,10 +38,13 @@
 /// Times in ms: a class may be wanted later than it is waited for, for some ms only, or be worth nothing. Repeats may be
 /// dropped for no time at all, for less than a dial takes, or for longer than any client waits; copies may be fresh for some
 /// ms.
-fn class(effect: impl Strategy<Value = (&'static str, &'static str)>) -> impl Strategy<Value = Value> {
+fn class(
+    effect: impl Strategy<Value = (&'static str, &'static str)>,
+) -> impl Strategy<Value = Value> {
     let aim = prop_oneof![4 => 1u64..2_000, 1 => Just(0u64), 1 => 2_000u64..60_000];
     let deadline = prop_oneof![3 => 300u64..10_000, 1 => 1u64..40, 1 => 10_000u64..90_000];
-    let window = prop_oneof![1 => Just(0u64), 2 => 1u64..400, 2 => 400u64..10_000, 1 => 10_000u64..600_000];
+    let window =
+        prop_oneof![1 => Just(0u64), 2 => 1u64..400, 2 => 400u64..10_000, 1 => 10_000u64..600_000];
     let fresh = prop_oneof![2 => Just(0u64), 1 => 1u64..200, 1 => 200u64..60_000];
     let grace = prop_oneof![1 => Just(0u64), 1 => 1u64..200, 2 => 200u64..120_000];
     let worth = prop_oneof![Just(0.0f64), 0.01..100.0f64];
@@ -84,13 +89,28 @@
 
 pub fn drawn() -> impl Strategy<Value = Drawn> {
     let word = |words: [&'static str; 3]| (0usize..3).prop_map(move |k| words[k]);
-    let tree =
-        (any::<bool>(), word(["none", "location", "any"]), word(["none", "hit", "all"]), any::<[bool; 5]>());
+    let tree = (
+        any::<bool>(),
+        word(["none", "location", "any"]),
+        word(["none", "hit", "all"]),
+        any::<[bool; 5]>(),
+    );
     let lasts = || prop_oneof![1 => Just(0u64), 6 => 1u64..60];
     let window = prop_oneof![1 => 1u64..200, 5 => 200u64..10_000];
     let part = || prop_oneof![1 => Just(0.0f64), 6 => 0.02..0.7f64, 1 => 0.7..1.0f64];
-    let cold = (part(), lasts(), 1.0..8.0f64, window, 0u64..20, part(), lasts());
-    let pace = (prop_oneof![Just(0.0f64), 1.0..20_000.0f64], prop_oneof![Just(0.0f64), 0.5..3.0f64]);
+    let cold = (
+        part(),
+        lasts(),
+        1.0..8.0f64,
+        window,
+        0u64..20,
+        part(),
+        lasts(),
+    );
+    let pace = (
+        prop_oneof![Just(0.0f64), 1.0..20_000.0f64],
+        prop_oneof![Just(0.0f64), 0.5..3.0f64],
+    );
     let fleet = (prop_oneof![9 => 1u32..10, 1 => 10u32..400], 0u32..400);
     // Drain grace, answer slack, dials, idle connections, waits of refusals.
     let times = (
--- a/tests/settings/extreme.rs
+++ b/tests/settings/extreme.rs
@@ -47,10 +47,18 @@
 
 fn text() -> impl Strategy<Value = String> {
     let classes = prop::collection::vec(class(), 0..6);
-    let (times, factors) = (prop::array::uniform10(time()), prop::array::uniform7(factor()));
+    let (times, factors) = (
+        prop::array::uniform10(time()),
+        prop::array::uniform7(factor()),
+    );
     let hub = prop_oneof![8 => Just(0), 8 => Just(1), 8 => Just(ZONE_MOST), 1 => Just(usize::MAX)];
     let whole = prop_oneof![1 => Just(0u32), 8 => Just(1), 8 => Just(u32::MAX)];
-    let numbers = (prop::array::uniform3(whole), hub, prop_oneof![Just(2usize), Just(usize::MAX)], -2i64..4);
+    let numbers = (
+        prop::array::uniform3(whole),
+        hub,
+        prop_oneof![Just(2usize), Just(usize::MAX)],
+        -2i64..4,
+    );
     (classes, times, factors, numbers).prop_map(|(classes, times, factors, numbers)| {
         let ([index, routers, attempts], hub, zone, parent) = numbers;
         let of = |read: fn(&(serde_json::Value, u64, u64, bool)) -> serde_json::Value| {
@@ -78,9 +86,20 @@
     let mut router = Router::new(settings, 7);
     // Today's date, as a proxy's clock has it.
     let (mut now, mut out, mut open) = (1_764_576_000 * SECOND, Vec::new(), Vec::<Fetch>::new());
-    let list =
-        |boot| -> Vec<Member> { members().into_iter().map(|member| Member { boot, ..member }).collect() };
-    router.handle(now, Event::Members { full: true, members: list(0) }, &mut out);
+    let list = |boot| -> Vec<Member> {
+        members()
+            .into_iter()
+            .map(|member| Member { boot, ..member })
+            .collect()
+    };
+    router.handle(
+        now,
+        Event::Members {
+            full: true,
+            members: list(0),
+        },
+        &mut out,
+    );
     for (id, &(wait, what)) in steps.iter().enumerate() {
         now += wait;
         let event = match what % 8 {
@@ -97,12 +116,31 @@
             }),
             3..=4 if !open.is_empty() => {
                 let fetch = open.remove(id % open.len());
-                let outcome = [Outcome::Served, Outcome::TimedOut, Outcome::Reset, Outcome::Miss][id % 4];
+                let outcome = [
+                    Outcome::Served,
+                    Outcome::TimedOut,
+                    Outcome::Reset,
+                    Outcome::Miss,
+                ][id % 4];
                 let (note, last) = (Note::Untold, outcome == Outcome::Served);
-                Event::Outcome(Report { id: fetch.id, attempt: 0, outcome, note, elapsed: wait, last })
+                Event::Outcome(Report {
+                    id: fetch.id,
+                    attempt: 0,
+                    outcome,
+                    note,
+                    elapsed: wait,
+                    last,
+                })
             }
-            5 => Event::Purged { object: None, group: 5, ago: wait },
-            6 => Event::Members { full: true, members: list(now) },
+            5 => Event::Purged {
+                object: None,
+                group: 5,
+                ago: wait,
+            },
+            6 => Event::Members {
+                full: true,
+                members: list(now),
+            },
             _ => Event::Timer { token: 1 },
         };
         out.clear();
--- a/tests/settings/rules.rs
+++ b/tests/settings/rules.rs
@@ -41,7 +41,17 @@
 
 fn outcome(how: u8) -> Outcome {
     use Outcome::*;
-    [Served, Served, Error, Full, TimedOut, ConnectFailed, Reset, Miss, NeverSent][how as usize % 9]
+    [
+        Served,
+        Served,
+        Error,
+        Full,
+        TimedOut,
+        ConnectFailed,
+        Reset,
+        Miss,
+        NeverSent,
+    ][how as usize % 9]
 }
 
 pub struct Model {
@@ -57,7 +67,14 @@
     pub fn new(choice: Settings, list: Vec<Member>) -> Model {
         let state = list.iter().map(|m| (m.cache.0, m.clone())).collect();
         let front = Front::new(choice.clone(), list.clone());
-        Model { choice, list, state, front, open: BTreeMap::new(), purges: Vec::new() }
+        Model {
+            choice,
+            list,
+            state,
+            front,
+            open: BTreeMap::new(),
+            purges: Vec::new(),
+        }
     }
 
     /// What the router does at a step, or none where the step has nothing to act on.
@@ -69,8 +86,20 @@
                 let class = class % self.choice.classes.len();
                 // Put down before the router speaks of it: its id is the next.
                 let id = RequestId(self.front.next + 1);
-                self.open.insert(id, Seen { class, object, sent: 0, out: None, ran: None, sent_at: now });
-                self.front.request_for(class, object, size, self.choice.classes[class].deadline).1
+                self.open.insert(
+                    id,
+                    Seen {
+                        class,
+                        object,
+                        sent: 0,
+                        out: None,
+                        ran: None,
+                        sent_at: now,
+                    },
+                );
+                self.front
+                    .request_for(class, object, size, self.choice.classes[class].deadline)
+                    .1
             }
             Step::End(at, how) => {
                 let with = self.open.iter().filter(|(_, s)| s.out.is_some());
@@ -92,14 +121,25 @@
                 let before = self.list.get(at % self.list.len())?;
                 let new = [State::Ready, State::Draining, State::Gone, State::Ready][how as usize];
                 let boot = if how == 3 { now } else { before.boot };
-                let changed = Member { state: new, boot, ..before.clone() };
+                let changed = Member {
+                    state: new,
+                    boot,
+                    ..before.clone()
+                };
                 self.state.insert(before.cache.0, changed.clone());
-                self.front.event(Event::Members { full: false, members: vec![changed] })
+                self.front.event(Event::Members {
+                    full: false,
+                    members: vec![changed],
+                })
             }
             Step::Purge(object, ago) => {
                 self.purges.push((object, now - ago * MS, now));
                 let object = object.map(ObjectId);
-                self.front.event(Event::Purged { object, group: 5, ago: ago * MS })
+                self.front.event(Event::Purged {
+                    object,
+                    group: 5,
+                    ago: ago * MS,
+                })
             }
             Step::Leave(at) => {
                 let &id = self.open.keys().nth(at % self.open.len().max(1))?;
@@ -118,7 +158,10 @@
                     let seen = self.open.remove(id).expect("one final answer");
                     let repeat = self.choice.classes[seen.class].repeat;
                     let safe = matches!(repeat, Repeat::Safe | Repeat::Keyed(Group::All));
-                    prop_assert!(safe || seen.ran.is_none(), "a refusal says that trying again is harmless");
+                    prop_assert!(
+                        safe || seen.ran.is_none(),
+                        "a refusal says that trying again is harmless"
+                    );
                 }
                 Action::Fail { id } => {
                     self.open.remove(id).expect("one final answer");
@@ -131,42 +174,78 @@
 
     fn fetch(&mut self, fetch: &Fetch) -> Result<(), TestCaseError> {
         let (choice, state, now) = (&self.choice, &self.state, self.front.now);
-        let seen = self.open.get_mut(&fetch.id).expect("nothing is sent after the end");
+        let seen = self
+            .open
+            .get_mut(&fetch.id)
+            .expect("nothing is sent after the end");
         let rules = &choice.classes[seen.class];
         prop_assert!(seen.out.is_none(), "two attempts at once");
-        prop_assert!(seen.sent < choice.max_attempts, "attempt {} of {}", seen.sent + 1, choice.max_attempts);
+        prop_assert!(
+            seen.sent < choice.max_attempts,
+            "attempt {} of {}",
+            seen.sent + 1,
+            choice.max_attempts
+        );
         let (cache, source) = (&state[&fetch.cache.0], &state[&fetch.source.0]);
-        prop_assert!(cache.state == State::Ready && source.state == State::Ready, "drains and goings bind");
-        prop_assert!(cache.kind != 0 || cache.zone == choice.zone, "own location only");
-        prop_assert!(cache.kind == 0 || choice.direct, "not straight to parents or the origin");
+        prop_assert!(
+            cache.state == State::Ready && source.state == State::Ready,
+            "drains and goings bind"
+        );
+        prop_assert!(
+            cache.kind != 0 || cache.zone == choice.zone,
+            "own location only"
+        );
+        prop_assert!(
+            cache.kind == 0 || choice.direct,
+            "not straight to parents or the origin"
+        );
         if source.kind == 0 && fetch.source != fetch.cache {
             let allowed = match choice.siblings {
                 Siblings::None => false,
                 Siblings::OwnZone => source.zone == choice.zone,
                 Siblings::Any => true,
             };
-            prop_assert!(allowed, "{:?} names {:?} as a source", choice.siblings, fetch.source);
+            prop_assert!(
+                allowed,
+                "{:?} names {:?} as a source",
+                choice.siblings,
+                fetch.source
+            );
         }
         if let Some((first, at)) = seen.ran {
             let window = |keyed: Repeat| keyed == Repeat::Safe || now < at + rules.repeat_window;
-            prop_assert!(window(rules.repeat), "a keyed request is repeated only while that is remembered");
+            prop_assert!(
+                window(rules.repeat),
+                "a keyed request is repeated only while that is remembered"
+            );
             match rules.repeat {
                 Repeat::Safe | Repeat::Keyed(Group::All) => {}
-                Repeat::SingleShot => prop_assert!(false, "a single shot that may have run is sent again"),
+                Repeat::SingleShot => {
+                    prop_assert!(false, "a single shot that may have run is sent again")
+                }
                 Repeat::Keyed(Group::Zone) => prop_assert_eq!(state[&first.0].zone, cache.zone),
                 Repeat::Keyed(Group::Cell) => prop_assert_eq!(state[&first.0].cell, cache.cell),
             }
         }
         if rules.fresh > 0 {
-            prop_assert!(fetch.max_age <= rules.fresh + rules.grace, "older than fresh time and grace");
+            prop_assert!(
+                fetch.max_age <= rules.fresh + rules.grace,
+                "older than fresh time and grace"
+            );
         }
         for &(object, stamp, told) in &self.purges {
             if object.is_none_or(|o| o == seen.object) && now < told + choice.purge_done {
-                prop_assert!((1..=(now - stamp).max(1)).contains(&fetch.max_age), "a purge binds");
+                prop_assert!(
+                    (1..=(now - stamp).max(1)).contains(&fetch.max_age),
+                    "a purge binds"
+                );
             }
         }
         prop_assert_eq!(fetch.keep == 0, rules.pass_on, "a write is never kept");
-        prop_assert!(fetch.time_out <= 2 * rules.deadline, "a time-out follows the class's own times");
+        prop_assert!(
+            fetch.time_out <= 2 * rules.deadline,
+            "a time-out follows the class's own times"
+        );
         (seen.sent, seen.sent_at) = (seen.sent + 1, now);
         seen.out = Some(fetch.clone());
         Ok(())
@@ -174,11 +253,21 @@
 
     /// After the longest wait, one look gives each open request its answer.
     pub fn end(&mut self) -> Result<(), TestCaseError> {
-        let longest = self.choice.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let longest = self
+            .choice
+            .classes
+            .iter()
+            .map(|c| c.deadline)
+            .max()
+            .unwrap_or(0);
         self.front.now += longest + self.choice.answer_slack;
         let actions = self.front.event(Event::Timer { token: 1 });
         self.check(&actions)?;
-        prop_assert!(self.open.is_empty(), "{} requests have no answer at their deadline", self.open.len());
+        prop_assert!(
+            self.open.is_empty(),
+            "{} requests have no answer at their deadline",
+            self.open.len()
+        );
         Ok(())
     }
 }
--- a/tests/silent.rs
+++ b/tests/silent.rs
@@ -11,7 +11,11 @@
     assert_eq!(out.cache, hung);
     // Sent 50 ms of work that is wanted within 500: no answer is owed yet.
     front.now += 400 * MS;
-    assert_eq!(only_fetch(&front.request(0, 77).1).cache, hung, "it may still answer in time");
+    assert_eq!(
+        only_fetch(&front.request(0, 77).1).cache,
+        hung,
+        "it may still answer in time"
+    );
     front.now += 200 * MS;
     assert_ne!(
         only_fetch(&front.request(0, 77).1).cache,
--- a/tests/vast/judging.rs
+++ b/tests/vast/judging.rs
@@ -8,8 +8,11 @@
     let mut world = World::new(fronts(&choice, 100, 8), &list, 8.0);
     world.run(10 * SECOND, &mut calm);
     let share = |world: &World, from: Time| {
-        let zone =
-            world.count(from, |s| (1_000..1_006).contains(&s.fetch.cache.0).then_some(s.fetch.cache.0));
+        let zone = world.count(from, |s| {
+            (1_000..1_006)
+                .contains(&s.fetch.cache.0)
+                .then_some(s.fetch.cache.0)
+        });
         zone.get(&1_000).copied().unwrap_or(0) as f64 / zone.values().sum::<usize>().max(1) as f64
     };
     let usual = share(&world, START);
@@ -35,8 +38,19 @@
 
 #[test]
 fn one_failure_of_a_cache_that_was_well_leaves_it_in_service() {
-    for outcome in [Outcome::TimedOut, Outcome::Reset, Outcome::Error, Outcome::Full] {
-        let mut front = Front::new(Settings { notes: Notes::None, ..settings() }, members_of(1, 0, 2));
+    for outcome in [
+        Outcome::TimedOut,
+        Outcome::Reset,
+        Outcome::Error,
+        Outcome::Full,
+    ] {
+        let mut front = Front::new(
+            Settings {
+                notes: Notes::None,
+                ..settings()
+            },
+            members_of(1, 0, 2),
+        );
         for object in 0..20 {
             front.serve(object, Note::Untold);
         }
@@ -45,21 +59,35 @@
         front.outcome(&only_fetch(&actions), 0, outcome, Note::Untold);
         front.now += 100 * MS;
         let (_, actions) = front.request(0, 78);
-        assert_eq!(only_fetch(&actions).cache.0, 10, "one {outcome:?} in a minute");
+        assert_eq!(
+            only_fetch(&actions).cache.0,
+            10,
+            "one {outcome:?} in a minute"
+        );
     }
 }
 
 #[test]
 fn one_success_of_a_cache_that_failed_often_does_not_bring_all_traffic_back() {
-    let mut front = Front::new(Settings { notes: Notes::None, ..settings() }, members_of(2, 0, 2));
+    let mut front = Front::new(
+        Settings {
+            notes: Notes::None,
+            ..settings()
+        },
+        members_of(2, 0, 2),
+    );
     let at_bad = |front: &mut Front, outcome: Outcome, object: u64| {
         let (_, mut actions) = front.request(0, object);
         let (mut attempt, mut bad) = (0, false);
         while let Some(fetch) = fetches(&actions).first().cloned() {
             let here = fetch.cache.0 == 10;
             bad |= here;
-            actions =
-                front.outcome(&fetch, attempt, if here { outcome } else { Outcome::Served }, Note::Untold);
+            actions = front.outcome(
+                &fetch,
+                attempt,
+                if here { outcome } else { Outcome::Served },
+                Note::Untold,
+            );
             attempt += 1;
         }
         bad
@@ -76,6 +104,8 @@
         at_bad(&mut front, Outcome::Served, object)
     });
     assert!(first.is_some());
-    let open = (2_000..2_040).filter(|&object| only_fetch(&front.request(0, object).1).cache.0 == 10).count();
+    let open = (2_000..2_040)
+        .filter(|&object| only_fetch(&front.request(0, object).1).cache.0 == 10)
+        .count();
     assert!(open <= 1, "{open} of 40 at once after one success");
 }
--- a/tests/vast/lists.rs
+++ b/tests/vast/lists.rs
@@ -15,14 +15,37 @@
     // 36 changes: the old one drains, then is gone 1 s later; a new one starts beside it, on every third under the same id.
     let mut news: Vec<(Time, Member)> = Vec::new();
     let mut fresh: BTreeMap<u32, Time> = BTreeMap::new();
-    for (n, old) in list.iter().filter(|m| m.kind == 0 && m.cache.0 % 100 % 5 < 3).enumerate().take(36) {
+    for (n, old) in list
+        .iter()
+        .filter(|m| m.kind == 0 && m.cache.0 % 100 % 5 < 3)
+        .enumerate()
+        .take(36)
+    {
         let at = began + n as Time * 7 * SECOND / 36;
         let back = n % 3 == 0;
         let id = if back { old.cache.0 } else { old.cache.0 + 50 };
-        news.push((at, Member { state: State::Draining, ..old.clone() }));
-        news.push((at + SECOND, Member { state: State::Gone, ..old.clone() }));
+        news.push((
+            at,
+            Member {
+                state: State::Draining,
+                ..old.clone()
+            },
+        ));
+        news.push((
+            at + SECOND,
+            Member {
+                state: State::Gone,
+                ..old.clone()
+            },
+        ));
         let boot = at + if back { 1_200 * MS } else { 0 };
-        news.push((boot, Member { boot, ..member(id, old.zone, 0) }));
+        news.push((
+            boot,
+            Member {
+                boot,
+                ..member(id, old.zone, 0)
+            },
+        ));
         fresh.insert(id, boot);
     }
     // Each router hears each of them up to 2 s late, in order, and every fifth twice.
@@ -33,7 +56,8 @@
             news.sort_by_key(|(at, _)| *at);
             news.iter().enumerate()
         } {
-            last = (at + (front as Time * 7_919 * MS + n as Time * 104_729 * MS) % (2 * SECOND)).max(last);
+            last = (at + (front as Time * 7_919 * MS + n as Time * 104_729 * MS) % (2 * SECOND))
+                .max(last);
             told.push((last, front, member.clone()));
             if n % 5 == 0 {
                 told.push((last, front, member.clone()));
@@ -52,43 +76,76 @@
             let known = |id: u32| check[s.front].get(&id);
             let ready = |id: u32| known(id).is_none_or(|m| m.state == State::Ready);
             wrong += (!ready(s.fetch.cache.0) || !ready(s.fetch.source.0)) as u32;
-            placed.extend(known(s.fetch.cache.0).filter(|m| m.boot > 0).map(|m| (s.at, m.cache.0)));
+            placed.extend(
+                known(s.fetch.cache.0)
+                    .filter(|m| m.boot > 0)
+                    .map(|m| (s.at, m.cache.0)),
+            );
             calm(s)
         });
         knows[front].insert(member.cache.0, member.clone());
-        world.tell(front, Event::Members { full: false, members: vec![member] }, &mut calm);
+        world.tell(
+            front,
+            Event::Members {
+                full: false,
+                members: vec![member],
+            },
+            &mut calm,
+        );
     }
     let asked = world.asked;
     world.run(14 * SECOND, &mut |s: &Sent| {
-        placed.extend(fresh.contains_key(&s.fetch.cache.0).then_some((s.at, s.fetch.cache.0)));
+        placed.extend(
+            fresh
+                .contains_key(&s.fetch.cache.0)
+                .then_some((s.at, s.fetch.cache.0)),
+        );
         calm(s)
     });
-    assert_eq!(wrong, 0, "attempts at what a router was told drains or is gone");
+    assert_eq!(
+        wrong, 0,
+        "attempts at what a router was told drains or is gone"
+    );
     refused = world.refused.len() - refused;
     println!("{refused} refused of about {asked}");
     // Most placed on a newcomer within the fall window, against what it bears: 10 routers a zone, 8 a second, six caches.
     let share = 10.0 * 8.0 / EACH as f64;
     let mut worst: f64 = 0.0;
     for (&id, &boot) in &fresh {
-        let times: Vec<Time> =
-            placed.iter().filter(|(at, cache)| *at >= boot && *cache == id).map(|(at, _)| *at).collect();
-        for at in times.iter().filter(|at| **at < boot + choice.cache_cold_for) {
+        let times: Vec<Time> = placed
+            .iter()
+            .filter(|(at, cache)| *at >= boot && *cache == id)
+            .map(|(at, _)| *at)
+            .collect();
+        for at in times
+            .iter()
+            .filter(|at| **at < boot + choice.cache_cold_for)
+        {
             let age = (at - boot) as f64 / choice.cache_cold_for as f64;
             let bears = choice.cache_fall_multiple
                 * (choice.cache_cold_from + (1.0 - choice.cache_cold_from) * age)
                 * share;
-            let sent = times.iter().filter(|t| *t <= at && **t + choice.fall_window > *at).count();
+            let sent = times
+                .iter()
+                .filter(|t| *t <= at && **t + choice.fall_window > *at)
+                .count();
             worst = worst.max(sent as f64 / bears);
         }
     }
-    let used: BTreeSet<u32> = world.count(began, |s| Some(s.fetch.cache.0)).into_keys().collect();
+    let used: BTreeSet<u32> = world
+        .count(began, |s| Some(s.fetch.cache.0))
+        .into_keys()
+        .collect();
     println!(
         "worst {worst:.2} of what a newcomer bears; {} of {} used",
         fresh.keys().filter(|id| used.contains(id)).count(),
         fresh.len()
     );
     assert!(worst < 1.0, "{worst} of what a newcomer bears");
-    assert!(fresh.keys().all(|id| used.contains(id)), "all newcomers are used");
+    assert!(
+        fresh.keys().all(|id| used.contains(id)),
+        "all newcomers are used"
+    );
 }
 
 #[test]
@@ -109,15 +166,32 @@
                 members.extend(list[..cut].to_vec());
                 members.reverse();
             }
-            world.tell(front, Event::Members { full: true, members }, &mut calm);
+            world.tell(
+                front,
+                Event::Members {
+                    full: true,
+                    members,
+                },
+                &mut calm,
+            );
         }
     }
     for front in 0..20 {
-        world.tell(front, Event::Members { full: true, members: list.clone() }, &mut calm);
+        world.tell(
+            front,
+            Event::Members {
+                full: true,
+                members: list.clone(),
+            },
+            &mut calm,
+        );
     }
     world.run(10 * SECOND, &mut calm);
     let from = world.now;
     world.run(2 * SECOND, &mut calm);
     let used = world.count(from, |s| Some(s.fetch.cache.0)).len();
-    assert!(used > 40, "with the whole list again all zones are used: {used}");
+    assert!(
+        used > 40,
+        "with the whole list again all zones are used: {used}"
+    );
 }
--- a/tests/vast/main.rs
+++ b/tests/vast/main.rs
@@ -26,6 +26,11 @@
 
 /// The most of these times within one window, and their number.
 fn busiest(times: &[Time], window: Time) -> (usize, usize) {
-    let within = |from: &Time| times.iter().filter(|t| (*from..from + window).contains(*t)).count();
+    let within = |from: &Time| {
+        times
+            .iter()
+            .filter(|t| (*from..from + window).contains(*t))
+            .count()
+    };
     (times.iter().map(within).max().unwrap_or(0), times.len())
 }
--- a/tests/vast/odd.rs
+++ b/tests/vast/odd.rs
@@ -10,20 +10,40 @@
     ("a pace below 0", |s| s.client_kb_per_s = -5.0),
     ("a pace that is no number", |s| s.client_kb_per_s = f64::NAN),
     ("no fall window", |s| s.fall_window = 0),
-    ("no time to warm", |s| (s.cache_cold_for, s.parent_cold_for) = (0, 0)),
-    ("nothing borne while cold", |s| (s.cache_cold_from, s.parent_cold_from) = (0.0, 0.0)),
-    ("multiples of 0", |s| (s.cache_fall_multiple, s.parent_fall_multiple) = (0.0, 0.0)),
-    ("multiples below 0", |s| (s.cache_fall_multiple, s.parent_fall_multiple) = (-1.0, -1.0)),
+    ("no time to warm", |s| {
+        (s.cache_cold_for, s.parent_cold_for) = (0, 0)
+    }),
+    ("nothing borne while cold", |s| {
+        (s.cache_cold_from, s.parent_cold_from) = (0.0, 0.0)
+    }),
+    ("multiples of 0", |s| {
+        (s.cache_fall_multiple, s.parent_fall_multiple) = (0.0, 0.0)
+    }),
+    ("multiples below 0", |s| {
+        (s.cache_fall_multiple, s.parent_fall_multiple) = (-1.0, -1.0)
+    }),
     ("multiples that are no number", |s| {
         (s.cache_fall_multiple, s.parent_fall_multiple) = (f64::NAN, f64::NAN)
     }),
-    ("aims of 0", |s| s.classes.iter_mut().for_each(|c| (c.aim, c.aim_stretch) = (0, 0.0))),
-    ("worth below 0", |s| s.classes.iter_mut().for_each(|c| (c.worth, c.late_worth) = (-1.0, f64::NAN))),
-    ("no routers told", |s| (s.routers, s.routers_by_zone, s.index) = (0, Vec::new(), 0)),
+    ("aims of 0", |s| {
+        s.classes
+            .iter_mut()
+            .for_each(|c| (c.aim, c.aim_stretch) = (0, 0.0))
+    }),
+    ("worth below 0", |s| {
+        s.classes
+            .iter_mut()
+            .for_each(|c| (c.worth, c.late_worth) = (-1.0, f64::NAN))
+    }),
+    ("no routers told", |s| {
+        (s.routers, s.routers_by_zone, s.index) = (0, Vec::new(), 0)
+    }),
     ("an index beyond them", |s| s.index = u32::MAX),
     ("no hubs told", |s| s.hub_of = Vec::new()),
     ("no wait after a refusal", |s| s.retry_after = Some(0)),
-    ("no slack", |s| (s.answer_slack, s.drain_grace, s.purge_slack, s.purge_done) = (0, 0, 0, 0)),
+    ("no slack", |s| {
+        (s.answer_slack, s.drain_grace, s.purge_slack, s.purge_done) = (0, 0, 0, 0)
+    }),
 ];
 
 #[test]
@@ -32,11 +52,17 @@
         let (mut choice, mut list) = fleet(4, 3, 2);
         change(&mut choice);
         let told = fronts(&choice, 12, 4).into_iter().map(|s| {
-            let mut one = Settings { index: s.index, zone: s.zone, ..choice.clone() };
+            let mut one = Settings {
+                index: s.index,
+                zone: s.zone,
+                ..choice.clone()
+            };
             change(&mut one);
             one
         });
-        list.iter_mut().enumerate().for_each(|(n, m)| m.weight = [0.0, -1.0, f64::NAN, f64::INFINITY][n % 4]);
+        list.iter_mut()
+            .enumerate()
+            .for_each(|(n, m)| m.weight = [0.0, -1.0, f64::NAN, f64::INFINITY][n % 4]);
         let mut world = World::new(told.collect(), &list, 20.0);
         world.objects = 50;
         let mut fails = |s: &Sent| match s.fetch.id.0 % 7 {
@@ -48,11 +74,40 @@
         // A cold one comes, all copies go void, one leaves.
         for front in 0..12 {
             let boot = world.now;
-            let cold = Member { boot, weight: -1.0, ..member(1_050, 2, 0) };
-            world.tell(front, Event::Members { full: false, members: vec![cold] }, &mut fails);
-            world.tell(front, Event::Purged { object: None, group: 5, ago: Time::MAX }, &mut fails);
-            let gone = Member { state: State::Gone, ..member(1_000, 2, 0) };
-            world.tell(front, Event::Members { full: false, members: vec![gone] }, &mut fails);
+            let cold = Member {
+                boot,
+                weight: -1.0,
+                ..member(1_050, 2, 0)
+            };
+            world.tell(
+                front,
+                Event::Members {
+                    full: false,
+                    members: vec![cold],
+                },
+                &mut fails,
+            );
+            world.tell(
+                front,
+                Event::Purged {
+                    object: None,
+                    group: 5,
+                    ago: Time::MAX,
+                },
+                &mut fails,
+            );
+            let gone = Member {
+                state: State::Gone,
+                ..member(1_000, 2, 0)
+            };
+            world.tell(
+                front,
+                Event::Members {
+                    full: false,
+                    members: vec![gone],
+                },
+                &mut fails,
+            );
         }
         world.run(6 * SECOND, &mut fails);
         let before = world.now - 4 * SECOND;
--- a/tests/vast/returns.rs
+++ b/tests/vast/returns.rs
@@ -5,7 +5,12 @@
 
 /// When all routers asked this cache in vain.
 fn dials(world: &World, cache: u32, from: Time) -> Vec<Time> {
-    world.sent.iter().filter(|s| s.at >= from && s.fetch.cache.0 == cache).map(|s| s.at).collect()
+    world
+        .sent
+        .iter()
+        .filter(|s| s.at >= from && s.fetch.cache.0 == cache)
+        .map(|s| s.at)
+        .collect()
 }
 
 #[test]
@@ -22,9 +27,13 @@
     // 13 routers of its zone; each tries once, and then once in each second of shunning at most.
     let times = dials(&world, 1_000, from);
     let mut by_front: BTreeMap<usize, Vec<Time>> = BTreeMap::new();
-    world.sent.iter().filter(|s| s.at >= from && s.fetch.cache.0 == 1_000).for_each(|s| {
-        by_front.entry(s.front).or_default().push(s.at);
-    });
+    world
+        .sent
+        .iter()
+        .filter(|s| s.at >= from && s.fetch.cache.0 == 1_000)
+        .for_each(|s| {
+            by_front.entry(s.front).or_default().push(s.at);
+        });
     assert!(by_front.values().all(|t| t.len() <= 7), "{by_front:?}");
     let (most, all) = busiest(&times, 100 * MS);
     assert!(all > 13 && most <= 6, "{most} of {all} tries within 100 ms");
@@ -57,12 +66,21 @@
     // What was saved is spent by then.
     let (from, asked) = (world.now, world.asked);
     world.run(5 * SECOND, &mut lost);
-    let (later, wanted) =
-        (world.count(from, in_zone).values().sum::<usize>(), (world.asked - asked) * 13 / 100);
+    let (later, wanted) = (
+        world.count(from, in_zone).values().sum::<usize>(),
+        (world.asked - asked) * 13 / 100,
+    );
     println!("{later} dials for {wanted} requests in the next 5 s");
-    assert!(later * 2 < wanted * 3, "{later} dials for {wanted} requests");
+    assert!(
+        later * 2 < wanted * 3,
+        "{later} dials for {wanted} requests"
+    );
     let from = world.now;
     world.run(3 * SECOND, &mut calm);
     let served = world.count(from + SECOND, in_zone);
-    assert!(served.len() >= 12, "{} routers use the zone again", served.len());
+    assert!(
+        served.len() >= 12,
+        "{} routers use the zone again",
+        served.len()
+    );
 }
