--- a/tests/vast/shares.rs
+++ b/tests/vast/shares.rs
@@ -17,21 +17,41 @@
     world.run(20 * SECOND, &mut held);
     let boot = world.now;
     for front in 0..100 {
-        let cold = Member { boot, ..member(1_000, 2, 0) };
-        world.tell(front, Event::Members { full: false, members: vec![cold] }, &mut held);
+        let cold = Member {
+            boot,
+            ..member(1_000, 2, 0)
+        };
+        world.tell(
+            front,
+            Event::Members {
+                full: false,
+                members: vec![cold],
+            },
+            &mut held,
+        );
     }
     world.run(12 * SECOND, &mut held);
-    let times: Vec<Time> =
-        world.sent.iter().filter(|s| s.at >= boot && s.fetch.cache.0 == 1_000).map(|s| s.at).collect();
+    let times: Vec<Time> = world
+        .sent
+        .iter()
+        .filter(|s| s.at >= boot && s.fetch.cache.0 == 1_000)
+        .map(|s| s.at)
+        .collect();
     // 13 routers of the zone, 8 requests a second each, over six caches.
     let (share, window) = (13.0 * 8.0 / 6.0, choice.fall_window as f64 / SECOND as f64);
     let part = |at: Time| {
         let ramp = choice.cache_cold_from
             + (1.0 - choice.cache_cold_from) * (at - boot) as f64 / choice.cache_cold_for as f64;
-        let sent = times.iter().filter(|t| **t <= at && **t + choice.fall_window > at).count();
+        let sent = times
+            .iter()
+            .filter(|t| **t <= at && **t + choice.fall_window > at)
+            .count();
         sent as f64 / (choice.cache_fall_multiple * ramp * share * window)
     };
-    (times.iter().map(|at| part(*at)).fold(0.0, f64::max), times.len())
+    (
+        times.iter().map(|at| part(*at)).fold(0.0, f64::max),
+        times.len(),
+    )
 }
 
 #[test]
@@ -63,17 +83,32 @@
         end
     };
     world.run(20 * SECOND, &mut |s| fate(&mut held, &mut fills, s));
-    let (from, usual) = (world.now, fills.iter().filter(|at| **at + SECOND > world.now).count());
+    let (from, usual) = (
+        world.now,
+        fills.iter().filter(|at| **at + SECOND > world.now).count(),
+    );
     held.clear();
     fills.clear();
     for front in 0..100 {
-        let purged = Event::Purged { object: None, group: 5, ago: 0 };
-        world.tell(front, purged, &mut |_| unreachable!("a purge sends nothing by itself"));
+        let purged = Event::Purged {
+            object: None,
+            group: 5,
+            ago: 0,
+        };
+        world.tell(front, purged, &mut |_| {
+            unreachable!("a purge sends nothing by itself")
+        });
     }
     let asked = world.asked;
     world.run(3 * SECOND, &mut |s| fate(&mut held, &mut fills, s));
-    let by_second: Vec<usize> =
-        (0..3).map(|n| fills.iter().filter(|at| (**at - from) / SECOND == n).count()).collect();
+    let by_second: Vec<usize> = (0..3)
+        .map(|n| {
+            fills
+                .iter()
+                .filter(|at| (**at - from) / SECOND == n)
+                .count()
+        })
+        .collect();
     let (most, all) = busiest(&fills, 50 * MS);
     println!("fills: {usual} in the second before, then {by_second:?}, {most} within 50 ms");
     assert!(all > 300, "{all}");
