--- a/edge/core/src/desk.rs
+++ b/edge/core/src/desk.rs
@@ -8,7 +8,7 @@
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError};
 use foldmux::interface::*;
 use foldmux::Router;
-use foldmux_reports::Beside;
+use foldmux_load_reports::Beside;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::sync::Arc;
--- a/edge/core/src/orders.rs
+++ b/edge/core/src/orders.rs
@@ -4,7 +4,7 @@
 use crate::slot::Slot;
 use crossbeam_channel::Sender;
 use foldmux::interface::*;
-use foldmux_reports::Load;
+use foldmux_load_reports::Load;
 use std::sync::Arc;
 use std::time::Instant;
 
--- a/edge/core/tests/reports.rs
+++ b/edge/core/tests/reports.rs
@@ -7,7 +7,7 @@
 use foldmux_core::desk::{Notice, Order, Probes};
 use foldmux_core::members::{Listed, Members, Start};
 use foldmux_core::{Desk, DeskHandle, Slot};
-use foldmux_reports::{Beside, Load};
+use foldmux_load_reports::{Beside, Load};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/edge/fronts/extproc/benches/decide.rs
+++ b/edge/fronts/extproc/benches/decide.rs
@@ -13,9 +13,9 @@
 use foldmux_extproc::pb::{
     HeaderMap, HeaderValue, HttpHeaders, ProcessingRequest, Request, Response,
 };
+use foldmux_fakes::caller::hold;
 use foldmux_fronts::dns::{server::Bound as Dns, Routed};
 use foldmux_operator::Dns as Setup;
-use foldmux_standins::caller::hold;
 use foldmux_store::Commit;
 use hdrhistogram::Histogram;
 use std::net::{SocketAddr, UdpSocket};
--- a/edge/fronts/extproc/src/attempt.rs
+++ b/edge/fronts/extproc/src/attempt.rs
@@ -6,8 +6,8 @@
 use foldmux_core::desk::{Order, Orders};
 use foldmux_core::lent::{Lent, Way};
 use foldmux_core::limits::{Fill, Held};
-use foldmux_repeats::ledger::End as Word;
-use foldmux_repeats::token::Mark;
+use foldmux_idempotency::ledger::End as Word;
+use foldmux_idempotency::token::Mark;
 use std::time::Instant;
 use tokio::sync::mpsc;
 
--- a/edge/fronts/extproc/src/front.rs
+++ b/edge/fronts/extproc/src/front.rs
@@ -10,7 +10,7 @@
 use foldmux_core::reasons::Reason;
 use foldmux_core::tally::End;
 use foldmux_core::Core;
-use foldmux_repeats::ledger::{Refusal, Rule};
+use foldmux_idempotency::ledger::{Refusal, Rule};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
--- a/edge/fronts/extproc/src/keyed.rs
+++ b/edge/fronts/extproc/src/keyed.rs
@@ -1,9 +1,9 @@
 //! Keyed attempts in service: the ledger and the tokens' keys behind one lock, and the store under the ledger. What it
 //! decides is in the pure crate; here it is written before it is told.
 
-use foldmux_repeats::ledger::{End, Entry, Ledger, Refusal, Rule};
-use foldmux_repeats::token::{Bad, Keys, Mark, Token};
-use foldmux_repeats::Millis;
+use foldmux_idempotency::ledger::{End, Entry, Ledger, Refusal, Rule};
+use foldmux_idempotency::token::{Bad, Keys, Mark, Token};
+use foldmux_idempotency::Millis;
 use foldmux_store::{Commit, Opener, Store};
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/edge/fronts/extproc/src/keyed/grip.rs
+++ b/edge/fronts/extproc/src/keyed/grip.rs
@@ -1,9 +1,9 @@
 //! One key's attempt, from its grant to its end.
 
 use super::{lock, unix_ms, Keeper, No};
-use foldmux_repeats::ledger::{End, Grant, Rule};
-use foldmux_repeats::token::{Mark, Token};
-use foldmux_repeats::Millis;
+use foldmux_idempotency::ledger::{End, Grant, Rule};
+use foldmux_idempotency::token::{Mark, Token};
+use foldmux_idempotency::Millis;
 use foldmux_store::Fault;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
--- a/edge/fronts/extproc/src/keyed/refused.rs
+++ b/edge/fronts/extproc/src/keyed/refused.rs
@@ -1,7 +1,7 @@
 //! Why a keyed request is not placed, and how often that was.
 
-use foldmux_repeats::ledger::Refusal;
-use foldmux_repeats::token::Bad;
+use foldmux_idempotency::ledger::Refusal;
+use foldmux_idempotency::token::Bad;
 use foldmux_store::Fault;
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/edge/fronts/extproc/src/life.rs
+++ b/edge/fronts/extproc/src/life.rs
@@ -14,7 +14,7 @@
 use crate::place::Decided;
 use foldmux::interface::Outcome;
 use foldmux_core::tally::End;
-use foldmux_repeats::ledger::End as Word;
+use foldmux_idempotency::ledger::End as Word;
 use std::collections::HashMap;
 use std::future::Future;
 use std::sync::Arc;
--- a/edge/fronts/extproc/src/mapping.rs
+++ b/edge/fronts/extproc/src/mapping.rs
@@ -2,8 +2,8 @@
 
 use crate::names;
 use crate::pb::HttpHeaders;
+use foldmux_idempotency::token::Mark;
 use foldmux_operator::AskRule;
-use foldmux_repeats::token::Mark;
 
 /// Longest path and key that are looked at.
 const PATH_MOST: usize = 8 * 1024;
--- a/edge/fronts/extproc/src/parked.rs
+++ b/edge/fronts/extproc/src/parked.rs
@@ -2,7 +2,7 @@
 //! so long as they are good. Bounded; whatever is dropped here ends as one that was never sent.
 
 use crate::attempt::Attempt;
-use foldmux_repeats::token::Mark;
+use foldmux_idempotency::token::Mark;
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
--- a/edge/fronts/extproc/src/place.rs
+++ b/edge/fronts/extproc/src/place.rs
@@ -12,7 +12,7 @@
 use foldmux_core::inquiry::without_ways;
 use foldmux_core::lent::Lent;
 use foldmux_core::Inquiry;
-use foldmux_repeats::token::{Mark, Token};
+use foldmux_idempotency::token::{Mark, Token};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Instant;
--- a/edge/fronts/extproc/tests/common/talk.rs
+++ b/edge/fronts/extproc/tests/common/talk.rs
@@ -7,7 +7,7 @@
 use foldmux_extproc::pb::{
     HeaderMap, HeaderValue, HttpHeaders, ProcessingRequest, ProcessingResponse, Request, Response,
 };
-use foldmux_standins::source::{Act, Source};
+use foldmux_fakes::source::{Act, Source};
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio_stream::wrappers::ReceiverStream;
--- a/edge/fronts/extproc/tests/rights.rs
+++ b/edge/fronts/extproc/tests/rights.rs
@@ -2,8 +2,8 @@
 
 use common::{script, store, Instance, PATIENCE};
 use foldmux_extproc::serve::block_on;
-use foldmux_standins::issuer::{Authority, Svid};
-use foldmux_standins::source::{Act, Source};
+use foldmux_fakes::issuer::{Authority, Svid};
+use foldmux_fakes::source::{Act, Source};
 use rustls::pki_types::ServerName;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/edge/fronts/extproc/tests/streams.rs
+++ b/edge/fronts/extproc/tests/streams.rs
@@ -4,9 +4,9 @@
 use common::{script, store, Instance, PATIENCE};
 use foldmux_extproc::pb::{HttpBody, ProcessingRequest, Request};
 use foldmux_extproc::{check, serve::block_on};
-use foldmux_standins::body;
-use foldmux_standins::caller::{self, Caller, Play, Point, Setup};
-use foldmux_standins::source::{Act, Source};
+use foldmux_fakes::body;
+use foldmux_fakes::caller::{self, Caller, Play, Point, Setup};
+use foldmux_fakes::source::{Act, Source};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
@@ -46,8 +46,8 @@
     let caller = Caller::new(Setup::plain(vec![instance.address]));
     let server = caller.serve();
     for object in 0..20u64 {
-        let path = foldmux_standins::client::path("sheet", object, 0);
-        let answer = foldmux_standins::client::get(server.address, &path, "", PATIENCE).unwrap();
+        let path = foldmux_fakes::client::path("sheet", object, 0);
+        let answer = foldmux_fakes::client::get(server.address, &path, "", PATIENCE).unwrap();
         assert_eq!(
             (answer.status, answer.body),
             (200, body(object, 0, 1, LENGTH))
@@ -280,7 +280,7 @@
         ..Setup::plain(vec![instance.address])
     });
     for object in 0..10u64 {
-        let path = foldmux_standins::client::path("sheet", object, 0);
+        let path = foldmux_fakes::client::path("sheet", object, 0);
         let answer = caller.ask(&caller::Request::get(&path)).unwrap();
         assert!(matches!(answer.status, 200 | 503 | 504), "{answer:?}");
     }
--- a/edge/proxy/src/config.rs
+++ b/edge/proxy/src/config.rs
@@ -242,7 +242,7 @@
 fn unlike(name: &str, listen: SocketAddr) -> u64 {
     format!("{name} {listen}")
         .bytes()
-        .fold(0, |seed, byte| foldmux_figures::mix(seed ^ byte as u64))
+        .fold(0, |seed, byte| foldmux_stats::mix(seed ^ byte as u64))
 }
 
 fn known(document: &Section) -> Feed {
--- a/edge/proxy/src/cover/keep.rs
+++ b/edge/proxy/src/cover/keep.rs
@@ -3,8 +3,8 @@
 //! the file once the first gives it up, which it does when it leaves.
 
 use super::log::{Found, Log};
-use foldmux_seats::part::Acts;
-use foldmux_seats::{Do, Part, Peer, Time};
+use foldmux_replicas::part::Acts;
+use foldmux_replicas::{Do, Part, Peer, Time};
 use foldmux_takeover::{Ask, Message, Setup, Takeover, Told};
 use std::io;
 use std::path::{Path, PathBuf};
--- a/edge/proxy/src/cover/rules.rs
+++ b/edge/proxy/src/cover/rules.rs
@@ -3,7 +3,7 @@
 use crate::fleet::parts::seats;
 use foldmux::interface::Repeat as Repeats;
 use foldmux_operator::{Fleet as Said, Unclaimed as Left, Uncovered as Not};
-use foldmux_seats::Peer;
+use foldmux_replicas::Peer;
 use foldmux_settings::Decoded;
 use foldmux_takeover::{Repeat, Rule, Rules, Setup, Unclaimed, Uncovered};
 use std::collections::HashMap;
--- a/edge/proxy/src/fleet.rs
+++ b/edge/proxy/src/fleet.rs
@@ -5,10 +5,10 @@
 use foldmux_core::Core;
 use foldmux_fleet::members::{self, Roll};
 use foldmux_fleet::{Builder, Fault, Port, Setup, Sink};
-use foldmux_members::{Ask, Pace, Seen, Told, Who};
+use foldmux_membership::{Ask, Pace, Seen, Told, Who};
 use foldmux_operator::Fleet as Said;
 use foldmux_peers::Bounds;
-use foldmux_seats::{Acts, Do, Part, Peer, Time};
+use foldmux_replicas::{Acts, Do, Part, Peer, Time};
 use parts::{Own, Parts, Serving};
 use std::path::Path;
 use std::sync::Arc;
@@ -94,7 +94,7 @@
             size: said.peers.len() as u32,
         };
         // Names of the list alone: no other is linked.
-        let setup = foldmux_members::Setup {
+        let setup = foldmux_membership::Setup {
             me,
             pace,
             most: said.peers.len(),
--- a/edge/proxy/src/fleet/parts.rs
+++ b/edge/proxy/src/fleet/parts.rs
@@ -9,7 +9,7 @@
 use foldmux_core::Core;
 use foldmux_fleet::{Builder, Port};
 use foldmux_operator::Fleet as Said;
-use foldmux_seats::{Drift, Peer, Seats};
+use foldmux_replicas::{Drift, Peer, Seats};
 use foldmux_settings::Decoded;
 use std::sync::Arc;
 use std::time::Instant;
--- a/edge/proxy/src/journal.rs
+++ b/edge/proxy/src/journal.rs
@@ -8,13 +8,13 @@
 use foldmux_core::clock::Clock;
 use foldmux_core::desk::{DeskHandle, Notice};
 use foldmux_core::members::Listed;
-use foldmux_feed::Desk;
+use foldmux_event_stream::Desk;
 use foldmux_upstream::pool::Pool;
 use notices::List;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-pub use foldmux_feed::words::{Entry, Feed};
+pub use foldmux_event_stream::words::{Entry, Feed};
 pub use service::Service;
 
 mod answer;
--- a/edge/proxy/src/journal/watch.rs
+++ b/edge/proxy/src/journal/watch.rs
@@ -3,7 +3,7 @@
 use super::answer::{Call, Fault, MOST_ANSWER, PATIENCE};
 use super::{Feed, Journal, Service};
 use crate::backoff::{Backoff, LONGEST};
-use foldmux_feed::Desk;
+use foldmux_event_stream::Desk;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/edge/proxy/src/lib.rs
+++ b/edge/proxy/src/lib.rs
@@ -24,4 +24,4 @@
 pub mod turns;
 pub mod wiring;
 
-pub use foldmux_feed::backoff;
+pub use foldmux_event_stream::backoff;
--- a/edge/proxy/src/relayed.rs
+++ b/edge/proxy/src/relayed.rs
@@ -4,13 +4,13 @@
 use crate::backoff::Backoff;
 use crate::fleet::parts::seats;
 use crate::journal::Journal;
-use foldmux_feed::desk::Tells;
-use foldmux_feed::{serve, Desk};
+use foldmux_event_stream::desk::Tells;
+use foldmux_event_stream::{serve, Desk};
 use foldmux_fleet::Port;
 use foldmux_fronts::listen::named;
 use foldmux_operator::{Fleet, Slow, Stream, StreamFirst};
 use foldmux_relay::{Ask, First, Relay, Setup};
-use foldmux_seats::Peer;
+use foldmux_replicas::Peer;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::thread;
--- a/edge/proxy/src/reports.rs
+++ b/edge/proxy/src/reports.rs
@@ -4,7 +4,7 @@
 use foldmux_core::clock::span;
 use foldmux_core::desk::{Notice, Probes};
 use foldmux_core::{Desk, DeskHandle, Tries};
-use foldmux_reports::{Beside, Setup};
+use foldmux_load_reports::{Beside, Setup};
 use foldmux_upstream::probe::Prober;
 use foldmux_upstream::{Reporting, Upstream};
 use std::sync::Arc;
--- a/edge/proxy/src/turns/pool.rs
+++ b/edge/proxy/src/turns/pool.rs
@@ -4,9 +4,9 @@
 use crossbeam_channel::Sender;
 use foldmux::interface::Time;
 use foldmux_core::turn::Place;
-use foldmux_fair::local::{Asked, InUse, Local, Request, Then, Ticket};
-use foldmux_fair::tenants::{By, Weight};
-use foldmux_fair::{Ask, Told};
+use foldmux_fair_queue::local::{Asked, InUse, Local, Request, Then, Ticket};
+use foldmux_fair_queue::tenants::{By, Weight};
+use foldmux_fair_queue::{Ask, Told};
 use foldmux_fleet::Port;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
@@ -196,9 +196,9 @@
 mod tests {
     use super::*;
     use crossbeam_channel::bounded;
-    use foldmux_fair::queue::Setup;
-    use foldmux_fair::slow::Figures;
-    use foldmux_fair::Stock;
+    use foldmux_fair_queue::queue::Setup;
+    use foldmux_fair_queue::slow::Figures;
+    use foldmux_fair_queue::Stock;
 
     fn request(id: u64, deadline: Time) -> Request<'static> {
         Request {
--- a/edge/proxy/src/turns/weights.rs
+++ b/edge/proxy/src/turns/weights.rs
@@ -1,6 +1,6 @@
 //! What tenants weigh.
 
-use foldmux_fair::tenants::{key, Weight};
+use foldmux_fair_queue::tenants::{key, Weight};
 use foldmux_operator::Fleet as Said;
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/edge/proxy/tests/common/holding.rs
+++ b/edge/proxy/tests/common/holding.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use crate::common::request;
-use foldmux_standins::rpc::{Said, Terminal};
+use foldmux_fakes::rpc::{Said, Terminal};
 use std::collections::BTreeMap;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/edge/proxy/tests/descriptors.rs
+++ b/edge/proxy/tests/descriptors.rs
@@ -1,7 +1,7 @@
 //! Idle clients, open requests and idle operators together ask for more descriptors than the process has, while discovery
 //! is down: what is kept back for discovery, caches and the operator line remains, and all goes on without a restart.
 
-use foldmux_standins::rpc::{Said, Terminal};
+use foldmux_fakes::rpc::{Said, Terminal};
 use holding::{ask, Attempt, BODY};
 use running::{call, spawned, Running, PATIENCE};
 use std::io::{Read, Write};
--- a/edge/proxy/tests/dials.rs
+++ b/edge/proxy/tests/dials.rs
@@ -1,7 +1,7 @@
 //! SIGTERM while a request's connection is dialled: it is served where the dial comes up in time, and answered before SIGKILL
 //! may come where it does not.
 
-use foldmux_standins::backlog::{is_dialled, Filled};
+use foldmux_fakes::backlog::{is_dialled, Filled};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use steps::{Client, Rig, PATIENCE};
--- a/edge/proxy/tests/dns_resolvers.rs
+++ b/edge/proxy/tests/dns_resolvers.rs
@@ -2,7 +2,7 @@
 //! callers that prove an identity. Nothing is timed: what is asserted is the order of what happens.
 
 use foldmux::interface::State;
-use foldmux_standins::issuer::{Authority, Svid};
+use foldmux_fakes::issuer::{Authority, Svid};
 use front::*;
 use hickory_proto::op::{Message, MessageType, OpCode, ResponseCode};
 use hickory_proto::rr::RecordType;
--- a/edge/proxy/tests/hand_over.rs
+++ b/edge/proxy/tests/hand_over.rs
@@ -1,7 +1,7 @@
 //! A new process beside the old one on the same address; the old one is told to leave with requests open. None is lost, what
 //! comes later is taken by the new one, and pop caches that are out by hand stay out.
 
-use foldmux_standins::rpc::Said;
+use foldmux_fakes::rpc::Said;
 use holding::{ask, Attempt, BODY};
 use running::{call, configured, start_in};
 
--- a/edge/proxy/tests/operator.rs
+++ b/edge/proxy/tests/operator.rs
@@ -61,7 +61,7 @@
     );
     let (old, new) = (
         root("deploy/foldmux.star"),
-        root("rigs/lab/scenarios/rewired.star"),
+        root("rigs/simulator/scenarios/rewired.star"),
     );
     let (taken, text) = told(&["plan", &old, &new]);
     assert!(taken, "{text}");
--- a/edge/proxy/tests/processor_end.rs
+++ b/edge/proxy/tests/processor_end.rs
@@ -2,8 +2,8 @@
 //! process ends once both have.
 
 use common::{config, start_with, Program};
-use foldmux_standins::caller::{hold, Held};
-use foldmux_standins::rpc::Said;
+use foldmux_fakes::caller::{hold, Held};
+use foldmux_fakes::rpc::Said;
 use holding::{ask, Asked, Attempt, BODY};
 use std::net::TcpListener;
 
--- a/edge/proxy/tests/reports.rs
+++ b/edge/proxy/tests/reports.rs
@@ -1,7 +1,7 @@
 //! Reports and settings by the program itself: an answer is served whatever it reports; settings that lack what all have end
 //! the start with one line, and a reload with the old ones whole.
 
-use foldmux_standins::rpc::{Said, Terminal};
+use foldmux_fakes::rpc::{Said, Terminal};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/edge/proxy/tests/retuned_classes.rs
+++ b/edge/proxy/tests/retuned_classes.rs
@@ -1,7 +1,7 @@
 //! SIGHUP changes classes while requests are open under the old ones: each open request ends by the rules that it came
 //! with, each new one by the new, and no place of an old class is ever another's.
 
-use foldmux_standins::rpc::Said;
+use foldmux_fakes::rpc::Said;
 use holding::{ask, Attempt, BODY};
 use running::{call, configured, start, Running};
 use std::net::TcpListener;
--- a/edge/proxy/tests/size.rs
+++ b/edge/proxy/tests/size.rs
@@ -1,10 +1,10 @@
 //! What a process takes at the size of a larger fleet: sixty caches, six in ten of them replaced while more clients than it
 //! has places for ask. Counted in `/proc`.
 
-use foldmux_standins::journal::{hosts, Host, Journal};
-use foldmux_standins::rpc::{Said, Terminal};
-use foldmux_standins::source::{Act, Source};
-use foldmux_standins::unix_ms;
+use foldmux_fakes::journal::{hosts, Host, Journal};
+use foldmux_fakes::rpc::{Said, Terminal};
+use foldmux_fakes::source::{Act, Source};
+use foldmux_fakes::unix_ms;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
--- a/edge/proxy/tests/wired_reload.rs
+++ b/edge/proxy/tests/wired_reload.rs
@@ -1,6 +1,6 @@
 //! An operator's tree stays in service over a reload of the settings, whatever those say of hubs.
 
-use foldmux_standins::rpc::Said;
+use foldmux_fakes::rpc::Said;
 use holding::{ask, Attempt, BODY};
 use running::{spawned, Running};
 use std::net::{SocketAddr, TcpListener};
--- a/edge/simhost/src/host.rs
+++ b/edge/simhost/src/host.rs
@@ -3,7 +3,7 @@
 use crate::wire::{decode, Incoming, Reply};
 use foldmux::interface::{Action, CacheId, Event, Time};
 use foldmux::Router;
-use foldmux_reports::Beside;
+use foldmux_load_reports::Beside;
 use foldmux_settings as settings;
 use std::collections::BTreeMap;
 
--- a/edge/upstream/src/lib.rs
+++ b/edge/upstream/src/lib.rs
@@ -15,7 +15,7 @@
 use foldmux_core::attempt::{Attempt, Got, Tries};
 use foldmux_core::clock::Clock;
 use foldmux_core::members::{Members, Start};
-use foldmux_reports::{Fields, Load};
+use foldmux_load_reports::{Fields, Load};
 use pool::Pool;
 use std::sync::Arc;
 use std::time::Duration;
--- a/edge/upstream/src/probe.rs
+++ b/edge/upstream/src/probe.rs
@@ -9,7 +9,7 @@
 use foldmux_http1::answer::MOST_HEAD;
 use foldmux_http1::io::write_all;
 use foldmux_http1::read_response;
-use foldmux_reports::{Fields, Load};
+use foldmux_load_reports::{Fields, Load};
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
--- a/edge/upstream/tests/gone.rs
+++ b/edge/upstream/tests/gone.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use foldmux::interface::Outcome;
-use foldmux_standins::backlog::{is_dialled, Filled};
+use foldmux_fakes::backlog::{is_dialled, Filled};
 
 #[test]
 fn for_a_client_that_left_nothing_is_dialled() {
--- a/edge/upstream/tests/probes.rs
+++ b/edge/upstream/tests/probes.rs
@@ -2,7 +2,7 @@
 
 use foldmux::interface::{CacheId, Member, State};
 use foldmux_core::members::{Listed, Members};
-use foldmux_reports::{Fields, Load};
+use foldmux_load_reports::{Fields, Load};
 use foldmux_upstream::pool::Pool;
 use foldmux_upstream::probe::{Prober, PLACES, QUEUE};
 use std::io::{BufRead, BufReader, Write};
--- a/hub/benches/relay.rs
+++ b/hub/benches/relay.rs
@@ -4,11 +4,11 @@
 //!
 //!     cargo bench -p foldmux-hub --bench relay
 
+use foldmux_fakes::client::{path, Client};
+use foldmux_fakes::source::{Act, Source};
 use foldmux_hierarchy::ledger::{Arrival, Key, Ledger, Limits, Want};
 use foldmux_hierarchy::tree::Stamp;
 use foldmux_operator::script::evaluate;
-use foldmux_standins::client::{path, Client};
-use foldmux_standins::source::{Act, Source};
 use hdrhistogram::Histogram;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/hub/src/purges.rs
+++ b/hub/src/purges.rs
@@ -3,12 +3,12 @@
 //! draws for itself.
 
 use crate::state::Hub;
-use foldmux_feed::backoff::Backoff;
-use foldmux_feed::words::{Expire, Feed};
-use foldmux_figures::mix;
+use foldmux_event_stream::backoff::Backoff;
+use foldmux_event_stream::words::{Expire, Feed};
 use foldmux_http1::io::write_all;
 use foldmux_http1::read_response;
 use foldmux_sockets::dial::dial;
+use foldmux_stats::mix;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Weak};
--- a/hub/tests/answers.rs
+++ b/hub/tests/answers.rs
@@ -1,9 +1,9 @@
 //! What is no plain fill gets its proper answer: writes, partial and conditional reads, requests that can't be used.
 
 use common::{all, archive, load, Rig, PATIENCE, THREE, WIDE};
-use foldmux_standins::body;
-use foldmux_standins::client::{self, Client};
-use foldmux_standins::source::{Act, Source};
+use foldmux_fakes::body;
+use foldmux_fakes::client::{self, Client};
+use foldmux_fakes::source::{Act, Source};
 use std::time::Duration;
 
 mod common;
--- a/hub/tests/collapse.rs
+++ b/hub/tests/collapse.rs
@@ -1,9 +1,9 @@
 //! Misses for one part are one fetch, whatever becomes of that fetch.
 
 use common::{all, archive, until, Rig, PATIENCE, THREE, WIDE};
-use foldmux_standins::body;
-use foldmux_standins::client::{self, Client};
-use foldmux_standins::source::{Act, Source};
+use foldmux_fakes::body;
+use foldmux_fakes::client::{self, Client};
+use foldmux_fakes::source::{Act, Source};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/hub/tests/common/mod.rs
+++ b/hub/tests/common/mod.rs
@@ -1,10 +1,10 @@
 //! The helper of the hub's tests: hubs in this process, on loopback, wired as a script says, over stand-ins.
 #![allow(dead_code)]
 
+use foldmux_fakes::client::{self, Answer};
+use foldmux_fakes::source::{Act, Ask, Source};
 use foldmux_hub::{start, Running};
 use foldmux_operator::script::evaluate;
-use foldmux_standins::client::{self, Answer};
-use foldmux_standins::source::{Act, Ask, Source};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
--- a/hub/tests/journal.rs
+++ b/hub/tests/journal.rs
@@ -1,9 +1,9 @@
 //! The hubs' own polls of the journal service: events that can't be read, and a break that all see at one moment.
 
 use common::{load, until, versioned, Rig, WIDE};
+use foldmux_fakes::source::{Act, Source};
+use foldmux_fakes::{body, unix_ms};
 use foldmux_http1::io::write_all;
-use foldmux_standins::source::{Act, Source};
-use foldmux_standins::{body, unix_ms};
 use std::io::Read;
 use std::net::{TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -70,7 +70,7 @@
     let version = Arc::new(AtomicU64::new(1));
     let now = version.clone();
     let archive = versioned(now, LENGTH, Duration::ZERO);
-    let journal = foldmux_standins::journal::Journal::start();
+    let journal = foldmux_fakes::journal::Journal::start();
     let settings = WIDE.replace(')', &format!(", journal = \"{}\")", journal.address()));
     let rig = Rig::new(archive, &[("east", &["archive"])], &settings);
     assert!((0..3).all(|object| rig.get("east", object, "").body == body(object, 0, 1, LENGTH)));
@@ -78,7 +78,7 @@
         unix_ms() > rig.get("east", 2, "").born_ms() + 2
     });
     version.store(2, Ordering::SeqCst);
-    journal.tell(&foldmux_standins::journal::purged(0, unix_ms()));
+    journal.tell(&foldmux_fakes::journal::purged(0, unix_ms()));
     until("it is told", || {
         load(&rig.hub("east").hub.tally.purges) == 1
     });
--- a/hub/tests/rewiring.rs
+++ b/hub/tests/rewiring.rs
@@ -1,7 +1,7 @@
 //! The tree changes while fills are under way: no circle, no loss, no copy from before a purge, and bounded state.
 
 use common::{all, archive, load, no_node_twice, until, versioned, Rig, WIDE};
-use foldmux_standins::{body, unix_ms};
+use foldmux_fakes::{body, unix_ms};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
--- a/hub/tests/sources.rs
+++ b/hub/tests/sources.rs
@@ -1,9 +1,9 @@
 //! A source that is old, silent, cold, dead, in a loop or lies costs its own fills another source, and no more.
 
 use common::{all, archive, load, no_node_twice, until, Rig, PATIENCE, WIDE};
-use foldmux_standins::client;
-use foldmux_standins::source::{Act, Bears, Source};
-use foldmux_standins::{body, unix_ms};
+use foldmux_fakes::client;
+use foldmux_fakes::source::{Act, Bears, Source};
+use foldmux_fakes::{body, unix_ms};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
--- a/pure/fair/benches/decide.rs
+++ b/pure/fair-queue/benches/decide.rs
@@ -1,7 +1,7 @@
 //! What one decision costs with 1,000 tenants and 100,000 waiting.
 
-use foldmux_fair::queue::{Entered, Next, Place, Queue, Setup, Wish};
-use foldmux_fair::tenants::Weight;
+use foldmux_fair_queue::queue::{Entered, Next, Place, Queue, Setup, Wish};
+use foldmux_fair_queue::tenants::Weight;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Instant;
 
--- a/pure/fair/src/division/tests.rs
+++ b/pure/fair-queue/src/division/tests.rs
@@ -1,7 +1,7 @@
 //! Division of a pool's slots between processes.
 
 use super::*;
-use foldmux_seats::Peer;
+use foldmux_replicas::Peer;
 
 fn process(n: usize, wants: &[(u64, u32)]) -> Process {
     let wants = wants
--- a/pure/fair/src/holder.rs
+++ b/pure/fair-queue/src/holder.rs
@@ -5,7 +5,7 @@
 use crate::planted::{planted, Fault};
 use crate::stock::Gave;
 use crate::{Peer, Time};
-use foldmux_seats::{Change, Drift, Held, Votes};
+use foldmux_replicas::{Change, Drift, Held, Votes};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Claims that are out; an older one is given up.
--- a/pure/fair/src/holder/tests.rs
+++ b/pure/fair-queue/src/holder/tests.rs
@@ -1,7 +1,7 @@
 //! What a holder says when it wants no more slots.
 
 use super::*;
-use foldmux_seats::Seats;
+use foldmux_replicas::Seats;
 
 #[test]
 fn one_that_wants_no_more_says_so_once() {
--- a/pure/fair/src/lib.rs
+++ b/pure/fair-queue/src/lib.rs
@@ -7,7 +7,7 @@
 //! holds them uses them ([`stock`]).
 //!
 //! May not: do I/O, read a clock, start threads, or choose a server, a retry or a refusal that is the module's. It stands in
-//! front of an attempt that the module has decided on. It depends on `foldmux-seats` and libraries alone.
+//! front of an attempt that the module has decided on. It depends on `foldmux-replicas` and libraries alone.
 
 mod books;
 pub mod digest;
@@ -28,7 +28,7 @@
 pub mod tenants;
 pub mod wish;
 
-pub use foldmux_seats::{Peer, Time};
+pub use foldmux_replicas::{Peer, Time};
 pub use message::{Ask, Message, Told};
 pub use queue::{Entered, Next, Place, Queue, Ticket, Wish};
 pub use slots::FleetSlots;
--- a/pure/fair/src/pool.rs
+++ b/pure/fair-queue/src/pool.rs
@@ -7,7 +7,7 @@
 use crate::replica::Replica;
 use crate::slots::FleetSlots;
 use crate::{Peer, Time};
-use foldmux_seats::{Acts, Change, Do, Drift};
+use foldmux_replicas::{Acts, Change, Do, Drift};
 use std::collections::BTreeMap;
 
 /// Wants that fall fade (us), those that rise are taken nearly as they come: slots would else be under way after each
--- a/pure/fair/src/replica.rs
+++ b/pure/fair-queue/src/replica.rs
@@ -3,7 +3,7 @@
 use crate::division::floor;
 use crate::planted::{planted, Fault};
 use crate::{Peer, Time};
-use foldmux_seats::{Drift, Granted, Memory};
+use foldmux_replicas::{Drift, Granted, Memory};
 use std::collections::BTreeMap;
 
 /// Who wanted more is told of vacant slots for so long (us).
--- a/pure/fair/src/slots.rs
+++ b/pure/fair-queue/src/slots.rs
@@ -10,7 +10,7 @@
 use crate::pool::Pool;
 pub use crate::pool::PoolSetup;
 use crate::{Peer, Time};
-use foldmux_seats::{Acts, Change, Do, Drift, Part};
+use foldmux_replicas::{Acts, Change, Do, Drift, Part};
 use std::collections::BTreeMap;
 
 /// A pool's division is worked out anew so often, and offers and digests go out (us).
--- a/pure/fair/tests/common/checks.rs
+++ b/pure/fair-queue/tests/common/checks.rs
@@ -177,7 +177,7 @@
 
 /// What one process says of a tenant pushes it back for no longer than it lies, and a little.
 pub fn a_liar_is_bounded() -> Check {
-    use foldmux_fair::digest;
+    use foldmux_fair_queue::digest;
     let stream = |tenant: &str| Stream {
         tenant: tenant.into(),
         weight: 1.0,
--- a/pure/fair/tests/common/mod.rs
+++ b/pure/fair-queue/tests/common/mod.rs
@@ -2,13 +2,13 @@
 //! pool behind that counts what runs there under each slot.
 #![allow(dead_code)]
 
-use foldmux_fair::local::{Asked, InUse, Local, Request, Then, Ticket};
-use foldmux_fair::queue::Setup;
-use foldmux_fair::slots::{FleetSetup, PoolSetup};
-use foldmux_fair::slow::Figures;
-use foldmux_fair::tenants::{key, Weight};
-use foldmux_fair::{Ask, FleetSlots, Message, Peer, Stock, Time};
-use foldmux_seats::{Acts, Change, Do, Drift, Part, Seats};
+use foldmux_fair_queue::local::{Asked, InUse, Local, Request, Then, Ticket};
+use foldmux_fair_queue::queue::Setup;
+use foldmux_fair_queue::slots::{FleetSetup, PoolSetup};
+use foldmux_fair_queue::slow::Figures;
+use foldmux_fair_queue::tenants::{key, Weight};
+use foldmux_fair_queue::{Ask, FleetSlots, Message, Peer, Stock, Time};
+use foldmux_replicas::{Acts, Change, Do, Drift, Part, Seats};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
--- a/pure/fair/tests/common/one.rs
+++ b/pure/fair-queue/tests/common/one.rs
@@ -1,9 +1,9 @@
 //! One queue alone, in virtual time: tenants whose requests take what they take, whatever was foretold.
 #![allow(dead_code)]
 
-use foldmux_fair::queue::{Entered, Next, Place, Queue, Setup, Wish};
-use foldmux_fair::tenants::Weight;
-use foldmux_fair::Time;
+use foldmux_fair_queue::queue::{Entered, Next, Place, Queue, Setup, Wish};
+use foldmux_fair_queue::tenants::Weight;
+use foldmux_fair_queue::Time;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
--- a/pure/fair/tests/common/tenants.rs
+++ b/pure/fair-queue/tests/common/tenants.rs
@@ -268,16 +268,16 @@
     }
 
     /// What `from` tells `to` of its use.
-    pub fn digest_from(&mut self, from: usize, to: usize, told: foldmux_fair::digest::Use) {
+    pub fn digest_from(&mut self, from: usize, to: usize, told: foldmux_fair_queue::digest::Use) {
         let life = 99;
-        let digest = foldmux_fair::digest::Digest {
+        let digest = foldmux_fair_queue::digest::Digest {
             life,
             held: 1,
             uses: vec![told],
         };
         let message = Message {
             pool: POOL,
-            word: foldmux_fair::message::Word::Digest(digest),
+            word: foldmux_fair_queue::message::Word::Digest(digest),
         };
         self.fleet(to, |fleet, now, out| {
             fleet.heard(now, &peer(from), message, out)
--- a/pure/fair/tests/holds.rs
+++ b/pure/fair-queue/tests/holds.rs
@@ -4,8 +4,8 @@
 use common::checks::*;
 use common::one::{One, Tenant};
 use common::percentile;
-use foldmux_fair::queue::{Entered, Next, Queue, Wish};
-use foldmux_fair::tenants::Weight;
+use foldmux_fair_queue::queue::{Entered, Next, Queue, Wish};
+use foldmux_fair_queue::tenants::Weight;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/pure/fair/tests/planted.rs
+++ b/pure/fair-queue/tests/planted.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::checks::*;
-use foldmux_fair::planted::{plant, Fault};
+use foldmux_fair_queue::planted::{plant, Fault};
 use std::time::Instant;
 
 fn found(fault: Fault, check: impl Fn(u64) -> Check) {
--- a/pure/repeats/tests/states/main.rs
+++ b/pure/idempotency/tests/states/main.rs
@@ -3,8 +3,8 @@
 
 mod model;
 
-use foldmux_repeats::ledger::{Entry, Grant, Ledger, STORED_LENGTH};
-use foldmux_repeats::token::{Mark, Token};
+use foldmux_idempotency::ledger::{Entry, Grant, Ledger, STORED_LENGTH};
+use foldmux_idempotency::token::{Mark, Token};
 use model::{Model, Shown, Step, KEYS, MOST, RULE};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/pure/repeats/tests/states/model.rs
+++ b/pure/idempotency/tests/states/model.rs
@@ -1,7 +1,7 @@
 //! The plain model: each key's whole history.
 
-use foldmux_repeats::ledger::{End, Grant, Refusal, Rule};
-use foldmux_repeats::Millis;
+use foldmux_idempotency::ledger::{End, Grant, Refusal, Rule};
+use foldmux_idempotency::Millis;
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
 use std::collections::BTreeMap;
--- a/pure/reports/src/asking.rs
+++ b/pure/load-reports/src/asking.rs
@@ -1,7 +1,7 @@
 //! When a probe pays: only where its answer may change a choice that is about to be made often enough, and for no more
 //! than it is worth.
 
-use foldmux_figures::Time;
+use foldmux_stats::Time;
 use std::collections::BTreeMap;
 
 /// A report that is believed less than this says too little to go by.
--- a/pure/reports/src/ear.rs
+++ b/pure/load-reports/src/ear.rs
@@ -4,7 +4,7 @@
 use crate::asking::{Asking, Case};
 use crate::fields::{Fields, Load};
 use crate::heard::Reports;
-use foldmux_figures::{Rate, Time};
+use foldmux_stats::{Rate, Time};
 use std::collections::BTreeMap;
 
 /// A crowding that moved by less than this is not told again.
--- a/pure/reports/src/heard.rs
+++ b/pure/load-reports/src/heard.rs
@@ -1,8 +1,8 @@
 //! Reports by server: how old each is, what was sent since, and how crowded its server is beside the others.
 
 use crate::fields::Load;
-use foldmux_figures::mean;
-use foldmux_figures::Time;
+use foldmux_stats::mean;
+use foldmux_stats::Time;
 use std::collections::BTreeMap;
 
 /// Most servers of which reports are kept; of more, the one longest not heard of goes.
--- a/pure/reports/src/lib.rs
+++ b/pure/load-reports/src/lib.rs
@@ -3,7 +3,7 @@
 //! together as a router's host keeps them ([`Ear`], [`Beside`]).
 //!
 //! Owns: the names and the bounds of fields, reports by server, the price of asking. May not: choose a server, do I/O, read
-//! a clock (times are passed in, in microseconds), draw chance or start threads. It depends on `foldmux-figures` and on the words of the
+//! a clock (times are passed in, in microseconds), draw chance or start threads. It depends on `foldmux-stats` and on the words of the
 //! module's interface.
 //! All it keeps is bounded. Nothing here fails: what can't be read is missing, and what is missing counts as average.
 
--- a/pure/reports/tests/ear.rs
+++ b/pure/load-reports/tests/ear.rs
@@ -1,7 +1,7 @@
 //! What a host hears of a router's servers: told in steps, asked within bounds, forgotten with the process.
 
-use foldmux_reports::ear::Server;
-use foldmux_reports::{Ear, Fields, Load, Setup, Tell};
+use foldmux_load_reports::ear::Server;
+use foldmux_load_reports::{Ear, Fields, Load, Setup, Tell};
 
 const MS: u64 = 1_000;
 const START: u64 = 1_000_000_000;
--- a/pure/reports/tests/hard.rs
+++ b/pure/load-reports/tests/hard.rs
@@ -1,8 +1,8 @@
 //! The hard cases of reports and probes, without sockets.
 
-use foldmux_reports::asking::{Case, OUT};
-use foldmux_reports::heard::SERVERS;
-use foldmux_reports::{Asking, Load, Reports};
+use foldmux_load_reports::asking::{Case, OUT};
+use foldmux_load_reports::heard::SERVERS;
+use foldmux_load_reports::{Asking, Load, Reports};
 
 const MS: u64 = 1_000;
 const START: u64 = 1_000_000_000;
--- a/pure/members/src/admission.rs
+++ b/pure/membership/src/admission.rs
@@ -4,7 +4,7 @@
 use crate::who::Who;
 use crate::{Packet, PACKET};
 use foca::{Codec, Header, Identity, Member, PostcardCodec};
-use foldmux_seats::Peer;
+use foldmux_replicas::Peer;
 use std::collections::BTreeSet;
 
 /// Why a packet stays outside. The count of these is the operator's.
--- a/pure/members/src/lib.rs
+++ b/pure/membership/src/lib.rs
@@ -1,6 +1,6 @@
 //! Who is in the fleet, and who seems alive: SWIM (joins, suspicion, refutation by incarnation, leaving on
 //! purpose, restart under the same name), over the library `foca`, as a pure part of the form of
-//! `foldmux-seats`.
+//! `foldmux-replicas`.
 //!
 //! Owns: the identity of a process and which life of it holds ([`Who`]), what is taken in of packets, foca's
 //! timers and chance, what is told of peers ([`Told`], [`Seen`]). May not: do I/O, read a clock, start
@@ -23,7 +23,7 @@
 pub use told::{Seen, State, Told};
 pub use who::{Who, NAME};
 
-use foldmux_seats::Peer;
+use foldmux_replicas::Peer;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
--- a/pure/members/src/members.rs
+++ b/pure/membership/src/members.rs
@@ -6,7 +6,7 @@
 use crate::who::Who;
 use crate::{BadMembers, Pace};
 use foca::{AccumulatingRuntime, Foca, Member, NoCustomBroadcast, PostcardCodec, Timer};
-use foldmux_seats::{Peer, Time};
+use foldmux_replicas::{Peer, Time};
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use std::collections::BTreeMap;
 use std::num::NonZeroUsize;
--- a/pure/members/src/members/effects.rs
+++ b/pure/membership/src/members/effects.rs
@@ -5,7 +5,7 @@
 use crate::who::Who;
 use crate::Packet;
 use foca::{Member, OwnedNotification};
-use foldmux_seats::{Acts, Do, Time};
+use foldmux_replicas::{Acts, Do, Time};
 
 impl Members {
     /// What foca wants done, until it wants nothing more.
--- a/pure/members/src/members/part.rs
+++ b/pure/membership/src/members/part.rs
@@ -5,7 +5,7 @@
 use crate::told::{Seen, Told};
 use crate::{Ask, Packet};
 use foca::Member;
-use foldmux_seats::{Acts, Do, Part, Peer, Time};
+use foldmux_replicas::{Acts, Do, Part, Peer, Time};
 
 impl Part for Members {
     type Message = Packet;
--- a/pure/members/src/pace.rs
+++ b/pure/membership/src/pace.rs
@@ -2,7 +2,7 @@
 //! follows.
 
 use foca::{Config, PeriodicParams};
-use foldmux_seats::Time;
+use foldmux_replicas::Time;
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
--- a/pure/members/src/timers.rs
+++ b/pure/membership/src/timers.rs
@@ -3,7 +3,7 @@
 
 use crate::who::Who;
 use foca::Timer;
-use foldmux_seats::{Peer, Time};
+use foldmux_replicas::{Peer, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a timer is for, in the order that foca wants of two that are due at once.
--- a/pure/members/src/told.rs
+++ b/pure/membership/src/told.rs
@@ -2,7 +2,7 @@
 
 use crate::who::Who;
 use foca::Member;
-use foldmux_seats::Peer;
+use foldmux_replicas::Peer;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
--- a/pure/members/src/who.rs
+++ b/pure/membership/src/who.rs
@@ -1,6 +1,6 @@
 //! The identity of a process to the others: its name, where it is, and which life of it speaks.
 
-use foldmux_seats::Peer;
+use foldmux_replicas::Peer;
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
--- a/pure/members/tests/common/mod.rs
+++ b/pure/membership/tests/common/mod.rs
@@ -2,8 +2,8 @@
 //! start again.
 #![allow(dead_code)]
 
-use foldmux_members::*;
-use foldmux_seats::{Do, Part, Peer, Time};
+use foldmux_membership::*;
+use foldmux_replicas::{Do, Part, Peer, Time};
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/pure/members/tests/door.rs
+++ b/pure/membership/tests/door.rs
@@ -1,8 +1,8 @@
 //! What comes from a peer that is mad: it costs a count, and never more room than was given.
 
 use foca::{Codec, Header, Member, Message, PostcardCodec};
-use foldmux_members::*;
-use foldmux_seats::{Acts, Do, Part, Peer};
+use foldmux_membership::*;
+use foldmux_replicas::{Acts, Do, Part, Peer};
 use proptest::prelude::*;
 
 fn who(name: &str, born: u64) -> Who {
--- a/pure/members/tests/fleet.rs
+++ b/pure/membership/tests/fleet.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use foldmux_members::*;
-use foldmux_seats::Time;
+use foldmux_membership::*;
+use foldmux_replicas::Time;
 
 const SEEDS: u64 = 4;
 
--- a/pure/members/tests/planted.rs
+++ b/pure/membership/tests/planted.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use foldmux_members::planted::{plant, Fault};
-use foldmux_members::*;
+use foldmux_membership::planted::{plant, Fault};
+use foldmux_membership::*;
 
 /// A restart, a leave and a pause of ten members: what of it is not as it should be.
 fn broken() -> Option<&'static str> {
--- a/pure/members/tests/states.rs
+++ b/pure/membership/tests/states.rs
@@ -2,8 +2,8 @@
 //! generation holds, no older life comes back, and what was told agrees with what is seen.
 
 use foca::{Codec, Header, Member, Message, PostcardCodec};
-use foldmux_members::*;
-use foldmux_seats::{Do, Part, Peer};
+use foldmux_membership::*;
+use foldmux_replicas::{Do, Part, Peer};
 use proptest::prelude::*;
 use proptest_state_machine::{prop_state_machine, ReferenceStateMachine, StateMachineTest};
 use std::collections::{BTreeMap, BTreeSet};
--- a/pure/relay/src/asks.rs
+++ b/pure/relay/src/asks.rs
@@ -3,7 +3,7 @@
 use crate::part::{Level, Relay};
 use crate::readers::Reader;
 use crate::types::{Ask, Refused, Told};
-use foldmux_seats::Time;
+use foldmux_replicas::Time;
 
 impl Relay {
     /// The flow that has something to settle.
--- a/pure/relay/src/context.rs
+++ b/pure/relay/src/context.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::Message;
 use crate::types::{Setup, Stream, Told};
-use foldmux_seats::{Do, Peer, Time};
+use foldmux_replicas::{Do, Peer, Time};
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
--- a/pure/relay/src/election.rs
+++ b/pure/relay/src/election.rs
@@ -3,7 +3,7 @@
 //! the source and no promise.
 
 use crate::types::Branch;
-use foldmux_seats::{order, Drift, Granted, Held, Memory, Peer, Seats, Time, Votes};
+use foldmux_replicas::{order, Drift, Granted, Held, Memory, Peer, Seats, Time, Votes};
 use std::collections::BTreeMap;
 
 /// Who may relay a branch, next first, and who is passed over for now.
--- a/pure/relay/src/flow.rs
+++ b/pure/relay/src/flow.rs
@@ -4,7 +4,7 @@
 use crate::part::{Level, Relay};
 use crate::readers::Run;
 use crate::types::{Ended, Event, Told};
-use foldmux_seats::{Peer, Time};
+use foldmux_replicas::{Peer, Time};
 
 impl Relay {
     pub(crate) fn tick_flow(&mut self, now: Time, f: usize) {
--- a/pure/relay/src/follow.rs
+++ b/pure/relay/src/follow.rs
@@ -9,7 +9,7 @@
 use crate::ring::Ring;
 use crate::source::Source;
 use crate::types::{Branch, Event, Place, Slow, Stream, Told};
-use foldmux_seats::{Peer, Time};
+use foldmux_replicas::{Peer, Time};
 
 /// A subscription at a relay.
 pub(crate) struct Link {
--- a/pure/relay/src/lease.rs
+++ b/pure/relay/src/lease.rs
@@ -5,7 +5,7 @@
 use crate::messages::Message;
 use crate::planted::{planted, Fault};
 use crate::role::Role;
-use foldmux_seats::{Peer, Time};
+use foldmux_replicas::{Peer, Time};
 
 impl Role {
     pub(crate) fn ask(&mut self, now: Time, shared: &mut Shared) {
--- a/pure/relay/src/links.rs
+++ b/pure/relay/src/links.rs
@@ -5,7 +5,7 @@
 use crate::messages::Message;
 use crate::planted::{planted, Fault};
 use crate::types::{Event, Told};
-use foldmux_seats::{Peer, Time};
+use foldmux_replicas::{Peer, Time};
 
 /// How often it goes on to another at a relay's word, until it chooses again itself.
 const HOPS: u32 = 4;
--- a/pure/relay/src/messages.rs
+++ b/pure/relay/src/messages.rs
@@ -1,7 +1,7 @@
 //! What processes say to each other of a stream.
 
 use crate::types::{Branch, Event, Place};
-use foldmux_seats::{Peer, Time};
+use foldmux_replicas::{Peer, Time};
 use serde::{Deserialize, Serialize};
 
 /// Between processes.
--- a/pure/relay/src/next.rs
+++ b/pure/relay/src/next.rs
@@ -3,7 +3,7 @@
 use crate::planted::{planted, Fault};
 use crate::ring::{Kept, Ring};
 use crate::types::{Event, First, Item, Place};
-use foldmux_seats::Time;
+use foldmux_replicas::Time;
 
 impl Ring {
     pub(crate) fn given(kept: &Kept, now: Time) -> Item {
--- a/pure/relay/src/part.rs
+++ b/pure/relay/src/part.rs
@@ -8,7 +8,7 @@
 use crate::role::Role;
 use crate::source::Source;
 use crate::types::*;
-use foldmux_seats::{Acts, Do, Part, Peer, Time};
+use foldmux_replicas::{Acts, Do, Part, Peer, Time};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/pure/relay/src/readers.rs
+++ b/pure/relay/src/readers.rs
@@ -4,7 +4,7 @@
 use crate::planted::{planted, Fault};
 use crate::ring::Ring;
 use crate::types::{Event, Place, Slow};
-use foldmux_seats::Time;
+use foldmux_replicas::Time;
 use std::collections::BTreeMap;
 
 /// Told at once, at most: the rest comes with the next turn.
--- a/pure/relay/src/ring.rs
+++ b/pure/relay/src/ring.rs
@@ -3,7 +3,7 @@
 
 use crate::planted::{planted, Fault};
 use crate::types::{First, Item, Place, Slow, Stream};
-use foldmux_seats::Time;
+use foldmux_replicas::Time;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
--- a/pure/relay/src/role.rs
+++ b/pure/relay/src/role.rs
@@ -8,7 +8,7 @@
 use crate::readers::{Reader, Readers};
 use crate::ring::Ring;
 use crate::types::{Branch, Place, Slow, Stream};
-use foldmux_seats::{Peer, Time};
+use foldmux_replicas::{Peer, Time};
 use std::collections::BTreeMap;
 
 /// Patiences without a word from one that it feeds, until it counts as gone: it acknowledges every beat.
--- a/pure/relay/src/source.rs
+++ b/pure/relay/src/source.rs
@@ -3,7 +3,7 @@
 
 use crate::ring::{Put, Ring};
 use crate::types::{Item, Stream};
-use foldmux_seats::Time;
+use foldmux_replicas::Time;
 
 pub struct Source {
     pub ring: Ring,
--- a/pure/relay/src/types.rs
+++ b/pure/relay/src/types.rs
@@ -1,6 +1,6 @@
 //! The types of the part: streams, places in them, what processes say to each other, what a process asks and is told.
 
-use foldmux_seats::{Drift, Peer, Seats, Time};
+use foldmux_replicas::{Drift, Peer, Seats, Time};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
--- a/pure/relay/tests/world/faults.rs
+++ b/pure/relay/tests/world/faults.rs
@@ -2,7 +2,7 @@
 
 use super::{Process, What, World, LEASE, MS, SOURCE};
 use foldmux_relay::{Ask, Place, Relay, Setup};
-use foldmux_seats::{Drift, Part, Peer, Seats, Time};
+use foldmux_replicas::{Drift, Part, Peer, Seats, Time};
 
 impl World {
     /// kill -9: its readers go with it.
--- a/pure/relay/tests/world/io.rs
+++ b/pure/relay/tests/world/io.rs
@@ -2,7 +2,7 @@
 
 use super::{What, World, LOST, MS, SOURCE, WAIT};
 use foldmux_relay::{Message, Place, Told};
-use foldmux_seats::{Do, Part, Peer};
+use foldmux_replicas::{Do, Part, Peer};
 use rand::RngExt;
 
 impl World {
--- a/pure/relay/tests/world/mod.rs
+++ b/pure/relay/tests/world/mod.rs
@@ -8,7 +8,7 @@
 pub mod model;
 
 use foldmux_relay::{Ask, First, Item, Message, Place, Relay, Slow, Stream};
-use foldmux_seats::{Part, Peer, Time};
+use foldmux_replicas::{Part, Peer, Time};
 use model::{Log, Model};
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
--- a/pure/relay/tests/world/model.rs
+++ b/pure/relay/tests/world/model.rs
@@ -1,7 +1,7 @@
 //! The plain model: what the source told, and what one reader may be told of it.
 
 use foldmux_relay::{Event, First, Item, Place, Slow, Stream};
-use foldmux_seats::Time;
+use foldmux_replicas::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// All that the source told in its epoch, and in those before.
--- a/pure/seats/src/change.rs
+++ b/pure/replicas/src/change.rs
@@ -25,7 +25,7 @@
 /// alone while another asks the new list alone: links tell such pairs by [`Seats::mark`].
 ///
 /// ```
-/// use foldmux_seats::{Change, Drift, Peer, Seats};
+/// use foldmux_replicas::{Change, Drift, Peer, Seats};
 /// let old = Seats::new(["n1", "n2", "n3"].map(Peer::new)).unwrap();
 /// let new = Seats::new(["n4", "n5", "n6"].map(Peer::new)).unwrap();
 /// let mut list = Change::settled(old);
--- a/pure/seats/src/lease.rs
+++ b/pure/replicas/src/lease.rs
@@ -75,7 +75,7 @@
 /// The holder's side of a lease that a majority granted.
 ///
 /// ```
-/// use foldmux_seats::{Drift, Held};
+/// use foldmux_replicas::{Drift, Held};
 /// let held = Held::new(1_000, 500_000, Drift::percent(1.0).unwrap());
 /// assert!(held.holds(490_000) && !held.holds(491_000));
 /// ```
--- a/pure/seats/src/memory.rs
+++ b/pure/replicas/src/memory.rs
@@ -7,7 +7,7 @@
 /// Whether a seat knows all that it ever granted.
 ///
 /// ```
-/// use foldmux_seats::{Drift, Memory};
+/// use foldmux_replicas::{Drift, Memory};
 /// let (lease, keep, deadline) = (500_000, 2_000_000, 10_000_000);
 /// let fresh = Memory::fresh(0, &[lease, keep, deadline], Drift::default());
 /// assert!(!fresh.speaks(10_000_000) && fresh.speaks(10_300_001));
--- a/pure/seats/src/order.rs
+++ b/pure/replicas/src/order.rs
@@ -28,7 +28,7 @@
 /// The peers in a key's order, next in line first; equal names stand side by side.
 ///
 /// ```
-/// use foldmux_seats::{order, Peer};
+/// use foldmux_replicas::{order, Peer};
 /// let peers = ["n1", "n2", "n3"].map(Peer::new);
 /// let line = order::of(b"key", &peers);
 /// let left = order::of(b"key", peers.iter().filter(|peer| *peer != line[0]));
--- a/pure/seats/src/seats.rs
+++ b/pure/replicas/src/seats.rs
@@ -39,7 +39,7 @@
 /// The names that the operator lists as seats; their order has no meaning.
 ///
 /// ```
-/// use foldmux_seats::{Peer, Seats};
+/// use foldmux_replicas::{Peer, Seats};
 /// let seats = Seats::new(["n1", "n2", "n3", "n4"].map(Peer::new)).unwrap();
 /// let again = Seats::new(["n4", "n2", "n1", "n3"].map(Peer::new)).unwrap();
 /// assert_eq!(seats.of(b"key"), again.of(b"key"));
--- a/pure/seats/src/votes.rs
+++ b/pure/replicas/src/votes.rs
@@ -7,7 +7,7 @@
 /// nothing. A question asked again (another term, another renewal) has votes of its own.
 ///
 /// ```
-/// use foldmux_seats::{Peer, Seats, Votes};
+/// use foldmux_replicas::{Peer, Seats, Votes};
 /// let seats = Seats::new(["n1", "n2", "n3"].map(Peer::new)).unwrap();
 /// let mut votes = Votes::new(seats.of(b"key"));
 /// votes.grant(&Peer::new("n2"));
--- a/pure/seats/tests/lease.rs
+++ b/pure/replicas/tests/lease.rs
@@ -1,6 +1,6 @@
 //! Two clocks within the drift: what the holder's says is over before what the granter's says, in real time.
 
-use foldmux_seats::{BadDrift, Drift, Granted, Held, Memory, Time};
+use foldmux_replicas::{BadDrift, Drift, Granted, Held, Memory, Time};
 use proptest::prelude::*;
 
 /// A clock that shows whole microseconds of nanoseconds, run at a rate in millionths.
--- a/pure/seats/tests/model/state.rs
+++ b/pure/replicas/tests/model/state.rs
@@ -1,6 +1,6 @@
 //! The state of the walk, and what the crate's rules make of it.
 
-use foldmux_seats::{Drift, Granted, Held, Memory, Peer, Seats, Time, Votes};
+use foldmux_replicas::{Drift, Granted, Held, Memory, Peer, Seats, Time, Votes};
 
 pub const HOLDERS: usize = 2;
 pub const SEATS: usize = 3;
--- a/pure/seats/tests/planted.rs
+++ b/pure/replicas/tests/planted.rs
@@ -3,7 +3,7 @@
 
 mod model;
 
-use foldmux_seats::planted::{on, plant, Fault};
+use foldmux_replicas::planted::{on, plant, Fault};
 use model::Slot;
 use stateright::{Checker, HasDiscoveries, Model};
 
--- a/pure/seats/tests/seats.rs
+++ b/pure/replicas/tests/seats.rs
@@ -1,6 +1,6 @@
 //! The seats of keys, the votes of seats, and a change of their list, against plain readings of the rules.
 
-use foldmux_seats::*;
+use foldmux_replicas::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
--- a/pure/takeover/src/claim.rs
+++ b/pure/takeover/src/claim.rs
@@ -8,7 +8,7 @@
 use crate::part::At;
 use crate::record::{Answer, Ballot, Key, Record, Work};
 use crate::setup::Fault;
-use foldmux_seats::{Peer, Time};
+use foldmux_replicas::{Peer, Time};
 use std::sync::Arc;
 
 pub type Reply = (Verdict, Ballot, Option<Record>);
--- a/pure/takeover/src/grant.rs
+++ b/pure/takeover/src/grant.rs
@@ -5,7 +5,7 @@
 use crate::record::{Ballot, Key, Record, Work};
 use crate::replica::{Held, Replica, WATCHERS};
 use crate::setup::Fault;
-use foldmux_seats::Time;
+use foldmux_replicas::Time;
 use std::sync::Arc;
 
 impl Replica {
--- a/pure/takeover/src/holding.rs
+++ b/pure/takeover/src/holding.rs
@@ -6,7 +6,7 @@
 use crate::part::At;
 use crate::record::{Ballot, Key, Record};
 use crate::setup::Fault;
-use foldmux_seats::{Held, Peer, Time};
+use foldmux_replicas::{Held, Peer, Time};
 
 /// A write that somebody waits for.
 #[derive(Clone, Debug)]
--- a/pure/takeover/src/join.rs
+++ b/pure/takeover/src/join.rs
@@ -5,7 +5,7 @@
 use crate::owner::Owner;
 use crate::part::At;
 use crate::record::{Key, Uncovered, Work};
-use foldmux_seats::Time;
+use foldmux_replicas::Time;
 use std::sync::Arc;
 
 /// A client that waits here for a key.
--- a/pure/takeover/src/kept.rs
+++ b/pure/takeover/src/kept.rs
@@ -5,7 +5,7 @@
 use crate::record::{Ballot, Key, Record};
 use crate::replica::{Held, Replica};
 use crate::setup::Setup;
-use foldmux_seats::{Memory, Time};
+use foldmux_replicas::{Memory, Time};
 use serde::{Deserialize, Serialize};
 
 /// Spans in it are right at the moment at which it was taken.
--- a/pure/takeover/src/message.rs
+++ b/pure/takeover/src/message.rs
@@ -1,7 +1,7 @@
 //! What passes between processes, what a process asks, and what it is told.
 
 use crate::record::{Answer, Attempt, Ballot, End, Key, Proof, Record, Work};
-use foldmux_seats::Time;
+use foldmux_replicas::Time;
 use serde::{Deserialize, Serialize};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
--- a/pure/takeover/src/owner.rs
+++ b/pure/takeover/src/owner.rs
@@ -9,7 +9,7 @@
 use crate::record::{Answer, Ballot, Key, Record, Repeat};
 use crate::setup::Fault;
 use crate::timers::Timers;
-use foldmux_seats::{Peer, Time};
+use foldmux_replicas::{Peer, Time};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug, Default)]
--- a/pure/takeover/src/part.rs
+++ b/pure/takeover/src/part.rs
@@ -5,8 +5,8 @@
 use crate::record::Key;
 use crate::replica::Replica;
 use crate::setup::Setup;
-use foldmux_seats::part::Acts;
-use foldmux_seats::{order, Do, Part, Peer, Time};
+use foldmux_replicas::part::Acts;
+use foldmux_replicas::{order, Do, Part, Peer, Time};
 use std::collections::BTreeSet;
 
 pub type Out = Vec<Do<Message, Told>>;
--- a/pure/takeover/src/record.rs
+++ b/pure/takeover/src/record.rs
@@ -1,7 +1,7 @@
 //! What is kept of one covered request, and what it proves. Times in it are spans, right at the moment that goes with
 //! it: two processes' clocks are never compared.
 
-use foldmux_seats::{Peer, Time};
+use foldmux_replicas::{Peer, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/pure/takeover/src/replica.rs
+++ b/pure/takeover/src/replica.rs
@@ -6,7 +6,7 @@
 use crate::record::{Ballot, Key, Record};
 use crate::setup::{Fault, Setup};
 use crate::timers::Timers;
-use foldmux_seats::{Do, Memory, Peer, Time};
+use foldmux_replicas::{Do, Memory, Peer, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Processes that a replica tells of a key's next change; one more looks again by itself.
--- a/pure/takeover/src/setup.rs
+++ b/pure/takeover/src/setup.rs
@@ -1,7 +1,7 @@
 //! What a process's takeover part is told at its start.
 
 use crate::record::Rules;
-use foldmux_seats::{Drift, Peer, Seats, Time};
+use foldmux_replicas::{Drift, Peer, Seats, Time};
 
 #[derive(Clone, Debug)]
 pub struct Setup {
--- a/pure/takeover/src/successor.rs
+++ b/pure/takeover/src/successor.rs
@@ -9,7 +9,7 @@
 use crate::record::{Answer, Key, Proof, Unclaimed};
 use crate::replica::Replica;
 use crate::setup::Fault;
-use foldmux_seats::{Do, Peer};
+use foldmux_replicas::{Do, Peer};
 
 /// How often a replica looks for a successor: each may die in its turn, but not without end.
 const SUCCESSORS: usize = 8;
--- a/pure/takeover/src/timers.rs
+++ b/pure/takeover/src/timers.rs
@@ -1,7 +1,7 @@
 //! One time for each key at which something is to be done about it.
 
 use crate::record::Key;
-use foldmux_seats::Time;
+use foldmux_replicas::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug, Default)]
--- a/pure/takeover/tests/bounds.rs
+++ b/pure/takeover/tests/bounds.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{name, setup, Plan, MS};
-use foldmux_seats::{Do, Part};
+use foldmux_replicas::{Do, Part};
 use foldmux_takeover::*;
 use std::collections::HashSet;
 use std::sync::Arc;
--- a/pure/takeover/tests/common/acts.rs
+++ b/pure/takeover/tests/common/acts.rs
@@ -2,7 +2,7 @@
 
 use super::world::{Event, World};
 use super::{name, setup, Act};
-use foldmux_seats::Part;
+use foldmux_replicas::Part;
 use foldmux_takeover::{Ask, Takeover};
 
 impl World {
--- a/pure/takeover/tests/common/mod.rs
+++ b/pure/takeover/tests/common/mod.rs
@@ -8,7 +8,7 @@
 pub mod plans;
 pub mod world;
 
-use foldmux_seats::{Drift, Peer, Seats};
+use foldmux_replicas::{Drift, Peer, Seats};
 use foldmux_takeover::{Fault, Repeat, Rule, Setup, Unclaimed, Uncovered};
 use std::sync::Arc;
 
--- a/pure/takeover/tests/common/world.rs
+++ b/pure/takeover/tests/common/world.rs
@@ -3,7 +3,7 @@
 use super::archive::{Archive, Came};
 use super::host::{Client, Host, Purpose};
 use super::{name, Act, Draw, Plan, Verdict, LONGEST, MS};
-use foldmux_seats::{Do, Part};
+use foldmux_replicas::{Do, Part};
 use foldmux_takeover::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
--- a/pure/takeover/tests/small/mod.rs
+++ b/pure/takeover/tests/small/mod.rs
@@ -1,7 +1,7 @@
 //! The small fleet's state and its steps.
 
 use super::common::{host::work, rule, OWN_WINDOW};
-use foldmux_seats::{Do, Drift, Part, Peer, Seats};
+use foldmux_replicas::{Do, Drift, Part, Peer, Seats};
 use foldmux_takeover::*;
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
--- a/rigs/demo/src/day.rs
+++ b/rigs/demo/src/day.rs
@@ -2,13 +2,13 @@
 //! that asks it, and sends by itself. What the module's result is worth, and which share of it is kept.
 
 use crate::extproc::Instance;
-use foldmux_standins::cache::Cache;
-use foldmux_standins::caller::{Caller, Setup};
-use foldmux_standins::client::Client;
-use foldmux_standins::journal::{hosts, Host, Journal};
-use foldmux_standins::rpc::{Said, Terminal};
-use foldmux_standins::source::{Act, Source};
-use foldmux_standins::unix_ms;
+use foldmux_fakes::cache::Cache;
+use foldmux_fakes::caller::{Caller, Setup};
+use foldmux_fakes::client::Client;
+use foldmux_fakes::journal::{hosts, Host, Journal};
+use foldmux_fakes::rpc::{Said, Terminal};
+use foldmux_fakes::source::{Act, Source};
+use foldmux_fakes::unix_ms;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -71,7 +71,7 @@
         let Some(client) = &self.1 else { return false };
         let fields = "via-wait: 2000\r\nx-foldmux-size-kb: 12\r\nx-foldmux-group: 1\r\n";
         match client.get(
-            &foldmux_standins::client::path("formula-card", object, 0),
+            &foldmux_fakes::client::path("formula-card", object, 0),
             fields,
         ) {
             Ok(answer) => answer.status == 200 && answer.body.len() == LENGTH,
--- a/rigs/demo/src/extproc.rs
+++ b/rigs/demo/src/extproc.rs
@@ -10,10 +10,10 @@
 pub use report::Report;
 
 use faults::{cache, draw, play};
-use foldmux_standins::body;
-use foldmux_standins::caller::{hold, Caller, Counts, Request, Setup};
-use foldmux_standins::guarded::Guarded;
-use foldmux_standins::source::{Act, Source};
+use foldmux_fakes::body;
+use foldmux_fakes::caller::{hold, Caller, Counts, Request, Setup};
+use foldmux_fakes::guarded::Guarded;
+use foldmux_fakes::source::{Act, Source};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -102,7 +102,7 @@
                     let object = draw(seed, &[number, 3]) % 500;
                     let request = match card {
                         true => {
-                            Request::get(&foldmux_standins::client::path("formula-card", object, 0))
+                            Request::get(&foldmux_fakes::client::path("formula-card", object, 0))
                         }
                         false => {
                             let key = format!("{seed:x}-{number}");
--- a/rigs/demo/src/extproc/faults.rs
+++ b/rigs/demo/src/extproc/faults.rs
@@ -1,10 +1,10 @@
 //! The faults of a run: what caches and the calling proxy do to attempts, the same for the same seed.
 
 use super::LENGTH;
-use foldmux_standins::caller::{Play, Point};
-use foldmux_standins::guarded::Guarded;
-use foldmux_standins::source::{Act, Source};
-use foldmux_standins::unix_ms;
+use foldmux_fakes::caller::{Play, Point};
+use foldmux_fakes::guarded::Guarded;
+use foldmux_fakes::source::{Act, Source};
+use foldmux_fakes::unix_ms;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::thread;
--- a/rigs/demo/src/hubs.rs
+++ b/rigs/demo/src/hubs.rs
@@ -7,11 +7,11 @@
 mod terminal;
 
 use files::{configuration, operator, Wiring, HUBS, OFFICES};
-use foldmux_standins::cache::Cache;
-use foldmux_standins::journal::{hosts, purged, Host, Journal};
-use foldmux_standins::rpc::Terminal;
-use foldmux_standins::source::{Act, Source};
-use foldmux_standins::unix_ms;
+use foldmux_fakes::cache::Cache;
+use foldmux_fakes::journal::{hosts, purged, Host, Journal};
+use foldmux_fakes::rpc::Terminal;
+use foldmux_fakes::source::{Act, Source};
+use foldmux_fakes::unix_ms;
 use process::Process;
 use std::collections::{BTreeMap, HashMap};
 use std::net::{SocketAddr, TcpListener};
--- a/rigs/demo/src/hubs/files.rs
+++ b/rigs/demo/src/hubs/files.rs
@@ -1,6 +1,6 @@
 //! The files that the demo's processes read.
 
-use foldmux_standins::journal::Journal;
+use foldmux_fakes::journal::Journal;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/rigs/demo/src/hubs/table.rs
+++ b/rigs/demo/src/hubs/table.rs
@@ -3,7 +3,7 @@
 use super::files::HUBS;
 use super::terminal::Counts;
 use super::ArchiveLog;
-use foldmux_standins::client;
+use foldmux_fakes::client;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/rigs/demo/src/hubs/terminal.rs
+++ b/rigs/demo/src/hubs/terminal.rs
@@ -1,7 +1,7 @@
 //! The counter terminals: they ask one thing after another and check each answer.
 
-use foldmux_standins::rpc::{Said, Terminal};
-use foldmux_standins::{body, unix_ms};
+use foldmux_fakes::rpc::{Said, Terminal};
+use foldmux_fakes::{body, unix_ms};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/rigs/demo/src/main.rs
+++ b/rigs/demo/src/main.rs
@@ -4,7 +4,7 @@
 mod hubs;
 
 use foldmux_demo::extproc::Trial;
-use foldmux_standins::unix_ms;
+use foldmux_fakes::unix_ms;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Instant;
--- a/rigs/fleetlab/src/command.rs
+++ b/rigs/fleet-simulator/src/command.rs
@@ -1,4 +1,4 @@
-//! `foldmux-lab fleet`: one run, its table; one that breaks something is shrunk and written to a file.
+//! `foldmux-simulator fleet`: one run, its table; one that breaks something is shrunk and written to a file.
 
 use crate::plan::{Plan, SECOND};
 use crate::{run, shrink::shrink, told};
--- a/rigs/fleetlab/src/happen.rs
+++ b/rigs/fleet-simulator/src/happen.rs
@@ -4,11 +4,11 @@
 use crate::node::{Kind, Local, Parts, Wire};
 use crate::plan::*;
 use crate::Ends;
-use foldmux_fair::FleetSlots;
-use foldmux_members::{self as members, Members};
+use foldmux_fair_queue::FleetSlots;
+use foldmux_harness::record::{Event as Said, Time};
+use foldmux_membership::{self as members, Members};
 use foldmux_relay::Relay;
-use foldmux_rig::record::{Event as Said, Time};
-use foldmux_seats::Part;
+use foldmux_replicas::Part;
 use foldmux_takeover::Takeover;
 
 impl World {
--- a/rigs/fleetlab/src/lib.rs
+++ b/rigs/fleet-simulator/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! Owns: the hosts of the parts ([`work`], [`news`], [`pools`]), the links ([`net`]), the faults and how a list of them that
 //! breaks an invariant is made short ([`plan`], [`shrink`]). May not: judge: what happens is written as the rig writes it,
-//! and `foldmux_rig::check` reads it. All chance is from one seed, and no clock is read: a plan gives the same run each time.
+//! and `foldmux_harness::check` reads it. All chance is from one seed, and no clock is read: a plan gives the same run each time.
 
 pub mod command;
 mod happen;
@@ -18,7 +18,7 @@
 
 pub use plan::{Breaks, Fault, Plan, Rates, What};
 
-use foldmux_rig::check::{self, Verdict};
+use foldmux_harness::check::{self, Verdict};
 
 /// What became of a run.
 #[derive(Debug)]
--- a/rigs/fleetlab/src/news.rs
+++ b/rigs/fleet-simulator/src/news.rs
@@ -3,9 +3,9 @@
 use crate::net::{Event, World};
 use crate::node::{stream, Local};
 use crate::plan::*;
+use foldmux_harness::record::{Event as Said, Time};
 use foldmux_relay::{Ask, Event as News, Item, Place, Relay, Told};
-use foldmux_rig::record::{Event as Said, Time};
-use foldmux_seats::Part;
+use foldmux_replicas::Part;
 use std::collections::BTreeMap;
 
 /// A poll without news, and one that is lost.
--- a/rigs/fleetlab/src/node.rs
+++ b/rigs/fleet-simulator/src/node.rs
@@ -4,12 +4,12 @@
 use crate::plan::*;
 use crate::pools::Pools;
 use crate::work::Desk;
-use foldmux_fair::slots::{FleetSetup, PoolSetup};
-use foldmux_fair::FleetSlots;
-use foldmux_members as members;
+use foldmux_fair_queue::slots::{FleetSetup, PoolSetup};
+use foldmux_fair_queue::FleetSlots;
+use foldmux_harness::record::Time;
+use foldmux_membership as members;
 use foldmux_relay as relay;
-use foldmux_rig::record::Time;
-use foldmux_seats::{Change, Part, Peer};
+use foldmux_replicas::{Change, Part, Peer};
 use foldmux_takeover as takeover;
 use std::sync::Arc;
 
@@ -25,7 +25,7 @@
     Members(members::Packet),
     Takeover(takeover::Message),
     Relay(relay::Message),
-    Slots(foldmux_fair::Message),
+    Slots(foldmux_fair_queue::Message),
 }
 
 /// A part, as one of the four.
@@ -156,7 +156,7 @@
 }
 
 pub fn pool_key(pool: usize) -> u64 {
-    foldmux_fair::tenants::key(&format!("p{pool}"))
+    foldmux_fair_queue::tenants::key(&format!("p{pool}"))
 }
 
 /// Seats speak for all pools; the others use their own, and tell those who use it too.
--- a/rigs/fleetlab/src/plan.rs
+++ b/rigs/fleet-simulator/src/plan.rs
@@ -1,7 +1,7 @@
 //! What a run is given, and what the fleet in it is: how many instances, what breaks, and the times that go with it.
 
-use foldmux_rig::record::Time;
-use foldmux_seats::{Drift, Peer, Seats};
+use foldmux_harness::record::Time;
+use foldmux_replicas::{Drift, Peer, Seats};
 use foldmux_takeover as takeover;
 use serde::{Deserialize, Serialize};
 
--- a/rigs/fleetlab/src/pools.rs
+++ b/rigs/fleet-simulator/src/pools.rs
@@ -3,14 +3,14 @@
 use crate::net::{Event, World};
 use crate::node::{pool_key, Local, Parts};
 use crate::plan::*;
-use foldmux_fair::local::{Asked, InUse, Local as Queue, Request, Then};
-use foldmux_fair::queue::Setup;
-use foldmux_fair::slow::Figures;
-use foldmux_fair::{Ask, FleetSlots, Stock, Told, Weight};
-use foldmux_members as members;
+use foldmux_fair_queue::local::{Asked, InUse, Local as Queue, Request, Then};
+use foldmux_fair_queue::queue::Setup;
+use foldmux_fair_queue::slow::Figures;
+use foldmux_fair_queue::{Ask, FleetSlots, Stock, Told, Weight};
+use foldmux_harness::record::{Event as Said, Time};
+use foldmux_membership as members;
 use foldmux_relay as relay;
-use foldmux_rig::record::{Event as Said, Time};
-use foldmux_seats::Part;
+use foldmux_replicas::Part;
 use foldmux_takeover as takeover;
 use std::collections::HashMap;
 
--- a/rigs/fleetlab/src/work.rs
+++ b/rigs/fleet-simulator/src/work.rs
@@ -3,8 +3,8 @@
 use crate::net::{Event, World};
 use crate::node::Local;
 use crate::plan::*;
-use foldmux_rig::record::{Event as Said, Outcome, Time};
-use foldmux_seats::Part;
+use foldmux_harness::record::{Event as Said, Outcome, Time};
+use foldmux_replicas::Part;
 use foldmux_takeover::*;
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/rigs/fleetlab/src/work/archive.rs
+++ b/rigs/fleet-simulator/src/work/archive.rs
@@ -2,7 +2,7 @@
 
 use crate::net::World;
 use crate::plan::*;
-use foldmux_rig::record::{Event as Said, Time};
+use foldmux_harness::record::{Event as Said, Time};
 use std::collections::HashMap;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/rigs/fleetlab/tests/short.rs
+++ b/rigs/fleet-simulator/tests/short.rs
@@ -1,6 +1,6 @@
 //! Small fleets from drawn seeds, and every list of faults that once broke something (`kept/`).
 
-use foldmux_fleetlab::{run, told, Breaks, Plan};
+use foldmux_fleet_simulator::{run, told, Breaks, Plan};
 
 #[test]
 fn nothing_breaks_in_small_fleets() {
--- a/rigs/rig/fuzz/src/script.rs
+++ b/rigs/fuzz/src/script.rs
@@ -25,7 +25,7 @@
 }
 
 /// The file that is shipped, by its calls.
-const SHIPPED: &str = include_str!("../../../../deploy/foldmux.star");
+const SHIPPED: &str = include_str!("../../../deploy/foldmux.star");
 
 /// Calls of the functions that there are, with values that fit and values that don't; the shipped file; some spoilt.
 pub fn files() -> BoxedStrategy<Vec<u8>> {
--- a/rigs/rig/src/customer.rs
+++ b/rigs/harness/src/customer.rs
@@ -1,7 +1,7 @@
 //! Who asks: a client that wants one final answer for each keyed request, and asks elsewhere with the same key until it has one.
 
 use crate::record::{Event, Outcome, Record};
-use foldmux_standins::rpc::{Said, Terminal};
+use foldmux_fakes::rpc::{Said, Terminal};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/rigs/rig/src/demo.rs
+++ b/rigs/harness/src/demo.rs
@@ -10,7 +10,7 @@
 use crate::plan::Plan;
 use crate::settings::{self, KEYED, READS};
 use crate::wired::{self, Wired};
-use foldmux_standins::rpc::Said;
+use foldmux_fakes::rpc::Said;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
--- a/rigs/rig/src/fanout.rs
+++ b/rigs/harness/src/fanout.rs
@@ -1,4 +1,4 @@
-//! `foldmux-rig fanout`: many subscribers of a journal relayed by site, by real processes: what the source sees, how late
+//! `foldmux-harness fanout`: many subscribers of a journal relayed by site, by real processes: what the source sees, how late
 //! news comes beside readers at the source, and the silence after a kill and after a leaving.
 
 use crate::check::{self, percentile};
--- a/rigs/rig/src/fleet.rs
+++ b/rigs/harness/src/fleet.rs
@@ -10,7 +10,7 @@
 use crate::record::{Event, Record};
 use crate::settings::{self, BOXES};
 use crate::who::Who;
-use foldmux_standins::journal::Host;
+use foldmux_fakes::journal::Host;
 use nix::sys::signal::Signal;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/rigs/rig/src/main.rs
+++ b/rigs/harness/src/main.rs
@@ -1,13 +1,13 @@
 //! Real processes, faults from a seed, what cover costs, tenants beside a flood, the fan-out's figures: a table, and a
 //! verdict by exit code.
 
-use foldmux_rig::fanout;
-use foldmux_rig::faults::{self, Run};
-use foldmux_rig::neighbours;
-use foldmux_rig::schedule::Counts;
-use foldmux_rig::wired::{self, Wired};
-use foldmux_rig::Plan;
-use foldmux_rig::{cost, demo};
+use foldmux_harness::fanout;
+use foldmux_harness::faults::{self, Run};
+use foldmux_harness::neighbours;
+use foldmux_harness::schedule::Counts;
+use foldmux_harness::wired::{self, Wired};
+use foldmux_harness::Plan;
+use foldmux_harness::{cost, demo};
 use lexopt::{Arg, ValueExt};
 use std::fs::File;
 use std::io::BufWriter;
@@ -16,11 +16,11 @@
 use std::time::{Duration, Instant};
 
 const USAGE: &str = "\
-foldmux-rig faults [--seconds N] [--seed N] [--processes N] [--requests N] [--alone] [--record FILE]
-foldmux-rig demo [--seconds N] [--seed N] [--record FILE]
-foldmux-rig neighbours [--seconds N] [--seed N] [--processes N]
-foldmux-rig cost [--requests N] [--seed N]
-foldmux-rig fanout [--processes N] [--sites N] [--subscribers N] [--faults N] [--seed N]
+foldmux-harness faults [--seconds N] [--seed N] [--processes N] [--requests N] [--alone] [--record FILE]
+foldmux-harness demo [--seconds N] [--seed N] [--record FILE]
+foldmux-harness neighbours [--seconds N] [--seed N] [--processes N]
+foldmux-harness cost [--requests N] [--seed N]
+foldmux-harness fanout [--processes N] [--sites N] [--subscribers N] [--faults N] [--seed N]
 
   --alone   no fleet: what is lost and run twice without it
 The program is the foldmux beside this one, or what FOLDMUX names.";
--- a/rigs/rig/src/neighbours.rs
+++ b/rigs/harness/src/neighbours.rs
@@ -7,7 +7,7 @@
 use crate::plan::Plan;
 use crate::record::{Event, Line};
 use crate::settings::TENANTS;
-use foldmux_standins::rpc::Said;
+use foldmux_fakes::rpc::Said;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Mutex;
 use std::thread;
@@ -258,7 +258,7 @@
     sum / (to - from).max(1) as f64
 }
 
-/// The table of `foldmux-rig neighbours`; whether all that is promised held.
+/// The table of `foldmux-harness neighbours`; whether all that is promised held.
 pub fn table(seed: u64, time: Duration, sizes: &[usize]) -> Result<bool, String> {
     let mut sound = true;
     for processes in sizes.iter().copied() {
--- a/rigs/rig/src/news.rs
+++ b/rigs/harness/src/news.rs
@@ -4,11 +4,11 @@
 use crate::readers::When;
 use crate::record::{Event, Record};
 use crate::who::Who;
+use foldmux_fakes::journal::Host;
+use foldmux_fakes::server::Server;
+use foldmux_fakes::unix_ms;
 use foldmux_http1::io::write_all;
 use foldmux_http1::request::read_request;
-use foldmux_standins::journal::Host;
-use foldmux_standins::server::Server;
-use foldmux_standins::unix_ms;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/rigs/rig/src/place.rs
+++ b/rigs/harness/src/place.rs
@@ -3,7 +3,7 @@
 
 use crate::news::{numbered, PURGES, STREAM};
 use crate::record::Event;
-use foldmux_feed::words::{Entry, Feed};
+use foldmux_event_stream::words::{Entry, Feed};
 
 #[derive(Clone, Debug, Default)]
 pub struct Place {
--- a/rigs/rig/src/process.rs
+++ b/rigs/harness/src/process.rs
@@ -1,7 +1,7 @@
 //! One run of the real program: started, signalled and ended here, and by nobody else.
 
 use crate::who::Who;
-use foldmux_standins::rpc::Terminal;
+use foldmux_fakes::rpc::Terminal;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use std::collections::VecDeque;
--- a/rigs/rig/src/reader.rs
+++ b/rigs/harness/src/reader.rs
@@ -2,7 +2,7 @@
 
 use crate::place::Place;
 use crate::readers::{Begin, Shared};
-use foldmux_feed::words::Feed;
+use foldmux_event_stream::words::Feed;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::io::{ErrorKind, Read, Write};
--- a/rigs/rig/src/settings.rs
+++ b/rigs/harness/src/settings.rs
@@ -1,7 +1,7 @@
 //! What the rig's processes are told: the platform's settings of a small deployment, and the operator's file.
 
 use crate::plan::Plan;
-use foldmux_standins::journal::Host;
+use foldmux_fakes::journal::Host;
 use std::net::SocketAddr;
 
 /// Cache boxes of each site.
--- a/rigs/rig/tests/checker.rs
+++ b/rigs/harness/tests/checker.rs
@@ -1,7 +1,7 @@
 //! The checker, on records made by hand: each invariant broken once, and the like of each unbroken.
 
-use foldmux_rig::check::{percentile, read, Verdict};
-use foldmux_rig::record::{self, Event, Line, Outcome, Record};
+use foldmux_harness::check::{percentile, read, Verdict};
+use foldmux_harness::record::{self, Event, Line, Outcome, Record};
 
 fn verdict(events: &[Event]) -> Verdict {
     let line = |(n, event): (usize, &Event)| Line {
--- a/rigs/rig/tests/common/mod.rs
+++ b/rigs/harness/tests/common/mod.rs
@@ -1,12 +1,12 @@
 //! A fleet whose class of records is covered, once its seats speak; and what every hard case must show in the end.
 #![allow(dead_code)]
 
-use foldmux_rig::archive::Policy;
-use foldmux_rig::check::{read, Verdict};
-use foldmux_rig::customer::{key, Customer, Manner};
-use foldmux_rig::record::{Event, Outcome};
-use foldmux_rig::settings::KEYED;
-use foldmux_rig::{wired, Fleet, Plan};
+use foldmux_harness::archive::Policy;
+use foldmux_harness::check::{read, Verdict};
+use foldmux_harness::customer::{key, Customer, Manner};
+use foldmux_harness::record::{Event, Outcome};
+use foldmux_harness::settings::KEYED;
+use foldmux_harness::{wired, Fleet, Plan};
 use std::time::{Duration, Instant};
 
 pub const SHORT: Duration = Duration::from_millis(700);
--- a/rigs/rig/tests/common/relayed.rs
+++ b/rigs/harness/tests/common/relayed.rs
@@ -1,10 +1,10 @@
 //! A fleet whose journal is relayed, and readers of what its processes serve.
 #![allow(dead_code)]
 
-use foldmux_rig::check::{read, Verdict};
-use foldmux_rig::readers::Readers;
-use foldmux_rig::streams::RELAYED;
-use foldmux_rig::{Fleet, Plan};
+use foldmux_harness::check::{read, Verdict};
+use foldmux_harness::readers::Readers;
+use foldmux_harness::streams::RELAYED;
+use foldmux_harness::{Fleet, Plan};
 use std::time::Duration;
 
 pub const SOON: Duration = Duration::from_secs(20);
--- a/rigs/rig/tests/fair.rs
+++ b/rigs/harness/tests/fair.rs
@@ -1,10 +1,10 @@
 //! Pools with real processes: neighbours of a flood, slots that come back, weights taken anew.
 
-use foldmux_rig::check::read;
-use foldmux_rig::neighbours::{lines, manner, on, plan, start, weights, Scene};
-use foldmux_rig::record::Event;
-use foldmux_rig::Fleet;
-use foldmux_standins::rpc::Said;
+use foldmux_fakes::rpc::Said;
+use foldmux_harness::check::read;
+use foldmux_harness::neighbours::{lines, manner, on, plan, start, weights, Scene};
+use foldmux_harness::record::Event;
+use foldmux_harness::Fleet;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
@@ -164,7 +164,7 @@
     (0..3).for_each(|n| fleet.well(n).unwrap());
     let before = fleet.record().now();
     let took = until_served(&fleet, 1);
-    let early = |line: &foldmux_rig::record::Line| {
+    let early = |line: &foldmux_harness::record::Line| {
         matches!(line.event, Event::Taken { .. })
             && line.at >= before
             && line.at < before + 4_000_000
--- a/rigs/rig/tests/fair_faults.rs
+++ b/rigs/harness/tests/fair_faults.rs
@@ -1,10 +1,10 @@
 //! Pools under kills, pauses and cuts, and tenants that always wait, with real processes.
 
-use foldmux_rig::check::read;
-use foldmux_rig::line::Way;
-use foldmux_rig::neighbours::{manner, plan, start, Scene};
-use foldmux_rig::{Fleet, Plan};
-use foldmux_standins::rpc::Said;
+use foldmux_fakes::rpc::Said;
+use foldmux_harness::check::read;
+use foldmux_harness::line::Way;
+use foldmux_harness::neighbours::{manner, plan, start, Scene};
+use foldmux_harness::{Fleet, Plan};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
--- a/rigs/rig/tests/line.rs
+++ b/rigs/harness/tests/line.rs
@@ -1,7 +1,7 @@
 //! The line: what it does to one way, and that it does it to nobody else.
 
-use foldmux_rig::line::{Line, Way};
-use foldmux_rig::who::Who;
+use foldmux_harness::line::{Line, Way};
+use foldmux_harness::who::Who;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
--- a/rigs/rig/tests/place.rs
+++ b/rigs/harness/tests/place.rs
@@ -1,10 +1,10 @@
 //! What a reader makes of a served journal: news in order, a whole that tells some again, a gap told, one untold.
 
-use foldmux_feed::words::{Entry, Expire, Feed, Hosts, Lost};
-use foldmux_rig::check::{read, Verdict};
-use foldmux_rig::news::{object, PURGES};
-use foldmux_rig::place::Place;
-use foldmux_rig::record::{Event, Line};
+use foldmux_event_stream::words::{Entry, Expire, Feed, Hosts, Lost};
+use foldmux_harness::check::{read, Verdict};
+use foldmux_harness::news::{object, PURGES};
+use foldmux_harness::place::Place;
+use foldmux_harness::record::{Event, Line};
 
 fn purge(number: u64) -> Entry {
     let expire = Expire {
--- a/rigs/rig/tests/processes.rs
+++ b/rigs/harness/tests/processes.rs
@@ -1,15 +1,15 @@
 //! The rig with real processes: what it does to them, what it sees of them, and what it finds where nothing is covered.
 
-use foldmux_rig::archive::{result, Policy};
-use foldmux_rig::check::read;
-use foldmux_rig::customer::{key, Manner};
-use foldmux_rig::faults::{run, Run};
-use foldmux_rig::gate::Point;
-use foldmux_rig::line::Way;
-use foldmux_rig::record::{Event, Outcome};
-use foldmux_rig::schedule::{draw, Among, Counts, Fault};
-use foldmux_rig::settings::KEYED;
-use foldmux_rig::{Fleet, Plan};
+use foldmux_harness::archive::{result, Policy};
+use foldmux_harness::check::read;
+use foldmux_harness::customer::{key, Manner};
+use foldmux_harness::faults::{run, Run};
+use foldmux_harness::gate::Point;
+use foldmux_harness::line::Way;
+use foldmux_harness::record::{Event, Outcome};
+use foldmux_harness::schedule::{draw, Among, Counts, Fault};
+use foldmux_harness::settings::KEYED;
+use foldmux_harness::{Fleet, Plan};
 use std::sync::mpsc::channel;
 use std::thread;
 use std::time::Duration;
@@ -142,7 +142,7 @@
     let said = customer.once(0, &manner(LONG), 1, Some(&name)).unwrap();
     assert_eq!(
         said,
-        foldmux_standins::rpc::Said::Served(result(&name, 1).into_bytes())
+        foldmux_fakes::rpc::Said::Served(result(&name, 1).into_bytes())
     );
 }
 
@@ -254,7 +254,8 @@
     assert_ne!(steps, draw(8, Duration::from_secs(60), among, counts));
     assert_eq!(steps.len(), 44);
     for step in &steps {
-        let now = |s: &&foldmux_rig::schedule::Step| s.at <= step.at && step.at < s.at + s.lasts;
+        let now =
+            |s: &&foldmux_harness::schedule::Step| s.at <= step.at && step.at < s.at + s.lasts;
         assert!(steps.iter().filter(now).count() <= 2);
         assert!(!matches!(step.fault, Fault::Cut(other, _) if other == step.process));
     }
--- a/rigs/rig/tests/relay.rs
+++ b/rigs/harness/tests/relay.rs
@@ -3,7 +3,7 @@
 #[path = "common/relayed.rs"]
 mod relayed;
 
-use foldmux_rig::line::Way;
+use foldmux_harness::line::Way;
 use relayed::{heard, purges, readers, relayed, settled, sound, PATIENT, WAIT};
 use std::time::Duration;
 
--- a/rigs/rig/tests/relay_readers.rs
+++ b/rigs/harness/tests/relay_readers.rs
@@ -3,10 +3,10 @@
 #[path = "common/relayed.rs"]
 mod relayed;
 
-use foldmux_rig::check::read;
-use foldmux_rig::customer::Manner;
-use foldmux_rig::record::{Event, Line};
-use foldmux_rig::settings::READS;
+use foldmux_harness::check::read;
+use foldmux_harness::customer::Manner;
+use foldmux_harness::record::{Event, Line};
+use foldmux_harness::settings::READS;
 use relayed::{heard, purges, readers, relayed, sound, SOON, WAIT};
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/rigs/rig/tests/takeover.rs
+++ b/rigs/harness/tests/takeover.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{brought, covered, served, sound, successor, LONG, SHORT};
-use foldmux_rig::customer::{key, Customer};
-use foldmux_rig::gate::Point;
-use foldmux_rig::line::{Line, Way};
-use foldmux_rig::who::Who;
+use foldmux_harness::customer::{key, Customer};
+use foldmux_harness::gate::Point;
+use foldmux_harness::line::{Line, Way};
+use foldmux_harness::who::Who;
 use std::thread;
 use std::time::Duration;
 
--- a/rigs/rig/tests/takeover_again.rs
+++ b/rigs/harness/tests/takeover_again.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{brought, covered, served, sound, LONG, SHORT};
-use foldmux_rig::customer::key;
-use foldmux_rig::gate::Point;
-use foldmux_rig::line::Way;
-use foldmux_rig::Fleet;
+use foldmux_harness::customer::key;
+use foldmux_harness::gate::Point;
+use foldmux_harness::line::Way;
+use foldmux_harness::Fleet;
 use std::thread;
 use std::time::Duration;
 
--- a/rigs/lab/src/fanout/command.rs
+++ b/rigs/simulator/src/fanout/command.rs
@@ -1,4 +1,4 @@
-//! `foldmux-lab fanout`: a day relayed by site beside the same day with one poll each.
+//! `foldmux-simulator fanout`: a day relayed by site beside the same day with one poll each.
 
 use super::picture;
 use super::play::{play, Plan, Report, Spread};
--- a/rigs/lab/src/fanout/links.rs
+++ b/rigs/simulator/src/fanout/links.rs
@@ -3,7 +3,7 @@
 use super::queue::What;
 use super::world::{World, MS, NAME, WAIT};
 use foldmux_relay::{Act, Ask, Item, Relay, Told};
-use foldmux_seats::{Do, Part};
+use foldmux_replicas::{Do, Part};
 
 /// An answer's head, and what stands around an event.
 const HEAD: u64 = 60;
--- a/rigs/lab/src/fanout/play.rs
+++ b/rigs/simulator/src/fanout/play.rs
@@ -3,7 +3,7 @@
 use super::queue::What;
 use super::world::{World, MS};
 use foldmux_relay::Ask;
-use foldmux_seats::Time;
+use foldmux_replicas::Time;
 use hdrhistogram::Histogram;
 use rand::RngExt;
 use serde::Serialize;
--- a/rigs/lab/src/fanout/queue.rs
+++ b/rigs/simulator/src/fanout/queue.rs
@@ -1,7 +1,7 @@
 //! What waits to happen, the soonest first.
 
 use foldmux_relay::Message;
-use foldmux_seats::Time;
+use foldmux_replicas::Time;
 use std::cmp::Ordering;
 
 pub enum What {
--- a/rigs/lab/src/fanout/subscribers.rs
+++ b/rigs/simulator/src/fanout/subscribers.rs
@@ -1,7 +1,7 @@
 //! The subscribers: what each was told, and what breaks a promise.
 
 use foldmux_relay::{Event, Item};
-use foldmux_seats::Time;
+use foldmux_replicas::Time;
 use hdrhistogram::Histogram;
 
 /// A ticket is a subscriber's number, and how often it has begun.
--- a/rigs/lab/src/fanout/world.rs
+++ b/rigs/simulator/src/fanout/world.rs
@@ -4,7 +4,7 @@
 use super::queue::{Next, What};
 use super::subscribers::Subscribers;
 use foldmux_relay::{Ask, First, Item, Relay, Setup, Slow, Stream};
-use foldmux_seats::{Drift, Part, Peer, Seats, Time};
+use foldmux_replicas::{Drift, Part, Peer, Seats, Time};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BinaryHeap};
--- a/rigs/lab/src/main.rs
+++ b/rigs/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `foldmux-lab`: plays scenarios, sweeps one of their fields, and plots.
+//! `foldmux-simulator`: plays scenarios, sweeps one of their fields, and plots.
 
 mod fanout;
 mod model;
@@ -45,7 +45,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("foldmux-lab: {}", message.trim_end());
+            eprintln!("foldmux-simulator: {}", message.trim_end());
             ExitCode::FAILURE
         }
     }
@@ -54,7 +54,7 @@
 fn run() -> Result<(), String> {
     let mut parser = Parser::from_env();
     match std::env::args().nth(1).as_deref() {
-        Some("fleet") => return foldmux_fleetlab::command::command(parser),
+        Some("fleet") => return foldmux_fleet_simulator::command::command(parser),
         Some("fanout") => {
             let _ = parser.next();
             return fanout::command(parser);
@@ -155,7 +155,7 @@
             }
         }
         ["help"] => println!("{USAGE}"),
-        _ => return Err("no such command; see foldmux-lab help".to_string()),
+        _ => return Err("no such command; see foldmux-simulator help".to_string()),
     }
     Ok(())
 }
--- a/rigs/soak/src/client.rs
+++ b/rigs/soak/src/client.rs
@@ -5,7 +5,7 @@
 use crate::plan::Dice;
 use crate::record::{Answer, Gone, Record, Request};
 use crate::traffic::length;
-use foldmux_standins::body;
+use foldmux_fakes::body;
 use rmpv::Value;
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
--- a/rigs/soak/src/config.rs
+++ b/rigs/soak/src/config.rs
@@ -2,7 +2,7 @@
 //! one with idempotency keys.
 
 use crate::plan::Plan;
-use foldmux_standins::journal::Host;
+use foldmux_fakes::journal::Host;
 use std::net::SocketAddr;
 
 /// The longest deadline of the classes (ms).
--- a/rigs/soak/src/plan.rs
+++ b/rigs/soak/src/plan.rs
@@ -1,6 +1,6 @@
 //! What a seed stands for: the faults of the shim, the limits, the signals.
 
-use foldmux_figures::random::Draws;
+use foldmux_stats::random::Draws;
 use std::fmt::Write as _;
 use std::time::Duration;
 
--- a/rigs/soak/src/run.rs
+++ b/rigs/soak/src/run.rs
@@ -7,7 +7,7 @@
 use crate::process::{shim, Process};
 use crate::record::Record;
 use crate::traffic::cache;
-use foldmux_standins::journal::{self, Journal};
+use foldmux_fakes::journal::{self, Journal};
 use nix::sys::signal::Signal;
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
--- a/rigs/soak/src/traffic.rs
+++ b/rigs/soak/src/traffic.rs
@@ -2,8 +2,8 @@
 
 use crate::plan::Dice;
 use crate::record::{Attempt, Record};
-use foldmux_standins::server::Server;
-use foldmux_standins::source::{carry_out, read_ask, Act, Ask};
+use foldmux_fakes::server::Server;
+use foldmux_fakes::source::{carry_out, read_ask, Act, Ask};
 use std::net::TcpStream;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/shared/feed/src/backoff.rs
+++ b/shared/event-stream/src/backoff.rs
@@ -3,7 +3,7 @@
 //! Guards against a fleet in step: whatever breaks one proxy's connection breaks all of them at the same moment, and
 //! proxies that wait the same time come back as one wave. Each draws its waits from its own seed.
 
-use foldmux_figures::Draws;
+use foldmux_stats::Draws;
 use std::time::Duration;
 
 /// The range of the first wait.
--- a/shared/fleet/src/driver.rs
+++ b/shared/fleet/src/driver.rs
@@ -1,8 +1,8 @@
 //! How one part is driven, whatever it decides: messages by postcard, those to oneself without a socket.
 
 use crate::port::Sink;
-use foldmux_seats::part::Acts;
-use foldmux_seats::{Do, Part, Peer, Time};
+use foldmux_replicas::part::Acts;
+use foldmux_replicas::{Do, Part, Peer, Time};
 use std::any::Any;
 use std::collections::VecDeque;
 
--- a/shared/fleet/src/members.rs
+++ b/shared/fleet/src/members.rs
@@ -3,8 +3,8 @@
 use crate::port::{Port, Sink};
 use crate::setup::Builder;
 use crate::views::Views;
-use foldmux_members::{Ask, BadMembers, Members, Seen, Setup, State, Told};
-use foldmux_seats::Peer;
+use foldmux_membership::{Ask, BadMembers, Members, Seen, Setup, State, Told};
+use foldmux_replicas::Peer;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
--- a/shared/fleet/src/setup.rs
+++ b/shared/fleet/src/setup.rs
@@ -6,7 +6,7 @@
 use crate::views::{Alive, Views};
 use crossbeam_channel::{bounded, Receiver, Sender};
 use foldmux_peers::{Bounds, Config, Links};
-use foldmux_seats::{Part, Peer};
+use foldmux_replicas::{Part, Peer};
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU64;
--- a/shared/fleet/src/thread.rs
+++ b/shared/fleet/src/thread.rs
@@ -6,7 +6,7 @@
 use crate::views::Alive;
 use crossbeam_channel::{never, select, Receiver};
 use foldmux_peers::{Incoming, Links, Session};
-use foldmux_seats::{Peer, Time};
+use foldmux_replicas::{Peer, Time};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
--- a/shared/fleet/src/views.rs
+++ b/shared/fleet/src/views.rs
@@ -1,6 +1,6 @@
 //! Which peers count as alive for the parts: those that are linked, unless members say that they are not.
 
-use foldmux_seats::Peer;
+use foldmux_replicas::Peer;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
--- a/shared/fleet/tests/driver.rs
+++ b/shared/fleet/tests/driver.rs
@@ -3,7 +3,7 @@
 use crossbeam_channel::{bounded, unbounded, Receiver, Sender};
 use foldmux_fleet::{Builder, Fault, Port, Refused, Setup, Sink};
 use foldmux_peers::Bounds;
-use foldmux_seats::{Acts, Do, Part, Peer, Time};
+use foldmux_replicas::{Acts, Do, Part, Peer, Time};
 use serde::{Deserialize, Serialize};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU32, Ordering};
--- a/shared/peers/src/hello.rs
+++ b/shared/peers/src/hello.rs
@@ -5,7 +5,7 @@
 use crate::frame::{self, End, Envelope, LinkKey, Way};
 use crate::wire::{self, DeadlineReader};
 use crate::{Config, Session};
-use foldmux_seats::Peer;
+use foldmux_replicas::Peer;
 use serde::{Deserialize, Serialize};
 use std::io::Read;
 use std::net::TcpStream;
--- a/shared/peers/src/lib.rs
+++ b/shared/peers/src/lib.rs
@@ -24,7 +24,7 @@
 pub use counts::Counts;
 pub use links::Links;
 
-use foldmux_seats::Peer;
+use foldmux_replicas::Peer;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/shared/peers/src/link.rs
+++ b/shared/peers/src/link.rs
@@ -4,7 +4,7 @@
 use crate::wire::{self, DeadlineReader};
 use crate::{Bounds, Counts, Incoming, Session};
 use crossbeam_channel::{SendTimeoutError, Sender};
-use foldmux_seats::Peer;
+use foldmux_replicas::Peer;
 use std::collections::VecDeque;
 use std::io;
 use std::net::{Shutdown, TcpStream};
--- a/shared/peers/src/links.rs
+++ b/shared/peers/src/links.rs
@@ -9,7 +9,7 @@
 use crate::wire::{self, DeadlineReader};
 use crate::{Config, Counts, Incoming, Session};
 use crossbeam_channel::Sender;
-use foldmux_seats::Peer;
+use foldmux_replicas::Peer;
 use foldmux_sockets::dial::dial;
 use foldmux_sockets::stream;
 use foldmux_sockets::verdict::{on_accept, OnAccept};
--- a/shared/peers/src/live.rs
+++ b/shared/peers/src/live.rs
@@ -3,7 +3,7 @@
 use crate::link::Link;
 use crate::{Incoming, Session};
 use crossbeam_channel::{SendTimeoutError, Sender};
-use foldmux_seats::Peer;
+use foldmux_replicas::Peer;
 use std::collections::HashMap;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
--- a/shared/peers/tests/common/mod.rs
+++ b/shared/peers/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use foldmux_peers::frame::{End, Envelope, LinkKey, Way};
 use foldmux_peers::hello::{Hello, Own};
 use foldmux_peers::{wire, Bounds, Config, Incoming, Links, Session};
-use foldmux_seats::Peer;
+use foldmux_replicas::Peer;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
--- a/shared/settings/src/lib.rs
+++ b/shared/settings/src/lib.rs
@@ -26,7 +26,7 @@
     /// How long servers keep an idle connection (us); where it is not told, 0: none is used again, as nothing says that it
     /// is still open.
     pub keep_alive: Time,
-    pub reports: foldmux_reports::Setup,
+    pub reports: foldmux_load_reports::Setup,
 }
 
 /// The settings, or all that is wrong with the text, on one line.
--- a/shared/settings/src/reports.rs
+++ b/shared/settings/src/reports.rs
@@ -2,7 +2,7 @@
 
 use crate::section::Section;
 use foldmux::interface::{Class, Time};
-use foldmux_reports::{Fields, Setup};
+use foldmux_load_reports::{Fields, Setup};
 
 /// A word that no deployment has yet counts as none. A probe may take as long as a dial (`dial_time_out`).
 pub(crate) fn read(
--- a/src/router.rs
+++ b/src/router.rs
@@ -16,7 +16,7 @@
 mod summary;
 
 use crate::interface::*;
-use foldmux_figures::{mean, mix, rank, Draws, Heard, Rate, Recent};
+use foldmux_stats::{mean, mix, rank, Draws, Heard, Rate, Recent};
 use routes::{Limit, Route, LIMIT_STEPS};
 use std::collections::BTreeMap;
 use summary::{Entry, Table};
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -1,7 +1,7 @@
 //! Many routers in virtual time: arrivals drawn by seed, each answer when it is due, all that is sent kept.
 
 use super::*;
-use foldmux_figures::Draws;
+use foldmux_stats::Draws;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
