--- a/edge/proxy/src/cover/keep.rs
+++ b/edge/proxy/src/cover/keep.rs
@@ -3,8 +3,8 @@
 //! the file once the first gives it up, which it does when it leaves.
 
 use super::log::{Found, Log};
-use foldmux_replicas::part::Acts;
-use foldmux_replicas::{Do, Part, Peer, Time};
+use foldmux_replicas::Effects;
+use foldmux_replicas::{Effect, Peer, StateMachine, Time};
 use foldmux_takeover::{Ask, Message, Setup, Takeover, Told};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -39,7 +39,7 @@
     /// Without a folder, or with one that can't be used, the seat is silent for a window after each start.
     pub fn new(setup: Setup, folder: Option<&Path>) -> Keeping {
         let window = setup.drift.stretched(setup.window());
-        let mark = format!("{:?} {} {window}", setup.seats.listed(), setup.lease);
+        let mark = format!("{:?} {} {window}", setup.seats.members(), setup.lease);
         let mut keeping = Keeping {
             part: Takeover::new(0, setup),
             own: Own::None,
@@ -86,7 +86,7 @@
     }
 
     /// Behind each step, before what it said is heard.
-    fn keep(&mut self, now: Time, out: &mut Acts<Takeover>) {
+    fn keep(&mut self, now: Time, out: &mut Effects<Takeover>) {
         let look = now >= self.looked + LOOK;
         if look {
             self.looked = now;
@@ -128,7 +128,7 @@
                 out.retain(|act| {
                     !matches!(
                         act,
-                        Do::Send {
+                        Effect::Send {
                             message: Message::Claimed { .. } | Message::Noted { .. },
                             ..
                         }
@@ -141,36 +141,36 @@
     }
 }
 
-impl Part for Keeping {
+impl StateMachine for Keeping {
     type Message = Message;
-    type Ask = Ask;
-    type Told = Told;
+    type Command = Ask;
+    type Event = Told;
 
-    fn heard(&mut self, now: Time, from: &Peer, message: Message, out: &mut Acts<Self>) {
-        self.part.heard(now, from, message, out);
+    fn on_message(&mut self, now: Time, from: &Peer, message: Message, out: &mut Effects<Self>) {
+        self.part.on_message(now, from, message, out);
         self.keep(now, out);
     }
 
-    fn ask(&mut self, now: Time, ask: Ask, out: &mut Acts<Self>) {
+    fn on_command(&mut self, now: Time, ask: Ask, out: &mut Effects<Self>) {
         self.leaving |= matches!(ask, Ask::LetGoAll);
-        self.part.ask(now, ask, out);
+        self.part.on_command(now, ask, out);
         self.keep(now, out);
     }
 
-    fn peer(&mut self, now: Time, peer: &Peer, alive: bool, out: &mut Acts<Self>) {
-        self.part.peer(now, peer, alive, out);
+    fn on_peer_status(&mut self, now: Time, peer: &Peer, alive: bool, out: &mut Effects<Self>) {
+        self.part.on_peer_status(now, peer, alive, out);
     }
 
-    fn tick(&mut self, now: Time, out: &mut Acts<Self>) {
-        self.part.tick(now, out);
+    fn on_tick(&mut self, now: Time, out: &mut Effects<Self>) {
+        self.part.on_tick(now, out);
         self.keep(now, out);
     }
 
-    fn due(&self) -> Option<Time> {
+    fn next_tick(&self) -> Option<Time> {
         // It looks by itself while it waits for the other, or the other may wait for it.
         let looks = matches!(self.own, Own::Waits { .. }) || self.leaving;
         self.part
-            .due()
+            .next_tick()
             .into_iter()
             .chain(looks.then_some(self.looked + LOOK))
             .min()
--- a/edge/proxy/src/fleet.rs
+++ b/edge/proxy/src/fleet.rs
@@ -8,7 +8,7 @@
 use foldmux_membership::{Ask, Pace, Seen, Told, Who};
 use foldmux_operator::Fleet as Said;
 use foldmux_peers::Bounds;
-use foldmux_replicas::{Acts, Do, Part, Peer, Time};
+use foldmux_replicas::{Effect, Effects, Peer, StateMachine, Time};
 use parts::{Own, Parts, Serving};
 use std::path::Path;
 use std::sync::Arc;
@@ -225,22 +225,22 @@
 /// Looks on, and tells which peers count as up for the parts.
 struct Watch;
 
-impl Part for Watch {
+impl StateMachine for Watch {
     type Message = ();
-    type Ask = ();
-    type Told = (Peer, bool);
+    type Command = ();
+    type Event = (Peer, bool);
 
-    fn heard(&mut self, _: Time, _: &Peer, (): (), _: &mut Acts<Watch>) {}
+    fn on_message(&mut self, _: Time, _: &Peer, (): (), _: &mut Effects<Watch>) {}
 
-    fn ask(&mut self, _: Time, (): (), _: &mut Acts<Watch>) {}
+    fn on_command(&mut self, _: Time, (): (), _: &mut Effects<Watch>) {}
 
-    fn peer(&mut self, _: Time, peer: &Peer, alive: bool, out: &mut Acts<Watch>) {
-        out.push(Do::Tell((peer.clone(), alive)));
+    fn on_peer_status(&mut self, _: Time, peer: &Peer, alive: bool, out: &mut Effects<Watch>) {
+        out.push(Effect::Emit((peer.clone(), alive)));
     }
 
-    fn tick(&mut self, _: Time, _: &mut Acts<Watch>) {}
+    fn on_tick(&mut self, _: Time, _: &mut Effects<Watch>) {}
 
-    fn due(&self) -> Option<Time> {
+    fn next_tick(&self) -> Option<Time> {
         None
     }
 }
--- a/edge/proxy/src/fleet/parts.rs
+++ b/edge/proxy/src/fleet/parts.rs
@@ -9,15 +9,15 @@
 use foldmux_core::Core;
 use foldmux_fleet::{Builder, Port};
 use foldmux_operator::Fleet as Said;
-use foldmux_replicas::{Drift, Peer, Seats};
+use foldmux_replicas::{ClockDrift, Peer, ReplicaSet};
 use foldmux_settings::Decoded;
 use std::sync::Arc;
 use std::time::Instant;
 
 /// Whom each part asks for a majority, and how far clocks may run apart.
-pub(crate) fn seats(said: &Said) -> Result<(Seats, Drift), String> {
-    let seats = Seats::new(said.seats.iter().map(|name| Peer::new(name)));
-    let drift = Drift::percent(said.drift_percent);
+pub(crate) fn seats(said: &Said) -> Result<(ReplicaSet, ClockDrift), String> {
+    let seats = ReplicaSet::new(said.seats.iter().map(|name| Peer::new(name)));
+    let drift = ClockDrift::from_percent(said.drift_percent);
     Ok((
         seats.map_err(|e| format!("fleet: {e}"))?,
         drift.map_err(|e| format!("fleet: {e}"))?,
--- a/edge/proxy/src/turns.rs
+++ b/edge/proxy/src/turns.rs
@@ -21,7 +21,7 @@
 use foldmux_fair_queue::{Stock, Told};
 use foldmux_fleet::{Builder, Sink};
 use foldmux_operator::{Fleet as Said, PoolBy};
-use foldmux_replicas::{Change, Peer};
+use foldmux_replicas::{Peer, ReplicaConfiguration};
 use foldmux_settings::Decoded;
 use std::io;
 use std::sync::Arc;
@@ -131,7 +131,7 @@
             });
         }
         let (seats, drift) = seats(said)?;
-        let seats = Change::settled(seats);
+        let seats = ReplicaConfiguration::stable(seats);
         let peers = said
             .peers
             .iter()
--- a/pure/fair-queue/src/holder.rs
+++ b/pure/fair-queue/src/holder.rs
@@ -5,7 +5,7 @@
 use crate::planted::{planted, Fault};
 use crate::stock::Gave;
 use crate::{Peer, Time};
-use foldmux_replicas::{Change, Drift, Held, Votes};
+use foldmux_replicas::{ClockDrift, HeldLease, ReplicaConfiguration, Votes};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Claims that are out; an older one is given up.
@@ -33,7 +33,7 @@
 pub struct Holder {
     pub life: u64,
     lease: Time,
-    drift: Drift,
+    drift: ClockDrift,
     key: Vec<u8>,
     number: u64,
     own: BTreeMap<u16, Own>,
@@ -55,7 +55,7 @@
 }
 
 impl Holder {
-    pub fn new(life: u64, key: u64, lease: Time, drift: Drift) -> Holder {
+    pub fn new(life: u64, key: u64, lease: Time, drift: ClockDrift) -> Holder {
         Holder {
             life,
             lease,
@@ -81,7 +81,7 @@
     }
 
     /// What goes to each replica. `short`: so many more are wanted.
-    pub fn step(&mut self, now: Time, seats: &Change, short: usize) -> Vec<Word> {
+    pub fn step(&mut self, now: Time, seats: &ReplicaConfiguration, short: usize) -> Vec<Word> {
         self.own.retain(|_, own| now < own.until);
         let mut words = Vec::new();
         let over: Vec<u64> = self
@@ -193,21 +193,21 @@
         } else {
             claim.sent
         };
-        let held = Held::new(count, self.lease, self.drift);
+        let held = HeldLease::new(count, self.lease, self.drift);
         let (mut won, mut lost) = (Vec::new(), Vec::new());
         for slot in slots {
             let Some(votes) = claim.votes.get_mut(slot) else {
                 continue;
             };
             let one = votes.grant(from) && planted(Fault::OneSeatIsEnough);
-            if (votes.won() || one) && held.holds(now) {
+            if (votes.won() || one) && held.is_valid(now) {
                 claim.fresh.remove(slot);
                 let own = self.own.entry(*slot).or_insert(Own {
                     turn: number,
                     until: 0,
                 });
-                if held.until() > own.until {
-                    own.until = held.until();
+                if held.expires_at() > own.until {
+                    own.until = held.expires_at();
                     won.push(Won {
                         slot: *slot,
                         turn: own.turn,
@@ -220,7 +220,7 @@
             let Some(votes) = claim.votes.get_mut(slot) else {
                 continue;
             };
-            if votes.refuse(from) && votes.lost() && claim.fresh.contains(slot) {
+            if votes.reject(from) && votes.lost() && claim.fresh.contains(slot) {
                 lost.push(*slot);
             }
         }
--- a/pure/fair-queue/src/holder/tests.rs
+++ b/pure/fair-queue/src/holder/tests.rs
@@ -1,13 +1,18 @@
 //! What a holder says when it wants no more slots.
 
 use super::*;
-use foldmux_replicas::Seats;
+use foldmux_replicas::ReplicaSet;
 
 #[test]
 fn one_that_wants_no_more_says_so_once() {
-    let seats = Seats::new(["a", "b", "c"].map(Peer::new)).expect("three");
-    let seats = Change::settled(seats);
-    let mut holder = Holder::new(1, 7, 1_000_000, Drift::percent(1.0).expect("a drift"));
+    let seats = ReplicaSet::new(["a", "b", "c"].map(Peer::new)).expect("three");
+    let seats = ReplicaConfiguration::stable(seats);
+    let mut holder = Holder::new(
+        1,
+        7,
+        1_000_000,
+        ClockDrift::from_percent(1.0).expect("a drift"),
+    );
     let asks = |words: &[Word]| match words {
         [Word::Claim { slots, more, .. }] => Some((slots.len(), *more)),
         _ => None,
--- a/pure/fair-queue/src/pool.rs
+++ b/pure/fair-queue/src/pool.rs
@@ -7,7 +7,7 @@
 use crate::replica::Replica;
 use crate::slots::FleetSlots;
 use crate::{Peer, Time};
-use foldmux_replicas::{Acts, Change, Do, Drift};
+use foldmux_replicas::{ClockDrift, Effect, Effects, ReplicaConfiguration};
 use std::collections::BTreeMap;
 
 /// Wants that fall fade (us), those that rise are taken nearly as they come: slots would else be under way after each
@@ -50,7 +50,7 @@
 }
 
 impl Pool {
-    pub fn new(now: Time, life: u64, drift: Drift, setup: PoolSetup) -> Pool {
+    pub fn new(now: Time, life: u64, drift: ClockDrift, setup: PoolSetup) -> Pool {
         Pool {
             replica: Replica::new(now, setup.slots, setup.lease, drift),
             holder: Holder::new(life, setup.key, setup.lease, drift),
@@ -69,14 +69,14 @@
     }
 
     /// To those who want more, what is vacant at this replica.
-    pub fn offer(&mut self, now: Time, out: &mut Acts<FleetSlots>) {
+    pub fn offer(&mut self, now: Time, out: &mut Effects<FleetSlots>) {
         if self.replica.wanted() {
             for (to, slots) in self.replica.offers(now) {
                 let message = Message {
                     pool: self.setup.key,
                     word: Word::Vacant { slots },
                 };
-                out.push(Do::Send { to, message });
+                out.push(Effect::Send { to, message });
             }
         }
     }
@@ -92,7 +92,7 @@
         })
     }
 
-    pub fn claim(&mut self, now: Time, seats: &Change) -> Vec<Word> {
+    pub fn claim(&mut self, now: Time, seats: &ReplicaConfiguration) -> Vec<Word> {
         let short = self
             .ahead
             .map_or(0, |_| self.target.saturating_sub(self.holder.held()));
--- a/pure/fair-queue/src/replica.rs
+++ b/pure/fair-queue/src/replica.rs
@@ -3,7 +3,7 @@
 use crate::division::floor;
 use crate::planted::{planted, Fault};
 use crate::{Peer, Time};
-use foldmux_replicas::{Drift, Granted, Memory};
+use foldmux_replicas::{ClockDrift, GrantedLease, RecoveryDelay};
 use std::collections::BTreeMap;
 
 /// Who wanted more is told of vacant slots for so long (us).
@@ -17,14 +17,14 @@
     life: u64,
     /// Of the last claim that it was granted to.
     number: u64,
-    granted: Granted,
+    granted: GrantedLease,
 }
 
 /// This process as a replica of one pool's slots.
 #[derive(Debug)]
 pub struct Replica {
     lease: Time,
-    memory: Memory,
+    memory: RecoveryDelay,
     slots: Vec<Option<Lease>>,
     wanting: BTreeMap<Peer, Time>,
 }
@@ -42,10 +42,10 @@
 
 impl Replica {
     /// A replica that starts remembers nothing: it grants once all that it may have granted is over.
-    pub fn new(now: Time, slots: u16, lease: Time, drift: Drift) -> Replica {
+    pub fn new(now: Time, slots: u16, lease: Time, drift: ClockDrift) -> Replica {
         let memory = match planted(Fault::FreshSeatGrants) {
-            true => Memory::whole(now),
-            false => Memory::fresh(now, &[lease], drift),
+            true => RecoveryDelay::state_recovered(now),
+            false => RecoveryDelay::state_lost(now, &[lease], drift),
         };
         Replica {
             lease,
@@ -59,13 +59,14 @@
         self.slots
             .iter()
             .flatten()
-            .filter(move |lease| lease.granted.runs(now))
+            .filter(move |lease| lease.granted.is_active(now))
     }
 
     fn vacant_at(&self, now: Time, slot: usize) -> bool {
-        self.slots
-            .get(slot)
-            .is_some_and(|at| at.as_ref().is_none_or(|lease| !lease.granted.runs(now)))
+        self.slots.get(slot).is_some_and(|at| {
+            at.as_ref()
+                .is_none_or(|lease| !lease.granted.is_active(now))
+        })
     }
 
     /// The most that one may hold while others want: each of them keeps its floor.
@@ -86,7 +87,7 @@
         slots: &[u16],
         more: u16,
     ) -> Said {
-        if !self.memory.speaks(now) {
+        if !self.memory.may_vote(now) {
             return Said {
                 refused: slots.to_vec(),
                 ..Said::default()
@@ -109,7 +110,7 @@
                 said.refused.push(*slot);
                 continue;
             };
-            match at.as_mut().filter(|lease| lease.granted.runs(now)) {
+            match at.as_mut().filter(|lease| lease.granted.is_active(now)) {
                 // Over its bound, one after the other lapses.
                 Some(lease) if lease.holder == *from && lease.life == life && held > most => {
                     held -= 1;
@@ -121,7 +122,7 @@
                     said.granted.push(*slot);
                 }
                 None if held < most => {
-                    let granted = Granted::new(now, self.lease);
+                    let granted = GrantedLease::new(now, self.lease);
                     *at = Some(Lease {
                         holder: from.clone(),
                         life,
@@ -174,7 +175,7 @@
     /// Those who want more, and what is vacant for each.
     pub fn offers(&mut self, now: Time) -> Vec<(Peer, Vec<u16>)> {
         self.wanting.retain(|_, until| now < *until);
-        if !self.memory.speaks(now) {
+        if !self.memory.may_vote(now) {
             return Vec::new();
         }
         let offers = self
--- a/pure/fair-queue/src/slots.rs
+++ b/pure/fair-queue/src/slots.rs
@@ -10,7 +10,7 @@
 use crate::pool::Pool;
 pub use crate::pool::PoolSetup;
 use crate::{Peer, Time};
-use foldmux_replicas::{Acts, Change, Do, Drift, Part};
+use foldmux_replicas::{ClockDrift, Effect, Effects, ReplicaConfiguration, StateMachine};
 use std::collections::BTreeMap;
 
 /// A pool's division is worked out anew so often, and offers and digests go out (us).
@@ -24,8 +24,8 @@
     /// Another for each start of this process.
     pub life: u64,
     pub peers: Vec<Peer>,
-    pub seats: Change,
-    pub drift: Drift,
+    pub seats: ReplicaConfiguration,
+    pub drift: ClockDrift,
     pub pools: Vec<PoolSetup>,
 }
 
@@ -34,7 +34,7 @@
 pub struct FleetSlots {
     own: Peer,
     peers: BTreeMap<Peer, bool>,
-    seats: Change,
+    seats: ReplicaConfiguration,
     pools: BTreeMap<PoolKey, Pool>,
     due: Time,
 }
@@ -68,18 +68,18 @@
     }
 
     /// A change of the list of replicas is asked by both lists for one window.
-    pub fn seats(&mut self) -> &mut Change {
+    pub fn seats(&mut self) -> &mut ReplicaConfiguration {
         &mut self.seats
     }
 
-    fn to_seats(&self, now: Time, pool: PoolKey, words: Vec<Word>, out: &mut Acts<Self>) {
+    fn to_seats(&self, now: Time, pool: PoolKey, words: Vec<Word>, out: &mut Effects<Self>) {
         for word in words {
-            for to in self.seats.asked(now, &pool.to_le_bytes()) {
+            for to in self.seats.replicas_of(now, &pool.to_le_bytes()) {
                 let message = Message {
                     pool,
                     word: word.clone(),
                 };
-                out.push(Do::Send {
+                out.push(Effect::Send {
                     to: to.clone(),
                     message,
                 });
@@ -87,10 +87,10 @@
         }
     }
 
-    fn step(&mut self, now: Time, out: &mut Acts<Self>) {
+    fn step(&mut self, now: Time, out: &mut Effects<Self>) {
         let keys: Vec<PoolKey> = self.pools.keys().copied().collect();
         for key in keys {
-            let sits = self.seats.sits(now, &key.to_le_bytes(), &self.own);
+            let sits = self.seats.is_replica(now, &key.to_le_bytes(), &self.own);
             let Some(pool) = self.pools.get_mut(&key) else {
                 continue;
             };
@@ -108,7 +108,7 @@
                 u16::MAX
             };
             if pool.most.replace(most) != Some(most) {
-                out.push(Do::Tell(Told::Most { pool: key, most }));
+                out.push(Effect::Emit(Told::Most { pool: key, most }));
             }
             let often = if pool.news { STEP } else { DIGEST };
             if pool
@@ -120,7 +120,7 @@
                 let digest = pool.digest();
                 for (to, _) in self.peers.iter().filter(|(_, alive)| **alive) {
                     let word = Word::Digest(digest.clone());
-                    out.push(Do::Send {
+                    out.push(Effect::Send {
                         to: to.clone(),
                         message: Message { pool: key, word },
                     });
@@ -132,14 +132,14 @@
     }
 }
 
-impl Part for FleetSlots {
+impl StateMachine for FleetSlots {
     type Message = Message;
-    type Ask = Ask;
-    type Told = Told;
+    type Command = Ask;
+    type Event = Told;
 
-    fn heard(&mut self, now: Time, from: &Peer, message: Message, out: &mut Acts<Self>) {
+    fn on_message(&mut self, now: Time, from: &Peer, message: Message, out: &mut Effects<Self>) {
         let Message { pool: key, word } = message;
-        let sits = self.seats.sits(now, &key.to_le_bytes(), &self.own);
+        let sits = self.seats.is_replica(now, &key.to_le_bytes(), &self.own);
         let Some(pool) = self.pools.get_mut(&key) else {
             return;
         };
@@ -159,7 +159,7 @@
                     refused,
                     vacant,
                 };
-                out.push(Do::Send {
+                out.push(Effect::Send {
                     to: from.clone(),
                     message: Message { pool: key, word },
                 });
@@ -184,7 +184,7 @@
                 out.extend(
                     won.into_iter()
                         .filter_map(|won| pool.told_held(won))
-                        .map(Do::Tell),
+                        .map(Effect::Emit),
                 );
                 let words = word
                     .into_iter()
@@ -200,14 +200,14 @@
             Word::Digest(digest) if self.peers.contains_key(from) => {
                 let by = pool.heard.hear(now, from, digest, pool.setup.slots);
                 if !by.is_empty() {
-                    out.push(Do::Tell(Told::Used { pool: key, by }));
+                    out.push(Effect::Emit(Told::Used { pool: key, by }));
                 }
             }
             _ => {}
         }
     }
 
-    fn ask(&mut self, now: Time, ask: Ask, out: &mut Acts<Self>) {
+    fn on_command(&mut self, now: Time, ask: Ask, out: &mut Effects<Self>) {
         match ask {
             Ask::Uses { pool, at, uses } => {
                 let Some(pool) = self.pools.get_mut(&pool) else {
@@ -239,12 +239,12 @@
                     return;
                 };
                 pool.leaving = true;
-                out.push(Do::Tell(Told::Most { pool: key, most: 0 }));
+                out.push(Effect::Emit(Told::Most { pool: key, most: 0 }));
             }
         }
     }
 
-    fn peer(&mut self, _: Time, peer: &Peer, alive: bool, _: &mut Acts<Self>) {
+    fn on_peer_status(&mut self, _: Time, peer: &Peer, alive: bool, _: &mut Effects<Self>) {
         self.peers
             .get_mut(peer)
             .into_iter()
@@ -256,13 +256,13 @@
         }
     }
 
-    fn tick(&mut self, now: Time, out: &mut Acts<Self>) {
+    fn on_tick(&mut self, now: Time, out: &mut Effects<Self>) {
         if now >= self.due {
             self.step(now, out);
         }
     }
 
-    fn due(&self) -> Option<Time> {
+    fn next_tick(&self) -> Option<Time> {
         Some(self.due)
     }
 }
--- a/pure/fair-queue/tests/common/mod.rs
+++ b/pure/fair-queue/tests/common/mod.rs
@@ -8,7 +8,9 @@
 use foldmux_fair_queue::slow::Figures;
 use foldmux_fair_queue::tenants::{key, Weight};
 use foldmux_fair_queue::{Ask, FleetSlots, Message, Peer, Stock, Time};
-use foldmux_replicas::{Acts, Change, Do, Drift, Part, Seats};
+use foldmux_replicas::{
+    ClockDrift, Effect, Effects, ReplicaConfiguration, ReplicaSet, StateMachine,
+};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
@@ -196,7 +198,9 @@
         process.local = local;
         if !alone {
             let peers: Vec<Peer> = (0..self.plan.processes.max(3)).map(peer).collect();
-            let seats = Change::settled(Seats::new(peers.clone()).expect("three at least"));
+            let seats = ReplicaConfiguration::stable(
+                ReplicaSet::new(peers.clone()).expect("three at least"),
+            );
             let weights = self
                 .weights
                 .iter()
@@ -209,7 +213,7 @@
                 weights,
                 unnamed: 1_000,
             };
-            let drift = Drift::percent(1.0).expect("a drift");
+            let drift = ClockDrift::from_percent(1.0).expect("a drift");
             let setup = FleetSetup {
                 own: peer(at),
                 life,
@@ -268,7 +272,7 @@
                     );
                 } else if self.processes[to].up {
                     self.fleet(to, |fleet, now, out| {
-                        fleet.heard(now, &peer(from), *message, out)
+                        fleet.on_message(now, &peer(from), *message, out)
                     });
                 }
             }
@@ -294,7 +298,7 @@
     fn fleet(
         &mut self,
         at: usize,
-        call: impl FnOnce(&mut FleetSlots, Time, &mut Acts<FleetSlots>),
+        call: impl FnOnce(&mut FleetSlots, Time, &mut Effects<FleetSlots>),
     ) {
         let now = self.processes[at].clock(self.now);
         let mut out = Vec::new();
@@ -304,8 +308,8 @@
         call(fleet, now, &mut out);
         for act in out {
             match act {
-                Do::Tell(told) => self.processes[at].local.told(now, told),
-                Do::Send { to, message } => self.send(at, index(&to), message),
+                Effect::Emit(told) => self.processes[at].local.told(now, told),
+                Effect::Send { to, message } => self.send(at, index(&to), message),
             }
         }
         self.go_on(at);
--- a/pure/fair-queue/tests/common/tenants.rs
+++ b/pure/fair-queue/tests/common/tenants.rs
@@ -208,7 +208,7 @@
             }
         }
         if let Some(gave) = self.processes[at].local.gave() {
-            self.fleet(at, |fleet, now, out| fleet.ask(now, gave, out));
+            self.fleet(at, |fleet, now, out| fleet.on_command(now, gave, out));
         }
     }
 
@@ -220,8 +220,8 @@
             .local
             .uses(self.processes[at].clock(self.now));
         self.fleet(at, |fleet, now, out| {
-            fleet.ask(now, uses, out);
-            fleet.tick(now, out);
+            fleet.on_command(now, uses, out);
+            fleet.on_tick(now, out);
         });
         self.sure();
     }
@@ -280,14 +280,14 @@
             word: foldmux_fair_queue::message::Word::Digest(digest),
         };
         self.fleet(to, |fleet, now, out| {
-            fleet.heard(now, &peer(from), message, out)
+            fleet.on_message(now, &peer(from), message, out)
         });
     }
 
     /// It gives back what is idle, and claims no more.
     pub fn leave(&mut self, at: usize) {
         self.fleet(at, |fleet, now, out| {
-            fleet.ask(now, Ask::Leaving { pool: POOL }, out)
+            fleet.on_command(now, Ask::Leaving { pool: POOL }, out)
         });
     }
 
--- a/pure/membership/src/members/effects.rs
+++ b/pure/membership/src/members/effects.rs
@@ -5,16 +5,16 @@
 use crate::who::Who;
 use crate::Packet;
 use foca::{Member, OwnedNotification};
-use foldmux_replicas::{Acts, Do, Time};
+use foldmux_replicas::{Effect, Effects, Time};
 
 impl Members {
     /// What foca wants done, until it wants nothing more.
-    pub(super) fn flush(&mut self, now: Time, out: &mut Acts<Members>) {
+    pub(super) fn flush(&mut self, now: Time, out: &mut Effects<Members>) {
         while let Some(notification) = self.runtime.to_notify() {
             self.notified(notification, out);
         }
         while let Some((to, data)) = self.runtime.to_send() {
-            out.push(Do::Send {
+            out.push(Effect::Send {
                 to: to.name,
                 message: Packet(data.to_vec()),
             });
@@ -25,7 +25,7 @@
         }
     }
 
-    fn notified(&mut self, notification: OwnedNotification<Who>, out: &mut Acts<Members>) {
+    fn notified(&mut self, notification: OwnedNotification<Who>, out: &mut Effects<Members>) {
         match notification {
             OwnedNotification::Rename(_, new) if new.left => self.left(new, out),
             OwnedNotification::MemberUp(new) if new.left => self.left(new, out),
@@ -37,7 +37,7 @@
                 self.came(new, out)
             }
             OwnedNotification::MemberDown(old) if self.up.remove(&old.name).is_some() => {
-                out.push(Do::Tell(Told::Down(old.name)));
+                out.push(Effect::Emit(Told::Down(old.name)));
             }
             OwnedNotification::Rejoin(_) => {
                 self.counts.returns += 1;
@@ -49,21 +49,21 @@
         }
     }
 
-    fn came(&mut self, who: Who, out: &mut Acts<Members>) {
+    fn came(&mut self, who: Who, out: &mut Effects<Members>) {
         if who.name == self.me().name {
             return;
         }
         let seen = Seen::of(&Member::alive(who.clone()));
         match self.up.insert(who.name.clone(), who.born) {
-            None => out.push(Do::Tell(Told::Up(seen))),
-            Some(born) if born != who.born => out.push(Do::Tell(Told::Restarted(seen))),
+            None => out.push(Effect::Emit(Told::Up(seen))),
+            Some(born) if born != who.born => out.push(Effect::Emit(Told::Restarted(seen))),
             Some(_) => {}
         }
     }
 
-    fn left(&mut self, who: Who, out: &mut Acts<Members>) {
+    fn left(&mut self, who: Who, out: &mut Effects<Members>) {
         if self.up.remove(&who.name).is_some() {
-            out.push(Do::Tell(Told::Left(who.name.clone())));
+            out.push(Effect::Emit(Told::Left(who.name.clone())));
         }
         // One that left is dead to all at once, and nobody asks after it.
         if who.name != self.me().name {
--- a/pure/membership/src/members/part.rs
+++ b/pure/membership/src/members/part.rs
@@ -5,14 +5,14 @@
 use crate::told::{Seen, Told};
 use crate::{Ask, Packet};
 use foca::Member;
-use foldmux_replicas::{Acts, Do, Part, Peer, Time};
+use foldmux_replicas::{Effect, Effects, Peer, StateMachine, Time};
 
-impl Part for Members {
+impl StateMachine for Members {
     type Message = Packet;
-    type Ask = Ask;
-    type Told = Told;
+    type Command = Ask;
+    type Event = Told;
 
-    fn heard(&mut self, now: Time, from: &Peer, message: Packet, out: &mut Acts<Self>) {
+    fn on_message(&mut self, now: Time, from: &Peer, message: Packet, out: &mut Effects<Self>) {
         if self.me().left {
             return;
         }
@@ -29,7 +29,7 @@
             Ok((packet, rival)) => {
                 if let Some(rival) = rival.filter(|rival| self.rival != Some(rival.born)) {
                     self.rival = Some(rival.born);
-                    out.push(Do::Tell(Told::Rival(Seen::of(&Member::alive(rival)))));
+                    out.push(Effect::Emit(Told::Rival(Seen::of(&Member::alive(rival)))));
                 }
                 let done = self.foca.handle_data(&packet, &mut self.runtime);
                 Members::noted(&mut self.counts, done);
@@ -41,7 +41,7 @@
         self.flush(now, out);
     }
 
-    fn ask(&mut self, now: Time, ask: Ask, out: &mut Acts<Self>) {
+    fn on_command(&mut self, now: Time, ask: Ask, out: &mut Effects<Self>) {
         match ask {
             Ask::Join(contacts) => {
                 if self.me().left {
@@ -72,9 +72,10 @@
     }
 
     /// A link that opens or breaks proves nothing; members ask and are asked in their own time.
-    fn peer(&mut self, _now: Time, _peer: &Peer, _alive: bool, _out: &mut Acts<Self>) {}
+    fn on_peer_status(&mut self, _now: Time, _peer: &Peer, _alive: bool, _out: &mut Effects<Self>) {
+    }
 
-    fn tick(&mut self, now: Time, out: &mut Acts<Self>) {
+    fn on_tick(&mut self, now: Time, out: &mut Effects<Self>) {
         // A process that was paused missed the answers, not the others the time: all its timers are later by
         // that.
         let late = self.timers.due().map_or(0, |due| now.saturating_sub(due));
@@ -96,7 +97,7 @@
         }
     }
 
-    fn due(&self) -> Option<Time> {
+    fn next_tick(&self) -> Option<Time> {
         self.timers.due().into_iter().chain(self.join_at).min()
     }
 }
--- a/pure/membership/tests/common/mod.rs
+++ b/pure/membership/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use foldmux_membership::*;
-use foldmux_replicas::{Do, Part, Peer, Time};
+use foldmux_replicas::{Effect, Peer, StateMachine, Time};
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -77,7 +77,7 @@
     }
 
     pub fn ask(&mut self, i: usize, ask: Ask) {
-        self.drive(i, |member, now, out| member.ask(now, ask, out));
+        self.drive(i, |member, now, out| member.on_command(now, ask, out));
     }
 
     /// Each process has a clock of its own.
@@ -88,7 +88,7 @@
     fn drive(
         &mut self,
         i: usize,
-        with: impl FnOnce(&mut Members, Time, &mut Vec<Do<Packet, Told>>),
+        with: impl FnOnce(&mut Members, Time, &mut Vec<Effect<Packet, Told>>),
     ) {
         let now = self.clock(i);
         let Some(member) = &mut self.members[i] else {
@@ -103,8 +103,8 @@
         );
         for act in out {
             match act {
-                Do::Tell(told) => self.told[i].push((self.now, told)),
-                Do::Send { to, message } => {
+                Effect::Emit(told) => self.told[i].push((self.now, told)),
+                Effect::Send { to, message } => {
                     self.send(i, to.as_str()[1..].parse().unwrap(), message)
                 }
             }
@@ -134,7 +134,7 @@
         let due = |i: usize| {
             self.members[i]
                 .as_ref()?
-                .due()
+                .next_tick()
                 .map(|due| due.saturating_sub(self.clock(i) - self.now))
         };
         let at =
@@ -159,7 +159,7 @@
             match (tick, packet) {
                 (Some((at, i)), packet) if packet.is_none_or(|p| at < p) && at <= end => {
                     self.now = self.now.max(at);
-                    self.drive(i, |member, now, out| member.tick(now, out));
+                    self.drive(i, |member, now, out| member.on_tick(now, out));
                 }
                 (_, Some(at)) if at <= end => {
                     self.now = self.now.max(at);
@@ -172,7 +172,7 @@
                     {
                         Some(until) => drop(self.queue.insert((until, key.1), (from, to, packet))),
                         None => self.drive(to, |member, now, out| {
-                            member.heard(now, &name(from), packet, out)
+                            member.on_message(now, &name(from), packet, out)
                         }),
                     }
                 }
--- a/pure/membership/tests/door.rs
+++ b/pure/membership/tests/door.rs
@@ -2,7 +2,7 @@
 
 use foca::{Codec, Header, Member, Message, PostcardCodec};
 use foldmux_membership::*;
-use foldmux_replicas::{Acts, Do, Part, Peer};
+use foldmux_replicas::{Effect, Effects, Peer, StateMachine};
 use proptest::prelude::*;
 
 fn who(name: &str, born: u64) -> Who {
@@ -50,9 +50,9 @@
     Packet(bytes)
 }
 
-fn hear(members: &mut Members, from: &str, packet: Packet) -> Acts<Members> {
+fn hear(members: &mut Members, from: &str, packet: Packet) -> Effects<Members> {
     let mut out = Vec::new();
-    members.heard(0, &Peer::new(from), packet, &mut out);
+    members.on_message(0, &Peer::new(from), packet, &mut out);
     out
 }
 
@@ -137,9 +137,9 @@
 #[test]
 fn another_under_this_name_is_told_once_and_never_declared_dead() {
     let mut members = members(10);
-    let told = |out: Acts<Members>| {
+    let told = |out: Effects<Members>| {
         out.into_iter()
-            .filter(|act| matches!(act, Do::Tell(Told::Rival(_))))
+            .filter(|act| matches!(act, Effect::Emit(Told::Rival(_))))
             .count()
     };
     assert_eq!(
--- a/pure/membership/tests/states.rs
+++ b/pure/membership/tests/states.rs
@@ -3,7 +3,7 @@
 
 use foca::{Codec, Header, Member, Message, PostcardCodec};
 use foldmux_membership::*;
-use foldmux_replicas::{Do, Part, Peer};
+use foldmux_replicas::{Effect, Peer, StateMachine};
 use proptest::prelude::*;
 use proptest_state_machine::{prop_state_machine, ReferenceStateMachine, StateMachineTest};
 use std::collections::{BTreeMap, BTreeSet};
@@ -159,19 +159,19 @@
             .for_each(|member| PostcardCodec.encode_member(member, &mut bytes).unwrap());
         let mut out = Vec::new();
         self.members
-            .heard(0, &header.src.name, Packet(bytes), &mut out);
+            .on_message(0, &header.src.name, Packet(bytes), &mut out);
         let mut sent = Vec::new();
         for act in out {
             match act {
-                Do::Send { message, .. } => sent.push(message),
-                Do::Tell(Told::Up(seen)) => assert!(self.up.insert(seen.peer), "up twice"),
-                Do::Tell(Told::Down(peer) | Told::Left(peer)) => {
+                Effect::Send { message, .. } => sent.push(message),
+                Effect::Emit(Told::Up(seen)) => assert!(self.up.insert(seen.peer), "up twice"),
+                Effect::Emit(Told::Down(peer) | Told::Left(peer)) => {
                     assert!(self.up.remove(&peer), "down, not up")
                 }
-                Do::Tell(Told::Restarted(seen)) => {
+                Effect::Emit(Told::Restarted(seen)) => {
                     assert!(self.up.contains(&seen.peer), "restarted, not up")
                 }
-                Do::Tell(Told::Rival(seen)) => panic!("nobody has this name: {seen:?}"),
+                Effect::Emit(Told::Rival(seen)) => panic!("nobody has this name: {seen:?}"),
             }
         }
         sent
--- a/pure/relay/src/context.rs
+++ b/pure/relay/src/context.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::Message;
 use crate::types::{Setup, Stream, Told};
-use foldmux_replicas::{Do, Peer, Time};
+use foldmux_replicas::{Effect, Peer, Time};
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
     pub leaving: bool,
     nonce: u64,
     draws: Xoshiro256PlusPlus,
-    pub out: Vec<Do<Message, Told>>,
+    pub out: Vec<Effect<Message, Told>>,
 }
 
 impl Shared {
@@ -32,14 +32,14 @@
     }
 
     pub fn send(&mut self, to: &Peer, message: Message) {
-        self.out.push(Do::Send {
+        self.out.push(Effect::Send {
             to: to.clone(),
             message,
         });
     }
 
     pub fn tell(&mut self, told: Told) {
-        self.out.push(Do::Tell(told));
+        self.out.push(Effect::Emit(told));
     }
 
     /// Greater than any before it, in this life and in earlier ones.
--- a/pure/relay/src/election.rs
+++ b/pure/relay/src/election.rs
@@ -1,9 +1,11 @@
 //! Who relays a branch. The one that holds a lease at the branch's seats; without one, whoever is first in line of those that
-//! seem alive tries for it. Seats only break ties: readers keep their own places, so that two relays cost a stream at
+//! seem alive tries for it. ReplicaSet only break ties: readers keep their own places, so that two relays cost a stream at
 //! the source and no promise.
 
 use crate::types::Branch;
-use foldmux_replicas::{order, Drift, Granted, Held, Memory, Peer, Seats, Time, Votes};
+use foldmux_replicas::{
+    rendezvous, ClockDrift, GrantedLease, HeldLease, Peer, RecoveryDelay, ReplicaSet, Time, Votes,
+};
 use std::collections::BTreeMap;
 
 /// Who may relay a branch, next first, and who is passed over for now.
@@ -14,7 +16,7 @@
 
 impl Candidates {
     pub fn new<'a>(branch: &Branch, peers: impl IntoIterator<Item = &'a Peer>) -> Candidates {
-        let ranked = order::of(&branch.key(), peers)
+        let ranked = rendezvous::ranked(&branch.key(), peers)
             .into_iter()
             .cloned()
             .collect();
@@ -65,7 +67,7 @@
     others: Vec<Peer>,
     asked: u64,
     sent: Time,
-    held: Option<Held>,
+    held: Option<HeldLease>,
     /// When to ask again.
     pub next: Time,
 }
@@ -80,8 +82,8 @@
 }
 
 impl Claim {
-    pub fn new(now: Time, branch: &Branch, seats: &Seats) -> Claim {
-        let seats = seats.of(&branch.key());
+    pub fn new(now: Time, branch: &Branch, seats: &ReplicaSet) -> Claim {
+        let seats = seats.replicas_of(&branch.key());
         Claim {
             votes: Votes::new(seats),
             seats: seats.map(Peer::clone),
@@ -110,7 +112,7 @@
         asked: u64,
         other: Option<Peer>,
         lease: Time,
-        drift: Drift,
+        drift: ClockDrift,
     ) -> Verdict {
         if asked != self.asked {
             return Verdict::Open;
@@ -119,12 +121,12 @@
             None => {
                 self.votes.grant(from);
                 if self.votes.won() {
-                    self.held = Some(Held::new(self.sent, lease, drift));
+                    self.held = Some(HeldLease::new(self.sent, lease, drift));
                     return Verdict::Won;
                 }
             }
             Some(other) => {
-                if self.votes.refuse(from) {
+                if self.votes.reject(from) {
                     self.others.push(other);
                 }
                 if self.votes.lost() {
@@ -136,20 +138,20 @@
     }
 
     pub fn holds(&self, now: Time) -> bool {
-        self.held.is_some_and(|held| held.holds(now))
+        self.held.is_some_and(|held| held.is_valid(now))
     }
 }
 
 /// A seat's side: what it granted, by branch. Bounded by the branches that the file names.
 pub struct Grants {
-    memory: Memory,
-    granted: BTreeMap<Branch, (Peer, Granted)>,
+    memory: RecoveryDelay,
+    granted: BTreeMap<Branch, (Peer, GrantedLease)>,
 }
 
 impl Grants {
-    pub fn new(start: Time, lease: Time, drift: Drift) -> Grants {
+    pub fn new(start: Time, lease: Time, drift: ClockDrift) -> Grants {
         Grants {
-            memory: Memory::fresh(start, &[lease], drift),
+            memory: RecoveryDelay::state_lost(start, &[lease], drift),
             granted: BTreeMap::new(),
         }
     }
@@ -162,19 +164,21 @@
         branch: &Branch,
         lease: Time,
     ) -> Option<Option<Peer>> {
-        if !self.memory.speaks(now) {
+        if !self.memory.may_vote(now) {
             return None;
         }
         match self.granted.get_mut(branch) {
-            Some((holder, granted)) if granted.runs(now) => {
+            Some((holder, granted)) if granted.is_active(now) => {
                 if holder != from {
                     return Some(Some(holder.clone()));
                 }
                 granted.renew(now, lease);
             }
             _ => {
-                self.granted
-                    .insert(branch.clone(), (from.clone(), Granted::new(now, lease)));
+                self.granted.insert(
+                    branch.clone(),
+                    (from.clone(), GrantedLease::new(now, lease)),
+                );
             }
         }
         Some(None)
@@ -191,7 +195,8 @@
     }
 
     pub fn sweep(&mut self, now: Time) {
-        self.granted.retain(|_, (_, granted)| granted.runs(now));
+        self.granted
+            .retain(|_, (_, granted)| granted.is_active(now));
     }
 
     pub fn len(&self) -> usize {
--- a/pure/relay/src/part.rs
+++ b/pure/relay/src/part.rs
@@ -8,7 +8,7 @@
 use crate::role::Role;
 use crate::source::Source;
 use crate::types::*;
-use foldmux_replicas::{Acts, Do, Part, Peer, Time};
+use foldmux_replicas::{Effect, Effects, Peer, StateMachine, Time};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -126,7 +126,7 @@
                         .shared
                         .setup
                         .seats
-                        .sits(&branch.key(), &self.shared.setup.me)
+                        .is_replica(&branch.key(), &self.shared.setup.me)
                 {
                     return true;
                 }
@@ -231,12 +231,12 @@
     }
 }
 
-impl Part for Relay {
+impl StateMachine for Relay {
     type Message = Message;
-    type Ask = Ask;
-    type Told = Told;
+    type Command = Ask;
+    type Event = Told;
 
-    fn heard(&mut self, now: Time, from: &Peer, message: Message, out: &mut Acts<Self>) {
+    fn on_message(&mut self, now: Time, from: &Peer, message: Message, out: &mut Effects<Self>) {
         if !self.seat(now, from, &message) {
             let flow = self.flow(&message.branch().stream);
             if let (Some(()), Some(f)) = (self.hear(now, from, message), flow) {
@@ -246,14 +246,14 @@
         out.append(&mut self.shared.out);
     }
 
-    fn ask(&mut self, now: Time, ask: Ask, out: &mut Acts<Self>) {
+    fn on_command(&mut self, now: Time, ask: Ask, out: &mut Effects<Self>) {
         if let Some(f) = self.asked(now, ask) {
             self.settle(now, f);
         }
         out.append(&mut self.shared.out);
     }
 
-    fn peer(&mut self, now: Time, peer: &Peer, alive: bool, out: &mut Acts<Self>) {
+    fn on_peer_status(&mut self, now: Time, peer: &Peer, alive: bool, out: &mut Effects<Self>) {
         if alive {
             self.shared.dead.remove(peer);
         } else if self
@@ -274,7 +274,7 @@
         out.append(&mut self.shared.out);
     }
 
-    fn tick(&mut self, now: Time, out: &mut Acts<Self>) {
+    fn on_tick(&mut self, now: Time, out: &mut Effects<Self>) {
         self.grants.sweep(now);
         for f in 0..self.flows.len() {
             self.tick_flow(now, f);
@@ -282,7 +282,7 @@
         out.append(&mut self.shared.out);
     }
 
-    fn due(&self) -> Option<Time> {
+    fn next_tick(&self) -> Option<Time> {
         let levels = self.flows.iter().flat_map(|flow| &flow.levels);
         levels
             .flat_map(|level| [level.follower.due(), level.role.due()])
@@ -292,4 +292,4 @@
 }
 
 /// What the part wants done, by its own words.
-pub type Act = Do<Message, Told>;
+pub type Act = Effect<Message, Told>;
--- a/pure/relay/src/types.rs
+++ b/pure/relay/src/types.rs
@@ -1,6 +1,6 @@
 //! The types of the part: streams, places in them, what processes say to each other, what a process asks and is told.
 
-use foldmux_replicas::{Drift, Peer, Seats, Time};
+use foldmux_replicas::{ClockDrift, Peer, ReplicaSet, Time};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -55,8 +55,8 @@
     pub life: u64,
     /// Each process with its place: the site, or site, hub and office.
     pub places: Vec<(Peer, Vec<Arc<str>>)>,
-    pub seats: Seats,
-    pub drift: Drift,
+    pub seats: ReplicaSet,
+    pub drift: ClockDrift,
     pub lease: Time,
     pub streams: Vec<Stream>,
     /// Readers of this process, over all streams; and processes that one relay feeds in a branch.
--- a/pure/relay/tests/world/faults.rs
+++ b/pure/relay/tests/world/faults.rs
@@ -2,7 +2,7 @@
 
 use super::{Process, What, World, LEASE, MS, SOURCE};
 use foldmux_relay::{Ask, Place, Relay, Setup};
-use foldmux_replicas::{Drift, Part, Peer, Seats, Time};
+use foldmux_replicas::{ClockDrift, Peer, ReplicaSet, StateMachine, Time};
 
 impl World {
     /// kill -9: its readers go with it.
@@ -61,7 +61,7 @@
             let mut out = Vec::new();
             let name = self.places[peer].0.clone();
             if let Some(relay) = self.processes[i].relay.as_mut() {
-                relay.peer(self.now, &name, alive, &mut out);
+                relay.on_peer_status(self.now, &name, alive, &mut out);
                 self.done(i, out);
             }
         }
@@ -114,13 +114,13 @@
     }
 
     pub(super) fn made(&self, i: usize, life: u64) -> Relay {
-        let seats = Seats::new((0..self.seats).map(|n| Peer::new(&format!("n{n}")))).unwrap();
+        let seats = ReplicaSet::new((0..self.seats).map(|n| Peer::new(&format!("n{n}")))).unwrap();
         let setup = Setup {
             me: self.places[i].0.clone(),
             life: life << 32,
             places: self.places.clone(),
             seats,
-            drift: Drift::default(),
+            drift: ClockDrift::default(),
             lease: LEASE,
             streams: vec![self.stream.clone()],
             readers: 100_000,
--- a/pure/relay/tests/world/io.rs
+++ b/pure/relay/tests/world/io.rs
@@ -2,20 +2,20 @@
 
 use super::{What, World, LOST, MS, SOURCE, WAIT};
 use foldmux_relay::{Message, Place, Told};
-use foldmux_replicas::{Do, Part, Peer};
+use foldmux_replicas::{Effect, Peer, StateMachine};
 use rand::RngExt;
 
 impl World {
     /// Carries out what a part wants.
-    pub fn done(&mut self, i: usize, out: Vec<Do<Message, Told>>) {
+    pub fn done(&mut self, i: usize, out: Vec<Effect<Message, Told>>) {
         for act in out {
             match act {
-                Do::Send { to, message } => self.send(i, to, message),
-                Do::Tell(told) => self.told(i, told),
+                Effect::Send { to, message } => self.send(i, to, message),
+                Effect::Emit(told) => self.told(i, told),
             }
         }
         let (now, process) = (self.now, &mut self.processes[i]);
-        let due = process.relay.as_ref().and_then(|relay| relay.due());
+        let due = process.relay.as_ref().and_then(|relay| relay.next_tick());
         if let Some(due) = due
             .map(|due| due.max(now + 1))
             .filter(|due| *due < process.tick_at)
--- a/pure/relay/tests/world/mod.rs
+++ b/pure/relay/tests/world/mod.rs
@@ -8,7 +8,7 @@
 pub mod model;
 
 use foldmux_relay::{Ask, First, Item, Message, Place, Relay, Slow, Stream};
-use foldmux_replicas::{Part, Peer, Time};
+use foldmux_replicas::{Peer, StateMachine, Time};
 use model::{Log, Model};
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
@@ -201,14 +201,14 @@
         let relay = process.relay.as_mut().expect("alive");
         match what {
             What::Hear(from, _, _, message) => {
-                relay.heard(now, &self.places[from].0, message, &mut out);
+                relay.on_message(now, &self.places[from].0, message, &mut out);
             }
             What::Tick(..) => {
                 if process.tick_at > now {
                     return;
                 }
                 process.tick_at = Time::MAX;
-                relay.tick(now, &mut out);
+                relay.on_tick(now, &mut out);
             }
             What::Answer(_, _, poll, epoch, items) => {
                 if poll != process.poll || !process.open {
@@ -218,7 +218,7 @@
                     process.tail = Place { epoch, number: 0 };
                 }
                 process.tail.number = items.last().map_or(process.tail.number, |item| item.number);
-                relay.ask(
+                relay.on_command(
                     now,
                     Ask::Fed {
                         stream: self.stream.name.clone(),
@@ -239,7 +239,7 @@
             }
             What::Unfed(_, _, poll) => {
                 if poll == process.poll && process.open {
-                    relay.ask(
+                    relay.on_command(
                         now,
                         Ask::Unfed {
                             stream: self.stream.name.clone(),
@@ -271,7 +271,7 @@
         }
         let mut out = Vec::new();
         if let Some(relay) = self.processes[i].relay.as_mut() {
-            relay.ask(self.now, ask, &mut out);
+            relay.on_command(self.now, ask, &mut out);
             self.done(i, out);
         }
     }
--- a/pure/replicas/src/lease.rs
+++ b/pure/replicas/src/lease.rs
@@ -1,133 +1,152 @@
-//! Leases, counted by holder and granter each on their own clock. The holder counts from when it *sent*, and
-//! less by the drift; the granter counts the whole from when it heard. So the holder's end comes before the
-//! granter's in real time, however long the message took, as long as both clocks keep within the drift.
+//! Leases, counted by holder and granter each on their own clock.
+//!
+//! The holder counts from when it *sent* the request, and counts less by the clock drift. The granter counts
+//! the whole lease from when it received the request. The holder's lease therefore ends before the granter's
+//! in real time, however long the request was on its way, as long as both clocks stay within the drift.
 
-use crate::Time;
+use crate::{Micros, Time};
 use std::fmt;
 
-const MILLION: u128 = 1_000_000;
+/// Parts of the unit of [`ClockDrift`].
+const PARTS_PER_MILLION: u128 = 1_000_000;
+const PPM_PER_PERCENT: f64 = 10_000.0;
 
-/// How far a process's clock may run from real time: a second of it is between 1 - drift and 1 + drift
-/// seconds.
+/// A bound `d` on the drift of a process's clock: a second on the clock is between `1 - d` and `1 + d` seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Drift {
+pub struct ClockDrift {
     ppm: u32,
 }
 
-/// A drift that is no number from 0 to [`Drift::MOST`] percent.
+/// A percentage that is not from 0 to [`ClockDrift::MAX_PERCENT`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BadDrift(pub f64);
+pub struct InvalidClockDrift(pub f64);
 
-impl fmt::Display for BadDrift {
+impl fmt::Display for InvalidClockDrift {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
             "a drift of {} percent is not from 0 to {}",
             self.0,
-            Drift::MOST
+            ClockDrift::MAX_PERCENT
         )
     }
 }
 
-impl std::error::Error for BadDrift {}
+impl std::error::Error for InvalidClockDrift {}
 
-impl Default for Drift {
-    /// One percent: crystals keep within 0.01, and slewing (`ntpd`, `chrony`, `adjtime`) adds 0.05 to 10, as
-    /// configured.
-    fn default() -> Drift {
-        Drift { ppm: 10_000 }
+impl Default for ClockDrift {
+    /// One percent. Oscillators stay within 0.01 percent; slewing (`ntpd`, `chrony`, `adjtime`) adds 0.05 to
+    /// 10 percent, as configured.
+    fn default() -> ClockDrift {
+        ClockDrift { ppm: 10_000 }
     }
 }
 
-impl Drift {
-    /// Percent. The sums below hold to a third; a clock that is off by a tenth is broken.
-    pub const MOST: f64 = 10.0;
-
-    pub fn percent(percent: f64) -> Result<Drift, BadDrift> {
-        // Written so that NaN is none.
-        if !(0.0..=Drift::MOST).contains(&percent) {
-            return Err(BadDrift(percent));
+impl ClockDrift {
+    /// The greatest bound, in percent. The approximations of this type hold up to a third; a clock that is
+    /// off by a tenth is broken.
+    pub const MAX_PERCENT: f64 = 10.0;
+
+    /// A bound in percent.
+    ///
+    /// # Errors
+    ///
+    /// When the percentage is not from 0 to [`ClockDrift::MAX_PERCENT`].
+    pub fn from_percent(percent: f64) -> Result<ClockDrift, InvalidClockDrift> {
+        // NaN is in no range.
+        if !(0.0..=ClockDrift::MAX_PERCENT).contains(&percent) {
+            return Err(InvalidClockDrift(percent));
         }
-        Ok(Drift {
-            ppm: (percent * 10_000.0).ceil() as u32,
+        Ok(ClockDrift {
+            ppm: (percent * PPM_PER_PERCENT).ceil() as u32,
         })
     }
 
-    /// A span that is over, by any clock within the drift, before `span` is by any other:
-    /// `span * (1 - 2d)`, for (1 - 2d) / (1 - d) <= 1 / (1 + d); one less, as clocks tell whole microseconds.
-    pub fn shortened(self, span: Time) -> Time {
+    /// A span that ends, on any clock within the drift, before `span` does on any other.
+    ///
+    /// It is `span * (1 - 2d)`, as `(1 - 2d) / (1 - d) <= 1 / (1 + d)`, less one, as clocks show whole
+    /// microseconds.
+    pub fn shortened(self, span: Micros) -> Micros {
         #[cfg(feature = "planted")]
-        if crate::planted::on(crate::planted::Fault::EqualLength) {
+        if crate::planted::is_planted(crate::planted::Fault::LeaseNotShortened) {
             return span;
         }
-        let less = (u128::from(span) * 2 * u128::from(self.ppm)).div_ceil(MILLION) as Time;
-        span.saturating_sub(less).saturating_sub(1)
+        let twice_drift = 2 * u128::from(self.ppm);
+        let margin = (u128::from(span) * twice_drift).div_ceil(PARTS_PER_MILLION) as Micros;
+        span.saturating_sub(margin).saturating_sub(1)
     }
 
-    /// A span that is not over, by any clock within the drift, before `span` is by any other:
-    /// `span * (1 + 3d)`, for (1 + 3d) / (1 + d) >= 1 / (1 - d) up to a third; and one more.
-    pub fn stretched(self, span: Time) -> Time {
-        let more = (u128::from(span) * 3 * u128::from(self.ppm)).div_ceil(MILLION);
-        u64::try_from(u128::from(span) + more + 1).unwrap_or(Time::MAX)
+    /// A span that does not end, on any clock within the drift, before `span` does on any other.
+    ///
+    /// It is `span * (1 + 3d)`, as `(1 + 3d) / (1 + d) >= 1 / (1 - d)` for drifts up to a third, and one
+    /// more.
+    pub fn stretched(self, span: Micros) -> Micros {
+        let thrice_drift = 3 * u128::from(self.ppm);
+        let margin = (u128::from(span) * thrice_drift).div_ceil(PARTS_PER_MILLION);
+        Micros::try_from(u128::from(span) + margin + 1).unwrap_or(Micros::MAX)
     }
 }
 
-/// The holder's side of a lease that a majority granted.
+/// A lease at its holder, granted by a quorum.
 ///
 /// ```
-/// use foldmux_replicas::{Drift, Held};
-/// let held = Held::new(1_000, 500_000, Drift::percent(1.0).unwrap());
-/// assert!(held.holds(490_000) && !held.holds(491_000));
+/// use foldmux_replicas::{ClockDrift, HeldLease};
+/// let lease = HeldLease::new(1_000, 500_000, ClockDrift::from_percent(1.0).unwrap());
+/// assert!(lease.is_valid(490_000) && !lease.is_valid(491_000));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
-    from: Time,
-    until: Time,
+pub struct HeldLease {
+    starts_at: Time,
+    expires_at: Time,
 }
 
-impl Held {
-    /// `sent` is when the question was sent whose answers decided, never when they came.
-    pub fn new(sent: Time, lease: Time, drift: Drift) -> Held {
-        Held {
-            from: sent,
-            until: sent.saturating_add(drift.shortened(lease)),
+impl HeldLease {
+    /// `sent` is when the request was sent that the quorum granted, never when the grants arrived.
+    pub fn new(sent: Time, duration: Micros, drift: ClockDrift) -> HeldLease {
+        HeldLease {
+            starts_at: sent,
+            expires_at: sent.saturating_add(drift.shortened(duration)),
         }
     }
 
-    /// Whether it is this process's now. Asked after every wait, and right before what it allows.
-    pub fn holds(&self, now: Time) -> bool {
-        self.from <= now && now < self.until
+    /// Whether the lease is this process's now. Check it after every wait, right before the action that the
+    /// lease allows.
+    pub fn is_valid(&self, now: Time) -> bool {
+        self.starts_at <= now && now < self.expires_at
     }
 
-    pub fn until(&self) -> Time {
-        self.until
+    /// When it expires, on the holder's clock.
+    pub fn expires_at(&self) -> Time {
+        self.expires_at
     }
 }
 
-/// The granter's side: until its end it grants no other holder.
+/// A lease at a granter, which grants it to no other holder until it expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Granted {
-    until: Time,
+pub struct GrantedLease {
+    expires_at: Time,
 }
 
-impl Granted {
-    /// `heard` is when the question came, or later.
-    pub fn new(heard: Time, lease: Time) -> Granted {
-        Granted {
-            until: heard.saturating_add(lease),
+impl GrantedLease {
+    /// `received` is when the request arrived, or later.
+    pub fn new(received: Time, duration: Micros) -> GrantedLease {
+        GrantedLease {
+            expires_at: received.saturating_add(duration),
         }
     }
 
-    pub fn runs(&self, now: Time) -> bool {
-        now < self.until
+    /// Whether it has not expired.
+    pub fn is_active(&self, now: Time) -> bool {
+        now < self.expires_at
     }
 
-    pub fn until(&self) -> Time {
-        self.until
+    /// When it expires, on the granter's clock.
+    pub fn expires_at(&self) -> Time {
+        self.expires_at
     }
 
-    /// The same holder asked again: a lease never gets shorter by that.
-    pub fn renew(&mut self, heard: Time, lease: Time) {
-        self.until = self.until.max(heard.saturating_add(lease));
+    /// Extends it for the same holder. A renewal never shortens a lease.
+    pub fn renew(&mut self, received: Time, duration: Micros) {
+        self.expires_at = self.expires_at.max(received.saturating_add(duration));
     }
 }
--- a/pure/replicas/src/lib.rs
+++ b/pure/replicas/src/lib.rs
@@ -1,26 +1,35 @@
-//! What the processes of a fleet share, pure: the names of processes, the form of a part that decides, the
-//! seats that speak for a key, and leases.
+//! The building blocks that the state machines of a fleet share: names of processes, replica sets, quorum
+//! votes, leases, and the interface of a state machine.
 //!
-//! Owns: the vocabulary ([`part`]); which three of the listed names speak for a key, and when two of them
-//! decide ([`Seats`], [`Votes`]), also while the list changes ([`Change`]); leases by two clocks ([`Held`],
-//! [`Granted`], [`Drift`]); when a seat that forgot may speak again ([`Memory`]); who is next in line for a
-//! key ([`order`]). May not: do I/O, read a clock (times are passed in, on the process's own monotonic
-//! clock), start threads, draw chance other than from a seed passed in, or know what a part decides. It
-//! depends on no other crate of the workspace; every part depends on it.
+//! - [`StateMachine`], [`Effect`], [`Effects`]: the interface of a deterministic state machine.
+//! - [`ReplicaSet`]: which three of the listed processes are the replicas of a key.
+//! - [`Votes`]: when two of them decide; [`ReplicaConfiguration`]: the same while the list changes.
+//! - [`HeldLease`], [`GrantedLease`], [`ClockDrift`]: a lease, counted on two clocks.
+//! - [`RecoveryDelay`]: when a replica that lost its state may vote again.
+//! - [`rendezvous`]: the order of processes for a key, by rendezvous hashing.
+//!
+//! The crate does no I/O, reads no clock (times are passed in, on the process's own monotonic clock), starts
+//! no threads and knows no state machine. It depends on no other crate of the workspace.
+
+#![warn(missing_docs)]
 
-pub mod change;
-pub mod lease;
-pub mod memory;
-pub mod order;
-pub mod part;
+mod configuration;
+mod lease;
+mod peer;
 #[cfg(feature = "planted")]
 pub mod planted;
-pub mod seats;
-pub mod votes;
+mod recovery;
+pub mod rendezvous;
+mod replica_set;
+mod state_machine;
+mod time;
+mod votes;
 
-pub use change::{Change, Changing};
-pub use lease::{BadDrift, Drift, Granted, Held};
-pub use memory::Memory;
-pub use part::{Acts, Do, Part, Peer, Time};
-pub use seats::{BadSeats, Seats};
+pub use configuration::{ReconfigurationInProgress, ReplicaConfiguration};
+pub use lease::{ClockDrift, GrantedLease, HeldLease, InvalidClockDrift};
+pub use peer::Peer;
+pub use recovery::RecoveryDelay;
+pub use replica_set::{ReplicaSet, ReplicaSetError};
+pub use state_machine::{Effect, Effects, StateMachine};
+pub use time::{Micros, Time};
 pub use votes::Votes;
--- a/pure/replicas/src/planted.rs
+++ b/pure/replicas/src/planted.rs
@@ -1,29 +1,31 @@
-//! Faults planted on purpose: each is a rule of this crate left out, that a test must find. Only behind the
-//! feature `planted`; one at a time, for the whole process, as checkers have threads of their own.
+//! Planted faults: each switches off one rule of this crate, and a test must find it. Only built with the
+//! feature `planted`. One fault at a time, for the whole process: model checkers have threads of their own.
 
 use std::sync::atomic::{AtomicU8, Ordering};
 
+/// A rule that is switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Fault {
-    /// A majority is one of the seats that seem alive.
-    MajorityOfTheLiving = 1,
-    /// A seat that forgot speaks at once.
-    FreshVotes,
-    /// The holder's lease counts from the answer.
-    CountsFromAnswer,
+    /// A quorum is a majority of the replicas that seem alive.
+    QuorumOfTheLiving = 1,
+    /// A replica that lost its state votes at once.
+    VoteAfterStateLoss,
+    /// The holder's lease counts from the reply.
+    LeaseFromReply,
     /// The holder's lease is as long as the granter's.
-    EqualLength,
+    LeaseNotShortened,
 }
 
 static PLANTED: AtomicU8 = AtomicU8::new(0);
 
-/// Until the guard is dropped.
+/// Plants a fault until the guard is dropped.
 pub fn plant(fault: Fault) -> Guard {
     PLANTED.store(fault as u8, Ordering::SeqCst);
     Guard
 }
 
+/// Removes the planted fault when it is dropped.
 pub struct Guard;
 
 impl Drop for Guard {
@@ -32,7 +34,8 @@
     }
 }
 
-/// Whether it is planted. A holder asks it itself when it counts a lease: that rule is in its own code.
-pub fn on(fault: Fault) -> bool {
+/// Whether this fault is planted. Holders check [`Fault::LeaseFromReply`] themselves: from when a lease
+/// counts is decided in their code.
+pub fn is_planted(fault: Fault) -> bool {
     PLANTED.load(Ordering::SeqCst) == fault as u8
 }
--- a/pure/replicas/src/votes.rs
+++ b/pure/replicas/src/votes.rs
@@ -1,15 +1,15 @@
-//! What a key's seats have answered to one question, and whether that decides it.
+//! What a key's replicas have answered to one question, and whether that decides it.
 
-use crate::seats::{MAJORITY, SEATS};
+use crate::replica_set::{QUORUM, REPLICAS_PER_KEY};
 use crate::Peer;
 
-/// The grants and refusals of one question. Each seat counts once, by what it said first; strangers count for
-/// nothing. A question asked again (another term, another renewal) has votes of its own.
+/// The votes on one question. Each replica counts once, by its first vote; those of other processes are
+/// ignored. A question that is asked again (another term, another renewal) has votes of its own.
 ///
 /// ```
-/// use foldmux_replicas::{Peer, Seats, Votes};
-/// let seats = Seats::new(["n1", "n2", "n3"].map(Peer::new)).unwrap();
-/// let mut votes = Votes::new(seats.of(b"key"));
+/// use foldmux_replicas::{Peer, ReplicaSet, Votes};
+/// let set = ReplicaSet::new(["n1", "n2", "n3"].map(Peer::new)).unwrap();
+/// let mut votes = Votes::new(set.replicas_of(b"key"));
 /// votes.grant(&Peer::new("n2"));
 /// votes.grant(&Peer::new("n2"));
 /// votes.grant(&Peer::new("stranger"));
@@ -19,130 +19,142 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Votes {
-    now: Three,
-    /// The seats by the list before, while a change of the list goes on.
-    before: Option<Three>,
+    current: Ballots,
+    /// The votes by the former replica set, during a change.
+    former: Option<Ballots>,
 }
 
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Vote {
+    Granted,
+    Rejected,
+}
+
+/// The votes of one set of replicas.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Three {
-    seats: [Peer; SEATS],
-    said: [Option<bool>; SEATS],
+struct Ballots {
+    replicas: [Peer; REPLICAS_PER_KEY],
+    votes: [Option<Vote>; REPLICAS_PER_KEY],
     #[cfg(feature = "planted")]
-    gone: [bool; SEATS],
+    seems_dead: [bool; REPLICAS_PER_KEY],
 }
 
-impl Three {
-    fn new(seats: [&Peer; SEATS]) -> Three {
-        Three {
-            seats: seats.map(Peer::clone),
-            said: [None; SEATS],
+impl Ballots {
+    fn new(replicas: [&Peer; REPLICAS_PER_KEY]) -> Ballots {
+        Ballots {
+            replicas: replicas.map(Peer::clone),
+            votes: [None; REPLICAS_PER_KEY],
             #[cfg(feature = "planted")]
-            gone: [false; SEATS],
+            seems_dead: [false; REPLICAS_PER_KEY],
         }
     }
 
-    fn say(&mut self, from: &Peer, granted: bool) -> bool {
-        match self.seats.iter().position(|seat| seat == from) {
-            Some(i) if self.said[i].is_none() => {
-                self.said[i] = Some(granted);
+    /// Whether the vote counted.
+    fn cast(&mut self, from: &Peer, vote: Vote) -> bool {
+        match self.replicas.iter().position(|replica| replica == from) {
+            Some(i) if self.votes[i].is_none() => {
+                self.votes[i] = Some(vote);
                 true
             }
             _ => false,
         }
     }
 
-    #[cfg(feature = "planted")]
-    fn gone(&self) -> usize {
-        (0..SEATS)
-            .filter(|i| self.gone[*i] && self.said[*i].is_none())
+    fn count(&self, vote: Vote) -> usize {
+        self.votes
+            .iter()
+            .filter(|cast| **cast == Some(vote))
             .count()
     }
 
-    fn count(&self, granted: bool) -> usize {
-        self.said
+    fn granted(&self) -> impl Iterator<Item = &Peer> {
+        self.replicas
             .iter()
-            .filter(|said| **said == Some(granted))
+            .zip(&self.votes)
+            .filter(|(_, vote)| **vote == Some(Vote::Granted))
+            .map(|(replica, _)| replica)
+    }
+
+    #[cfg(feature = "planted")]
+    fn silent_and_dead(&self) -> usize {
+        (0..REPLICAS_PER_KEY)
+            .filter(|i| self.seems_dead[*i] && self.votes[*i].is_none())
             .count()
     }
 }
 
 impl Votes {
-    pub fn new(seats: [&Peer; SEATS]) -> Votes {
+    /// No votes yet, of these replicas.
+    pub fn new(replicas: [&Peer; REPLICAS_PER_KEY]) -> Votes {
         Votes {
-            now: Three::new(seats),
-            before: None,
+            current: Ballots::new(replicas),
+            former: None,
         }
     }
 
-    /// Votes that must win in both.
-    pub fn both(now: [&Peer; SEATS], before: [&Peer; SEATS]) -> Votes {
+    /// Votes that have to be won by both sets of replicas.
+    pub fn joint(current: [&Peer; REPLICAS_PER_KEY], former: [&Peer; REPLICAS_PER_KEY]) -> Votes {
         Votes {
-            now: Three::new(now),
-            before: Some(Three::new(before)),
+            current: Ballots::new(current),
+            former: Some(Ballots::new(former)),
         }
     }
 
-    /// Whether this counted: a repeat or a stranger doesn't.
+    /// Records a grant. Returns whether it counted.
     pub fn grant(&mut self, from: &Peer) -> bool {
-        self.say(from, true)
+        self.cast(from, Vote::Granted)
     }
 
-    /// Whether this counted.
-    pub fn refuse(&mut self, from: &Peer) -> bool {
-        self.say(from, false)
+    /// Records a rejection. Returns whether it counted.
+    pub fn reject(&mut self, from: &Peer) -> bool {
+        self.cast(from, Vote::Rejected)
     }
 
-    fn say(&mut self, from: &Peer, granted: bool) -> bool {
-        let now = self.now.say(from, granted);
-        self.before
+    fn cast(&mut self, from: &Peer, vote: Vote) -> bool {
+        let current_counts = self.current.cast(from, vote);
+        let former_counts = self
+            .former
             .as_mut()
-            .is_some_and(|before| before.say(from, granted))
-            || now
+            .is_some_and(|former| former.cast(from, vote));
+        current_counts || former_counts
     }
 
-    fn threes(&self) -> impl Iterator<Item = &Three> {
-        std::iter::once(&self.now).chain(&self.before)
+    fn sets(&self) -> impl Iterator<Item = &Ballots> {
+        std::iter::once(&self.current).chain(&self.former)
     }
 
-    /// A majority of each three has granted.
+    /// Whether a quorum of each set has granted.
     pub fn won(&self) -> bool {
         #[cfg(feature = "planted")]
-        if crate::planted::on(crate::planted::Fault::MajorityOfTheLiving) {
-            return self
-                .threes()
-                .all(|three| three.count(true) * 2 > SEATS - three.gone());
+        if crate::planted::is_planted(crate::planted::Fault::QuorumOfTheLiving) {
+            return self.sets().all(|ballots| {
+                ballots.count(Vote::Granted) * 2 > REPLICAS_PER_KEY - ballots.silent_and_dead()
+            });
         }
-        self.threes().all(|three| three.count(true) >= MAJORITY)
+        self.sets()
+            .all(|ballots| ballots.count(Vote::Granted) >= QUORUM)
     }
 
-    /// So many have refused that it can't be won any more.
+    /// Whether so many have rejected that it can't be won any more.
     pub fn lost(&self) -> bool {
-        self.threes()
-            .any(|three| three.count(false) > SEATS - MAJORITY)
+        self.sets()
+            .any(|ballots| ballots.count(Vote::Rejected) > REPLICAS_PER_KEY - QUORUM)
     }
 
-    /// A seat that seems dead: of no weight but for a planted fault.
+    /// Marks a replica that seems dead. Only a planted fault gives this any weight.
     #[cfg(feature = "planted")]
-    pub fn gone(&mut self, peer: &Peer) {
-        for three in std::iter::once(&mut self.now).chain(&mut self.before) {
-            (0..SEATS)
-                .filter(|i| three.seats[*i] == *peer)
-                .for_each(|i| three.gone[i] = true);
+    pub fn mark_dead(&mut self, peer: &Peer) {
+        for ballots in std::iter::once(&mut self.current).chain(&mut self.former) {
+            for i in 0..REPLICAS_PER_KEY {
+                ballots.seems_dead[i] |= ballots.replicas[i] == *peer;
+            }
         }
     }
 
-    /// Those who have granted, each once.
+    /// The replicas that have granted, each once.
     pub fn granted(&self) -> impl Iterator<Item = &Peer> {
-        let said = |three: &Three, i: usize| three.said[i] == Some(true);
-        let now = (0..SEATS)
-            .filter(move |i| said(&self.now, *i))
-            .map(|i| &self.now.seats[i]);
-        let before = self.before.iter().flat_map(move |three| {
-            (0..SEATS)
-                .filter(move |i| said(three, *i))
-                .map(|i| &three.seats[i])
-        });
-        now.chain(before.filter(|peer| !self.now.seats.contains(peer)))
+        let former = self.former.iter().flat_map(Ballots::granted);
+        let only_former = former.filter(|peer| !self.current.replicas.contains(peer));
+        self.current.granted().chain(only_former)
     }
 }
--- a/pure/replicas/tests/lease.rs
+++ b/pure/replicas/tests/lease.rs
@@ -1,21 +1,23 @@
-//! Two clocks within the drift: what the holder's says is over before what the granter's says, in real time.
+//! On two clocks within the drift, the holder's lease ends before the granter's, in real time.
 
-use foldmux_replicas::{BadDrift, Drift, Granted, Held, Memory, Time};
+use foldmux_replicas::{
+    ClockDrift, GrantedLease, HeldLease, InvalidClockDrift, RecoveryDelay, Time,
+};
 use proptest::prelude::*;
 
-/// A clock that shows whole microseconds of nanoseconds, run at a rate in millionths.
+/// A clock that shows whole microseconds and deviates from real time by a rate in parts per million.
 #[derive(Clone, Copy, Debug)]
 struct Clock {
-    rate: i64,
+    rate_ppm: i64,
     ahead: Time,
 }
 
 impl Clock {
     fn at(self, ns: u64) -> Time {
-        (u128::from(ns) * (1_000_000 + self.rate) as u128 / 1_000_000_000) as Time + self.ahead
+        (u128::from(ns) * (1_000_000 + self.rate_ppm) as u128 / 1_000_000_000) as Time + self.ahead
     }
 
-    /// The first nanosecond for which the clock is past something.
+    /// The first nanosecond at which `past` holds for the clock.
     fn first(self, mut low: u64, past: impl Fn(Time) -> bool) -> u64 {
         let mut high = 1 << 52;
         while low < high {
@@ -30,12 +32,13 @@
     }
 }
 
-fn clocks() -> impl Strategy<Value = (Drift, Clock, Clock)> {
+fn clocks() -> impl Strategy<Value = (ClockDrift, Clock, Clock)> {
     (0..=100_000_i64).prop_flat_map(|ppm| {
         let rate = || prop_oneof![-ppm..=ppm, Just(-ppm), Just(ppm)];
-        let clock = || (rate(), 0..(1_u64 << 40)).prop_map(|(rate, ahead)| Clock { rate, ahead });
+        let clock =
+            || (rate(), 0..(1_u64 << 40)).prop_map(|(rate_ppm, ahead)| Clock { rate_ppm, ahead });
         (
-            Just(Drift::percent(ppm as f64 / 10_000.0).unwrap()),
+            Just(ClockDrift::from_percent(ppm as f64 / 10_000.0).unwrap()),
             clock(),
             clock(),
         )
@@ -43,65 +46,65 @@
 }
 
 #[test]
-fn a_drift_out_of_bounds_is_none() {
+fn a_drift_out_of_bounds_is_an_error() {
     for percent in [-0.1, 10.1, f64::NAN, f64::INFINITY] {
-        assert!(Drift::percent(percent).is_err());
+        assert!(ClockDrift::from_percent(percent).is_err());
     }
-    assert_eq!(Drift::percent(50.0), Err(BadDrift(50.0)));
-    assert_eq!(Drift::percent(1.0), Ok(Drift::default()));
-    assert_eq!(Drift::default().stretched(Time::MAX), Time::MAX);
+    assert_eq!(ClockDrift::from_percent(50.0), Err(InvalidClockDrift(50.0)));
+    assert_eq!(ClockDrift::from_percent(1.0), Ok(ClockDrift::default()));
+    assert_eq!(ClockDrift::default().stretched(Time::MAX), Time::MAX);
 }
 
 #[test]
-fn a_lease_too_short_for_the_drift_never_holds() {
-    assert!(!Held::new(5, 1, Drift::default()).holds(5));
-    assert!(!Held::new(5, 1_000, Drift::default()).holds(4));
+fn a_lease_too_short_for_the_drift_is_never_valid() {
+    assert!(!HeldLease::new(5, 1, ClockDrift::default()).is_valid(5));
+    assert!(!HeldLease::new(5, 1_000, ClockDrift::default()).is_valid(4));
 }
 
 #[test]
-fn a_seat_with_no_window_given_never_speaks() {
-    assert!(!Memory::fresh(0, &[], Drift::default()).speaks(Time::MAX - 1));
+fn a_replica_without_a_window_never_votes() {
+    assert!(!RecoveryDelay::state_lost(0, &[], ClockDrift::default()).may_vote(Time::MAX - 1));
 }
 
 #[test]
 fn a_renewal_never_shortens() {
-    let mut granted = Granted::new(100, 50);
+    let mut granted = GrantedLease::new(100, 50);
     granted.renew(90, 20);
-    assert!(granted.runs(149) && !granted.runs(150));
+    assert!(granted.is_active(149) && !granted.is_active(150));
     granted.renew(120, 50);
-    assert_eq!(granted.until(), 170);
+    assert_eq!(granted.expires_at(), 170);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn the_holders_end_is_never_after_the_granters(
+    fn a_held_lease_never_outlives_the_granted_one(
         (drift, holder, granter) in clocks(),
         sent in 0..1_000_000_000_000_u64,
-        travels in prop_oneof![Just(0), 0..10_000_000_u64],
+        delay in prop_oneof![Just(0), 0..10_000_000_u64],
         lease in prop_oneof![0..1_000_u64, 0..60_000_000_u64],
     ) {
-        let held = Held::new(holder.at(sent), lease, drift);
-        let granted = Granted::new(granter.at(sent + travels), lease);
-        let ends = holder.first(sent, |now| !held.holds(now));
-        let frees = granter.first(sent + travels, |now| !granted.runs(now));
+        let held = HeldLease::new(holder.at(sent), lease, drift);
+        let granted = GrantedLease::new(granter.at(sent + delay), lease);
+        let ends = holder.first(sent, |now| !held.is_valid(now));
+        let frees = granter.first(sent + delay, |now| !granted.is_active(now));
         prop_assert!(ends <= frees, "held to {ends} ns, granted to {frees} ns");
-        // And the bound is not bought with the whole lease.
-        prop_assert!(held.until() - holder.at(sent) + lease / 5 + 2 >= lease);
+        // The margin must not take up the whole lease.
+        prop_assert!(held.expires_at() - holder.at(sent) + lease / 5 + 2 >= lease);
     }
 
     #[test]
-    fn a_fresh_seat_waits_out_whatever_was_counted_on_another_clock(
-        (drift, seat, other) in clocks(),
+    fn a_replica_without_state_abstains_until_every_window_has_passed_on_any_clock(
+        (drift, replica, other) in clocks(),
         start in 0..1_000_000_000_000_u64,
         windows in prop::collection::vec(0..60_000_000_u64, 1..4),
     ) {
-        let memory = Memory::fresh(seat.at(start), &windows, drift);
-        let speaks = seat.first(start, |now| memory.speaks(now));
+        let recovery = RecoveryDelay::state_lost(replica.at(start), &windows, drift);
+        let votes = replica.first(start, |now| recovery.may_vote(now));
         for window in windows {
             let from = other.at(start);
-            prop_assert!(other.first(start, |now| now >= from + window) <= speaks);
+            prop_assert!(other.first(start, |now| now >= from + window) <= votes);
         }
     }
 }
--- a/pure/replicas/tests/model/mod.rs
+++ b/pure/replicas/tests/model/mod.rs
@@ -1,44 +1,44 @@
-//! One slot's lease as a state machine that stateright walks through: two holders, three seats, a message
-//! that may take any time or never come, one crash and one pause. The rules are the crate's own code; only
-//! the moves are the model's.
+//! One lease as a state machine that stateright explores: two holders, three replicas, messages that may take
+//! any time or be lost, a crash and a pause. The rules are the code of the crate; only the actions are the
+//! model's.
 //!
-//! Time goes in steps, and the state keeps ages, so that it is finite with no end of time. The clocks run as
-//! far apart as the drift allows, in the way that is worst: the holders' slow, the seats' fast.
+//! Time advances in ticks, and the state keeps ages, so that it is finite. The clocks run as far apart as the
+//! drift allows, in the worst direction: those of the holders slow, those of the replicas fast.
 #![allow(dead_code)]
 
 mod state;
 
-use state::{Holder, Seat, State, Way, HOLDERS, SEATS};
+use state::{Holder, Replica, RequestState, State, HOLDERS, REPLICAS};
 use stateright::{Model, Property};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Move {
-    Step,
-    Claim(u8),
-    /// The seat hears the claim; of an earlier round, if so.
-    Hear(u8, u8, bool),
-    /// The holder hears the answer.
-    Answer(u8, u8),
+pub enum Action {
+    Tick,
+    Request(u8),
+    /// The replica receives the request of the holder; of an earlier round if `true`.
+    DeliverRequest(u8, u8, bool),
+    /// The holder receives the reply.
+    DeliverReply(u8, u8),
     Suspect(u8, u8),
-    CrashSeat(u8),
+    CrashReplica(u8),
     CrashHolder(u8),
     Pause(u8),
-    Wake(u8),
+    Resume(u8),
 }
 
-/// The bounds of the walk, and how the holders count.
-pub struct Slot {
+/// The bounds of the exploration, and from when the holders count.
+pub struct LeaseModel {
     pub rounds: u8,
     pub crashes: u8,
     pub pauses: u8,
-    /// A holder may believe of any seat that it is dead.
+    /// A holder may believe that a replica is dead.
     pub suspicion: bool,
-    pub from_answer: fn() -> bool,
+    pub lease_from_reply: fn() -> bool,
 }
 
-impl Model for Slot {
+impl Model for LeaseModel {
     type State = State;
-    type Action = Move;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         let holder = Holder {
@@ -46,128 +46,146 @@
             left: 0,
             paused: false,
         };
-        let seat = Seat {
-            ways: [Way::Idle; 2],
+        let replica = Replica {
+            requests: [RequestState::Idle; 2],
             stale: [false; 2],
             granted: None,
-            fresh: None,
+            state_lost: None,
         };
-        let (holders, seats) = (vec![holder; HOLDERS], vec![seat; SEATS]);
+        let (holders, replicas) = (vec![holder; HOLDERS], vec![replica; REPLICAS]);
         vec![State {
             holders,
-            seats,
+            replicas,
             rounds: 0,
             crashes: 0,
             pauses: 0,
         }]
     }
 
-    fn actions(&self, state: &State, moves: &mut Vec<Move>) {
-        moves.push(Move::Step);
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
+        actions.push(Action::Tick);
         for (i, holder) in state.holders.iter().enumerate() {
             let h = i as u8;
             if holder.paused {
-                moves.push(Move::Wake(h));
+                actions.push(Action::Resume(h));
             } else if state.pauses < self.pauses {
-                moves.push(Move::Pause(h));
+                actions.push(Action::Pause(h));
             }
             if !holder.paused && state.rounds < self.rounds {
-                moves.push(Move::Claim(h));
+                actions.push(Action::Request(h));
             }
             if state.crashes < self.crashes && holder.sent.is_some() {
-                moves.push(Move::CrashHolder(h));
+                actions.push(Action::CrashHolder(h));
             }
-            for (s, seat) in state.seats.iter().enumerate() {
+            for (s, replica) in state.replicas.iter().enumerate() {
                 let s = s as u8;
-                match seat.ways[i] {
-                    Way::Claimed => moves.push(Move::Hear(h, s, false)),
-                    Way::Granted if !holder.paused => moves.push(Move::Answer(h, s)),
+                match replica.requests[i] {
+                    RequestState::Requested => actions.push(Action::DeliverRequest(h, s, false)),
+                    RequestState::Granted if !holder.paused => {
+                        actions.push(Action::DeliverReply(h, s))
+                    }
                     _ => {}
                 }
-                if seat.stale[i] {
-                    moves.push(Move::Hear(h, s, true));
+                if replica.stale[i] {
+                    actions.push(Action::DeliverRequest(h, s, true));
                 }
-                let waits = matches!(seat.ways[i], Way::Claimed | Way::Granted);
+                let waits = matches!(
+                    replica.requests[i],
+                    RequestState::Requested | RequestState::Granted
+                );
                 if self.suspicion && waits && !holder.paused {
-                    moves.push(Move::Suspect(h, s));
+                    actions.push(Action::Suspect(h, s));
                 }
             }
         }
         if state.crashes < self.crashes {
-            moves.extend((0..SEATS as u8).map(Move::CrashSeat));
+            actions.extend((0..REPLICAS as u8).map(Action::CrashReplica));
         }
     }
 
-    fn next_state(&self, state: &State, action: Move) -> Option<State> {
+    fn next_state(&self, state: &State, action: Action) -> Option<State> {
         let mut next = state.clone();
         match action {
-            Move::Step => next.step((self.from_answer)()),
-            Move::Claim(h) => {
+            Action::Tick => next.tick((self.lease_from_reply)()),
+            Action::Request(h) => {
                 let i = usize::from(h);
-                next.end(i);
+                next.end_round(i);
                 next.holders[i].sent = Some(0);
                 next.rounds += 1;
-                next.seats
+                next.replicas
                     .iter_mut()
-                    .for_each(|seat| seat.ways[i] = Way::Claimed);
+                    .for_each(|replica| replica.requests[i] = RequestState::Requested);
             }
-            Move::Hear(h, s, stale) => {
-                let (i, seat) = (usize::from(h), &mut next.seats[usize::from(s)]);
-                let grants = seat.grants(h);
+            Action::DeliverRequest(h, s, stale) => {
+                let (i, replica) = (usize::from(h), &mut next.replicas[usize::from(s)]);
+                let grants = replica.may_grant(h);
                 if grants {
-                    seat.granted = Some((h, 0));
+                    replica.granted = Some((h, 0));
                 }
                 if stale {
-                    seat.stale[i] = false;
+                    replica.stale[i] = false;
                 } else {
-                    seat.ways[i] = if grants { Way::Granted } else { Way::Idle };
+                    replica.requests[i] = if grants {
+                        RequestState::Granted
+                    } else {
+                        RequestState::Idle
+                    };
                 }
             }
-            Move::Answer(h, s) => {
-                next.seats[usize::from(s)].ways[usize::from(h)] = Way::Heard;
-                next.decide(usize::from(h), (self.from_answer)());
+            Action::DeliverReply(h, s) => {
+                next.replicas[usize::from(s)].requests[usize::from(h)] = RequestState::Received;
+                next.decide(usize::from(h), (self.lease_from_reply)());
             }
-            Move::Suspect(h, s) => {
-                next.seats[usize::from(s)].ways[usize::from(h)] = Way::Gone;
-                next.decide(usize::from(h), (self.from_answer)());
+            Action::Suspect(h, s) => {
+                next.replicas[usize::from(s)].requests[usize::from(h)] = RequestState::SeemsDead;
+                next.decide(usize::from(h), (self.lease_from_reply)());
             }
-            Move::CrashSeat(s) => {
+            Action::CrashReplica(s) => {
                 next.crashes += 1;
-                let seat = &mut next.seats[usize::from(s)];
-                (seat.granted, seat.fresh) = (None, Some(0));
+                let replica = &mut next.replicas[usize::from(s)];
+                (replica.granted, replica.state_lost) = (None, Some(0));
             }
-            Move::CrashHolder(h) => {
+            Action::CrashHolder(h) => {
                 next.crashes += 1;
-                next.end(usize::from(h));
+                next.end_round(usize::from(h));
                 next.holders[usize::from(h)].left = 0;
             }
-            Move::Pause(h) => {
+            Action::Pause(h) => {
                 next.pauses += 1;
                 next.holders[usize::from(h)].paused = true;
             }
-            Move::Wake(h) => next.holders[usize::from(h)].paused = false,
+            Action::Resume(h) => next.holders[usize::from(h)].paused = false,
         }
         (next != *state).then_some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never two hold", |_, state: &State| state.holding() <= 1),
-            Property::sometimes("it passes on", |_, state: &State| {
-                let claims = |holder: &Holder| holder.left == 0 && holder.sent.is_some();
-                let late = |i: usize| state.seats.iter().filter(|seat| seat.stale[i]).count() == 1;
+            Property::always("at most one holder", |_, state: &State| {
+                state.holders_of_the_lease() <= 1
+            }),
+            Property::sometimes("the lease changes hands", |_, state: &State| {
+                let waits = |holder: &Holder| holder.left == 0 && holder.sent.is_some();
+                let late = |i: usize| {
+                    state
+                        .replicas
+                        .iter()
+                        .filter(|replica| replica.stale[i])
+                        .count()
+                        == 1
+                };
                 (0..2).any(|i| {
-                    state.holders[i].left > 0 && claims(&state.holders[1 - i]) && late(1 - i)
+                    state.holders[i].left > 0 && waits(&state.holders[1 - i]) && late(1 - i)
                 })
             }),
-            Property::sometimes("a fresh seat speaks again", |_, state: &State| {
+            Property::sometimes("a replica without state votes again", |_, state: &State| {
                 state
-                    .seats
+                    .replicas
                     .iter()
-                    .any(|seat| seat.fresh.is_some() && seat.granted.is_some())
+                    .any(|replica| replica.state_lost.is_some() && replica.granted.is_some())
             }),
             Property::sometimes(
-                "it is held while its holder is paused",
+                "the lease is held while its holder is paused",
                 |_, state: &State| {
                     state
                         .holders
--- a/pure/replicas/tests/model/state.rs
+++ b/pure/replicas/tests/model/state.rs
@@ -1,163 +1,166 @@
-//! The state of the walk, and what the crate's rules make of it.
+//! The state of the model, and what the rules of the crate make of it.
 
-use foldmux_replicas::{Drift, Granted, Held, Memory, Peer, Seats, Time, Votes};
+use foldmux_replicas::{
+    ClockDrift, GrantedLease, HeldLease, Peer, RecoveryDelay, ReplicaSet, Time, Votes,
+};
 
 pub const HOLDERS: usize = 2;
-pub const SEATS: usize = 3;
-/// By a clock that is right a step is 33, and a lease three steps; these are within 10 percent of it.
-const SLOW: Time = 30;
-const FAST: Time = 36;
+pub const REPLICAS: usize = 3;
+/// A tick is 33 on an exact clock, and a lease three ticks. These are within 10 percent of it.
+const SLOW_TICK: Time = 30;
+const FAST_TICK: Time = 36;
 const LEASE: Time = 100;
-/// Nothing is told apart after that many steps.
-const OLD: u8 = 4;
+/// Ages above this are not distinguished.
+const MAX_AGE: u8 = 4;
 
-/// Between a holder and a seat: the claim of the holder's present round, and the answer to it.
+/// What is known between a holder and a replica of the request of the present round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Way {
+pub enum RequestState {
     Idle,
-    Claimed,
+    Requested,
     Granted,
-    Heard,
-    /// The seat seems dead to the holder.
-    Gone,
+    Received,
+    /// The replica seems dead to the holder.
+    SeemsDead,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Holder {
-    /// Steps since the present round was sent.
+    /// Ticks since the request of the present round was sent.
     pub sent: Option<u8>,
-    /// What is left of the lease by its own clock.
+    /// What is left of the lease on its own clock.
     pub left: Time,
     pub paused: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Seat {
-    pub ways: [Way; HOLDERS],
-    /// A claim of an earlier round that is still under way; its answer is of no use to anyone.
+pub struct Replica {
+    pub requests: [RequestState; HOLDERS],
+    /// A request of an earlier round that is still under way; its reply is ignored.
     pub stale: [bool; HOLDERS],
-    /// To whom, and steps since it was heard.
+    /// To whom, and ticks since the request was received.
     pub granted: Option<(u8, u8)>,
-    /// Steps since it started with no memory.
-    pub fresh: Option<u8>,
+    /// Ticks since it started without its state.
+    pub state_lost: Option<u8>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct State {
     pub holders: Vec<Holder>,
-    pub seats: Vec<Seat>,
-    /// What of the bounds is used up.
+    pub replicas: Vec<Replica>,
+    /// How much of the bounds is used up.
     pub rounds: u8,
     pub crashes: u8,
     pub pauses: u8,
 }
 
-fn drift() -> Drift {
-    Drift::percent(10.0).unwrap()
+fn drift() -> ClockDrift {
+    ClockDrift::from_percent(10.0).unwrap()
 }
 
-fn runs(age: u8) -> bool {
-    Granted::new(0, LEASE).runs(Time::from(age) * FAST)
+fn is_active(age: u8) -> bool {
+    GrantedLease::new(0, LEASE).is_active(Time::from(age) * FAST_TICK)
 }
 
-fn older(age: u8) -> u8 {
-    (age + 1).min(OLD)
+fn aged(age: u8) -> u8 {
+    (age + 1).min(MAX_AGE)
 }
 
-impl Seat {
-    fn speaks(&self) -> bool {
-        let memory = Memory::fresh(0, &[LEASE], drift());
-        self.fresh
-            .is_none_or(|age| memory.speaks(Time::from(age) * FAST))
+impl Replica {
+    fn may_vote(&self) -> bool {
+        let delay = RecoveryDelay::state_lost(0, &[LEASE], drift());
+        self.state_lost
+            .is_none_or(|age| delay.may_vote(Time::from(age) * FAST_TICK))
     }
 
-    pub fn grants(&self, holder: u8) -> bool {
-        self.speaks()
+    pub fn may_grant(&self, holder: u8) -> bool {
+        self.may_vote()
             && self
                 .granted
-                .is_none_or(|(to, age)| to == holder || !runs(age))
+                .is_none_or(|(to, age)| to == holder || !is_active(age))
     }
 }
 
 impl State {
     fn votes(&self, holder: usize) -> Votes {
         let names = ["s0", "s1", "s2"].map(Peer::new);
-        let seats = Seats::new(names.clone()).unwrap();
-        let mut votes = Votes::new(seats.of(b"slot"));
-        for (seat, name) in self.seats.iter().zip(&names) {
-            match seat.ways[holder] {
-                Way::Heard => drop(votes.grant(name)),
+        let replicas = ReplicaSet::new(names.clone()).unwrap();
+        let mut votes = Votes::new(replicas.replicas_of(b"lease"));
+        for (replica, name) in self.replicas.iter().zip(&names) {
+            match replica.requests[holder] {
+                RequestState::Received => drop(votes.grant(name)),
                 #[cfg(feature = "planted")]
-                Way::Gone => votes.gone(name),
+                RequestState::SeemsDead => votes.mark_dead(name),
                 _ => {}
             }
         }
         votes
     }
 
-    pub fn holding(&self) -> usize {
+    pub fn holders_of_the_lease(&self) -> usize {
         self.holders.iter().filter(|holder| holder.left > 0).count()
     }
 
-    /// Time goes on. What can't matter any more is forgotten, so that it tells no states apart: grants that are over,
-    /// and rounds whose lease would be over (unless a holder counts from the answers).
-    pub fn step(&mut self, from_answer: bool) {
-        for seat in &mut self.seats {
-            seat.granted = seat
+    /// Advances time. What has no effect any more is dropped, so that it doesn't distinguish states: grants that
+    /// have expired, and rounds whose lease would have expired (unless a holder counts from the replies).
+    pub fn tick(&mut self, lease_from_reply: bool) {
+        for replica in &mut self.replicas {
+            replica.granted = replica
                 .granted
-                .map(|(to, age)| (to, older(age)))
-                .filter(|(_, age)| runs(*age));
-            seat.fresh = seat.fresh.map(older);
+                .map(|(to, age)| (to, aged(age)))
+                .filter(|(_, age)| is_active(*age));
+            replica.state_lost = replica.state_lost.map(aged);
         }
         for i in 0..HOLDERS {
             let holder = &mut self.holders[i];
-            holder.left = holder.left.saturating_sub(SLOW);
-            holder.sent = holder.sent.map(older);
-            let over = |age| !Held::new(0, LEASE, drift()).holds(Time::from(age) * SLOW);
-            if holder.sent.is_some_and(over) && !from_answer {
-                self.end(i);
+            holder.left = holder.left.saturating_sub(SLOW_TICK);
+            holder.sent = holder.sent.map(aged);
+            let expired =
+                |age| !HeldLease::new(0, LEASE, drift()).is_valid(Time::from(age) * SLOW_TICK);
+            if holder.sent.is_some_and(expired) && !lease_from_reply {
+                self.end_round(i);
             }
         }
     }
 
-    /// The holder's round is decided or over; a claim may still be under way.
-    pub fn end(&mut self, holder: usize) {
+    /// Ends the round of a holder; its request may still be under way.
+    pub fn end_round(&mut self, holder: usize) {
         self.holders[holder].sent = None;
-        for seat in &mut self.seats {
-            seat.stale[holder] |= seat.ways[holder] == Way::Claimed;
-            seat.ways[holder] = Way::Idle;
+        for replica in &mut self.replicas {
+            replica.stale[holder] |= replica.requests[holder] == RequestState::Requested;
+            replica.requests[holder] = RequestState::Idle;
         }
     }
 
-    pub fn decide(&mut self, holder: usize, from_answer: bool) {
+    pub fn decide(&mut self, holder: usize, lease_from_reply: bool) {
         let Some(age) = self.holders[holder].sent else {
             return;
         };
         if !self.votes(holder).won() {
             return;
         }
-        let now = Time::from(age) * SLOW;
-        let held = Held::new(if from_answer { now } else { 0 }, LEASE, drift());
-        if held.holds(now) {
-            self.holders[holder].left = held.until() - now;
-            self.end(holder);
+        let now = Time::from(age) * SLOW_TICK;
+        let held = HeldLease::new(if lease_from_reply { now } else { 0 }, LEASE, drift());
+        if held.is_valid(now) {
+            self.holders[holder].left = held.expires_at() - now;
+            self.end_round(holder);
         }
     }
 }
 
 impl stateright::Representative for State {
-    /// The seats are alike, and so are the holders.
+    /// Replicas are interchangeable, and so are the holders.
     fn representative(&self) -> State {
         let mut state = self.clone();
-        state.seats.sort();
-        let mut turned = self.clone();
-        turned.holders.reverse();
-        for seat in &mut turned.seats {
-            seat.ways.reverse();
-            seat.stale.reverse();
-            seat.granted = seat.granted.map(|(to, age)| (1 - to, age));
+        state.replicas.sort();
+        let mut mirrored = self.clone();
+        mirrored.holders.reverse();
+        for replica in &mut mirrored.replicas {
+            replica.requests.reverse();
+            replica.stale.reverse();
+            replica.granted = replica.granted.map(|(to, age)| (1 - to, age));
         }
-        turned.seats.sort();
-        state.min(turned)
+        mirrored.replicas.sort();
+        state.min(mirrored)
     }
 }
--- a/pure/replicas/tests/planted.rs
+++ b/pure/replicas/tests/planted.rs
@@ -1,42 +1,42 @@
-//! Each planted fault is found by the walk of the slot's states. One test, as a fault is the whole process's. That the walk
-//! finds nothing with none planted is `tests/slot.rs`.
+//! Each planted fault is found by exploring the states of the lease. One test, as a fault is planted for the
+//! whole process. That nothing is found without a fault is in `tests/lease_model.rs`.
 
 mod model;
 
-use foldmux_replicas::planted::{on, plant, Fault};
-use model::Slot;
+use foldmux_replicas::planted::{is_planted, plant, Fault};
+use model::LeaseModel;
 use stateright::{Checker, HasDiscoveries, Model};
 
 #[test]
-fn each_planted_fault_has_two_hold_one_slot() {
+fn each_planted_fault_lets_two_hold_one_lease() {
     let faults = [
-        Fault::MajorityOfTheLiving,
-        Fault::FreshVotes,
-        Fault::CountsFromAnswer,
-        Fault::EqualLength,
+        Fault::QuorumOfTheLiving,
+        Fault::VoteAfterStateLoss,
+        Fault::LeaseFromReply,
+        Fault::LeaseNotShortened,
     ];
     for fault in faults {
         let _planted = plant(fault);
-        let slot = Slot {
+        let model = LeaseModel {
             rounds: 2,
-            crashes: u8::from(fault == Fault::FreshVotes),
+            crashes: u8::from(fault == Fault::VoteAfterStateLoss),
             pauses: 0,
-            suspicion: fault == Fault::MajorityOfTheLiving,
-            from_answer: || on(Fault::CountsFromAnswer),
+            suspicion: fault == Fault::QuorumOfTheLiving,
+            lease_from_reply: || is_planted(Fault::LeaseFromReply),
         };
         let began = std::time::Instant::now();
-        let walk = slot
+        let exploration = model
             .checker()
             .threads(2)
             .symmetry()
             .finish_when(HasDiscoveries::AnyFailures);
-        let checker = walk.spawn_dfs().join();
+        let checker = exploration.spawn_dfs().join();
         let found = checker
-            .discovery("never two hold")
+            .discovery("at most one holder")
             .unwrap_or_else(|| panic!("{fault:?} is not found"));
-        let (took, moves) = (began.elapsed().as_millis(), found.into_actions().len());
+        let (took, actions) = (began.elapsed().as_millis(), found.into_actions().len());
         println!(
-            "{fault:?}: {took} ms, {} states, {moves} moves",
+            "{fault:?}: {took} ms, {} states, {actions} actions",
             checker.unique_state_count()
         );
     }
--- a/pure/takeover/src/claim.rs
+++ b/pure/takeover/src/claim.rs
@@ -41,7 +41,7 @@
             waiting: Vec::new(),
             heir: None,
             ballot: Ballot::none(),
-            replicas: at.setup.seats.of(&key.bytes()).map(Peer::clone),
+            replicas: at.setup.seats.replicas_of(&key.bytes()).map(Peer::clone),
             sent: None,
             replies: [None, None, None],
             next: at.now,
--- a/pure/takeover/src/holding.rs
+++ b/pure/takeover/src/holding.rs
@@ -6,7 +6,7 @@
 use crate::part::At;
 use crate::record::{Ballot, Key, Record};
 use crate::setup::Fault;
-use foldmux_replicas::{Held, Peer, Time};
+use foldmux_replicas::{HeldLease, Peer, Time};
 
 /// A write that somebody waits for.
 #[derive(Clone, Debug)]
@@ -93,7 +93,7 @@
     pub fn relet(&mut self, at: &At) {
         let mut stamps = self.stamps;
         stamps.sort();
-        let held = |sent| Held::new(sent, at.setup.lease, at.setup.drift).until();
+        let held = |sent| HeldLease::new(sent, at.setup.lease, at.setup.drift).expires_at();
         let until = stamps[1]
             .map_or(0, held)
             .min(self.window.unwrap_or(Time::MAX))
--- a/pure/takeover/src/kept.rs
+++ b/pure/takeover/src/kept.rs
@@ -5,7 +5,7 @@
 use crate::record::{Ballot, Key, Record};
 use crate::replica::{Held, Replica};
 use crate::setup::Setup;
-use foldmux_replicas::{Memory, Time};
+use foldmux_replicas::{RecoveryDelay, Time};
 use serde::{Deserialize, Serialize};
 
 /// Spans in it are right at the moment at which it was taken.
@@ -90,7 +90,7 @@
     ) {
         let lease = self.lease_time();
         let replica = self.replica_mut();
-        replica.memory = Memory::whole(now.saturating_add(speaks_in));
+        replica.memory = RecoveryDelay::state_recovered(now.saturating_add(speaks_in));
         replica.changed = Some(Default::default());
         for (key, kept) in kept {
             let held = Held::read_back(now, lease, kept);
@@ -129,7 +129,7 @@
     /// What this replica promises can't be kept any more, or another process is this replica: it says nothing from here on.
     pub fn mute(&mut self) {
         let replica = self.replica_mut();
-        (replica.memory, replica.changed) = (Memory::whole(Time::MAX), None);
+        (replica.memory, replica.changed) = (RecoveryDelay::state_recovered(Time::MAX), None);
     }
 }
 
--- a/pure/takeover/src/part.rs
+++ b/pure/takeover/src/part.rs
@@ -5,11 +5,11 @@
 use crate::record::Key;
 use crate::replica::Replica;
 use crate::setup::Setup;
-use foldmux_replicas::part::Acts;
-use foldmux_replicas::{order, Do, Part, Peer, Time};
+use foldmux_replicas::Effects;
+use foldmux_replicas::{rendezvous, Effect, Peer, StateMachine, Time};
 use std::collections::BTreeSet;
 
-pub type Out = Vec<Do<Message, Told>>;
+pub type Out = Vec<Effect<Message, Told>>;
 
 /// The moment, what holds at it, and where wishes go.
 pub struct At<'a> {
@@ -20,11 +20,11 @@
 
 impl At<'_> {
     pub fn tell(&mut self, told: Told) {
-        self.out.push(Do::Tell(told));
+        self.out.push(Effect::Emit(told));
     }
 
     pub fn send(&mut self, to: &Peer, message: Message) {
-        self.out.push(Do::Send {
+        self.out.push(Effect::Send {
             to: to.clone(),
             message,
         });
@@ -102,12 +102,12 @@
     }
 }
 
-impl Part for Takeover {
+impl StateMachine for Takeover {
     type Message = Message;
-    type Ask = Ask;
-    type Told = Told;
+    type Command = Ask;
+    type Event = Told;
 
-    fn heard(&mut self, now: Time, from: &Peer, message: Message, out: &mut Acts<Self>) {
+    fn on_message(&mut self, now: Time, from: &Peer, message: Message, out: &mut Effects<Self>) {
         let at = &mut At {
             now,
             setup: &self.setup,
@@ -131,7 +131,7 @@
             }
             Message::Release { key, ballot, over } if ballot.owner == *from => {
                 if self.replica.release(at, key, &ballot, over) {
-                    let line = order::of(&key.bytes(), &self.alive);
+                    let line = rendezvous::ranked(&key.bytes(), &self.alive);
                     self.replica.look(at, key, &line);
                 }
             }
@@ -163,7 +163,7 @@
         }
     }
 
-    fn ask(&mut self, now: Time, ask: Ask, out: &mut Acts<Self>) {
+    fn on_command(&mut self, now: Time, ask: Ask, out: &mut Effects<Self>) {
         let at = &mut At {
             now,
             setup: &self.setup,
@@ -201,14 +201,14 @@
         }
     }
 
-    fn peer(&mut self, _: Time, peer: &Peer, alive: bool, _: &mut Acts<Self>) {
+    fn on_peer_status(&mut self, _: Time, peer: &Peer, alive: bool, _: &mut Effects<Self>) {
         match alive {
             true => self.alive.insert(peer.clone()),
             false => *peer != self.setup.name && self.alive.remove(peer),
         };
     }
 
-    fn tick(&mut self, now: Time, out: &mut Acts<Self>) {
+    fn on_tick(&mut self, now: Time, out: &mut Effects<Self>) {
         let at = &mut At {
             now,
             setup: &self.setup,
@@ -224,7 +224,7 @@
                 self.replica.forget(key);
                 continue;
             }
-            let line = order::of(&key.bytes(), &self.alive);
+            let line = rendezvous::ranked(&key.bytes(), &self.alive);
             self.replica.look(at, key, &line);
             self.replica.arm(key);
         }
@@ -233,7 +233,7 @@
         }
     }
 
-    fn due(&self) -> Option<Time> {
+    fn next_tick(&self) -> Option<Time> {
         self.replica
             .timers
             .next()
--- a/pure/takeover/src/replica.rs
+++ b/pure/takeover/src/replica.rs
@@ -6,7 +6,7 @@
 use crate::record::{Ballot, Key, Record};
 use crate::setup::{Fault, Setup};
 use crate::timers::Timers;
-use foldmux_replicas::{Do, Memory, Peer, Time};
+use foldmux_replicas::{Effect, Peer, RecoveryDelay, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Processes that a replica tells of a key's next change; one more looks again by itself.
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 pub struct Replica {
     /// Whether it may vote yet.
-    pub memory: Memory,
+    pub memory: RecoveryDelay,
     pub held: BTreeMap<Key, Held>,
     pub timers: Timers,
     pub bytes: usize,
@@ -66,8 +66,8 @@
 impl Replica {
     pub fn new(now: Time, setup: &Setup) -> Replica {
         let memory = match setup.memory {
-            true => Memory::whole(now),
-            false => Memory::fresh(now, &[setup.window()], setup.drift),
+            true => RecoveryDelay::state_recovered(now),
+            false => RecoveryDelay::state_lost(now, &[setup.window()], setup.drift),
         };
         Replica {
             memory,
@@ -79,7 +79,7 @@
     }
 
     pub fn votes(&self, at: &At) -> bool {
-        self.memory.speaks(at.now) || at.setup.planted(Fault::FreshSeatVotes)
+        self.memory.may_vote(at.now) || at.setup.planted(Fault::FreshSeatVotes)
     }
 
     pub fn arm(&mut self, key: Key) {
@@ -190,7 +190,7 @@
         if held.done() {
             held.look = None;
             for watcher in held.watchers.drain(..) {
-                at.out.push(Do::Send {
+                at.out.push(Effect::Send {
                     to: watcher,
                     message: Message::Changed { key },
                 });
--- a/pure/takeover/src/setup.rs
+++ b/pure/takeover/src/setup.rs
@@ -1,18 +1,18 @@
 //! What a process's takeover part is told at its start.
 
 use crate::record::Rules;
-use foldmux_replicas::{Drift, Peer, Seats, Time};
+use foldmux_replicas::{ClockDrift, Peer, ReplicaSet, Time};
 
 #[derive(Clone, Debug)]
 pub struct Setup {
     pub name: Peer,
     /// Which life of the process; no two are alike.
     pub session: u64,
-    pub seats: Seats,
+    pub seats: ReplicaSet,
     /// The covered classes.
     pub rules: Rules,
     pub lease: Time,
-    pub drift: Drift,
+    pub drift: ClockDrift,
     /// The longest deadline of a covered class.
     pub longest: Time,
     /// The replica read back all that it had promised; or there was never anything to promise.
--- a/pure/takeover/src/successor.rs
+++ b/pure/takeover/src/successor.rs
@@ -9,7 +9,7 @@
 use crate::record::{Answer, Key, Proof, Unclaimed};
 use crate::replica::Replica;
 use crate::setup::Fault;
-use foldmux_replicas::{Do, Peer};
+use foldmux_replicas::{Effect, Peer};
 
 /// How often a replica looks for a successor: each may die in its turn, but not without end.
 const SUCCESSORS: usize = 8;
@@ -35,7 +35,7 @@
             .is_some_and(|r| r.unclaimed == Unclaimed::Finish);
         if !held.watchers.is_empty() {
             for watcher in held.watchers.drain(..) {
-                at.out.push(Do::Send {
+                at.out.push(Effect::Send {
                     to: watcher,
                     message: Message::Changed { key },
                 });
@@ -66,7 +66,7 @@
     /// A replica says that this process is next in line.
     pub fn succeed(&mut self, at: &mut At, key: Key) {
         let until = Some(at.now + at.setup.longest);
-        if self.held.contains_key(&key) || (self.leaving && at.setup.seats.listed().len() > 1) {
+        if self.held.contains_key(&key) || (self.leaving && at.setup.seats.members().len() > 1) {
             return;
         }
         if let Some(claim) = self.claims.get_mut(&key) {
--- a/pure/takeover/tests/bounds.rs
+++ b/pure/takeover/tests/bounds.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{name, setup, Plan, MS};
-use foldmux_replicas::{Do, Part};
+use foldmux_replicas::{Effect, StateMachine};
 use foldmux_takeover::*;
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -37,29 +37,29 @@
     /// All three seats are this one process's.
     fn ask(&mut self, ask: Ask) {
         let mut out = Vec::new();
-        self.part.ask(self.now, ask, &mut out);
+        self.part.on_command(self.now, ask, &mut out);
         self.run(out);
     }
 
-    fn run(&mut self, mut out: Vec<Do<Message, Told>>) {
+    fn run(&mut self, mut out: Vec<Effect<Message, Told>>) {
         while let Some(wish) = (!out.is_empty()).then(|| out.remove(0)) {
             match wish {
-                Do::Tell(told) => self.told.push(told),
+                Effect::Emit(told) => self.told.push(told),
                 // The two other seats are silent.
-                Do::Send { to, message } if to == name(0) => {
-                    self.part.heard(self.now, &name(0), message, &mut out)
+                Effect::Send { to, message } if to == name(0) => {
+                    self.part.on_message(self.now, &name(0), message, &mut out)
                 }
-                Do::Send { .. } => {}
+                Effect::Send { .. } => {}
             }
         }
     }
 
     fn wait(&mut self, span: u64) {
         let end = self.now + span;
-        while let Some(due) = self.part.due().filter(|due| *due <= end) {
+        while let Some(due) = self.part.next_tick().filter(|due| *due <= end) {
             self.now = due.max(self.now);
             let mut out = Vec::new();
-            self.part.tick(self.now, &mut out);
+            self.part.on_tick(self.now, &mut out);
             self.run(out);
         }
         self.now = end;
--- a/pure/takeover/tests/common/acts.rs
+++ b/pure/takeover/tests/common/acts.rs
@@ -2,7 +2,7 @@
 
 use super::world::{Event, World};
 use super::{name, setup, Act};
-use foldmux_replicas::Part;
+use foldmux_replicas::StateMachine;
 use foldmux_takeover::{Ask, Takeover};
 
 impl World {
@@ -52,7 +52,7 @@
         let session = (at as u64) << 32 | process.life;
         let mut part = Takeover::new(5_000, setup(&self.plan, at, session, memory));
         (0..self.plan.processes)
-            .for_each(|peer| part.peer(5_000, &name(peer), true, &mut Vec::new()));
+            .for_each(|peer| part.on_peer_status(5_000, &name(peer), true, &mut Vec::new()));
         process.part = Some(part);
     }
 
--- a/pure/takeover/tests/common/mod.rs
+++ b/pure/takeover/tests/common/mod.rs
@@ -8,7 +8,7 @@
 pub mod plans;
 pub mod world;
 
-use foldmux_replicas::{Drift, Peer, Seats};
+use foldmux_replicas::{ClockDrift, Peer, ReplicaSet};
 use foldmux_takeover::{Fault, Repeat, Rule, Setup, Unclaimed, Uncovered};
 use std::sync::Arc;
 
@@ -60,7 +60,7 @@
     pub delay: u64,
     /// The archive refuses an old term; then a sender may also be held up in the middle of a send.
     pub terms: bool,
-    /// Seats start with no memory, also the first time.
+    /// ReplicaSet start with no memory, also the first time.
     pub fresh: bool,
     pub planted: Option<Fault>,
 }
@@ -144,13 +144,13 @@
     Setup {
         name: name(index),
         session,
-        seats: Seats::new((0..plan.processes.max(3)).map(name)).unwrap(),
+        seats: ReplicaSet::new((0..plan.processes.max(3)).map(name)).unwrap(),
         rules: rules
             .into_iter()
             .map(|(class, rule)| (Arc::from(class), rule))
             .collect(),
         lease: 500 * MS,
-        drift: Drift::percent(1.0).unwrap(),
+        drift: ClockDrift::from_percent(1.0).unwrap(),
         longest: LONGEST,
         memory,
         records: 1_000,
--- a/pure/takeover/tests/common/world.rs
+++ b/pure/takeover/tests/common/world.rs
@@ -3,7 +3,7 @@
 use super::archive::{Archive, Came};
 use super::host::{Client, Host, Purpose};
 use super::{name, Act, Draw, Plan, Verdict, LONGEST, MS};
-use foldmux_replicas::{Do, Part};
+use foldmux_replicas::{Effect, StateMachine};
 use foldmux_takeover::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
@@ -211,26 +211,26 @@
     }
 
     pub fn ask(&mut self, at: usize, ask: Ask) {
-        self.drive(at, |part, now, out| part.ask(now, ask, out));
+        self.drive(at, |part, now, out| part.on_command(now, ask, out));
     }
 
     fn drive(
         &mut self,
         at: usize,
-        what: impl FnOnce(&mut Takeover, u64, &mut Vec<Do<Message, Told>>),
+        what: impl FnOnce(&mut Takeover, u64, &mut Vec<Effect<Message, Told>>),
     ) {
         let (now, life, mut out) = (self.local(at), self.processes[at].life, Vec::new());
         let Some(part) = &mut self.processes[at].part else {
             return;
         };
         what(part, now, &mut out);
-        let due = part.due();
+        let due = part.next_tick();
         for wish in out {
             match wish {
-                Do::Send { to, message } => {
+                Effect::Send { to, message } => {
                     self.send_message(at, to.as_str()[1..].parse().unwrap(), message)
                 }
-                Do::Tell(told) => self.told(at, told),
+                Effect::Emit(told) => self.told(at, told),
             }
         }
         if let Some(due) = due {
@@ -308,13 +308,13 @@
             Event::Heard {
                 to, from, message, ..
             } => self.drive(to, |part, now, out| {
-                part.heard(now, &name(from), *message, out)
+                part.on_message(now, &name(from), *message, out)
             }),
             Event::Tick { at, .. } => {
                 self.processes[at].tick = 0;
                 self.drive(at, |part, now, out| {
-                    if part.due().is_some_and(|due| due <= now) {
-                        part.tick(now, out);
+                    if part.next_tick().is_some_and(|due| due <= now) {
+                        part.on_tick(now, out);
                     }
                 })
             }
--- a/pure/takeover/tests/kept.rs
+++ b/pure/takeover/tests/kept.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{name, setup, Plan, MS};
-use foldmux_replicas::{Do, Part};
+use foldmux_replicas::{Effect, StateMachine};
 use foldmux_takeover::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -32,8 +32,8 @@
 
 fn heard(part: &mut Takeover, now: u64, from: usize, message: Message) -> Message {
     let mut out = Vec::new();
-    part.heard(now, &name(from), message, &mut out);
-    let Some(Do::Send { message, .. }) = out.into_iter().next() else {
+    part.on_message(now, &name(from), message, &mut out);
+    let Some(Effect::Send { message, .. }) = out.into_iter().next() else {
         panic!("a seat replies")
     };
     message
@@ -133,7 +133,7 @@
         },
     );
     assert!(kept(&mut part, 3 * MS).is_empty());
-    part.heard(
+    part.on_message(
         4 * MS,
         &name(1),
         Message::Release {
--- a/pure/takeover/tests/small/mod.rs
+++ b/pure/takeover/tests/small/mod.rs
@@ -1,7 +1,7 @@
 //! The small fleet's state and its steps.
 
 use super::common::{host::work, rule, OWN_WINDOW};
-use foldmux_replicas::{Do, Drift, Part, Peer, Seats};
+use foldmux_replicas::{ClockDrift, Effect, Peer, ReplicaSet, StateMachine};
 use foldmux_takeover::*;
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
@@ -100,10 +100,10 @@
     let setup = Setup {
         name: name(index),
         session: index as u64,
-        seats: Seats::new((2..5).map(name)).unwrap(),
+        seats: ReplicaSet::new((2..5).map(name)).unwrap(),
         rules: [(Arc::from("keyed"), rule)].into(),
         lease: LEASE,
-        drift: Drift::percent(0.0).unwrap(),
+        drift: ClockDrift::from_percent(0.0).unwrap(),
         longest: 100,
         memory: true,
         records: 2,
@@ -121,28 +121,28 @@
     fn drive(
         &mut self,
         at: usize,
-        what: impl FnOnce(&mut Takeover, u64, &mut Vec<Do<Message, Told>>),
+        what: impl FnOnce(&mut Takeover, u64, &mut Vec<Effect<Message, Told>>),
     ) {
         let mut out = Vec::new();
         what(&mut self.parts[at], self.now, &mut out);
         for wish in out {
             match wish {
-                Do::Send { to, message } => {
+                Effect::Send { to, message } => {
                     self.net
                         .push((at, to.as_str()[1..].parse().unwrap(), message))
                 }
-                Do::Tell(Told::Mine { record, .. } | Told::TakeOver { record, .. }) => {
+                Effect::Emit(Told::Mine { record, .. } | Told::TakeOver { record, .. }) => {
                     (self.hosts[at], self.terms[at]) = (Host::Owns, record.ballot.term);
                     self.met.push((record.ballot.term, at));
                 }
-                Do::Tell(Told::Written { .. }) if self.hosts[at] == Host::Ran => {
+                Effect::Emit(Told::Written { .. }) if self.hosts[at] == Host::Ran => {
                     self.answers[at] = Some(Answer::Same);
                     self.hosts[at] = Host::None;
                 }
-                Do::Tell(Told::Written { .. }) => self.hosts[at] = Host::Written,
-                Do::Tell(Told::Kept { answer, .. }) => self.answers[at] = Some(answer),
-                Do::Tell(Told::Joined { .. }) => {}
-                Do::Tell(_) => self.hosts[at] = Host::None,
+                Effect::Emit(Told::Written { .. }) => self.hosts[at] = Host::Written,
+                Effect::Emit(Told::Kept { answer, .. }) => self.answers[at] = Some(answer),
+                Effect::Emit(Told::Joined { .. }) => {}
+                Effect::Emit(_) => self.hosts[at] = Host::None,
             }
         }
     }
@@ -157,7 +157,7 @@
         {
             let (from, to, message) = self.net.swap_remove(index);
             self.drive(to, |part, now, out| {
-                part.heard(now, &name(from), message, out)
+                part.on_message(now, &name(from), message, out)
             });
         }
     }
@@ -173,7 +173,7 @@
                     left: 90,
                     again: false,
                 };
-                self.drive(at, |part, now, out| part.ask(now, ask, out));
+                self.drive(at, |part, now, out| part.on_command(now, ask, out));
             }
             Step::Come { index, lost, stays } => {
                 let (from, to, message) = self.net[index].clone();
@@ -184,7 +184,7 @@
                 }
                 if !lost && self.alive.get(to) != Some(&false) {
                     self.drive(to, |part, now, out| {
-                        part.heard(now, &name(from), message, out)
+                        part.on_message(now, &name(from), message, out)
                     });
                     self.replies(to);
                 }
@@ -193,8 +193,12 @@
                 self.now = self.due();
                 for at in 0..5 {
                     let runs = self.alive.get(at) != Some(&false) && self.paused != Some(at);
-                    if runs && self.parts[at].due().is_some_and(|due| due <= self.now) {
-                        self.drive(at, |part, now, out| part.tick(now, out));
+                    if runs
+                        && self.parts[at]
+                            .next_tick()
+                            .is_some_and(|due| due <= self.now)
+                    {
+                        self.drive(at, |part, now, out| part.on_tick(now, out));
                     }
                 }
             }
@@ -218,7 +222,7 @@
                     number: 1,
                     group: 1,
                 };
-                self.drive(at, |part, now, out| part.ask(now, ask, out));
+                self.drive(at, |part, now, out| part.on_command(now, ask, out));
             }
             Host::Written if may(at, self) => {
                 self.both |= may(1 - at, self);
@@ -235,7 +239,7 @@
                     term: self.terms[at],
                     answer: Answer::Same,
                 };
-                self.drive(at, |part, now, out| part.ask(now, ask, out));
+                self.drive(at, |part, now, out| part.on_command(now, ask, out));
             }
             Host::Ran | Host::None => {}
         }
@@ -245,7 +249,7 @@
         let next = self
             .parts
             .iter()
-            .filter_map(|part| part.due())
+            .filter_map(|part| part.next_tick())
             .filter(|due| *due > self.now)
             .min();
         next.unwrap_or(END + 1)
--- a/rigs/fleet-simulator/src/happen.rs
+++ b/rigs/fleet-simulator/src/happen.rs
@@ -8,7 +8,7 @@
 use foldmux_harness::record::{Event as Said, Time};
 use foldmux_membership::{self as members, Members};
 use foldmux_relay::Relay;
-use foldmux_replicas::Part;
+use foldmux_replicas::StateMachine;
 use foldmux_takeover::Takeover;
 
 impl World {
@@ -50,16 +50,18 @@
     fn local(&mut self, at: usize, what: Local) {
         match what {
             Local::Heard { from, wire } => match *wire {
-                Wire::Members(m) => {
-                    self.drive::<Members>(at, |part, now, out| part.heard(now, &name(from), m, out))
-                }
-                Wire::Takeover(m) => self
-                    .drive::<Takeover>(at, |part, now, out| part.heard(now, &name(from), m, out)),
-                Wire::Relay(m) => {
-                    self.drive::<Relay>(at, |part, now, out| part.heard(now, &name(from), m, out))
-                }
-                Wire::Slots(m) => self
-                    .drive::<FleetSlots>(at, |part, now, out| part.heard(now, &name(from), m, out)),
+                Wire::Members(m) => self.drive::<Members>(at, |part, now, out| {
+                    part.on_message(now, &name(from), m, out)
+                }),
+                Wire::Takeover(m) => self.drive::<Takeover>(at, |part, now, out| {
+                    part.on_message(now, &name(from), m, out)
+                }),
+                Wire::Relay(m) => self.drive::<Relay>(at, |part, now, out| {
+                    part.on_message(now, &name(from), m, out)
+                }),
+                Wire::Slots(m) => self.drive::<FleetSlots>(at, |part, now, out| {
+                    part.on_message(now, &name(from), m, out)
+                }),
             },
             Local::Tick { when } if when == self.nodes[at].tick => {
                 self.nodes[at].tick = Time::MAX;
@@ -82,8 +84,8 @@
         let Some(parts) = &mut self.nodes[at].parts else {
             return;
         };
-        if P::of(parts).due().is_some_and(|due| due <= now) {
-            self.drive::<P>(at, |part, now, out| part.tick(now, out));
+        if P::of(parts).next_tick().is_some_and(|due| due <= now) {
+            self.drive::<P>(at, |part, now, out| part.on_tick(now, out));
         }
     }
 
@@ -93,9 +95,15 @@
             members::Told::Down(peer) | members::Told::Left(peer) => (peer, false),
             members::Told::Rival(_) => return,
         };
-        self.drive::<Takeover>(at, |part, now, out| part.peer(now, &peer, alive, out));
-        self.drive::<Relay>(at, |part, now, out| part.peer(now, &peer, alive, out));
-        self.drive::<FleetSlots>(at, |part, now, out| part.peer(now, &peer, alive, out));
+        self.drive::<Takeover>(at, |part, now, out| {
+            part.on_peer_status(now, &peer, alive, out)
+        });
+        self.drive::<Relay>(at, |part, now, out| {
+            part.on_peer_status(now, &peer, alive, out)
+        });
+        self.drive::<FleetSlots>(at, |part, now, out| {
+            part.on_peer_status(now, &peer, alive, out)
+        });
     }
 }
 
--- a/rigs/fleet-simulator/src/net.rs
+++ b/rigs/fleet-simulator/src/net.rs
@@ -5,7 +5,7 @@
 use crate::plan::*;
 use crate::work::{Archive, Client};
 use foldmux_harness::record::{Event as Said, Line, Time};
-use foldmux_replicas::{Do, Peer};
+use foldmux_replicas::{Effect, Peer};
 use slab::Slab;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -159,7 +159,7 @@
     pub fn drive<P: Kind>(
         &mut self,
         at: usize,
-        call: impl FnOnce(&mut P, Time, &mut Vec<Do<P::Message, P::Told>>),
+        call: impl FnOnce(&mut P, Time, &mut Vec<Effect<P::Message, P::Event>>),
     ) {
         let (now, life) = (self.clock(at), self.nodes[at].life);
         let Some(parts) = &mut self.nodes[at].parts else {
@@ -173,8 +173,8 @@
                 return;
             }
             match act {
-                Do::Send { to, message } => self.send(at, index(&to), P::wire(message)),
-                Do::Tell(told) => P::told(self, at, told),
+                Effect::Send { to, message } => self.send(at, index(&to), P::wire(message)),
+                Effect::Emit(told) => P::told(self, at, told),
             }
         }
         self.arm(at);
--- a/rigs/fleet-simulator/src/news.rs
+++ b/rigs/fleet-simulator/src/news.rs
@@ -5,7 +5,7 @@
 use crate::plan::*;
 use foldmux_harness::record::{Event as Said, Time};
 use foldmux_relay::{Ask, Event as News, Item, Place, Relay, Told};
-use foldmux_replicas::Part;
+use foldmux_replicas::StateMachine;
 use std::collections::BTreeMap;
 
 /// A poll without news, and one that is lost.
@@ -171,7 +171,7 @@
     }
 
     fn relay(&mut self, at: usize, ask: Ask) {
-        self.drive::<Relay>(at, |part, now, out| part.ask(now, ask, out));
+        self.drive::<Relay>(at, |part, now, out| part.on_command(now, ask, out));
     }
 
     pub fn news_step(&mut self, at: usize, step: Step) {
--- a/rigs/fleet-simulator/src/node.rs
+++ b/rigs/fleet-simulator/src/node.rs
@@ -9,7 +9,7 @@
 use foldmux_harness::record::Time;
 use foldmux_membership as members;
 use foldmux_relay as relay;
-use foldmux_replicas::{Change, Part, Peer};
+use foldmux_replicas::{Peer, ReplicaConfiguration, StateMachine};
 use foldmux_takeover as takeover;
 use std::sync::Arc;
 
@@ -29,10 +29,10 @@
 }
 
 /// A part, as one of the four.
-pub trait Kind: Part + Sized {
+pub trait Kind: StateMachine + Sized {
     fn of(parts: &mut Parts) -> &mut Self;
     fn wire(message: Self::Message) -> Wire;
-    fn told(world: &mut World, at: usize, told: Self::Told);
+    fn told(world: &mut World, at: usize, told: Self::Event);
 }
 
 macro_rules! kind {
@@ -44,7 +44,7 @@
             fn wire(message: Self::Message) -> Wire {
                 Wire::$wire(message)
             }
-            fn told(world: &mut World, at: usize, told: Self::Told) {
+            fn told(world: &mut World, at: usize, told: Self::Event) {
                 $told(world, at, told)
             }
         }
@@ -87,11 +87,16 @@
     }
 
     pub fn due(&self) -> Option<Time> {
-        let (members, takeover) = (self.members.due(), self.takeover.due());
-        [members, takeover, self.relay.due(), self.slots.due()]
-            .into_iter()
-            .flatten()
-            .min()
+        let (members, takeover) = (self.members.next_tick(), self.takeover.next_tick());
+        [
+            members,
+            takeover,
+            self.relay.next_tick(),
+            self.slots.next_tick(),
+        ]
+        .into_iter()
+        .flatten()
+        .min()
     }
 }
 
@@ -175,7 +180,7 @@
         .filter(|peer| own.is_some() && pool(*peer) == own)
         .map(name)
         .collect();
-    let seats = Change::settled(seats());
+    let seats = ReplicaConfiguration::stable(seats());
     FleetSetup {
         own: name(at),
         life,
--- a/rigs/fleet-simulator/src/plan.rs
+++ b/rigs/fleet-simulator/src/plan.rs
@@ -1,7 +1,7 @@
 //! What a run is given, and what the fleet in it is: how many instances, what breaks, and the times that go with it.
 
 use foldmux_harness::record::Time;
-use foldmux_replicas::{Drift, Peer, Seats};
+use foldmux_replicas::{ClockDrift, Peer, ReplicaSet};
 use foldmux_takeover as takeover;
 use serde::{Deserialize, Serialize};
 
@@ -170,12 +170,12 @@
     peer.as_str()[1..].parse().expect("a name of the lab's")
 }
 
-pub fn seats() -> Seats {
-    Seats::new((0..SEATS).map(name)).expect("nine names")
+pub fn seats() -> ReplicaSet {
+    ReplicaSet::new((0..SEATS).map(name)).expect("nine names")
 }
 
-pub fn drift() -> Drift {
-    Drift::percent(1.0).expect("a drift")
+pub fn drift() -> ClockDrift {
+    ClockDrift::from_percent(1.0).expect("a drift")
 }
 
 pub fn site(at: usize) -> usize {
--- a/rigs/fleet-simulator/src/pools.rs
+++ b/rigs/fleet-simulator/src/pools.rs
@@ -10,7 +10,7 @@
 use foldmux_harness::record::{Event as Said, Time};
 use foldmux_membership as members;
 use foldmux_relay as relay;
-use foldmux_replicas::Part;
+use foldmux_replicas::StateMachine;
 use foldmux_takeover as takeover;
 use std::collections::HashMap;
 
@@ -63,7 +63,7 @@
             return;
         };
         let uses = pools.queue.uses(clock);
-        self.drive::<FleetSlots>(at, |part, now, out| part.ask(now, uses, out));
+        self.drive::<FleetSlots>(at, |part, now, out| part.on_command(now, uses, out));
         // Half as much again as there is, of the pool's instances together.
         if self.nodes[at].pools.is_some() && self.rng.u8(..3) == 0 {
             self.wish(at, clock);
@@ -148,7 +148,7 @@
             .as_mut()
             .and_then(|pools| pools.queue.gave())
         {
-            self.drive::<FleetSlots>(at, |part, now, out| part.ask(now, gave, out));
+            self.drive::<FleetSlots>(at, |part, now, out| part.on_command(now, gave, out));
         }
     }
 
@@ -193,7 +193,7 @@
         self.say(Said::Started { process: at });
         let contacts = (0..SEATS).filter(|seat| *seat != at).map(name).collect();
         self.drive::<members::Members>(at, |part, now, out| {
-            part.ask(now, members::Ask::Join(contacts), out)
+            part.on_command(now, members::Ask::Join(contacts), out)
         });
         self.subscribe(at);
         let after = self.rng.u64(..STEP);
@@ -233,18 +233,18 @@
                 self.say(Said::Left { process: at });
                 self.nodes[at].leaving = true;
                 self.drive::<takeover::Takeover>(at, |part, now, out| {
-                    part.ask(now, takeover::Ask::LetGoAll, out);
+                    part.on_command(now, takeover::Ask::LetGoAll, out);
                 });
                 self.drive::<relay::Relay>(at, |part, now, out| {
-                    part.ask(now, relay::Ask::Leave, out)
+                    part.on_command(now, relay::Ask::Leave, out)
                 });
                 let pool = pool(at).map(pool_key);
                 self.drive::<FleetSlots>(at, |part, now, out| {
                     pool.iter()
-                        .for_each(|pool| part.ask(now, Ask::Leaving { pool: *pool }, out));
+                        .for_each(|pool| part.on_command(now, Ask::Leaving { pool: *pool }, out));
                 });
                 self.drive::<members::Members>(at, |part, now, out| {
-                    part.ask(now, members::Ask::Leave, out)
+                    part.on_command(now, members::Ask::Leave, out)
                 });
                 self.later(
                     400 * MS,
--- a/rigs/fleet-simulator/src/work.rs
+++ b/rigs/fleet-simulator/src/work.rs
@@ -4,7 +4,7 @@
 use crate::node::Local;
 use crate::plan::*;
 use foldmux_harness::record::{Event as Said, Outcome, Time};
-use foldmux_replicas::Part;
+use foldmux_replicas::StateMachine;
 use foldmux_takeover::*;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -161,7 +161,7 @@
     }
 
     fn ask(&mut self, at: usize, ask: Ask) {
-        self.drive::<Takeover>(at, |part, now, out| part.ask(now, ask, out));
+        self.drive::<Takeover>(at, |part, now, out| part.on_command(now, ask, out));
     }
 
     pub fn work_outside(&mut self, what: Outside) {
--- a/rigs/simulator/src/fanout/links.rs
+++ b/rigs/simulator/src/fanout/links.rs
@@ -3,7 +3,7 @@
 use super::queue::What;
 use super::world::{World, MS, NAME, WAIT};
 use foldmux_relay::{Act, Ask, Item, Relay, Told};
-use foldmux_replicas::{Do, Part};
+use foldmux_replicas::{Effect, StateMachine};
 
 /// An answer's head, and what stands around an event.
 const HEAD: u64 = 60;
@@ -19,7 +19,7 @@
         let mut takes = Vec::new();
         for act in out {
             match act {
-                Do::Send { to, message } => {
+                Effect::Send { to, message } => {
                     self.sent += 1;
                     let to = self.name(&to);
                     let delay = if to == n {
@@ -34,13 +34,13 @@
                         self.at(time - self.now, to, What::Hear(n, to, message));
                     }
                 }
-                Do::Tell(told) => self.told(n, told, &mut takes),
+                Effect::Emit(told) => self.told(n, told, &mut takes),
             }
         }
         let due = self.instances[n]
             .relay
             .as_ref()
-            .and_then(|relay| relay.due());
+            .and_then(|relay| relay.next_tick());
         if let Some(due) = due
             .map(|due| due.max(self.now + 1))
             .filter(|due| *due < self.instances[n].tick_at)
--- a/rigs/simulator/src/fanout/world.rs
+++ b/rigs/simulator/src/fanout/world.rs
@@ -4,7 +4,7 @@
 use super::queue::{Next, What};
 use super::subscribers::Subscribers;
 use foldmux_relay::{Ask, First, Item, Relay, Setup, Slow, Stream};
-use foldmux_replicas::{Drift, Part, Peer, Seats, Time};
+use foldmux_replicas::{ClockDrift, Peer, ReplicaSet, StateMachine, Time};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BinaryHeap};
@@ -93,7 +93,8 @@
     }
 
     fn part(&self, n: usize, life: u64) -> Relay {
-        let seats = Seats::new((0..5).map(|n| Peer::new(&format!("n{n}")))).expect("five seats");
+        let seats =
+            ReplicaSet::new((0..5).map(|n| Peer::new(&format!("n{n}")))).expect("five seats");
         let ms = |ms: u64| ms * MS;
         let stream = Stream {
             name: NAME.into(),
@@ -112,7 +113,7 @@
             life: life << 32,
             places: self.names.clone(),
             seats,
-            drift: Drift::default(),
+            drift: ClockDrift::default(),
             lease: LEASE,
             streams: vec![stream],
             readers: 100_000,
@@ -204,11 +205,11 @@
         match what {
             What::Hear(from, to, message) => {
                 let from = self.names[from].0.clone();
-                self.drive(to, |relay, out| relay.heard(now, &from, message, out));
+                self.drive(to, |relay, out| relay.on_message(now, &from, message, out));
             }
             What::Tick(n) if self.instances[n].tick_at <= now => {
                 self.instances[n].tick_at = Time::MAX;
-                self.drive(n, |relay, out| relay.tick(now, out));
+                self.drive(n, |relay, out| relay.on_tick(now, out));
             }
             What::Tick(_) => {}
             What::Poll(n, poll) => self.polled(n, poll),
@@ -257,7 +258,7 @@
 
     pub fn ask(&mut self, n: usize, ask: Ask) {
         let now = self.now;
-        self.drive(n, |relay, out| relay.ask(now, ask, out));
+        self.drive(n, |relay, out| relay.on_command(now, ask, out));
     }
 
     pub fn name(&self, peer: &Peer) -> usize {
--- a/shared/fleet/src/driver.rs
+++ b/shared/fleet/src/driver.rs
@@ -1,8 +1,8 @@
 //! How one part is driven, whatever it decides: messages by postcard, those to oneself without a socket.
 
 use crate::port::Sink;
-use foldmux_replicas::part::Acts;
-use foldmux_replicas::{Do, Part, Peer, Time};
+use foldmux_replicas::Effects;
+use foldmux_replicas::{Effect, Peer, StateMachine, Time};
 use std::any::Any;
 use std::collections::VecDeque;
 
@@ -34,17 +34,17 @@
     fn gone(&self);
 }
 
-pub struct Driver<P: Part> {
+pub struct Driver<P: StateMachine> {
     own: Peer,
     part: P,
-    sink: Box<dyn Sink<P::Told>>,
-    acts: Acts<P>,
+    sink: Box<dyn Sink<P::Event>>,
+    acts: Effects<P>,
     /// To oneself, not heard yet.
     own_messages: VecDeque<P::Message>,
 }
 
-impl<P: Part> Driver<P> {
-    pub fn new(own: Peer, part: P, sink: Box<dyn Sink<P::Told>>) -> Driver<P> {
+impl<P: StateMachine> Driver<P> {
+    pub fn new(own: Peer, part: P, sink: Box<dyn Sink<P::Event>>) -> Driver<P> {
         Driver {
             own,
             part,
@@ -61,7 +61,8 @@
             let Some(message) = self.own_messages.pop_front() else {
                 return;
             };
-            self.part.heard(now, &self.own, message, &mut self.acts);
+            self.part
+                .on_message(now, &self.own, message, &mut self.acts);
         }
         self.carry_out(out);
     }
@@ -69,10 +70,12 @@
     fn carry_out(&mut self, out: &mut Frames) {
         for act in self.acts.drain(..) {
             match act {
-                Do::Tell(told) => self.sink.told(told),
-                Do::Send { to, message } if to == self.own => self.own_messages.push_back(message),
+                Effect::Emit(told) => self.sink.told(told),
+                Effect::Send { to, message } if to == self.own => {
+                    self.own_messages.push_back(message)
+                }
                 // Only a map without a length, or one that a sequence is not told of, can't be written: none is sent.
-                Do::Send { to, message } => {
+                Effect::Send { to, message } => {
                     out.extend(postcard::to_allocvec(&message).map(|bytes| (to, bytes)))
                 }
             }
@@ -82,10 +85,10 @@
 
 impl<P> Driven for Driver<P>
 where
-    P: Part + Send,
+    P: StateMachine + Send,
     P::Message: Send,
-    P::Ask: 'static,
-    P::Told: Send,
+    P::Command: 'static,
+    P::Event: Send,
 {
     fn heard(
         &mut self,
@@ -97,26 +100,26 @@
         let Ok((message, [])) = postcard::take_from_bytes(bytes) else {
             return Err(Unreadable);
         };
-        self.part.heard(now, from, message, &mut self.acts);
+        self.part.on_message(now, from, message, &mut self.acts);
         self.settle(now, out);
         Ok(())
     }
 
     fn ask(&mut self, now: Time, ask: Box<dyn Any + Send>, out: &mut Frames) {
         if let Ok(ask) = ask.downcast() {
-            self.part.ask(now, *ask, &mut self.acts);
+            self.part.on_command(now, *ask, &mut self.acts);
             self.settle(now, out);
         }
     }
 
     fn peer(&mut self, now: Time, peer: &Peer, alive: bool, out: &mut Frames) {
-        self.part.peer(now, peer, alive, &mut self.acts);
+        self.part.on_peer_status(now, peer, alive, &mut self.acts);
         self.settle(now, out);
     }
 
     fn tick(&mut self, now: Time, out: &mut Frames) {
-        if self.part.due().is_some_and(|due| due <= now) {
-            self.part.tick(now, &mut self.acts);
+        if self.part.next_tick().is_some_and(|due| due <= now) {
+            self.part.on_tick(now, &mut self.acts);
         }
         self.settle(now, out);
     }
@@ -124,7 +127,7 @@
     fn due(&self) -> Option<Time> {
         // What it has to say to itself is due at once.
         if self.own_messages.is_empty() {
-            self.part.due()
+            self.part.next_tick()
         } else {
             Some(0)
         }
--- a/shared/fleet/src/setup.rs
+++ b/shared/fleet/src/setup.rs
@@ -6,7 +6,7 @@
 use crate::views::{Alive, Views};
 use crossbeam_channel::{bounded, Receiver, Sender};
 use foldmux_peers::{Bounds, Config, Links};
-use foldmux_replicas::{Part, Peer};
+use foldmux_replicas::{Peer, StateMachine};
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU64;
@@ -68,12 +68,17 @@
     }
 
     /// Adds a part, by the byte that its frames begin with.
-    pub fn add<P>(&mut self, byte: u8, part: P, sink: impl Sink<P::Told> + 'static) -> Port<P::Ask>
+    pub fn add<P>(
+        &mut self,
+        byte: u8,
+        part: P,
+        sink: impl Sink<P::Event> + 'static,
+    ) -> Port<P::Command>
     where
-        P: Part + Send + 'static,
+        P: StateMachine + Send + 'static,
         P::Message: Send,
-        P::Ask: 'static,
-        P::Told: Send,
+        P::Command: 'static,
+        P::Event: Send,
     {
         let state = Arc::new(State::default());
         let driver = Driver::new(self.setup.name.clone(), part, Box::new(sink));
--- a/shared/fleet/tests/driver.rs
+++ b/shared/fleet/tests/driver.rs
@@ -3,7 +3,7 @@
 use crossbeam_channel::{bounded, unbounded, Receiver, Sender};
 use foldmux_fleet::{Builder, Fault, Port, Refused, Setup, Sink};
 use foldmux_peers::Bounds;
-use foldmux_replicas::{Acts, Do, Part, Peer, Time};
+use foldmux_replicas::{Effect, Effects, Peer, StateMachine, Time};
 use serde::{Deserialize, Serialize};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -43,58 +43,58 @@
     due: Option<Time>,
 }
 
-impl Part for Toy {
+impl StateMachine for Toy {
     type Message = Message;
-    type Ask = Ask;
-    type Told = Told;
+    type Command = Ask;
+    type Event = Told;
 
-    fn heard(&mut self, _: Time, from: &Peer, message: Message, out: &mut Acts<Toy>) {
+    fn on_message(&mut self, _: Time, from: &Peer, message: Message, out: &mut Effects<Toy>) {
         match message {
-            Message::Ping(n) => out.push(Do::Send {
+            Message::Ping(n) => out.push(Effect::Send {
                 to: from.clone(),
                 message: Message::Pong(n),
             }),
-            Message::Pong(n) => out.push(Do::Tell(Told::Pong(n))),
+            Message::Pong(n) => out.push(Effect::Emit(Told::Pong(n))),
             Message::Fall => panic!("it fell"),
-            Message::Storm => out.push(Do::Send {
+            Message::Storm => out.push(Effect::Send {
                 to: from.clone(),
                 message: Message::Storm,
             }),
         }
     }
 
-    fn ask(&mut self, now: Time, ask: Ask, out: &mut Acts<Toy>) {
+    fn on_command(&mut self, now: Time, ask: Ask, out: &mut Effects<Toy>) {
         match ask {
-            Ask::Ping(to, n) => out.push(Do::Send {
+            Ask::Ping(to, n) => out.push(Effect::Send {
                 to,
                 message: Message::Ping(n),
             }),
             Ask::Wake(after) => self.due = Some(now + after),
-            Ask::Fall(to) => out.push(Do::Send {
+            Ask::Fall(to) => out.push(Effect::Send {
                 to,
                 message: Message::Fall,
             }),
-            Ask::Storm => out.push(Do::Send {
+            Ask::Storm => out.push(Effect::Send {
                 to: peer(0),
                 message: Message::Storm,
             }),
             Ask::Block(gate) => {
-                out.push(Do::Tell(Told::Blocked));
+                out.push(Effect::Emit(Told::Blocked));
                 let _ = gate.recv().and_then(|()| gate.recv());
             }
         }
     }
 
-    fn peer(&mut self, _: Time, peer: &Peer, alive: bool, out: &mut Acts<Toy>) {
-        out.push(Do::Tell(Told::Peer(peer.clone(), alive)));
+    fn on_peer_status(&mut self, _: Time, peer: &Peer, alive: bool, out: &mut Effects<Toy>) {
+        out.push(Effect::Emit(Told::Peer(peer.clone(), alive)));
     }
 
-    fn tick(&mut self, now: Time, out: &mut Acts<Toy>) {
+    fn on_tick(&mut self, now: Time, out: &mut Effects<Toy>) {
         assert!(self.due.take().is_some_and(|due| due <= now));
-        out.push(Do::Tell(Told::Woke));
+        out.push(Effect::Emit(Told::Woke));
     }
 
-    fn due(&self) -> Option<Time> {
+    fn next_tick(&self) -> Option<Time> {
         self.due
     }
 }
--- a/shared/operator/src/values/fleet.rs
+++ b/shared/operator/src/values/fleet.rs
@@ -151,9 +151,9 @@
 
     /// What no single call shows.
     pub(crate) fn fits(&self) -> Result<(), String> {
-        let drift = foldmux_replicas::Drift::percent(self.drift_percent);
+        let drift = foldmux_replicas::ClockDrift::from_percent(self.drift_percent);
         let drift = drift.map_err(|_| {
-            let most = foldmux_replicas::Drift::MOST;
+            let most = foldmux_replicas::ClockDrift::MAX_PERCENT;
             format!(
                 "drift_percent: {} is not within 0 to {most}",
                 self.drift_percent
