--- a/pure/membership/tests/formats.rs
+++ b/pure/membership/tests/formats.rs
@@ -4,7 +4,7 @@
 mod fixtures;
 
 use foldmux_membership::{Ask, Members, Pace, Packet, Setup, Who};
-use foldmux_replicas::{Do, Part, Peer};
+use foldmux_replicas::{Effect, Peer, StateMachine};
 
 fn who() -> Who {
     Who::new(
@@ -46,11 +46,11 @@
     };
     let mut members = Members::new(setup).unwrap();
     let mut sent = Vec::new();
-    members.ask(0, Ask::Join(vec![Peer::new("edge-2")]), &mut sent);
-    let packet = |acts: Vec<Do<Packet, _>>| {
+    members.on_command(0, Ask::Join(vec![Peer::new("edge-2")]), &mut sent);
+    let packet = |acts: Vec<Effect<Packet, _>>| {
         acts.into_iter().find_map(|act| match act {
-            Do::Send { message, .. } => Some(message),
-            Do::Tell(_) => None,
+            Effect::Send { message, .. } => Some(message),
+            Effect::Emit(_) => None,
         })
     };
     let announce = packet(sent).expect("a join is announced");
--- a/shared/fleet/tests/formats.rs
+++ b/shared/fleet/tests/formats.rs
@@ -6,30 +6,30 @@
 use crossbeam_channel::unbounded;
 use foldmux_fleet::driver::Driver;
 use foldmux_fleet::Driven;
-use foldmux_replicas::{Acts, Do, Part, Peer, Time};
+use foldmux_replicas::{Effect, Effects, Peer, StateMachine, Time};
 
 /// Sends what it is asked to send, and tells what it hears.
 struct Echo;
 
-impl Part for Echo {
+impl StateMachine for Echo {
     type Message = (Peer, u64);
-    type Ask = (Peer, u64);
-    type Told = (Peer, u64);
+    type Command = (Peer, u64);
+    type Event = (Peer, u64);
 
-    fn heard(&mut self, _: Time, _: &Peer, message: (Peer, u64), out: &mut Acts<Echo>) {
-        out.push(Do::Tell(message));
+    fn on_message(&mut self, _: Time, _: &Peer, message: (Peer, u64), out: &mut Effects<Echo>) {
+        out.push(Effect::Emit(message));
     }
 
-    fn ask(&mut self, _: Time, message: (Peer, u64), out: &mut Acts<Echo>) {
+    fn on_command(&mut self, _: Time, message: (Peer, u64), out: &mut Effects<Echo>) {
         let to = Peer::new("edge-2");
-        out.push(Do::Send { to, message });
+        out.push(Effect::Send { to, message });
     }
 
-    fn peer(&mut self, _: Time, _: &Peer, _: bool, _: &mut Acts<Echo>) {}
+    fn on_peer_status(&mut self, _: Time, _: &Peer, _: bool, _: &mut Effects<Echo>) {}
 
-    fn tick(&mut self, _: Time, _: &mut Acts<Echo>) {}
+    fn on_tick(&mut self, _: Time, _: &mut Effects<Echo>) {}
 
-    fn due(&self) -> Option<Time> {
+    fn next_tick(&self) -> Option<Time> {
         None
     }
 }
