--- a/rigs/fleet-simulator/src/news.rs
+++ b/rigs/fleet-simulator/src/news.rs
@@ -6,7 +6,6 @@
 use foldmux_harness::record::{Event as Said, Time};
 use foldmux_relay::{Ask, Event as News, Item, Place, Relay, Told};
 use foldmux_replicas::StateMachine;
-use std::collections::BTreeMap;
 
 /// A poll without news, and one that is lost.
 const WAIT: Time = SECOND;
@@ -14,51 +13,6 @@
 /// Something new comes so often.
 const OFTEN: Time = 60 * MS;
 
-#[derive(Default)]
-pub struct Source {
-    epoch: u64,
-    told: Vec<Item>,
-    count: u64,
-    waiting: BTreeMap<usize, (u64, u64)>,
-    next_reader: u64,
-    restarts: bool,
-}
-
-#[derive(Default)]
-pub struct Reading {
-    open: bool,
-    first: bool,
-    tail: (u64, u64),
-    poll: u64,
-    reader: Option<u64>,
-    /// How far its reader knows.
-    at: Option<(u64, u64)>,
-}
-
-pub enum Step {
-    Answer {
-        poll: u64,
-        epoch: u64,
-        items: Vec<Item>,
-    },
-    Quiet {
-        poll: u64,
-    },
-    Unfed {
-        poll: u64,
-    },
-    Taken {
-        reader: u64,
-        number: u64,
-    },
-}
-
-pub enum Outside {
-    Publish,
-    Restart,
-    Poll { at: usize, life: u64, poll: u64 },
-}
-
 impl World {
     pub fn begin_news(&mut self) {
         self.later(OFTEN, Event::News(Outside::Publish));
@@ -358,3 +312,7 @@
             .collect()
     }
 }
+
+mod state;
+
+pub use state::{Outside, Reading, Source, Step};
--- a/rigs/fleet-simulator/src/work.rs
+++ b/rigs/fleet-simulator/src/work.rs
@@ -3,115 +3,11 @@
 use crate::net::{Event, World};
 use crate::node::Local;
 use crate::plan::*;
-use foldmux_harness::record::{Event as Said, Outcome, Time};
+use foldmux_harness::record::{Event as Said, Outcome};
 use foldmux_replicas::StateMachine;
 use foldmux_takeover::*;
-use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A request's thread at the instance that owns the work.
-pub struct Host {
-    client: Option<usize>,
-    lease: Lease,
-    term: u64,
-    group: u32,
-    number: u8,
-    out: bool,
-    may_have_run: bool,
-}
-
-#[derive(Clone, Copy, Debug)]
-pub enum Purpose {
-    Claim {
-        client: usize,
-    },
-    Intend {
-        key: u32,
-    },
-    Done {
-        key: u32,
-        client: Option<usize>,
-        run: Option<u32>,
-    },
-}
-
-#[derive(Default)]
-pub struct Desk {
-    hosts: HashMap<u32, Host>,
-    tickets: HashMap<u64, Purpose>,
-}
-
-impl Desk {
-    pub fn open(&self) -> usize {
-        self.tickets.len()
-    }
-
-    /// Whose connections end with the instance.
-    pub fn clients(&self) -> Vec<usize> {
-        let waiting = self.tickets.values().filter_map(|purpose| match purpose {
-            Purpose::Claim { client } => Some(*client),
-            Purpose::Done { client, .. } => *client,
-            Purpose::Intend { .. } => None,
-        });
-        let mut all: Vec<usize> = waiting
-            .chain(self.hosts.values().filter_map(|host| host.client))
-            .collect();
-        all.sort_unstable();
-        all.dedup();
-        all
-    }
-}
-
-pub struct Client {
-    key: u32,
-    until: Time,
-    answered: bool,
-    /// Which of its asks is open.
-    turn: u32,
-}
-
-/// At an instance.
-pub enum Step {
-    Send {
-        key: u32,
-    },
-    Again {
-        key: u32,
-    },
-    Came {
-        key: u32,
-        term: u64,
-        number: u8,
-        came: Came,
-    },
-    TimeOut {
-        key: u32,
-        term: u64,
-        number: u8,
-    },
-}
-
-/// Outside of all.
-pub enum Outside {
-    New {
-        key: u32,
-        at: usize,
-    },
-    Ask {
-        client: usize,
-        turn: u32,
-        at: usize,
-    },
-    Arrive {
-        at: usize,
-        life: u64,
-        key: u32,
-        group: u32,
-        term: u64,
-        number: u8,
-    },
-}
-
 fn work(key: u32) -> Arc<Work> {
     let (class, token) = (class(key).into(), Some(key.to_string().into()));
     Arc::new(Work {
@@ -354,5 +250,7 @@
 
 mod archive;
 mod host;
+mod state;
 
 pub use archive::{Archive, Came};
+pub use state::{Client, Desk, Host, Outside, Purpose, Step};
