--- a/edge/proxy/src/line.rs
+++ b/edge/proxy/src/admin.rs
@@ -1,7 +1,7 @@
 //! The operator line: a second address, one call a line, `done` or `error` at the start of each answer.
 //!
 //! Owns: its listener, its connections (each a small thread, as many as the descriptors allow), and the pop caches out by hand
-//! as they are told to the desk ([`Hand`]). May not: wait for client work or for the desk. Every answer is made
+//! as they are told to the desk ([`MaintenanceRegistry`]). May not: wait for client work or for the desk. Every answer is made
 //! of figures that are read where they are counted, so that it is owed to nothing else; what is beyond its places
 //! is told so at once and closed.
 
@@ -17,10 +17,10 @@
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant};
 
-pub use hand::Hand;
+pub use maintenance::MaintenanceRegistry;
 
-mod hand;
-mod kept;
+mod maintenance;
+mod maintenance_file;
 
 /// Most connections of the operator line at once; fewer where descriptors are few.
 pub const PLACES: usize = 64;
@@ -35,7 +35,7 @@
 /// What the line reads its figures from.
 pub struct Sources {
     pub core: Arc<Core>,
-    pub hand: Arc<Hand>,
+    pub hand: Arc<MaintenanceRegistry>,
     /// A list is in and the process takes clients.
     pub listed: Arc<AtomicBool>,
     /// Set when the process begins to leave.
--- a/edge/proxy/src/line/hand.rs
+++ b/edge/proxy/src/admin/maintenance.rs
@@ -1,6 +1,6 @@
 //! The pop caches out by hand, as they are told to the desk.
 
-use super::kept::Kept;
+use super::maintenance_file::MaintenanceFile;
 use foldmux::interface::State;
 use foldmux_core::desk::{DeskHandle, Notice};
 use foldmux_core::members::Listed;
@@ -11,11 +11,11 @@
 
 /// The pop caches out by hand, and the last line of each as the journal service told it. One lock over both and
 /// over telling the desk, so that what the journal says and what the operator says reach the desk in one order.
-pub struct Hand {
+pub struct MaintenanceRegistry {
     held: Mutex<Held>,
     desk: DeskHandle,
     /// Where the set is kept: `$TMPDIR`, shared with a new version started beside this one.
-    kept: Option<Kept>,
+    kept: Option<MaintenanceFile>,
 }
 
 struct Held {
@@ -23,15 +23,18 @@
     told: HashMap<Arc<str>, Listed>,
 }
 
-impl Hand {
+impl MaintenanceRegistry {
     /// With what an earlier process of this place kept, where there is a file.
-    pub fn new(desk: DeskHandle, file: Option<PathBuf>) -> Hand {
-        let kept = file.map(Kept::new);
-        let out = kept.as_ref().and_then(Kept::read).unwrap_or_default();
+    pub fn new(desk: DeskHandle, file: Option<PathBuf>) -> MaintenanceRegistry {
+        let kept = file.map(MaintenanceFile::new);
+        let out = kept
+            .as_ref()
+            .and_then(MaintenanceFile::read)
+            .unwrap_or_default();
         if !out.is_empty() {
             tracing::info!("maintenance: {} pop caches out by hand, as kept", out.len());
         }
-        Hand {
+        MaintenanceRegistry {
             held: Mutex::new(Held {
                 out,
                 told: HashMap::new(),
--- a/edge/proxy/src/line/kept.rs
+++ b/edge/proxy/src/admin/maintenance_file.rs
@@ -14,13 +14,13 @@
 const LOCK_FOR: Duration = Duration::from_millis(1_000);
 const LOOK_EVERY: Duration = Duration::from_millis(1);
 
-pub struct Kept {
+pub struct MaintenanceFile {
     file: PathBuf,
 }
 
-impl Kept {
-    pub fn new(file: PathBuf) -> Kept {
-        Kept { file }
+impl MaintenanceFile {
+    pub fn new(file: PathBuf) -> MaintenanceFile {
+        MaintenanceFile { file }
     }
 
     /// What is kept; none where nothing is, or it can't be read.
@@ -103,7 +103,7 @@
                 let (file, start) = (file.clone(), &start);
                 scope.spawn(move || {
                     // Each as a process of its own would: the file is all that they share.
-                    let kept = Kept::new(file);
+                    let kept = MaintenanceFile::new(file);
                     start.wait();
                     for k in 0..20 {
                         let (set, _) = kept.change(&Maintenance::default(), |set| {
@@ -119,14 +119,14 @@
                 });
             }
         });
-        let set = Kept::new(file).read().unwrap();
+        let set = MaintenanceFile::new(file).read().unwrap();
         assert_eq!(set.len(), 4 * 10);
         assert!((0..4).all(|n| set.holds(&format!("s-{n}-19")) && !set.holds(&format!("s-{n}-18"))));
     }
 
     #[test]
     fn a_set_that_cannot_be_kept_holds_in_this_process() {
-        let kept = Kept::new("/nowhere/at/all/kept".into());
+        let kept = MaintenanceFile::new("/nowhere/at/all/kept".into());
         let (set, changed) = kept.change(&Maintenance::default(), |set| set.on("s-1", true));
         assert!(set.holds("s-1") && changed == Ok(true) && kept.read().is_none());
         let (set, _) = kept.change(&set, |set| set.on("s-2", true));
--- a/edge/proxy/src/check.rs
+++ b/edge/proxy/src/check_config.rs
@@ -1,6 +1,6 @@
 //! What `check-config` and `plan` print.
 
-use crate::wiring::Zones;
+use crate::hierarchy::Zones;
 use crate::{config, limits};
 use foldmux_hierarchy::plan::{plan, Plan};
 use foldmux_hierarchy::tree::Kind;
--- a/edge/proxy/src/config.rs
+++ b/edge/proxy/src/config.rs
@@ -1,7 +1,7 @@
 //! What an edge proxy is told: one JSON document, decoded once into the values that the program uses.
 
+use crate::admin;
 use crate::journal::Feed;
-use crate::line;
 use foldmux_settings::section::{Faults, Section};
 use foldmux_settings::{decode, Decoded};
 use simd_json::{ErrorType, OwnedValue};
@@ -49,7 +49,7 @@
     pub fn new(limits: &Limits) -> Bounds {
         let sockets = limits.sockets;
         let (clients, dns) = ((sockets / 3).max(1), (sockets / 16).max(1));
-        let operator = (sockets / 16).clamp(1, line::PLACES);
+        let operator = (sockets / 16).clamp(1, admin::PLACES);
         // Whoever fills the places of clients and caches leaves discovery and the operator line theirs.
         let rest = sockets.saturating_sub(clients + operator + KEPT_BACK);
         // Buffers may take 7/10 of the memory; each request needs one, and writes one more.
@@ -82,11 +82,11 @@
 
 /// All that is wrong with a configuration, a plain line each.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Unusable(pub Vec<String>);
+pub struct ConfigError(pub Vec<String>);
 
-impl Unusable {
-    fn one(line: String) -> Unusable {
-        Unusable(vec![line])
+impl ConfigError {
+    fn one(line: String) -> ConfigError {
+        ConfigError(vec![line])
     }
 
     /// On one line, for the log.
@@ -96,16 +96,16 @@
 }
 
 /// A line each, as the program prints what ends it.
-impl From<Unusable> for String {
-    fn from(unusable: Unusable) -> String {
+impl From<ConfigError> for String {
+    fn from(unusable: ConfigError) -> String {
         unusable.0.join("\nfoldmux: ")
     }
 }
 
 /// The configuration in a file, with what the environment overrides.
-pub fn read(file: &Path) -> Result<Config, Unusable> {
+pub fn read(file: &Path) -> Result<Config, ConfigError> {
     let bytes =
-        std::fs::read(file).map_err(|e| Unusable::one(format!("{}: {e}", file.display())))?;
+        std::fs::read(file).map_err(|e| ConfigError::one(format!("{}: {e}", file.display())))?;
     let mut config = parse(bytes)?;
     if let Ok(listen) = std::env::var("GW_LISTEN") {
         config.listen = address("GW_LISTEN", &listen)?;
@@ -119,16 +119,16 @@
     Ok(config)
 }
 
-fn address(variable: &str, text: &str) -> Result<SocketAddr, Unusable> {
+fn address(variable: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse()
-        .map_err(|_| Unusable::one(format!("{variable} {text:?} is no address")))
+        .map_err(|_| ConfigError::one(format!("{variable} {text:?} is no address")))
 }
 
 /// The configuration, or all that is wrong with it.
-pub fn parse(mut bytes: Vec<u8>) -> Result<Config, Unusable> {
+pub fn parse(mut bytes: Vec<u8>) -> Result<Config, ConfigError> {
     let unreadable = |e: simd_json::Error| match e.error() {
-        ErrorType::Serde(why) => Unusable::one(format!("configuration: {why}")),
-        _ => Unusable::one(format!("configuration: {e}")),
+        ErrorType::Serde(why) => ConfigError::one(format!("configuration: {why}")),
+        _ => ConfigError::one(format!("configuration: {e}")),
     };
     // The parser works in its input.
     let Unique = simd_json::serde::from_slice(&mut bytes.clone()).map_err(unreadable)?;
@@ -137,7 +137,7 @@
     let config = whole(&Section::new("configuration", &document, &faults));
     match faults.into_lines() {
         lines if lines.is_empty() => Ok(config),
-        lines => Err(Unusable(lines)),
+        lines => Err(ConfigError(lines)),
     }
 }
 
--- a/edge/proxy/src/fleet.rs
+++ b/edge/proxy/src/fleet.rs
@@ -1,7 +1,7 @@
 //! What this process shares with others, in service: its links, and who of the fleet is up. Off unless the operator's
 //! file calls `fleet(…)` and this process is one of its peers.
 
-use crate::journal::Journal;
+use crate::journal::JournalClient;
 use foldmux_core::Core;
 use foldmux_fleet::members::{self, Roll};
 use foldmux_fleet::{Builder, Fault, Port, Setup, Sink};
@@ -122,12 +122,12 @@
     }
 
     /// Before the journal is read.
-    pub fn share(&self, journal: &mut Journal) {
+    pub fn share(&self, journal: &mut JournalClient) {
         self.parts.share(journal);
     }
 
     /// `journal`: a clone of the one that is read.
-    pub fn start(self, core: &Arc<Core>, journal: Journal) -> Result<Running, String> {
+    pub fn start(self, core: &Arc<Core>, journal: JournalClient) -> Result<Running, String> {
         let Fleet {
             builder,
             members,
--- a/edge/proxy/src/fleet/parts.rs
+++ b/edge/proxy/src/fleet/parts.rs
@@ -2,7 +2,7 @@
 
 use crate::cover::start::Covered;
 use crate::cover::Ready;
-use crate::journal::Journal;
+use crate::journal::JournalClient;
 use crate::relayed::{self, Relayed};
 use crate::turns::Turns;
 use foldmux_core::members::Members;
@@ -99,7 +99,7 @@
     }
 
     /// From now on what this process reads at the journal service is shared, where the file says so.
-    pub fn share(&self, journal: &mut Journal) {
+    pub fn share(&self, journal: &mut JournalClient) {
         self.relayed
             .iter()
             .for_each(|(relayed, _)| journal.share(relayed.desk.clone()));
@@ -109,7 +109,7 @@
     pub fn start(
         self,
         core: &Arc<Core>,
-        journal: Journal,
+        journal: JournalClient,
         began: Instant,
         seed: u64,
     ) -> Result<Serving, String> {
--- a/edge/proxy/src/wiring.rs
+++ b/edge/proxy/src/hierarchy.rs
@@ -15,7 +15,7 @@
     pub hub_of: Vec<usize>,
 }
 
-pub struct Live {
+pub struct ActiveHierarchy {
     wiring: Wiring,
     zones: Zones,
     clock: Clock,
@@ -68,20 +68,20 @@
     }
 }
 
-impl Live {
+impl ActiveHierarchy {
     /// Takes the tree of the start and tells the module.
     pub fn start(
         hierarchy: &Hierarchy,
         zones: Zones,
         clock: Clock,
         desk: DeskHandle,
-    ) -> Result<Live, String> {
+    ) -> Result<ActiveHierarchy, String> {
         let notice = zones.notice(&hierarchy.tree)?;
         let own = zones.names.get(zones.own).map_or("", String::as_str);
         let wiring = Wiring::new(own, hierarchy.tree.clone(), hierarchy.overlap_ms * 1_000);
         let wiring = wiring.map_err(|refused| refused.to_string())?;
         desk.tell(notice);
-        Ok(Live {
+        Ok(ActiveHierarchy {
             wiring,
             zones,
             clock,
@@ -111,5 +111,4 @@
 }
 
 #[cfg(test)]
-#[path = "wiring_tests.rs"]
 mod tests;
--- a/edge/proxy/src/journal.rs
+++ b/edge/proxy/src/journal.rs
@@ -1,27 +1,27 @@
 //! The watch on the journal service: a gapless long poll. Events are taken in order, each once; an answer that is lost,
 //! torn or garbled changes nothing and is asked for again.
 //!
-//! Owns: how an answer is asked for and read ([`answer`]), what its events say to the desk ([`notices`]),
-//! the poll loop ([`watch`]) and where the service is ([`service`]).
+//! Owns: how an answer is asked for and read ([`request`]), what its events say to the desk ([`commands`]),
+//! the poll loop ([`poll`]) and where the service is ([`service`]).
 
-use boots::Boots;
+use commands::List;
 use foldmux_core::clock::Clock;
 use foldmux_core::desk::{DeskHandle, Notice};
 use foldmux_core::members::Listed;
 use foldmux_event_stream::Desk;
 use foldmux_upstream::pool::Pool;
-use notices::List;
+use start_times::StartTimes;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
 pub use foldmux_event_stream::words::{Entry, Feed};
 pub use service::Service;
 
-mod answer;
-mod boots;
-mod notices;
+mod commands;
+mod poll;
+mod request;
 mod service;
-mod watch;
+mod start_times;
 
 /// What the journal's words stand for: the settings' zones and kinds.
 #[derive(Clone)]
@@ -31,7 +31,7 @@
 }
 
 #[derive(Clone)]
-pub struct Journal {
+pub struct JournalClient {
     pub names: Names,
     pub clock: Clock,
     pub desk: DeskHandle,
@@ -39,10 +39,10 @@
     /// Set once a list is in: the proxy is well.
     pub listed: Arc<AtomicBool>,
     /// Where lists go by, for those out by hand; else straight to the desk.
-    pub hand: Option<Arc<crate::line::Hand>>,
+    pub hand: Option<Arc<crate::admin::MaintenanceRegistry>>,
     /// Where this process shares what it reads with others of its site, and is told what they read.
     shared: Option<Shared>,
-    boots: Boots,
+    boots: StartTimes,
     /// The number of the last event that was taken.
     pos: u64,
 }
@@ -54,16 +54,16 @@
     newest: Arc<Mutex<u64>>,
 }
 
-impl Journal {
+impl JournalClient {
     pub fn new(
         names: Names,
         clock: Clock,
         desk: DeskHandle,
         pool: Arc<Pool>,
         listed: Arc<AtomicBool>,
-    ) -> Journal {
-        let (hand, shared, boots) = (None, None, Boots::default());
-        Journal {
+    ) -> JournalClient {
+        let (hand, shared, boots) = (None, None, StartTimes::default());
+        JournalClient {
             names,
             clock,
             desk,
@@ -152,7 +152,7 @@
     }
 
     /// From now on this process's reading of the source is shared by `desk`; what others read comes by
-    /// [`Journal::relayed`] of a clone.
+    /// [`JournalClient::relayed`] of a clone.
     pub fn share(&mut self, desk: Arc<Desk>) {
         self.shared = Some(Shared {
             desk,
--- a/edge/proxy/src/journal/notices.rs
+++ b/edge/proxy/src/journal/commands.rs
@@ -1,7 +1,7 @@
 //! What events say, in the desk's words. A line or purge that this version has no word for is passed over and told of in
 //! the log: asked for again it would come the same, and hold up all that follows.
 
-use super::Journal;
+use super::JournalClient;
 use foldmux::interface::{Member, ObjectId, State};
 use foldmux_core::desk::Notice;
 use foldmux_core::members::{cache_id, Listed};
@@ -18,7 +18,7 @@
     pub listed: Vec<Listed>,
 }
 
-impl Journal {
+impl JournalClient {
     /// The lists of these events as one, each start at the time at which it was first told; none where no event has one.
     pub(super) fn list(&self, entries: &[&Entry]) -> Option<List> {
         let (mut full, mut index, mut lines) = (false, None, BTreeMap::new());
--- a/edge/proxy/src/journal/watch.rs
+++ b/edge/proxy/src/journal/poll.rs
@@ -1,7 +1,7 @@
 //! The poll loop: asks for the events that follow, wherever the service is, for as long as the program runs.
 
-use super::answer::{Call, Fault, MOST_ANSWER, PATIENCE};
-use super::{Feed, Journal, Service};
+use super::request::{Call, Fault, MOST_ANSWER, PATIENCE};
+use super::{Feed, JournalClient, Service};
 use crate::backoff::{Backoff, LONGEST};
 use foldmux_event_stream::Desk;
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
 }
 
 struct Watch<'a> {
-    journal: Journal,
+    journal: JournalClient,
     service: &'a Service,
     buffer: Vec<u8>,
     /// An answer ended before an event that was taken. Either it was an old one, or the service numbers its events anew:
@@ -46,7 +46,7 @@
     recount: bool,
 }
 
-impl Journal {
+impl JournalClient {
     /// Polls for as long as the program runs, wherever the service is; asks again as `backoff` says.
     pub fn follow(self, service: &Service, backoff: Backoff) {
         let shared = self.shared.as_ref().map(|shared| shared.desk.clone());
--- a/edge/proxy/src/journal/service.rs
+++ b/edge/proxy/src/journal/service.rs
@@ -1,7 +1,7 @@
 //! Where the journal service is, and the connection to it.
 
-use super::answer::{Fault, PATIENCE};
-use super::watch::Place;
+use super::poll::Place;
+use super::request::{Fault, PATIENCE};
 use foldmux_http1::io::quiet;
 use foldmux_sockets::dial::dial;
 use std::net::{Shutdown, SocketAddr, TcpStream};
--- a/edge/proxy/src/journal/boots.rs
+++ b/edge/proxy/src/journal/start_times.rs
@@ -9,9 +9,9 @@
 /// microseconds apart. Guards against a repeated line that looks like a start anew: all that is known of the member
 /// would be void, and all connections to it closed.
 #[derive(Clone, Default)]
-pub struct Boots(Arc<Mutex<HashMap<CacheId, (u64, Time)>>>);
+pub struct StartTimes(Arc<Mutex<HashMap<CacheId, (u64, Time)>>>);
 
-impl Boots {
+impl StartTimes {
     fn held(&self) -> MutexGuard<'_, HashMap<CacheId, (u64, Time)>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/edge/proxy/src/lib.rs
+++ b/edge/proxy/src/lib.rs
@@ -1,27 +1,35 @@
-//! The program: it puts the core, the fronts and the upstream together.
+//! The edge proxy: binds the event loop, the fronts and the upstream client together into one process.
 //!
-//! Owns: the configuration ([`config`]), the journal service's client ([`journal`]) and how it waits ([`backoff`]),
-//! the journal as it is shared by site ([`relayed`]), the tree in service ([`wiring`]), covered requests ([`cover`]), the log
-//! ([`log`]), start ([`server`]) and end ([`leave`]), reload ([`reload`]), what no reload changes ([`started`]), reports and probes ([`reports`]), the fleet in service
-//! ([`fleet`]), what `check-config` tells ([`check`]), the wait advised with refusals ([`advice`]). May not: decide for a request, or read one.
+//! | concern | module |
+//! | --- | --- |
+//! | start, serve and shut down | [`server`], [`signals`], [`drain`], [`log`] |
+//! | configuration, and what a reload changes | [`config`], [`reload`], [`startup_settings`], [`check_config`] |
+//! | the journal service's endpoint list and purges | [`journal`], [`backoff`], [`relayed`] |
+//! | the admin interface and maintenance | [`admin`] |
+//! | the fill hierarchy in service | [`hierarchy`] |
+//! | load reports and health checks | [`load_reports`] |
+//! | limits by class and route, Retry-After | [`limits`], [`retry_after`] |
+//! | the fleet and what its peers share | [`fleet`], [`cover`], [`turns`] |
+//!
+//! Nothing here decides for a request or reads one.
 
-pub mod advice;
-pub mod check;
+pub mod admin;
+pub mod check_config;
 pub mod config;
 pub mod cover;
+pub mod drain;
 pub mod fleet;
+pub mod hierarchy;
 pub mod journal;
-pub mod leave;
 pub mod limits;
-pub mod line;
+pub mod load_reports;
 pub mod log;
 pub mod relayed;
 pub mod reload;
-pub mod reports;
+pub mod retry_after;
 pub mod server;
 pub mod signals;
-pub mod started;
+pub mod startup_settings;
 pub mod turns;
-pub mod wiring;
 
 pub use foldmux_event_stream::backoff;
--- a/edge/proxy/src/main.rs
+++ b/edge/proxy/src/main.rs
@@ -1,6 +1,6 @@
 //! The command line of foldmux.
 
-use foldmux_proxy::check::{check, load, place, tell, tree};
+use foldmux_proxy::check_config::{check, load, place, tell, tree};
 use foldmux_proxy::log::{self, Form};
 use foldmux_proxy::{config, limits, server};
 use lexopt::{Arg, Parser};
--- a/edge/proxy/src/relayed.rs
+++ b/edge/proxy/src/relayed.rs
@@ -3,7 +3,7 @@
 
 use crate::backoff::Backoff;
 use crate::fleet::parts::seats;
-use crate::journal::Journal;
+use crate::journal::JournalClient;
 use foldmux_event_stream::desk::Tells;
 use foldmux_event_stream::{serve, Desk};
 use foldmux_fleet::Port;
@@ -81,8 +81,8 @@
         )))
     }
 
-    /// The part is in service. `journal`: a clone of the one that reads the source, after [`Journal::share`].
-    pub fn start(&self, port: Port<Ask>, journal: Journal, seed: u64) -> Result<(), String> {
+    /// The part is in service. `journal`: a clone of the one that reads the source, after [`JournalClient::share`].
+    pub fn start(&self, port: Port<Ask>, journal: JournalClient, seed: u64) -> Result<(), String> {
         self.desk.begin(port);
         if let Some(on) = self.serve {
             let served = serve::serve(&self.desk, on, self.most);
@@ -122,7 +122,7 @@
 }
 
 /// Takes what the site's relay tells, for as long as the process runs; the source is read by `journal` itself.
-fn follow(desk: &Arc<Desk>, journal: &Journal, mut backoff: Backoff) {
+fn follow(desk: &Arc<Desk>, journal: &JournalClient, mut backoff: Backoff) {
     loop {
         if let Ok(mut reading) = desk.read(0) {
             while let Ok(entries) = reading.next(Instant::now() + Duration::from_secs(1)) {
--- a/edge/proxy/src/reload.rs
+++ b/edge/proxy/src/reload.rs
@@ -1,12 +1,12 @@
 //! What SIGHUP reads again, and the classes as each front takes them.
 
-use crate::advice::refusal_wait;
 use crate::config;
 use crate::fleet::Running;
+use crate::hierarchy::ActiveHierarchy;
 use crate::journal::Service;
 use crate::limits;
-use crate::started::Started;
-use crate::wiring::Live;
+use crate::retry_after::refusal_wait;
+use crate::startup_settings::StartupSettings;
 use foldmux::interface::{Class, Repeat};
 use foldmux_core::desk::Notice;
 use foldmux_core::limits::Limiter;
@@ -33,7 +33,7 @@
 pub fn reload(
     file: &Path,
     service: &Service,
-    (started, tune): (&Started, &mut Classes<Class>),
+    (started, tune): (&StartupSettings, &mut Classes<Class>),
     front: &Front,
 ) -> Result<String, String> {
     let config = config::read(file).map_err(|unusable| unusable.on_one_line())?;
@@ -110,7 +110,7 @@
 
 /// Reads the operator's file again and takes its tree. Whatever else it says holds from the next start. The tree in
 /// service is told again first: the settings that were read again name other hubs.
-pub fn rewire(file: &Path, live: &mut Live) -> Result<String, String> {
+pub fn rewire(file: &Path, live: &mut ActiveHierarchy) -> Result<String, String> {
     live.tell_again()?;
     let operator = foldmux_operator::load(file).map_err(|faults| faults.join("; "))?;
     let hierarchy = operator
--- a/edge/proxy/src/advice.rs
+++ b/edge/proxy/src/retry_after.rs
@@ -3,7 +3,7 @@
 use foldmux::interface::{Settings, Time};
 
 /// The longest (us): what is full frees its places at request speed.
-pub const LONGEST: Time = 300_000;
+pub const MAX_RETRY_AFTER: Time = 300_000;
 /// It takes so small a part of the shortest deadline, which leaves a client the time to come again.
 const PART: Time = 10;
 
@@ -15,6 +15,6 @@
         .map(|class| class.deadline)
         .min()
         .unwrap_or(0);
-    let wait = LONGEST.min(shortest / PART);
+    let wait = MAX_RETRY_AFTER.min(shortest / PART);
     settings.retry_after.map_or(0, |most| wait.min(most))
 }
--- a/edge/proxy/src/server.rs
+++ b/edge/proxy/src/server.rs
@@ -1,19 +1,19 @@
 //! Puts the parts together and runs them: the desk, the core, the journal, the fronts, and the end.
 
-use crate::advice::refusal_wait;
+use crate::admin::{self, MaintenanceRegistry, Sources};
 use crate::backoff::Backoff;
 use crate::config::Config;
+use crate::drain::{until_killed, Leaving, ANSWERS_READ, LONGEST};
 use crate::fleet::{self, parts::Own};
-use crate::journal::{Journal, Names, Service};
-use crate::leave::{until_killed, Leaving, ANSWERS_READ, LONGEST};
-use crate::line::{self, Hand, Sources};
+use crate::hierarchy::{ActiveHierarchy, Zones};
+use crate::journal::{JournalClient, Names, Service};
 use crate::reload::{
     processed, rekey, relimit, reload, reweigh, rewire, routed, rules, served, tell,
 };
+use crate::retry_after::refusal_wait;
 use crate::signals::{Signal, Signals};
-use crate::started::Started;
-use crate::wiring::{Live, Zones};
-use crate::{limits, reports};
+use crate::startup_settings::StartupSettings;
+use crate::{limits, load_reports};
 use foldmux::interface::Repeat;
 use foldmux::Router;
 use foldmux_core::buffers::Buffers;
@@ -60,7 +60,7 @@
 pub fn run(config: Config, file: &Path, operator: Option<(&Path, Operator)>) -> Result<(), String> {
     let signals = Signals::new().map_err(|e| format!("signals: {e}"))?;
     let bounds = config.bounds;
-    let started = Started::of(&config);
+    let started = StartupSettings::of(&config);
     let decoded = config.decoded;
     let (own_file, operator) =
         operator.map_or((None, Operator::default()), |(file, o)| (Some(file), o));
@@ -132,7 +132,7 @@
         dial_time_out: span(decoded.dial_time_out),
     };
     let buffers = Buffers::new(bounds.buffers);
-    let tries = reports::start(reported, &told, &mut desk, &handle, upstream)?;
+    let tries = load_reports::start(reported, &told, &mut desk, &handle, upstream)?;
     let most = bounds.open;
     let core = Core::new(
         handle.clone(),
@@ -165,16 +165,17 @@
     // The wiring comes before the list: no fill goes another way first.
     let tree = operator.hierarchy.as_ref();
     let mut live = tree
-        .map(|h| Live::start(h, zones, clock.clone(), handle.clone()))
+        .map(|h| ActiveHierarchy::start(h, zones, clock.clone(), handle.clone()))
         .transpose()?;
     let listener =
         shared(config.listen).map_err(|e| format!("listening on {}: {e}", config.listen))?;
     let on = listener.local_addr().map_err(|e| e.to_string())?;
-    let mut journal = Journal::new(names, clock, handle.clone(), pool.clone(), listed.clone());
+    let mut journal =
+        JournalClient::new(names, clock, handle.clone(), pool.clone(), listed.clone());
     // Kept where the platform gives this place a folder of its own, which a new version beside this one shares.
     let kept = std::env::var_os("TMPDIR").map(PathBuf::from);
     let kept = kept.map(|dir| dir.join(format!("foldmux-maintenance-{}", on.port())));
-    let hand = Arc::new(Hand::new(handle, kept));
+    let hand = Arc::new(MaintenanceRegistry::new(handle, kept));
     journal.hand = Some(hand.clone());
     classes.iter().for_each(|class| core.tally.know(class));
     own_fleet.iter().for_each(|fleet| fleet.share(&mut journal));
@@ -236,7 +237,7 @@
         conf_invalid: AtomicU64::new(0),
     });
     if let Some(address) = config.operator {
-        let on = line::serve(address, sources.clone(), bounds.operator)?;
+        let on = admin::serve(address, sources.clone(), bounds.operator)?;
         tracing::info!("operator line on {on}");
     }
 
--- a/edge/proxy/src/started.rs
+++ b/edge/proxy/src/startup_settings.rs
@@ -2,7 +2,7 @@
 //! by which the list and the limits go; settings that number them otherwise would be read wrongly, and are refused as a
 //! whole. The rest holds from the next start, and the reload says so.
 
-use crate::config::{Config, Unusable};
+use crate::config::{Config, ConfigError};
 
 /// One value of the configuration, by the path of its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -13,7 +13,7 @@
 
 /// The values in service that no reload changes.
 #[derive(Clone, Debug)]
-pub struct Started {
+pub struct StartupSettings {
     numbering: Vec<Kept>,
     kept: Vec<Kept>,
 }
@@ -25,8 +25,8 @@
     }
 }
 
-impl Started {
-    pub fn of(config: &Config) -> Started {
+impl StartupSettings {
+    pub fn of(config: &Config) -> StartupSettings {
         let decoded = &config.decoded;
         let numbering = vec![
             keep("settings.dcs", &decoded.zones),
@@ -46,12 +46,12 @@
                 reports(config),
             ),
         ];
-        Started { numbering, kept }
+        StartupSettings { numbering, kept }
     }
 
     /// Whether `config` numbers zones and kinds as they are in service, or a line for each that it doesn't.
-    pub fn check(&self, config: &Config) -> Result<(), Unusable> {
-        let other = Started::of(config).numbering;
+    pub fn check(&self, config: &Config) -> Result<(), ConfigError> {
+        let other = StartupSettings::of(config).numbering;
         let differs = |(held, told): (&Kept, &Kept)| {
             let Kept { key, value } = held;
             let line = || {
@@ -71,12 +71,12 @@
         if lines.is_empty() {
             return Ok(());
         }
-        Err(Unusable(lines))
+        Err(ConfigError(lines))
     }
 
     /// The keys whose values in `config` hold from the next start.
     pub fn later(&self, config: &Config) -> Vec<&'static str> {
-        let other = Started::of(config).kept;
+        let other = StartupSettings::of(config).kept;
         self.kept
             .iter()
             .zip(&other)
--- a/edge/proxy/src/turns.rs
+++ b/edge/proxy/src/turns.rs
@@ -4,8 +4,8 @@
 mod pool;
 mod weights;
 
-use crate::advice::LONGEST;
 use crate::fleet::parts::seats;
+use crate::retry_after::MAX_RETRY_AFTER;
 use crate::turns::pool::{Pool, TurnPlace, Word};
 use crate::turns::weights::{keyed, weights};
 use crossbeam_channel::{bounded, Sender};
@@ -267,7 +267,7 @@
         wanted.slot.release();
         match heard {
             Some(Word::Go(used)) => Ok(Some(Box::new(TurnPlace::new(pool, used)))),
-            Some(Word::Late) => Err(pool.advice(LONGEST)),
+            Some(Word::Late) => Err(pool.advice(MAX_RETRY_AFTER)),
             _ => {
                 // It may have been told in this moment: then its slot comes back with the place.
                 if !pool.left(request.id, ticket) {
@@ -276,7 +276,7 @@
                         Word::Late | Word::Left => {}
                     });
                 }
-                Err(pool.advice(LONGEST))
+                Err(pool.advice(MAX_RETRY_AFTER))
             }
         }
     }
--- a/edge/proxy/tests/lists.rs
+++ b/edge/proxy/tests/lists.rs
@@ -6,7 +6,7 @@
 use foldmux_core::desk::Desk;
 use foldmux_core::members::{cache_id, Members};
 use foldmux_event_stream::words::Feed;
-use foldmux_proxy::journal::{Journal, Names};
+use foldmux_proxy::journal::{JournalClient, Names};
 use foldmux_stats::Draws;
 use foldmux_upstream::pool::Pool;
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
 const CACHES: u32 = 60;
 
 struct Place {
-    journal: Journal,
+    journal: JournalClient,
     members: Arc<Members>,
     /// Starts that took no more work.
     ended: Arc<AtomicUsize>,
@@ -47,7 +47,8 @@
             kinds: decoded.kinds,
         };
         let pool = Pool::new(8, Duration::from_secs(10));
-        let journal = Journal::new(names, clock, handle, pool, Arc::new(AtomicBool::new(false)));
+        let journal =
+            JournalClient::new(names, clock, handle, pool, Arc::new(AtomicBool::new(false)));
         Place {
             journal,
             members,
