--- a/edge/proxy/src/cover/hold.rs
+++ b/edge/proxy/src/cover/hold.rs
@@ -4,7 +4,7 @@
 use super::rules::Class;
 use foldmux::interface::{Member, Outcome};
 use foldmux_core::cover::{Final, Hold, Intended};
-use foldmux_takeover::{Answer, Ask, End, Key, Lease, Proof, Record, Told};
+use foldmux_takeover::{Answer, Command, End, Event, Key, Lease, Proof, Record};
 use std::sync::atomic::{AtomicBool, AtomicU8, Ordering};
 use std::sync::Arc;
 use std::time::Instant;
@@ -67,7 +67,7 @@
 
     fn let_go(&self, over: bool) {
         if !self.closed.swap(true, Ordering::SeqCst) {
-            self.line.say(Ask::LetGo {
+            self.line.say(Command::LetGo {
                 key: self.key,
                 term: self.term,
                 over,
@@ -85,7 +85,7 @@
         let (key, term) = (self.key, self.term);
         let number = self.number.fetch_add(1, Ordering::SeqCst) + 1;
         let group = self.class.repeat.group_of(member);
-        let told = self.line.ask(self.until, |ticket| Ask::Intend {
+        let told = self.line.ask(self.until, |ticket| Command::Intend {
             ticket,
             key,
             term,
@@ -93,8 +93,8 @@
             group,
         });
         match told {
-            Some(Told::Written { .. }) => Intended::Yes,
-            Some(Told::Refused { .. }) => Intended::No,
+            Some(Event::Written { .. }) => Intended::Yes,
+            Some(Event::Refused { .. }) => Intended::No,
             Some(_) => {
                 self.lost();
                 Intended::Lost
@@ -124,7 +124,7 @@
         if end == End::MayHaveRun {
             self.may_have_run.store(true, Ordering::SeqCst);
         }
-        self.line.say(Ask::Ended {
+        self.line.say(Command::Ended {
             key: self.key,
             term: self.term,
             number,
@@ -143,15 +143,15 @@
             Final::Same => Answer::Same,
             Final::Failed => Answer::Failed,
         };
-        let told = self.line.ask(self.until, |ticket| Ask::Done {
+        let told = self.line.ask(self.until, |ticket| Command::Done {
             ticket,
             key,
             term,
             answer,
         });
-        let kept = matches!(told, Some(Told::Written { .. }));
+        let kept = matches!(told, Some(Event::Written { .. }));
         match told {
-            Some(Told::Written { .. }) => self.closed.store(true, Ordering::SeqCst),
+            Some(Event::Written { .. }) => self.closed.store(true, Ordering::SeqCst),
             Some(_) => self.lost(),
             None => {}
         }
--- a/edge/proxy/src/cover/keep.rs
+++ b/edge/proxy/src/cover/keep.rs
@@ -5,7 +5,7 @@
 use super::log::{Found, Log};
 use foldmux_replicas::Effects;
 use foldmux_replicas::{Effect, Peer, StateMachine, Time};
-use foldmux_takeover::{Ask, Message, Setup, Takeover, Told};
+use foldmux_takeover::{Command, Event, Message, Setup, Takeover};
 use std::io;
 use std::path::{Path, PathBuf};
 
@@ -39,7 +39,7 @@
     /// Without a folder, or with one that can't be used, the seat is silent for a window after each start.
     pub fn new(setup: Setup, folder: Option<&Path>) -> Keeping {
         let window = setup.drift.stretched(setup.window());
-        let mark = format!("{:?} {} {window}", setup.seats.members(), setup.lease);
+        let mark = format!("{:?} {} {window}", setup.replicas.members(), setup.lease);
         let mut keeping = Keeping {
             part: Takeover::new(0, setup),
             own: Own::None,
@@ -143,16 +143,16 @@
 
 impl StateMachine for Keeping {
     type Message = Message;
-    type Command = Ask;
-    type Event = Told;
+    type Command = Command;
+    type Event = Event;
 
     fn on_message(&mut self, now: Time, from: &Peer, message: Message, out: &mut Effects<Self>) {
         self.part.on_message(now, from, message, out);
         self.keep(now, out);
     }
 
-    fn on_command(&mut self, now: Time, ask: Ask, out: &mut Effects<Self>) {
-        self.leaving |= matches!(ask, Ask::LetGoAll);
+    fn on_command(&mut self, now: Time, ask: Command, out: &mut Effects<Self>) {
+        self.leaving |= matches!(ask, Command::LetGoAll);
         self.part.on_command(now, ask, out);
         self.keep(now, out);
     }
--- a/edge/proxy/src/cover/line.rs
+++ b/edge/proxy/src/cover/line.rs
@@ -3,7 +3,7 @@
 use super::taken::Taken;
 use crossbeam_channel::{bounded, RecvTimeoutError, Sender};
 use foldmux_fleet::{Port, Sink};
-use foldmux_takeover::{Ask, Told};
+use foldmux_takeover::{Command, Event};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
@@ -24,10 +24,10 @@
 
 pub struct Line {
     /// Set once the fleet's thread runs: whom to ask, and its clock's start.
-    port: OnceLock<(Port<Ask>, Instant)>,
+    port: OnceLock<(Port<Command>, Instant)>,
     gone: AtomicBool,
     /// One for each request that waits: bounded by the core's places.
-    waits: Mutex<HashMap<u64, Sender<Told>>>,
+    waits: Mutex<HashMap<u64, Sender<Event>>>,
     serial: AtomicU64,
     taken: Sender<Taken>,
     pub counts: Counts,
@@ -45,7 +45,7 @@
         })
     }
 
-    pub fn open(&self, port: Port<Ask>, began: Instant) {
+    pub fn open(&self, port: Port<Command>, began: Instant) {
         let _ = self.port.set((port, began));
     }
 
@@ -60,19 +60,19 @@
             .map(|(_, began)| began.elapsed().as_micros() as u64)
     }
 
-    fn waits(&self) -> MutexGuard<'_, HashMap<u64, Sender<Told>>> {
+    fn waits(&self) -> MutexGuard<'_, HashMap<u64, Sender<Event>>> {
         self.waits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Says it, and waits for nothing.
-    pub fn say(&self, ask: Ask) -> bool {
+    pub fn say(&self, ask: Command) -> bool {
         self.port
             .get()
             .is_some_and(|(port, _)| port.ask(ask).is_ok())
     }
 
     /// The answer to an ask; none where it did not come in time, or nobody is there to give it.
-    pub fn ask(&self, until: Instant, ask: impl FnOnce(u64) -> Ask) -> Option<Told> {
+    pub fn ask(&self, until: Instant, ask: impl FnOnce(u64) -> Command) -> Option<Event> {
         let ticket = self.serial.fetch_add(1, Ordering::Relaxed);
         let (tell, told) = bounded(1);
         self.waits().insert(ticket, tell);
@@ -111,16 +111,16 @@
 /// Where the part tells.
 pub struct Ears(pub Arc<Line>);
 
-impl Sink<Told> for Ears {
-    fn told(&self, told: Told) {
+impl Sink<Event> for Ears {
+    fn told(&self, told: Event) {
         let line = &self.0;
         let ticket = match &told {
-            Told::Joined { .. } => {
+            Event::Joined { .. } => {
                 line.counts.joined.fetch_add(1, Ordering::Relaxed);
                 return;
             }
-            Told::TakeOver { .. } => {
-                let Told::TakeOver {
+            Event::TakeOver { .. } => {
+                let Event::TakeOver {
                     key,
                     record,
                     proof,
@@ -142,7 +142,7 @@
                 {
                     // No room to finish it here: the next in line does.
                     line.counts.passed_on.fetch_add(1, Ordering::Relaxed);
-                    line.say(Ask::LetGo {
+                    line.say(Command::LetGo {
                         key,
                         term,
                         over: false,
@@ -150,18 +150,18 @@
                 }
                 return;
             }
-            Told::Mine { ticket, .. } | Told::Kept { ticket, .. } | Told::Uncovered { ticket } => {
-                *ticket
-            }
-            Told::Refused { ticket } | Told::Failed { ticket } => *ticket,
-            Told::Written { ticket } | Told::Lost { ticket } => *ticket,
+            Event::Mine { ticket, .. }
+            | Event::Kept { ticket, .. }
+            | Event::Uncovered { ticket } => *ticket,
+            Event::Refused { ticket } | Event::Failed { ticket } => *ticket,
+            Event::Written { ticket } | Event::Lost { ticket } => *ticket,
         };
         let wait = line.waits().remove(&ticket);
         match (wait, told) {
             (Some(wait), told) => drop(wait.try_send(told)),
             // Nobody waits for it any more.
-            (None, Told::Mine { key, record, .. }) => {
-                line.say(Ask::LetGo {
+            (None, Event::Mine { key, record, .. }) => {
+                line.say(Command::LetGo {
                     key,
                     term: record.ballot.term,
                     over: false,
--- a/edge/proxy/src/cover/mod.rs
+++ b/edge/proxy/src/cover/mod.rs
@@ -11,7 +11,7 @@
 
 use foldmux_core::cover::{Claimed, Cover, Final};
 use foldmux_core::Inquiry;
-use foldmux_takeover::{Answer, Ask, Key, Told, Work};
+use foldmux_takeover::{Answer, Command, Event, Key, Work};
 use hold::Held;
 use line::Line;
 use rules::Classes;
@@ -59,7 +59,7 @@
         let left = deadline
             .saturating_duration_since(Instant::now())
             .as_micros() as u64;
-        let told = self.line.ask(deadline, |ticket| Ask::Claim {
+        let told = self.line.ask(deadline, |ticket| Command::Claim {
             ticket,
             key,
             work,
@@ -67,7 +67,7 @@
             again,
         });
         match told {
-            Some(Told::Mine {
+            Some(Event::Mine {
                 key,
                 record,
                 proof,
@@ -79,7 +79,7 @@
                     &self.line, *class, key, &record, proof, lease, deadline,
                 )))
             }
-            Some(Told::Kept { answer, .. }) => {
+            Some(Event::Kept { answer, .. }) => {
                 self.line.counts.kept.fetch_add(1, Ordering::Relaxed);
                 Claimed::Kept(match answer {
                     Answer::Served(bytes) => Final::Served(bytes),
@@ -88,8 +88,8 @@
                 })
             }
             // Once it was covered, a request that is lost is not run with no record of it.
-            Some(Told::Uncovered { .. }) => self.uncovered(again),
-            Some(Told::Refused { .. }) => self.uncovered(true),
+            Some(Event::Uncovered { .. }) => self.uncovered(again),
+            Some(Event::Refused { .. }) => self.uncovered(true),
             None if self.line.gone() => self.uncovered(class.refuse || again),
             _ => Claimed::Failed,
         }
--- a/edge/proxy/src/cover/rules.rs
+++ b/edge/proxy/src/cover/rules.rs
@@ -116,7 +116,7 @@
     Ok(Setup {
         name: Peer::new(name),
         session: RandomState::new().build_hasher().finish(),
-        seats,
+        replicas: seats,
         rules,
         lease: said.lease_ms * 1_000,
         drift,
--- a/edge/proxy/src/cover/start.rs
+++ b/edge/proxy/src/cover/start.rs
@@ -11,7 +11,7 @@
 use foldmux_fronts::listen::named;
 use foldmux_operator::Fleet as Said;
 use foldmux_settings::Decoded;
-use foldmux_takeover::{Ask, Setup};
+use foldmux_takeover::{Command, Setup};
 use std::path::PathBuf;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -65,7 +65,7 @@
     }
 
     /// Puts the part among the fleet's; the fleet is not started yet.
-    pub fn add(&self, builder: &mut Builder) -> Port<Ask> {
+    pub fn add(&self, builder: &mut Builder) -> Port<Command> {
         let part = Keeping::new(self.setup.clone(), self.folder.as_deref());
         builder.add(PART, part, Ears(self.line.clone()))
     }
@@ -74,7 +74,7 @@
     pub fn start(
         self,
         core: &Arc<Core>,
-        port: Port<Ask>,
+        port: Port<Command>,
         began: Instant,
     ) -> Result<Covered, String> {
         let Ready {
@@ -109,7 +109,7 @@
 impl Covered {
     /// This process leaves: what another can go on with is handed over at once.
     pub fn leave(&self) {
-        self.line.say(Ask::LetGoAll);
+        self.line.say(Command::LetGoAll);
     }
 
     pub fn report(&self) -> String {
--- a/edge/proxy/src/fleet.rs
+++ b/edge/proxy/src/fleet.rs
@@ -5,7 +5,7 @@
 use foldmux_core::Core;
 use foldmux_fleet::members::{self, Roll};
 use foldmux_fleet::{Builder, Fault, Port, Setup, Sink};
-use foldmux_membership::{Ask, Pace, Seen, Told, Who};
+use foldmux_membership::{Command, Event, Pace, Seen, Who};
 use foldmux_operator::Fleet as Said;
 use foldmux_peers::Bounds;
 use foldmux_replicas::{Effect, Effects, Peer, StateMachine, Time};
@@ -24,7 +24,7 @@
 /// A fleet that was checked and may start.
 pub struct Fleet {
     builder: Builder,
-    members: Port<Ask>,
+    members: Port<Command>,
     roll: Roll,
     parts: Parts,
     /// For the log: how many it has, this one's site, where it listens.
@@ -36,7 +36,7 @@
 /// The fleet in service.
 pub struct Running {
     fleet: foldmux_fleet::Fleet,
-    members: Port<Ask>,
+    members: Port<Command>,
     serving: Serving,
     /// Who of the fleet was seen, for any thread.
     pub roll: Roll,
@@ -148,7 +148,7 @@
         }
         let serving = parts.start(core, journal, fleet.began(), seed)?;
         // The queue has room for one at the start.
-        let _ = members.ask(Ask::Join(all));
+        let _ = members.ask(Command::Join(all));
         Ok(Running {
             fleet,
             members,
@@ -162,7 +162,7 @@
     /// The others are told that this process leaves, and what they may go on with; it goes on until [`Running::end`].
     pub fn leave(&self) {
         self.serving.leave();
-        let asked = self.members.ask(Ask::Leave);
+        let asked = self.members.ask(Command::Leave);
         asked
             .err()
             .iter()
@@ -253,15 +253,17 @@
     }
 }
 
-impl Sink<Told> for Log {
-    fn told(&self, told: Told) {
+impl Sink<Event> for Log {
+    fn told(&self, told: Event) {
         let of = |seen: &Seen| format!("{} at {}, site {}", seen.peer, seen.address, seen.site);
         match told {
-            Told::Up(seen) => tracing::info!("members: {} joined", of(&seen)),
-            Told::Restarted(seen) => tracing::info!("members: {} started again", of(&seen)),
-            Told::Down(peer) => tracing::info!("members: {peer} does not answer"),
-            Told::Left(peer) => tracing::info!("members: {peer} left"),
-            Told::Rival(seen) => tracing::warn!("members: another process speaks as {}", of(&seen)),
+            Event::Up(seen) => tracing::info!("members: {} joined", of(&seen)),
+            Event::Restarted(seen) => tracing::info!("members: {} started again", of(&seen)),
+            Event::Down(peer) => tracing::info!("members: {peer} does not answer"),
+            Event::Left(peer) => tracing::info!("members: {peer} left"),
+            Event::Rival(seen) => {
+                tracing::warn!("members: another process speaks as {}", of(&seen))
+            }
         }
     }
 }
--- a/edge/proxy/src/fleet/parts.rs
+++ b/edge/proxy/src/fleet/parts.rs
@@ -40,7 +40,7 @@
 /// Added to the fleet, and not in service yet.
 #[derive(Default)]
 pub struct Parts {
-    cover: Option<(Ready, Port<foldmux_takeover::Ask>)>,
+    cover: Option<(Ready, Port<foldmux_takeover::Command>)>,
     relayed: Option<(Relayed, Port<foldmux_relay::Ask>)>,
     turns: Option<Arc<Turns>>,
     told: Vec<String>,
--- a/edge/proxy/src/relayed.rs
+++ b/edge/proxy/src/relayed.rs
@@ -57,7 +57,7 @@
                     )
                 })
                 .collect(),
-            seats,
+            replicas: seats,
             drift,
             lease: said.lease_ms * 1_000,
             streams: vec![stream(journal)],
--- a/pure/membership/src/lib.rs
+++ b/pure/membership/src/lib.rs
@@ -3,7 +3,7 @@
 //! `foldmux-replicas`.
 //!
 //! Owns: the identity of a process and which life of it holds ([`Who`]), what is taken in of packets, foca's
-//! timers and chance, what is told of peers ([`Told`], [`Seen`]). May not: do I/O, read a clock, start
+//! timers and chance, what is told of peers ([`Event`], [`Seen`]). May not: do I/O, read a clock, start
 //! threads, draw chance other than from the seed passed in; nor decide anything by who seems alive. What it
 //! tells is a hint where to turn: two processes may be told unlike things, so that who may speak for the
 //! fleet is decided by seats, never by members.
@@ -20,7 +20,7 @@
 pub use admission::Refused;
 pub use members::{Counts, Members, Setup};
 pub use pace::{Pace, PACKET};
-pub use told::{Seen, State, Told};
+pub use told::{Event, Seen, State};
 pub use who::{Who, NAME};
 
 use foldmux_replicas::Peer;
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packet(pub Vec<u8>);
 
-/// What a process asks. No answer is owed: news comes as [`Told`].
+/// What a process asks. No answer is owed: news comes as [`Event`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum Command {
     /// From now on be found, and find the others through these, of whom any one that runs is enough.
     Join(Vec<Peer>),
     /// Tell all, and be silent.
--- a/pure/membership/src/members/effects.rs
+++ b/pure/membership/src/members/effects.rs
@@ -1,7 +1,7 @@
 //! What foca wants done, and what of it the process is told.
 
 use super::Members;
-use crate::told::{Seen, Told};
+use crate::told::{Event, Seen};
 use crate::who::Who;
 use crate::Packet;
 use foca::{Member, OwnedNotification};
@@ -37,7 +37,7 @@
                 self.came(new, out)
             }
             OwnedNotification::MemberDown(old) if self.up.remove(&old.name).is_some() => {
-                out.push(Effect::Emit(Told::Down(old.name)));
+                out.push(Effect::Emit(Event::Down(old.name)));
             }
             OwnedNotification::Rejoin(_) => {
                 self.counts.returns += 1;
@@ -55,15 +55,15 @@
         }
         let seen = Seen::of(&Member::alive(who.clone()));
         match self.up.insert(who.name.clone(), who.born) {
-            None => out.push(Effect::Emit(Told::Up(seen))),
-            Some(born) if born != who.born => out.push(Effect::Emit(Told::Restarted(seen))),
+            None => out.push(Effect::Emit(Event::Up(seen))),
+            Some(born) if born != who.born => out.push(Effect::Emit(Event::Restarted(seen))),
             Some(_) => {}
         }
     }
 
     fn left(&mut self, who: Who, out: &mut Effects<Members>) {
         if self.up.remove(&who.name).is_some() {
-            out.push(Effect::Emit(Told::Left(who.name.clone())));
+            out.push(Effect::Emit(Event::Left(who.name.clone())));
         }
         // One that left is dead to all at once, and nobody asks after it.
         if who.name != self.me().name {
--- a/pure/membership/src/members/part.rs
+++ b/pure/membership/src/members/part.rs
@@ -2,15 +2,15 @@
 
 use super::{swim, Members};
 use crate::admission::Refused;
-use crate::told::{Seen, Told};
-use crate::{Ask, Packet};
+use crate::told::{Event, Seen};
+use crate::{Command, Packet};
 use foca::Member;
 use foldmux_replicas::{Effect, Effects, Peer, StateMachine, Time};
 
 impl StateMachine for Members {
     type Message = Packet;
-    type Command = Ask;
-    type Event = Told;
+    type Command = Command;
+    type Event = Event;
 
     fn on_message(&mut self, now: Time, from: &Peer, message: Packet, out: &mut Effects<Self>) {
         if self.me().left {
@@ -29,7 +29,7 @@
             Ok((packet, rival)) => {
                 if let Some(rival) = rival.filter(|rival| self.rival != Some(rival.born)) {
                     self.rival = Some(rival.born);
-                    out.push(Effect::Emit(Told::Rival(Seen::of(&Member::alive(rival)))));
+                    out.push(Effect::Emit(Event::Rival(Seen::of(&Member::alive(rival)))));
                 }
                 let done = self.foca.handle_data(&packet, &mut self.runtime);
                 Members::noted(&mut self.counts, done);
@@ -41,9 +41,9 @@
         self.flush(now, out);
     }
 
-    fn on_command(&mut self, now: Time, ask: Ask, out: &mut Effects<Self>) {
+    fn on_command(&mut self, now: Time, ask: Command, out: &mut Effects<Self>) {
         match ask {
-            Ask::Join(contacts) => {
+            Command::Join(contacts) => {
                 if self.me().left {
                     let me = self.me().again();
                     self.foca = swim(me, self.pace, &mut self.rng);
@@ -57,7 +57,7 @@
                 self.join_at = Some(now.saturating_add(self.pace.join()));
                 self.announce();
             }
-            Ask::Leave => {
+            Command::Leave => {
                 if !self.me().left {
                     self.leave();
                 }
--- a/pure/membership/src/told.rs
+++ b/pure/membership/src/told.rs
@@ -8,7 +8,7 @@
 
 /// News of a peer. For each peer *up* and *down* or *left* take turns; *restarted* comes only while it is up.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Event {
     Up(Seen),
     /// It did not answer, nor refute the suspicion: a hint where not to turn, never a proof.
     Down(Peer),
@@ -16,7 +16,7 @@
     Left(Peer),
     /// What was up is gone without a word; this is another life under the same name.
     Restarted(Seen),
-    /// Someone else speaks under this process's name, or did with a clock that was ahead. Told once of each.
+    /// Someone else speaks under this process's name, or did with a clock that was ahead. Reported once for each.
     Rival(Seen),
 }
 
--- a/pure/membership/tests/common/mod.rs
+++ b/pure/membership/tests/common/mod.rs
@@ -17,7 +17,7 @@
     pub members: Vec<Option<Members>>,
     /// Runs no further until then.
     pub paused: BTreeMap<usize, Time>,
-    pub told: Vec<Vec<(Time, Told)>>,
+    pub told: Vec<Vec<(Time, Event)>>,
     pub cut: BTreeSet<(usize, usize)>,
     pub loss: f64,
     pub sent: u64,
@@ -69,14 +69,17 @@
             seed: self.rng.random(),
         };
         self.members[i] = Some(Members::new(setup).unwrap());
-        self.ask(i, Ask::Join(contacts.iter().map(|c| name(*c)).collect()));
+        self.ask(
+            i,
+            Command::Join(contacts.iter().map(|c| name(*c)).collect()),
+        );
     }
 
     pub fn kill(&mut self, i: usize) {
         self.members[i] = None;
     }
 
-    pub fn ask(&mut self, i: usize, ask: Ask) {
+    pub fn ask(&mut self, i: usize, ask: Command) {
         self.drive(i, |member, now, out| member.on_command(now, ask, out));
     }
 
@@ -88,7 +91,7 @@
     fn drive(
         &mut self,
         i: usize,
-        with: impl FnOnce(&mut Members, Time, &mut Vec<Effect<Packet, Told>>),
+        with: impl FnOnce(&mut Members, Time, &mut Vec<Effect<Packet, Event>>),
     ) {
         let now = self.clock(i);
         let Some(member) = &mut self.members[i] else {
@@ -212,7 +215,7 @@
     }
 
     /// Who of those that run was told this of the peer.
-    pub fn heard_of(&self, told: impl Fn(&Told) -> bool) -> usize {
+    pub fn heard_of(&self, told: impl Fn(&Event) -> bool) -> usize {
         self.running()
             .iter()
             .filter(|i| self.told[**i].iter().any(|(_, t)| told(t)))
--- a/pure/membership/tests/door.rs
+++ b/pure/membership/tests/door.rs
@@ -139,7 +139,7 @@
     let mut members = members(10);
     let told = |out: Effects<Members>| {
         out.into_iter()
-            .filter(|act| matches!(act, Effect::Emit(Told::Rival(_))))
+            .filter(|act| matches!(act, Effect::Emit(Event::Rival(_))))
             .count()
     };
     assert_eq!(
--- a/pure/membership/tests/fleet.rs
+++ b/pure/membership/tests/fleet.rs
@@ -18,7 +18,7 @@
         worst = worst.max(at);
         for told in &net.told {
             assert!(
-                told.len() == 49 && told.iter().all(|(_, told)| matches!(told, Told::Up(_))),
+                told.len() == 49 && told.iter().all(|(_, told)| matches!(told, Event::Up(_))),
                 "{told:?}"
             );
         }
@@ -48,7 +48,7 @@
         let killed = net.now;
         net.kill(7);
         let bound = net.pace.told_of_death();
-        let down = |net: &Net| net.heard_of(|told| *told == Told::Down(name(7))) == 49;
+        let down = |net: &Net| net.heard_of(|told| *told == Event::Down(name(7))) == 49;
         let at = net
             .until(killed + bound, down)
             .expect("down within the bound");
@@ -102,7 +102,8 @@
         let mut net = Net::whole(20, seed);
         let before = net.now;
         net.start(3, 5_000_000, &[0, 9]);
-        let restarted = |told: &Told| matches!(told, Told::Restarted(seen) if seen.peer == name(3));
+        let restarted =
+            |told: &Event| matches!(told, Event::Restarted(seen) if seen.peer == name(3));
         let at = net.until(before + 10 * SECOND, |net| {
             net.heard_of(restarted) == 19 && net.converged()
         });
@@ -145,13 +146,13 @@
             let mut net = Net::whole(50, seed);
             net.loss = loss;
             let before = net.now;
-            net.ask(4, Ask::Leave);
-            let told = |net: &Net| net.heard_of(|told| *told == Told::Left(name(4))) == 49;
+            net.ask(4, Command::Leave);
+            let told = |net: &Net| net.heard_of(|told| *told == Event::Left(name(4))) == 49;
             net.until(before + within, told).expect("told to all");
             net.loss = 0.0;
             net.run(5 * SECOND);
-            assert!(net.converged() && net.heard_of(|told| matches!(told, Told::Down(_))) == 0);
-            net.ask(4, Ask::Join(vec![name(9)]));
+            assert!(net.converged() && net.heard_of(|told| matches!(told, Event::Down(_))) == 0);
+            net.ask(4, Command::Join(vec![name(9)]));
             net.until(net.now + 10 * SECOND, Net::converged)
                 .expect("it may come again");
         }
@@ -169,7 +170,7 @@
             .told
             .iter()
             .flatten()
-            .filter(|(_, told)| matches!(told, Told::Down(_)))
+            .filter(|(_, told)| matches!(told, Event::Down(_)))
             .count();
         hours += 20.0 * 180.0 / 3600.0;
     }
@@ -215,7 +216,7 @@
         let pause: Time = 2 * net.pace.told_of_death();
         net.paused.insert(5, net.now + pause);
         net.run(pause);
-        assert_eq!(net.heard_of(|told| *told == Told::Down(name(5))), 19);
+        assert_eq!(net.heard_of(|told| *told == Event::Down(name(5))), 19);
         net.until(net.now + 20 * SECOND, Net::converged)
             .expect("back");
         net.run(10 * SECOND);
--- a/pure/membership/tests/formats.rs
+++ b/pure/membership/tests/formats.rs
@@ -3,7 +3,7 @@
 #[path = "../../../tests/formats/postcard.rs"]
 mod fixtures;
 
-use foldmux_membership::{Ask, Members, Pace, Packet, Setup, Who};
+use foldmux_membership::{Command, Members, Pace, Packet, Setup, Who};
 use foldmux_replicas::{Effect, Peer, StateMachine};
 
 fn who() -> Who {
@@ -46,7 +46,7 @@
     };
     let mut members = Members::new(setup).unwrap();
     let mut sent = Vec::new();
-    members.on_command(0, Ask::Join(vec![Peer::new("edge-2")]), &mut sent);
+    members.on_command(0, Command::Join(vec![Peer::new("edge-2")]), &mut sent);
     let packet = |acts: Vec<Effect<Packet, _>>| {
         acts.into_iter().find_map(|act| match act {
             Effect::Send { message, .. } => Some(message),
--- a/pure/membership/tests/planted.rs
+++ b/pure/membership/tests/planted.rs
@@ -21,9 +21,9 @@
     if !(0..10).filter(|i| *i != 3).all(above) || !net.converged() {
         return Some("an older life came back");
     }
-    net.ask(4, Ask::Leave);
+    net.ask(4, Command::Leave);
     net.run(SECOND);
-    if net.heard_of(|told| *told == Told::Left(name(4))) != 9 {
+    if net.heard_of(|told| *told == Event::Left(name(4))) != 9 {
         return Some("a leave was not told");
     }
     let returns = |net: &Net| {
--- a/pure/membership/tests/states.rs
+++ b/pure/membership/tests/states.rs
@@ -164,14 +164,14 @@
         for act in out {
             match act {
                 Effect::Send { message, .. } => sent.push(message),
-                Effect::Emit(Told::Up(seen)) => assert!(self.up.insert(seen.peer), "up twice"),
-                Effect::Emit(Told::Down(peer) | Told::Left(peer)) => {
+                Effect::Emit(Event::Up(seen)) => assert!(self.up.insert(seen.peer), "up twice"),
+                Effect::Emit(Event::Down(peer) | Event::Left(peer)) => {
                     assert!(self.up.remove(&peer), "down, not up")
                 }
-                Effect::Emit(Told::Restarted(seen)) => {
+                Effect::Emit(Event::Restarted(seen)) => {
                     assert!(self.up.contains(&seen.peer), "restarted, not up")
                 }
-                Effect::Emit(Told::Rival(seen)) => panic!("nobody has this name: {seen:?}"),
+                Effect::Emit(Event::Rival(seen)) => panic!("nobody has this name: {seen:?}"),
             }
         }
         sent
--- a/pure/relay/src/part.rs
+++ b/pure/relay/src/part.rs
@@ -125,7 +125,7 @@
                     || !self
                         .shared
                         .setup
-                        .seats
+                        .replicas
                         .is_replica(&branch.key(), &self.shared.setup.me)
                 {
                     return true;
--- a/pure/relay/src/role.rs
+++ b/pure/relay/src/role.rs
@@ -112,7 +112,7 @@
                 0
             };
             self.speaks = now + wait;
-            self.claim = Some(Claim::new(now, &self.branch, &shared.setup.seats));
+            self.claim = Some(Claim::new(now, &self.branch, &shared.setup.replicas));
             self.instead = None;
             self.beat_at = now + beat(&self.stream);
             self.ask(now, shared);
--- a/pure/relay/src/types.rs
+++ b/pure/relay/src/types.rs
@@ -55,7 +55,7 @@
     pub life: u64,
     /// Each process with its place: the site, or site, hub and office.
     pub places: Vec<(Peer, Vec<Arc<str>>)>,
-    pub seats: ReplicaSet,
+    pub replicas: ReplicaSet,
     pub drift: ClockDrift,
     pub lease: Time,
     pub streams: Vec<Stream>,
--- a/pure/relay/tests/world/faults.rs
+++ b/pure/relay/tests/world/faults.rs
@@ -119,7 +119,7 @@
             me: self.places[i].0.clone(),
             life: life << 32,
             places: self.places.clone(),
-            seats,
+            replicas: seats,
             drift: ClockDrift::default(),
             lease: LEASE,
             streams: vec![self.stream.clone()],
--- a/pure/takeover/src/claim.rs
+++ b/pure/takeover/src/claim.rs
@@ -3,7 +3,7 @@
 
 use crate::holding::Holding;
 use crate::join::{expire, uncovered, Waiting};
-use crate::message::{Message, Told, Verdict};
+use crate::message::{Event, Message, Verdict};
 use crate::owner::Owner;
 use crate::part::At;
 use crate::record::{Answer, Ballot, Key, Record, Work};
@@ -41,7 +41,7 @@
             waiting: Vec::new(),
             heir: None,
             ballot: Ballot::none(),
-            replicas: at.setup.seats.replicas_of(&key.bytes()).map(Peer::clone),
+            replicas: at.setup.replicas.replicas_of(&key.bytes()).map(Peer::clone),
             sent: None,
             replies: [None, None, None],
             next: at.now,
@@ -284,7 +284,7 @@
 }
 
 pub fn answered(at: &mut At, ticket: u64, answer: &Answer) {
-    at.tell(Told::Kept {
+    at.tell(Event::Kept {
         ticket,
         answer: answer.clone(),
     });
--- a/pure/takeover/src/hold.rs
+++ b/pure/takeover/src/hold.rs
@@ -1,7 +1,7 @@
 //! What the host of a work asks for: to send an attempt, that one ended, the final answer, that it stops.
 
 use crate::holding::{Holding, Pending};
-use crate::message::Told;
+use crate::message::Event;
 use crate::owner::Owner;
 use crate::part::At;
 use crate::record::{Answer, Attempt, End, Key, Proof, ATTEMPTS};
@@ -27,7 +27,7 @@
             .of_term(key, term)
             .filter(|holding| holding.record.answer.is_none())
         else {
-            return at.tell(Told::Lost { ticket });
+            return at.tell(Event::Lost { ticket });
         };
         holding.refresh(at.now);
         let proof = holding.record.proof(Owner::repeat(at, &holding.record));
@@ -36,10 +36,10 @@
             Proof::Again {
                 within: Some(own), ..
             } if own != group && !at.setup.planted(Fault::AnyGroup) => {
-                return at.tell(Told::Refused { ticket });
+                return at.tell(Event::Refused { ticket });
             }
             Proof::Again { left, .. } => Some(at.now.saturating_add(left)),
-            Proof::Over => return at.tell(Told::Refused { ticket }),
+            Proof::Over => return at.tell(Event::Refused { ticket }),
         };
         let twice = holding
             .record
@@ -47,7 +47,7 @@
             .iter()
             .any(|a| a.term == term && a.number == number);
         if twice || holding.record.attempts.len() >= ATTEMPTS {
-            return at.tell(Told::Refused { ticket });
+            return at.tell(Event::Refused { ticket });
         }
         holding.window = window;
         holding.relet(at);
@@ -89,10 +89,10 @@
 
     pub fn done(&mut self, at: &mut At, ticket: u64, (key, term): (Key, u64), answer: Answer) {
         let Some(holding) = self.of_term(key, term) else {
-            return at.tell(Told::Lost { ticket });
+            return at.tell(Event::Lost { ticket });
         };
         if holding.record.answer.is_some() {
-            return at.tell(Told::Lost { ticket });
+            return at.tell(Event::Lost { ticket });
         }
         holding.record.answer = Some(answer);
         let early = at.setup.planted(Fault::AnswerBeforeKept);
@@ -107,7 +107,7 @@
             }),
         );
         if early {
-            at.tell(Told::Written { ticket });
+            at.tell(Event::Written { ticket });
         }
         self.arm(key);
     }
@@ -122,7 +122,7 @@
         };
         holding.refresh(at.now);
         for ticket in holding.pending.drain(..).filter_map(|p| p.ticket) {
-            at.tell(Told::Lost { ticket });
+            at.tell(Event::Lost { ticket });
         }
         let proof = holding.record.proof(Owner::repeat(at, &holding.record));
         if !holding.waiters.is_empty() && proof != Proof::Over {
@@ -154,7 +154,7 @@
             }
             holding.release(at, key, false);
             for ticket in holding.pending.drain(..).filter_map(|p| p.ticket) {
-                at.tell(Told::Lost { ticket });
+                at.tell(Event::Lost { ticket });
             }
             let (work, waiters) = (
                 holding.record.work.clone(),
--- a/pure/takeover/src/join.rs
+++ b/pure/takeover/src/join.rs
@@ -1,7 +1,7 @@
 //! A client's ask, wherever it comes: it begins the work, joins it where it is under way, or gets the answer that is kept.
 
 use crate::claim::Claim;
-use crate::message::{Ask, Told};
+use crate::message::{Command, Event};
 use crate::owner::Owner;
 use crate::part::At;
 use crate::record::{Key, Uncovered, Work};
@@ -19,7 +19,7 @@
 impl Waiting {
     pub fn join(&mut self, at: &mut At) {
         if !std::mem::replace(&mut self.joined, true) {
-            at.tell(Told::Joined {
+            at.tell(Event::Joined {
                 ticket: self.ticket,
             });
         }
@@ -33,9 +33,9 @@
         if one.until <= now {
             let ticket = one.ticket;
             at.tell(if known {
-                Told::Failed { ticket }
+                Event::Failed { ticket }
             } else {
-                Told::Refused { ticket }
+                Event::Refused { ticket }
             });
         }
         one.until > now
@@ -48,8 +48,8 @@
         .and_then(|class| at.setup.rules.get(class))
         .map(|rule| rule.uncovered);
     at.tell(match rule {
-        Some(Uncovered::Run) | None if !known => Told::Uncovered { ticket },
-        _ => Told::Refused { ticket },
+        Some(Uncovered::Run) | None if !known => Event::Uncovered { ticket },
+        _ => Event::Refused { ticket },
     });
 }
 
@@ -70,7 +70,7 @@
         };
         if let Some(holding) = self.held.get_mut(&key) {
             if holding.waiters.len() >= at.setup.waiters {
-                return at.tell(Told::Refused { ticket });
+                return at.tell(Event::Refused { ticket });
             }
             waiting.join(at);
             holding.waiters.push(waiting);
@@ -78,7 +78,7 @@
         }
         if let Some(claim) = self.claims.get_mut(&key) {
             if claim.waiting.len() >= at.setup.waiters {
-                return at.tell(Told::Refused { ticket });
+                return at.tell(Event::Refused { ticket });
             }
             claim.work.get_or_insert(work);
             claim.waiting.push(waiting);
@@ -122,13 +122,13 @@
 }
 
 /// The ticket that an ask owes an answer to.
-impl Ask {
+impl Command {
     pub fn ticket(&self) -> Option<u64> {
         match self {
-            Ask::Claim { ticket, .. } | Ask::Intend { ticket, .. } | Ask::Done { ticket, .. } => {
-                Some(*ticket)
-            }
-            Ask::Ended { .. } | Ask::LetGo { .. } | Ask::LetGoAll => None,
+            Command::Claim { ticket, .. }
+            | Command::Intend { ticket, .. }
+            | Command::Done { ticket, .. } => Some(*ticket),
+            Command::Ended { .. } | Command::LetGo { .. } | Command::LetGoAll => None,
         }
     }
 }
--- a/pure/takeover/src/lib.rs
+++ b/pure/takeover/src/lib.rs
@@ -21,7 +21,7 @@
 mod timers;
 
 pub use kept::Kept;
-pub use message::{Ask, Lease, Message, Note, Told, Verdict};
+pub use message::{Command, Event, Lease, Message, Note, Verdict};
 pub use part::Takeover;
 pub use record::*;
 pub use setup::{Fault, Setup};
--- a/pure/takeover/src/message.rs
+++ b/pure/takeover/src/message.rs
@@ -86,7 +86,7 @@
 /// What this process asks. Where a ticket is given, it is answered exactly once. `term`: of the record that the asker was
 /// told as its own; whoever comes with another is too late.
 #[derive(Clone, Debug)]
-pub enum Ask {
+pub enum Command {
     /// A client has come. `again`: its work was lost to another owner; it waits for that one's answer.
     Claim {
         ticket: u64,
@@ -152,7 +152,7 @@
 
 /// What this process is told. All but `Joined` and `TakeOver` answer a ticket.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum Event {
     /// This process owns it: it goes on by what the record proves.
     Mine {
         ticket: u64,
--- a/pure/takeover/src/owner.rs
+++ b/pure/takeover/src/owner.rs
@@ -4,7 +4,7 @@
 use crate::claim::{answered, Claim};
 use crate::holding::Holding;
 use crate::join::expire;
-use crate::message::{Message, Told, Verdict};
+use crate::message::{Event, Message, Verdict};
 use crate::part::At;
 use crate::record::{Answer, Ballot, Key, Record, Repeat};
 use crate::setup::Fault;
@@ -136,7 +136,7 @@
             done |= !one.intends;
             one.ticket
                 .iter()
-                .for_each(|ticket| at.tell(Told::Written { ticket: *ticket }));
+                .for_each(|ticket| at.tell(Event::Written { ticket: *ticket }));
             false
         });
         holding.pending = pending;
@@ -154,7 +154,7 @@
         };
         holding.lease.set(0);
         let lost = holding.pending.iter().filter_map(|p| p.ticket);
-        lost.for_each(|ticket| at.tell(Told::Lost { ticket }));
+        lost.for_each(|ticket| at.tell(Event::Lost { ticket }));
         let answer = holding.record.answer.unwrap_or(Answer::Failed);
         holding
             .waiters
@@ -170,7 +170,7 @@
         };
         holding.lease.set(0);
         let lost = holding.pending.iter().filter_map(|p| p.ticket);
-        lost.for_each(|ticket| at.tell(Told::Lost { ticket }));
+        lost.for_each(|ticket| at.tell(Event::Lost { ticket }));
         self.rejoin(at, key, holding.record.work, holding.waiters);
     }
 
--- a/pure/takeover/src/part.rs
+++ b/pure/takeover/src/part.rs
@@ -1,6 +1,6 @@
 //! Replica, owner and successor in one: what comes in is handed to the side that it is for.
 
-use crate::message::{Ask, Lease, Message, Told};
+use crate::message::{Command, Event, Lease, Message};
 use crate::owner::Owner;
 use crate::record::Key;
 use crate::replica::Replica;
@@ -9,7 +9,7 @@
 use foldmux_replicas::{rendezvous, Effect, Peer, StateMachine, Time};
 use std::collections::BTreeSet;
 
-pub type Out = Vec<Effect<Message, Told>>;
+pub type Out = Vec<Effect<Message, Event>>;
 
 /// The moment, what holds at it, and where wishes go.
 pub struct At<'a> {
@@ -19,7 +19,7 @@
 }
 
 impl At<'_> {
-    pub fn tell(&mut self, told: Told) {
+    pub fn tell(&mut self, told: Event) {
         self.out.push(Effect::Emit(told));
     }
 
@@ -104,8 +104,8 @@
 
 impl StateMachine for Takeover {
     type Message = Message;
-    type Command = Ask;
-    type Event = Told;
+    type Command = Command;
+    type Event = Event;
 
     fn on_message(&mut self, now: Time, from: &Peer, message: Message, out: &mut Effects<Self>) {
         let at = &mut At {
@@ -163,41 +163,41 @@
         }
     }
 
-    fn on_command(&mut self, now: Time, ask: Ask, out: &mut Effects<Self>) {
+    fn on_command(&mut self, now: Time, ask: Command, out: &mut Effects<Self>) {
         let at = &mut At {
             now,
             setup: &self.setup,
             out,
         };
         match ask {
-            Ask::Claim {
+            Command::Claim {
                 ticket,
                 key,
                 work,
                 left,
                 again,
             } => self.owner.join(at, ticket, key, work, left, again),
-            Ask::Intend {
+            Command::Intend {
                 ticket,
                 key,
                 term,
                 number,
                 group,
             } => self.owner.intend(at, ticket, (key, term), number, group),
-            Ask::Ended {
+            Command::Ended {
                 key,
                 term,
                 number,
                 end,
             } => self.owner.ended(at, (key, term), number, end),
-            Ask::Done {
+            Command::Done {
                 ticket,
                 key,
                 term,
                 answer,
             } => self.owner.done(at, ticket, (key, term), answer),
-            Ask::LetGo { key, term, over } => self.owner.let_go(at, (key, term), over),
-            Ask::LetGoAll => self.owner.leave(at),
+            Command::LetGo { key, term, over } => self.owner.let_go(at, (key, term), over),
+            Command::LetGoAll => self.owner.leave(at),
         }
     }
 
--- a/pure/takeover/src/setup.rs
+++ b/pure/takeover/src/setup.rs
@@ -8,7 +8,7 @@
     pub name: Peer,
     /// Which life of the process; no two are alike.
     pub session: u64,
-    pub seats: ReplicaSet,
+    pub replicas: ReplicaSet,
     /// The covered classes.
     pub rules: Rules,
     pub lease: Time,
--- a/pure/takeover/src/successor.rs
+++ b/pure/takeover/src/successor.rs
@@ -3,7 +3,7 @@
 
 use crate::claim::Claim;
 use crate::holding::{Holding, Pending};
-use crate::message::{Message, Told};
+use crate::message::{Event, Message};
 use crate::owner::Owner;
 use crate::part::At;
 use crate::record::{Answer, Key, Proof, Unclaimed};
@@ -66,7 +66,7 @@
     /// A replica says that this process is next in line.
     pub fn succeed(&mut self, at: &mut At, key: Key) {
         let until = Some(at.now + at.setup.longest);
-        if self.held.contains_key(&key) || (self.leaving && at.setup.seats.members().len() > 1) {
+        if self.held.contains_key(&key) || (self.leaving && at.setup.replicas.members().len() > 1) {
             return;
         }
         if let Some(claim) = self.claims.get_mut(&key) {
@@ -149,7 +149,7 @@
         self.relet(at);
         let (record, lease) = (self.record.clone(), self.lease.clone());
         if self.waiters.is_empty() {
-            return at.tell(Told::TakeOver {
+            return at.tell(Event::TakeOver {
                 key,
                 record,
                 proof,
@@ -158,7 +158,7 @@
         }
         let ticket = self.waiters.remove(0).ticket;
         self.waiters.iter_mut().for_each(|one| one.join(at));
-        at.tell(Told::Mine {
+        at.tell(Event::Mine {
             ticket,
             key,
             record,
--- a/pure/takeover/tests/bounds.rs
+++ b/pure/takeover/tests/bounds.rs
@@ -12,7 +12,7 @@
 struct Alone {
     part: Takeover,
     now: u64,
-    told: Vec<Told>,
+    told: Vec<Event>,
 }
 
 impl Alone {
@@ -35,13 +35,13 @@
     }
 
     /// All three seats are this one process's.
-    fn ask(&mut self, ask: Ask) {
+    fn ask(&mut self, ask: Command) {
         let mut out = Vec::new();
         self.part.on_command(self.now, ask, &mut out);
         self.run(out);
     }
 
-    fn run(&mut self, mut out: Vec<Effect<Message, Told>>) {
+    fn run(&mut self, mut out: Vec<Effect<Message, Event>>) {
         while let Some(wish) = (!out.is_empty()).then(|| out.remove(0)) {
             match wish {
                 Effect::Emit(told) => self.told.push(told),
@@ -66,7 +66,7 @@
     }
 }
 
-fn claim(ticket: u64, key: u128, left: u64, body: usize) -> Ask {
+fn claim(ticket: u64, key: u128, left: u64, body: usize) -> Command {
     let body = Some(vec![7; body].into());
     let (class, token, got) = (Arc::from("keyed"), None, None);
     let work = Arc::new(Work {
@@ -79,7 +79,7 @@
         got,
         body,
     });
-    Ask::Claim {
+    Command::Claim {
         ticket,
         key: Key(key),
         work,
@@ -107,7 +107,7 @@
             .told
             .iter()
             .map(|told| match told {
-                Told::Refused { ticket } | Told::Failed { ticket } => *ticket,
+                Event::Refused { ticket } | Event::Failed { ticket } => *ticket,
                 other => panic!("one seat of three decides nothing: {other:?}"),
             })
             .collect();
@@ -128,5 +128,5 @@
 fn a_class_with_no_rule_is_not_covered() {
     let mut alone = Alone::new(|setup| setup.rules.clear());
     alone.ask(claim(1, 1, MS, 0));
-    assert_eq!(alone.told, [Told::Uncovered { ticket: 1 }]);
+    assert_eq!(alone.told, [Event::Uncovered { ticket: 1 }]);
 }
--- a/pure/takeover/tests/cases.rs
+++ b/pure/takeover/tests/cases.rs
@@ -25,7 +25,7 @@
 fn a_quiet_fleet_answers_all_and_takes_nothing_over() {
     let all = seeds(|seed| {
         (0..8).fold(Plan::new(seed), |plan, key| {
-            plan.at(10, Act::Ask { key, at: key })
+            plan.at(10, Act::Command { key, at: key })
         })
     });
     none(&all, |v| v.unanswered > 0 || v.took_over > 0);
@@ -38,7 +38,7 @@
         let plan = (0..4).fold(Plan::new(seed), |plan, i| {
             plan.at(
                 10,
-                Act::Ask {
+                Act::Command {
                     key: [0, 1, 3, 4][i],
                     at: 1,
                 },
@@ -58,7 +58,7 @@
 fn leaving_hands_over_at_once() {
     let all = seeds(|seed| {
         Plan::new(seed)
-            .at(10, Act::Ask { key: 0, at: 1 })
+            .at(10, Act::Command { key: 0, at: 1 })
             .at(12 + seed / 8, Act::Leave { who: 1 })
     });
     let longest = all.iter().map(|v| v.longest).max().unwrap();
@@ -73,9 +73,9 @@
 fn two_clients_with_one_key_at_two_instances_hear_one_answer() {
     let all = seeds(|seed| {
         let plan = Plan::new(seed)
-            .at(10, Act::Ask { key: 1, at: 0 })
-            .at(10 + seed % 30, Act::Ask { key: 1, at: 2 });
-        plan.at(11, Act::Ask { key: 1, at: 0 })
+            .at(10, Act::Command { key: 1, at: 0 })
+            .at(10 + seed % 30, Act::Command { key: 1, at: 2 });
+        plan.at(11, Act::Command { key: 1, at: 0 })
     });
     none(&all, |v| v.unanswered > 0 || v.ran > 1);
 }
@@ -87,7 +87,7 @@
             terms: seed % 2 == 0,
             ..Plan::new(seed)
         }
-        .at(10, Act::Ask { key: 1, at: 3 });
+        .at(10, Act::Command { key: 1, at: 3 });
         plan.at(
             11 + seed / 20,
             Act::Pause {
@@ -122,7 +122,7 @@
             },
         };
         Plan::new(seed)
-            .at(10, Act::Ask { key: 1, at: 3 })
+            .at(10, Act::Command { key: 1, at: 3 })
             .at(11 + seed / 10, act)
     });
     none(&all, |v| v.unanswered > 0);
@@ -135,7 +135,7 @@
             processes: 9,
             ..Plan::new(seed)
         }
-        .at(10, Act::Ask { key: 1, at: 0 });
+        .at(10, Act::Command { key: 1, at: 0 });
         // Asked again by its client too: whoever goes on is killed in turn, and comes back without memory.
         let dies =
             |plan: Plan, who: u8| plan.at(14 + 560 * who as u64, Act::Kill { who, restart: 0 });
@@ -152,7 +152,7 @@
                 processes: 8,
                 ..Plan::new(seed)
             },
-            |plan, key| plan.at(10, Act::Ask { key, at: key }),
+            |plan, key| plan.at(10, Act::Command { key, at: key }),
         );
         (0..4).fold(plan, |plan, who| {
             plan.at(
@@ -171,7 +171,7 @@
 #[test]
 fn seats_that_all_restart_at_once_say_nothing_of_what_they_forgot() {
     let all = seeds(|seed| {
-        let plan = Plan::new(seed).at(10, Act::Ask { key: 1, at: 0 });
+        let plan = Plan::new(seed).at(10, Act::Command { key: 1, at: 0 });
         let plan = (0..5).fold(plan, |plan, who| {
             plan.at(
                 12 + seed / 10,
@@ -181,8 +181,8 @@
                 },
             )
         });
-        plan.at(900, Act::Ask { key: 1, at: 2 })
-            .at(20_000, Act::Ask { key: 5, at: 2 })
+        plan.at(900, Act::Command { key: 1, at: 2 })
+            .at(20_000, Act::Command { key: 5, at: 2 })
     });
     // The one that comes after the longest window is served.
     none(&all, |v| v.answered == 0);
--- a/pure/takeover/tests/common/acts.rs
+++ b/pure/takeover/tests/common/acts.rs
@@ -1,15 +1,15 @@
 //! What a plan does to the world.
 
-use super::world::{Event, World};
+use super::world::{Scheduled, World};
 use super::{name, setup, Act};
 use foldmux_replicas::StateMachine;
-use foldmux_takeover::{Ask, Takeover};
+use foldmux_takeover::{Command, Takeover};
 
 impl World {
     pub fn act(&mut self, act: Act) {
         let place = |who: u8| who as usize % self.plan.processes;
         match act {
-            Act::Ask { key, at } => self.new_client(key, place(at)),
+            Act::Command { key, at } => self.new_client(key, place(at)),
             Act::Kill { who, restart } => self.kill(place(who), restart),
             Act::Pause { who, span } => self.pause(place(who), span),
             Act::Cut {
@@ -40,7 +40,7 @@
                 let keys: Vec<u8> = self.processes[who].hosts.keys().copied().collect();
                 self.lost_at
                     .extend(keys.into_iter().map(|key| (key, self.now)));
-                self.ask(who, Ask::LetGoAll);
+                self.ask(who, Command::LetGoAll);
             }
         }
     }
@@ -68,14 +68,14 @@
         self.lost_at
             .extend(lost.into_iter().map(|key| (key, self.now)));
         if restart > 0 {
-            self.later(restart, Event::Start { at: who });
+            self.later(restart, Scheduled::Start { at: who });
         }
     }
 
     fn pause(&mut self, who: usize, span: u64) {
         if self.processes[who].part.is_some() && !self.processes[who].paused {
             self.processes[who].paused = true;
-            self.later(span, Event::Wake { at: who });
+            self.later(span, Scheduled::Wake { at: who });
         }
     }
 
@@ -83,6 +83,6 @@
         links
             .iter()
             .for_each(|link| *self.cut.entry(*link).or_default() += 1);
-        self.later(span, Event::Heal { links });
+        self.later(span, Scheduled::Heal { links });
     }
 }
--- a/pure/takeover/tests/common/host.rs
+++ b/pure/takeover/tests/common/host.rs
@@ -1,7 +1,7 @@
 //! A process as the part's host: request threads that intend, send, hear and answer; and the clients that ask.
 
 use super::archive::Came;
-use super::world::{Event, World};
+use super::world::{Scheduled, World};
 use super::{LONGEST, MS};
 use foldmux_takeover::*;
 use std::sync::Arc;
@@ -67,14 +67,14 @@
         }
         one.turn += 1;
         let (key, left, turn) = (one.key, one.until - self.now, one.turn);
-        self.later(700 * MS, Event::Patience { client, turn, at });
+        self.later(700 * MS, Scheduled::Patience { client, turn, at });
         if self.processes[at].part.is_none() {
-            return self.later(20 * MS, Event::Elsewhere { client, turn, at });
+            return self.later(20 * MS, Scheduled::Elsewhere { client, turn, at });
         }
         let ticket = self.ticket(at, Purpose::Claim { client });
         self.ask(
             at,
-            Ask::Claim {
+            Command::Claim {
                 ticket,
                 key: Key(key.into()),
                 work: work(key),
@@ -88,17 +88,17 @@
         self.clients[client].answer.get_or_insert(answer);
     }
 
-    pub fn told(&mut self, at: usize, told: Told) {
+    pub fn told(&mut self, at: usize, told: Event) {
         let by = |world: &mut World, ticket: u64| world.purpose(at, ticket);
         match told {
-            Told::Joined { .. } => {}
-            Told::TakeOver {
+            Event::Joined { .. } => {}
+            Event::TakeOver {
                 key,
                 record,
                 proof,
                 lease,
             } => self.host(at, None, key, record, proof, lease),
-            Told::Mine {
+            Event::Mine {
                 ticket,
                 key,
                 record,
@@ -109,24 +109,24 @@
                     self.host(at, Some(client), key, record, proof, lease);
                 }
             }
-            Told::Kept { ticket, answer } => {
+            Event::Kept { ticket, answer } => {
                 if let Some(Purpose::Claim { client }) = by(self, ticket) {
                     self.answer(client, answer);
                 }
             }
-            Told::Uncovered { ticket } | Told::Failed { ticket } => {
+            Event::Uncovered { ticket } | Event::Failed { ticket } => {
                 drop(self.elsewhere(at, ticket))
             }
-            Told::Refused { ticket } => {
+            Event::Refused { ticket } => {
                 if let Some(Purpose::Intend { key }) = self.elsewhere(at, ticket) {
                     self.finish(at, key, None);
                 }
             }
-            Told::Written { ticket } => match by(self, ticket) {
+            Event::Written { ticket } => match by(self, ticket) {
                 Some(Purpose::Intend { key }) => {
                     let gap = self.draw.to(2 * MS);
                     let life = self.processes[at].life;
-                    self.later(gap, Event::Send { at, life, key });
+                    self.later(gap, Scheduled::Send { at, life, key });
                 }
                 Some(Purpose::Done {
                     key,
@@ -143,7 +143,7 @@
                 }
                 _ => {}
             },
-            Told::Lost { ticket } => {
+            Event::Lost { ticket } => {
                 if let Some(Purpose::Intend { key } | Purpose::Done { key, .. }) = by(self, ticket)
                 {
                     let host = self.processes[at].hosts.remove(&key);
@@ -159,7 +159,7 @@
         let purpose = self.purpose(at, ticket);
         if let Some(Purpose::Claim { client }) = purpose {
             let turn = self.clients[client].turn;
-            self.later(50 * MS, Event::Elsewhere { client, turn, at });
+            self.later(50 * MS, Scheduled::Elsewhere { client, turn, at });
         }
         purpose
     }
@@ -209,7 +209,7 @@
         let ticket = self.ticket(at, Purpose::Intend { key });
         self.ask(
             at,
-            Ask::Intend {
+            Command::Intend {
                 ticket,
                 key: Key(key.into()),
                 term,
@@ -229,7 +229,7 @@
         if !host.lease.may_send(local) {
             self.ask(
                 at,
-                Ask::Ended {
+                Command::Ended {
                     key: Key(key.into()),
                     term,
                     number,
@@ -238,7 +238,7 @@
             );
             if number < 8 {
                 let life = self.processes[at].life;
-                return self.later(20 * MS, Event::Again { at, life, key });
+                return self.later(20 * MS, Scheduled::Again { at, life, key });
             }
             let client = self.processes[at]
                 .hosts
@@ -246,7 +246,7 @@
                 .and_then(|host| host.client);
             self.ask(
                 at,
-                Ask::LetGo {
+                Command::LetGo {
                     key: Key(key.into()),
                     term,
                     over: false,
@@ -278,7 +278,7 @@
         if !self.draw.in_thousand(30) {
             self.later(
                 way,
-                Event::Arrive {
+                Scheduled::Arrive {
                     at,
                     life,
                     key,
@@ -290,7 +290,7 @@
         }
         self.later(
             250 * MS,
-            Event::TimeOut {
+            Scheduled::TimeOut {
                 at,
                 life,
                 key,
@@ -317,7 +317,7 @@
                 }
                 self.ask(
                     at,
-                    Ask::Ended {
+                    Command::Ended {
                         key: key_,
                         term,
                         number,
@@ -331,7 +331,7 @@
                 let again = class(key) != "once" && number < 4;
                 self.ask(
                     at,
-                    Ask::Ended {
+                    Command::Ended {
                         key: key_,
                         term,
                         number,
@@ -362,7 +362,7 @@
         let answer = run.map_or(Answer::Failed, |run| Answer::Served(Arc::from([key, run])));
         self.ask(
             at,
-            Ask::Done {
+            Command::Done {
                 ticket,
                 key: Key(key.into()),
                 term,
--- a/pure/takeover/tests/common/mod.rs
+++ b/pure/takeover/tests/common/mod.rs
@@ -20,7 +20,7 @@
 
 #[derive(Clone, Debug)]
 pub enum Act {
-    Ask {
+    Command {
         key: u8,
         at: u8,
     },
@@ -144,7 +144,7 @@
     Setup {
         name: name(index),
         session,
-        seats: ReplicaSet::new((0..plan.processes.max(3)).map(name)).unwrap(),
+        replicas: ReplicaSet::new((0..plan.processes.max(3)).map(name)).unwrap(),
         rules: rules
             .into_iter()
             .map(|(class, rule)| (Arc::from(class), rule))
--- a/pure/takeover/tests/common/plans.rs
+++ b/pure/takeover/tests/common/plans.rs
@@ -6,7 +6,7 @@
 fn act() -> impl Strategy<Value = Act> {
     let span = || 1..3_000 * MS;
     prop_oneof![
-        8 => (0..12u8, any::<u8>()).prop_map(|(key, at)| Act::Ask { key, at }),
+        8 => (0..12u8, any::<u8>()).prop_map(|(key, at)| Act::Command { key, at }),
         2 => (any::<u8>(), prop_oneof![Just(0), span()]).prop_map(|(who, restart)| Act::Kill { who, restart }),
         2 => (any::<u8>(), span()).prop_map(|(who, span)| Act::Pause { who, span }),
         2 => (any::<u8>(), any::<u8>(), any::<bool>(), span())
--- a/pure/takeover/tests/common/world.rs
+++ b/pure/takeover/tests/common/world.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 
 #[derive(Debug)]
-pub enum Event {
+pub enum Scheduled {
     Act(Act),
     Heard {
         to: usize,
@@ -81,7 +81,7 @@
     pub tick: u64,
     ppm: i64,
     pub paused: bool,
-    pub waiting: Vec<Event>,
+    pub waiting: Vec<Scheduled>,
     pub hosts: HashMap<u8, Host>,
     pub tickets: HashMap<u64, Purpose>,
 }
@@ -97,7 +97,7 @@
     pub finals: Vec<(u8, Answer)>,
     pub lost_at: HashMap<u8, u64>,
     archive: Archive,
-    events: BTreeMap<u64, Event>,
+    events: BTreeMap<u64, Scheduled>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     serial: u64,
     pub cut: HashMap<(usize, usize), u32>,
@@ -145,7 +145,7 @@
             .acts
             .clone()
             .into_iter()
-            .for_each(|(at, act)| world.later(at, Event::Act(act)));
+            .for_each(|(at, act)| world.later(at, Scheduled::Act(act)));
         let last = world.plan.acts.iter().map(|a| a.0).max().unwrap_or(0);
         let end = world.now + last + 3 * LONGEST;
         while let Some(&Reverse((at, serial))) = world.queue.peek().filter(|next| next.0 .0 < end) {
@@ -186,7 +186,7 @@
         self.verdict
     }
 
-    pub fn later(&mut self, after: u64, event: Event) {
+    pub fn later(&mut self, after: u64, event: Scheduled) {
         self.serial += 1;
         self.events.insert(self.serial, event);
         self.queue.push(Reverse((self.now + after, self.serial)));
@@ -210,14 +210,14 @@
         purpose
     }
 
-    pub fn ask(&mut self, at: usize, ask: Ask) {
+    pub fn ask(&mut self, at: usize, ask: Command) {
         self.drive(at, |part, now, out| part.on_command(now, ask, out));
     }
 
     fn drive(
         &mut self,
         at: usize,
-        what: impl FnOnce(&mut Takeover, u64, &mut Vec<Effect<Message, Told>>),
+        what: impl FnOnce(&mut Takeover, u64, &mut Vec<Effect<Message, Event>>),
     ) {
         let (now, life, mut out) = (self.local(at), self.processes[at].life, Vec::new());
         let Some(part) = &mut self.processes[at].part else {
@@ -239,7 +239,7 @@
             let when = self.now + after as u64 + 1;
             if self.processes[at].tick == 0 || when < self.processes[at].tick {
                 self.processes[at].tick = when;
-                self.later(when - self.now, Event::Tick { at, life });
+                self.later(when - self.now, Scheduled::Tick { at, life });
             }
         }
     }
@@ -266,7 +266,7 @@
             let (after, life) = (self.draw.to(most), self.processes[to].life);
             self.later(
                 after,
-                Event::Heard {
+                Scheduled::Heard {
                     to,
                     from,
                     life,
@@ -276,23 +276,23 @@
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn take(&mut self, event: Scheduled) {
         let at = match &event {
-            Event::Heard { to: at, .. } | Event::Tick { at, .. } | Event::Send { at, .. } => {
-                Some(*at)
-            }
-            Event::Again { at, .. } | Event::Came { at, .. } | Event::TimeOut { at, .. } => {
-                Some(*at)
-            }
+            Scheduled::Heard { to: at, .. }
+            | Scheduled::Tick { at, .. }
+            | Scheduled::Send { at, .. } => Some(*at),
+            Scheduled::Again { at, .. }
+            | Scheduled::Came { at, .. }
+            | Scheduled::TimeOut { at, .. } => Some(*at),
             _ => None,
         };
         let life = match &event {
-            Event::Heard { life, .. } | Event::Tick { life, .. } | Event::Send { life, .. } => {
-                *life
-            }
-            Event::Again { life, .. } | Event::Came { life, .. } | Event::TimeOut { life, .. } => {
-                *life
-            }
+            Scheduled::Heard { life, .. }
+            | Scheduled::Tick { life, .. }
+            | Scheduled::Send { life, .. } => *life,
+            Scheduled::Again { life, .. }
+            | Scheduled::Came { life, .. }
+            | Scheduled::TimeOut { life, .. } => *life,
             _ => 0,
         };
         if let Some(process) = at.map(|at| &mut self.processes[at]) {
@@ -304,13 +304,13 @@
             }
         }
         match event {
-            Event::Act(act) => self.act(act),
-            Event::Heard {
+            Scheduled::Act(act) => self.act(act),
+            Scheduled::Heard {
                 to, from, message, ..
             } => self.drive(to, |part, now, out| {
                 part.on_message(now, &name(from), *message, out)
             }),
-            Event::Tick { at, .. } => {
+            Scheduled::Tick { at, .. } => {
                 self.processes[at].tick = 0;
                 self.drive(at, |part, now, out| {
                     if part.next_tick().is_some_and(|due| due <= now) {
@@ -318,24 +318,25 @@
                     }
                 })
             }
-            Event::Wake { at } => {
+            Scheduled::Wake { at } => {
                 self.processes[at].paused = false;
                 let waiting = std::mem::take(&mut self.processes[at].waiting);
                 waiting.into_iter().for_each(|event| self.take(event));
             }
-            Event::Start { at } => self.start(at, false),
-            Event::Heal { links } => links
+            Scheduled::Start { at } => self.start(at, false),
+            Scheduled::Heal { links } => links
                 .iter()
                 .for_each(|link| *self.cut.get_mut(link).unwrap() -= 1),
-            Event::Patience { client, turn, at } | Event::Elsewhere { client, turn, at } => {
+            Scheduled::Patience { client, turn, at }
+            | Scheduled::Elsewhere { client, turn, at } => {
                 if self.clients[client].turn == turn {
                     let next = (at + 1 + self.draw.to(1) as usize) % self.processes.len();
                     self.client_asks(client, next, false);
                 }
             }
-            Event::Send { at, key, .. } => self.send(at, key),
-            Event::Again { at, key, .. } => self.intend(at, key),
-            Event::Arrive {
+            Scheduled::Send { at, key, .. } => self.send(at, key),
+            Scheduled::Again { at, key, .. } => self.intend(at, key),
+            Scheduled::Arrive {
                 at,
                 life,
                 key,
@@ -351,7 +352,7 @@
                 if !self.draw.in_thousand(30) {
                     self.later(
                         after,
-                        Event::Came {
+                        Scheduled::Came {
                             at,
                             life,
                             key,
@@ -361,14 +362,14 @@
                     );
                 }
             }
-            Event::Came {
+            Scheduled::Came {
                 at,
                 key,
                 number,
                 came,
                 ..
             } => self.ended(at, key, number, Some(came)),
-            Event::TimeOut {
+            Scheduled::TimeOut {
                 at, key, number, ..
             } => self.ended(at, key, number, None),
         }
--- a/pure/takeover/tests/model.rs
+++ b/pure/takeover/tests/model.rs
@@ -47,7 +47,7 @@
         steps.extend(
             (0..2)
                 .filter(|at| !state.asked[*at] && runs(*at))
-                .map(Step::Ask),
+                .map(Step::Command),
         );
         for (index, (_, to, _)) in state.net.iter().enumerate() {
             if runs(*to) {
--- a/pure/takeover/tests/small/mod.rs
+++ b/pure/takeover/tests/small/mod.rs
@@ -73,7 +73,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    Ask(usize),
+    Command(usize),
     Come {
         index: usize,
         lost: bool,
@@ -100,7 +100,7 @@
     let setup = Setup {
         name: name(index),
         session: index as u64,
-        seats: ReplicaSet::new((2..5).map(name)).unwrap(),
+        replicas: ReplicaSet::new((2..5).map(name)).unwrap(),
         rules: [(Arc::from("keyed"), rule)].into(),
         lease: LEASE,
         drift: ClockDrift::from_percent(0.0).unwrap(),
@@ -121,7 +121,7 @@
     fn drive(
         &mut self,
         at: usize,
-        what: impl FnOnce(&mut Takeover, u64, &mut Vec<Effect<Message, Told>>),
+        what: impl FnOnce(&mut Takeover, u64, &mut Vec<Effect<Message, Event>>),
     ) {
         let mut out = Vec::new();
         what(&mut self.parts[at], self.now, &mut out);
@@ -131,17 +131,17 @@
                     self.net
                         .push((at, to.as_str()[1..].parse().unwrap(), message))
                 }
-                Effect::Emit(Told::Mine { record, .. } | Told::TakeOver { record, .. }) => {
+                Effect::Emit(Event::Mine { record, .. } | Event::TakeOver { record, .. }) => {
                     (self.hosts[at], self.terms[at]) = (Host::Owns, record.ballot.term);
                     self.met.push((record.ballot.term, at));
                 }
-                Effect::Emit(Told::Written { .. }) if self.hosts[at] == Host::Ran => {
+                Effect::Emit(Event::Written { .. }) if self.hosts[at] == Host::Ran => {
                     self.answers[at] = Some(Answer::Same);
                     self.hosts[at] = Host::None;
                 }
-                Effect::Emit(Told::Written { .. }) => self.hosts[at] = Host::Written,
-                Effect::Emit(Told::Kept { answer, .. }) => self.answers[at] = Some(answer),
-                Effect::Emit(Told::Joined { .. }) => {}
+                Effect::Emit(Event::Written { .. }) => self.hosts[at] = Host::Written,
+                Effect::Emit(Event::Kept { answer, .. }) => self.answers[at] = Some(answer),
+                Effect::Emit(Event::Joined { .. }) => {}
                 Effect::Emit(_) => self.hosts[at] = Host::None,
             }
         }
@@ -164,9 +164,9 @@
 
     pub fn step(&mut self, step: &Step) {
         match *step {
-            Step::Ask(at) => {
+            Step::Command(at) => {
                 self.asked[at] = true;
-                let ask = Ask::Claim {
+                let ask = Command::Claim {
                     ticket: 1,
                     key: KEY,
                     work: work(0),
@@ -215,7 +215,7 @@
         };
         match self.hosts[at] {
             Host::Owns => {
-                let ask = Ask::Intend {
+                let ask = Command::Intend {
                     ticket: 2,
                     key: KEY,
                     term: self.terms[at],
@@ -233,7 +233,7 @@
             Host::Sent(_) => {
                 self.runs += (self.runs == 0) as u8;
                 self.hosts[at] = Host::Ran;
-                let ask = Ask::Done {
+                let ask = Command::Done {
                     ticket: 3,
                     key: KEY,
                     term: self.terms[at],
--- a/rigs/fleet-simulator/src/happen.rs
+++ b/rigs/fleet-simulator/src/happen.rs
@@ -89,11 +89,11 @@
         }
     }
 
-    pub fn member_told(&mut self, at: usize, told: members::Told) {
+    pub fn member_told(&mut self, at: usize, told: members::Event) {
         let (peer, alive) = match told {
-            members::Told::Up(seen) | members::Told::Restarted(seen) => (seen.peer, true),
-            members::Told::Down(peer) | members::Told::Left(peer) => (peer, false),
-            members::Told::Rival(_) => return,
+            members::Event::Up(seen) | members::Event::Restarted(seen) => (seen.peer, true),
+            members::Event::Down(peer) | members::Event::Left(peer) => (peer, false),
+            members::Event::Rival(_) => return,
         };
         self.drive::<Takeover>(at, |part, now, out| {
             part.on_peer_status(now, &peer, alive, out)
--- a/rigs/fleet-simulator/src/node.rs
+++ b/rigs/fleet-simulator/src/node.rs
@@ -107,7 +107,7 @@
     takeover::Setup {
         name: name(at),
         session: (at as u64) << 32 | life,
-        seats: seats(),
+        replicas: seats(),
         rules: rules(),
         lease: LEASE,
         drift: drift(),
@@ -149,7 +149,7 @@
         me: name(at),
         life: life << 32,
         places: places.to_vec(),
-        seats: seats(),
+        replicas: seats(),
         drift: drift(),
         lease: LEASE,
         streams: vec![stream()],
--- a/rigs/fleet-simulator/src/pools.rs
+++ b/rigs/fleet-simulator/src/pools.rs
@@ -193,7 +193,7 @@
         self.say(Said::Started { process: at });
         let contacts = (0..SEATS).filter(|seat| *seat != at).map(name).collect();
         self.drive::<members::Members>(at, |part, now, out| {
-            part.on_command(now, members::Ask::Join(contacts), out)
+            part.on_command(now, members::Command::Join(contacts), out)
         });
         self.subscribe(at);
         let after = self.rng.u64(..STEP);
@@ -233,7 +233,7 @@
                 self.say(Said::Left { process: at });
                 self.nodes[at].leaving = true;
                 self.drive::<takeover::Takeover>(at, |part, now, out| {
-                    part.on_command(now, takeover::Ask::LetGoAll, out);
+                    part.on_command(now, takeover::Command::LetGoAll, out);
                 });
                 self.drive::<relay::Relay>(at, |part, now, out| {
                     part.on_command(now, relay::Ask::Leave, out)
@@ -244,7 +244,7 @@
                         .for_each(|pool| part.on_command(now, Ask::Leaving { pool: *pool }, out));
                 });
                 self.drive::<members::Members>(at, |part, now, out| {
-                    part.on_command(now, members::Ask::Leave, out)
+                    part.on_command(now, members::Command::Leave, out)
                 });
                 self.later(
                     400 * MS,
--- a/rigs/fleet-simulator/src/work.rs
+++ b/rigs/fleet-simulator/src/work.rs
@@ -5,7 +5,7 @@
 use crate::plan::*;
 use foldmux_harness::record::{Event as Said, Outcome};
 use foldmux_replicas::StateMachine;
-use foldmux_takeover::*;
+use foldmux_takeover::{self as takeover, *};
 use std::sync::Arc;
 
 fn work(key: u32) -> Arc<Work> {
@@ -56,7 +56,7 @@
         self.serial
     }
 
-    fn ask(&mut self, at: usize, ask: Ask) {
+    fn ask(&mut self, at: usize, ask: Command) {
         self.drive::<Takeover>(at, |part, now, out| part.on_command(now, ask, out));
     }
 
@@ -126,7 +126,7 @@
             let ticket = self.ticket(at, Purpose::Claim { client });
             self.ask(
                 at,
-                Ask::Claim {
+                Command::Claim {
                     ticket,
                     key: Key(key.into()),
                     work: work(key),
@@ -170,16 +170,16 @@
         purpose
     }
 
-    pub fn work_told(&mut self, at: usize, told: Told) {
+    pub fn work_told(&mut self, at: usize, told: takeover::Event) {
         match told {
-            Told::Joined { .. } => {}
-            Told::TakeOver {
+            takeover::Event::Joined { .. } => {}
+            takeover::Event::TakeOver {
                 key,
                 record,
                 proof,
                 lease,
             } => self.host(at, None, key, record, proof, lease),
-            Told::Mine {
+            takeover::Event::Mine {
                 ticket,
                 key,
                 record,
@@ -190,20 +190,22 @@
                     self.host(at, Some(client), key, record, proof, lease);
                 }
             }
-            Told::Kept { ticket, answer } => {
+            takeover::Event::Kept { ticket, answer } => {
                 if let Some(Purpose::Claim { client }) = self.purpose(at, ticket) {
                     self.answer(client, at, &answer);
                 }
             }
-            Told::Uncovered { ticket } | Told::Failed { ticket } | Told::Refused { ticket } => {
-                let refused = matches!(told, Told::Refused { .. });
+            takeover::Event::Uncovered { ticket }
+            | takeover::Event::Failed { ticket }
+            | takeover::Event::Refused { ticket } => {
+                let refused = matches!(told, takeover::Event::Refused { .. });
                 match self.purpose(at, ticket) {
                     Some(Purpose::Claim { client }) => self.elsewhere(at, client, refused),
                     Some(Purpose::Intend { key }) if refused => self.finish(at, key, None),
                     _ => {}
                 }
             }
-            Told::Written { ticket } => match self.purpose(at, ticket) {
+            takeover::Event::Written { ticket } => match self.purpose(at, ticket) {
                 Some(Purpose::Intend { key }) => {
                     let gap = self.rng.u64(..2 * MS);
                     self.then(at, gap, Local::Work(Step::Send { key }));
@@ -216,7 +218,7 @@
                 }
                 _ => {}
             },
-            Told::Lost { ticket } => {
+            takeover::Event::Lost { ticket } => {
                 if let Some(Purpose::Intend { key } | Purpose::Done { key, .. }) =
                     self.purpose(at, ticket)
                 {
--- a/rigs/fleet-simulator/src/work/host.rs
+++ b/rigs/fleet-simulator/src/work/host.rs
@@ -58,7 +58,7 @@
         let ticket = self.ticket(at, Purpose::Intend { key });
         self.ask(
             at,
-            Ask::Intend {
+            Command::Intend {
                 ticket,
                 key: Key(key.into()),
                 term,
@@ -92,7 +92,7 @@
         if !host.lease.may_send(clock) {
             self.ask(
                 at,
-                Ask::Ended {
+                Command::Ended {
                     key: Key(key.into()),
                     term,
                     number,
@@ -109,7 +109,7 @@
                 .and_then(|host| host.client);
             self.ask(
                 at,
-                Ask::LetGo {
+                Command::LetGo {
                     key: Key(key.into()),
                     term,
                     over: false,
@@ -162,7 +162,7 @@
                 }
                 self.ask(
                     at,
-                    Ask::Ended {
+                    Command::Ended {
                         key: own,
                         term,
                         number,
@@ -176,7 +176,7 @@
                 let again = class(key) != "once" && number < TRIES / 2;
                 self.ask(
                     at,
-                    Ask::Ended {
+                    Command::Ended {
                         key: own,
                         term,
                         number,
@@ -199,7 +199,7 @@
         let ticket = self.ticket(at, Purpose::Done { key, client, run });
         self.ask(
             at,
-            Ask::Done {
+            Command::Done {
                 ticket,
                 key: Key(key.into()),
                 term,
--- a/rigs/simulator/src/fanout/world.rs
+++ b/rigs/simulator/src/fanout/world.rs
@@ -112,7 +112,7 @@
             me: self.names[n].0.clone(),
             life: life << 32,
             places: self.names.clone(),
-            seats,
+            replicas: seats,
             drift: ClockDrift::default(),
             lease: LEASE,
             streams: vec![stream],
--- a/shared/fleet/src/members.rs
+++ b/shared/fleet/src/members.rs
@@ -3,7 +3,7 @@
 use crate::port::{Port, Sink};
 use crate::setup::Builder;
 use crate::views::Views;
-use foldmux_membership::{Ask, BadMembers, Members, Seen, Setup, State, Told};
+use foldmux_membership::{BadMembers, Command, Event, Members, Seen, Setup, State};
 use foldmux_replicas::Peer;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -24,15 +24,15 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn take(&self, told: &Told, views: &Views) {
+    fn take(&self, told: &Event, views: &Views) {
         match told {
-            Told::Up(seen) | Told::Restarted(seen) => {
+            Event::Up(seen) | Event::Restarted(seen) => {
                 views.say(&seen.peer, true);
                 self.lock().insert(seen.peer.clone(), seen.clone());
             }
-            Told::Down(peer) => self.end(peer, State::Down, views),
-            Told::Left(peer) => self.end(peer, State::Left, views),
-            Told::Rival(_) => {}
+            Event::Down(peer) => self.end(peer, State::Down, views),
+            Event::Left(peer) => self.end(peer, State::Left, views),
+            Event::Rival(_) => {}
         }
     }
 
@@ -50,8 +50,8 @@
     news: S,
 }
 
-impl<S: Sink<Told>> Sink<Told> for Tap<S> {
-    fn told(&self, told: Told) {
+impl<S: Sink<Event>> Sink<Event> for Tap<S> {
+    fn told(&self, told: Event) {
         self.roll.take(&told, &self.views);
         self.news.told(told);
     }
@@ -65,8 +65,8 @@
 pub fn add(
     builder: &mut Builder,
     setup: Setup,
-    news: impl Sink<Told> + 'static,
-) -> Result<(Port<Ask>, Roll), BadMembers> {
+    news: impl Sink<Event> + 'static,
+) -> Result<(Port<Command>, Roll), BadMembers> {
     let roll = Roll::default();
     let tap = Tap {
         roll: roll.clone(),
--- a/shared/fleet/tests/driver.rs
+++ b/shared/fleet/tests/driver.rs
@@ -20,7 +20,7 @@
     Storm,
 }
 
-enum Ask {
+enum Command {
     Ping(Peer, u64),
     Wake(Time),
     Fall(Peer),
@@ -30,7 +30,7 @@
 }
 
 #[derive(Debug, PartialEq)]
-enum Told {
+enum Event {
     Pong(u64),
     Woke,
     Peer(Peer, bool),
@@ -45,8 +45,8 @@
 
 impl StateMachine for Toy {
     type Message = Message;
-    type Command = Ask;
-    type Event = Told;
+    type Command = Command;
+    type Event = Event;
 
     fn on_message(&mut self, _: Time, from: &Peer, message: Message, out: &mut Effects<Toy>) {
         match message {
@@ -54,7 +54,7 @@
                 to: from.clone(),
                 message: Message::Pong(n),
             }),
-            Message::Pong(n) => out.push(Effect::Emit(Told::Pong(n))),
+            Message::Pong(n) => out.push(Effect::Emit(Event::Pong(n))),
             Message::Fall => panic!("it fell"),
             Message::Storm => out.push(Effect::Send {
                 to: from.clone(),
@@ -63,35 +63,35 @@
         }
     }
 
-    fn on_command(&mut self, now: Time, ask: Ask, out: &mut Effects<Toy>) {
+    fn on_command(&mut self, now: Time, ask: Command, out: &mut Effects<Toy>) {
         match ask {
-            Ask::Ping(to, n) => out.push(Effect::Send {
+            Command::Ping(to, n) => out.push(Effect::Send {
                 to,
                 message: Message::Ping(n),
             }),
-            Ask::Wake(after) => self.due = Some(now + after),
-            Ask::Fall(to) => out.push(Effect::Send {
+            Command::Wake(after) => self.due = Some(now + after),
+            Command::Fall(to) => out.push(Effect::Send {
                 to,
                 message: Message::Fall,
             }),
-            Ask::Storm => out.push(Effect::Send {
+            Command::Storm => out.push(Effect::Send {
                 to: peer(0),
                 message: Message::Storm,
             }),
-            Ask::Block(gate) => {
-                out.push(Effect::Emit(Told::Blocked));
+            Command::Block(gate) => {
+                out.push(Effect::Emit(Event::Blocked));
                 let _ = gate.recv().and_then(|()| gate.recv());
             }
         }
     }
 
     fn on_peer_status(&mut self, _: Time, peer: &Peer, alive: bool, out: &mut Effects<Toy>) {
-        out.push(Effect::Emit(Told::Peer(peer.clone(), alive)));
+        out.push(Effect::Emit(Event::Peer(peer.clone(), alive)));
     }
 
     fn on_tick(&mut self, now: Time, out: &mut Effects<Toy>) {
         assert!(self.due.take().is_some_and(|due| due <= now));
-        out.push(Effect::Emit(Told::Woke));
+        out.push(Effect::Emit(Event::Woke));
     }
 
     fn next_tick(&self) -> Option<Time> {
@@ -99,15 +99,15 @@
     }
 }
 
-struct To(Sender<Told>);
+struct To(Sender<Event>);
 
-impl Sink<Told> for To {
-    fn told(&self, told: Told) {
+impl Sink<Event> for To {
+    fn told(&self, told: Event) {
         self.0.send(told).unwrap();
     }
 
     fn gone(&self) {
-        let _ = self.0.send(Told::Gone);
+        let _ = self.0.send(Event::Gone);
     }
 }
 
@@ -132,8 +132,8 @@
 
 struct One {
     fleet: foldmux_fleet::Fleet,
-    ports: Vec<Port<Ask>>,
-    told: Vec<Receiver<Told>>,
+    ports: Vec<Port<Command>>,
+    told: Vec<Receiver<Event>>,
     faults: Receiver<Fault>,
     views: foldmux_fleet::Views,
 }
@@ -173,7 +173,7 @@
 }
 
 impl One {
-    fn wait(&self, part: usize, wanted: Told) {
+    fn wait(&self, part: usize, wanted: Event) {
         let until = Instant::now() + LONG;
         while self.told[part].recv_deadline(until).expect("it never came") != wanted {}
     }
@@ -183,53 +183,53 @@
 fn parts_speak_to_their_like_to_themselves_and_by_time() {
     let all = [address(), address()];
     let (a, b) = (start(0, &all), start(1, &all));
-    a.wait(0, Told::Peer(peer(1), true));
-    b.wait(0, Told::Peer(peer(0), true));
+    a.wait(0, Event::Peer(peer(1), true));
+    b.wait(0, Event::Peer(peer(0), true));
     // Sent once: a dial from the other end may still replace the link, and take it with it.
-    let asked = |n| a.ports[0].ask(Ask::Ping(peer(1), n)).is_ok();
+    let asked = |n| a.ports[0].ask(Command::Ping(peer(1), n)).is_ok();
     let mut n = 0;
-    while a.told[0].recv_timeout(Duration::from_millis(50)) != Ok(Told::Pong(n)) {
+    while a.told[0].recv_timeout(Duration::from_millis(50)) != Ok(Event::Pong(n)) {
         n += 1;
         assert!(asked(n));
     }
     assert!(
         a.told[1]
             .try_iter()
-            .all(|told| told == Told::Peer(peer(1), true)),
+            .all(|told| told == Event::Peer(peer(1), true)),
         "another part heard of it"
     );
     let unlinked = a.fleet.links().counts().unlinked.get();
-    a.ports[1].ask(Ask::Ping(peer(0), 7)).unwrap();
-    a.wait(1, Told::Pong(7));
+    a.ports[1].ask(Command::Ping(peer(0), 7)).unwrap();
+    a.wait(1, Event::Pong(7));
     assert_eq!(
         a.fleet.links().counts().unlinked.get(),
         unlinked,
         "to itself by a link"
     );
-    a.ports[1].ask(Ask::Wake(2_000)).unwrap();
-    a.wait(1, Told::Woke);
+    a.ports[1].ask(Command::Wake(2_000)).unwrap();
+    a.wait(1, Event::Woke);
     drop(b);
-    a.wait(0, Told::Peer(peer(1), false));
+    a.wait(0, Event::Peer(peer(1), false));
 }
 
 #[test]
 fn members_can_say_that_a_linked_peer_is_dead_and_a_new_session_is_alive() {
     let all = [address(), address()];
     let (a, b) = (start(0, &all), start(1, &all));
-    a.wait(0, Told::Peer(peer(1), true));
+    a.wait(0, Event::Peer(peer(1), true));
     a.views.say(&peer(1), false);
-    a.ports[0].ask(Ask::Wake(0)).unwrap();
-    a.wait(0, Told::Peer(peer(1), false));
+    a.ports[0].ask(Command::Wake(0)).unwrap();
+    a.wait(0, Event::Peer(peer(1), false));
     drop(b);
     let _b = start(1, &all);
-    a.wait(0, Told::Peer(peer(1), true));
+    a.wait(0, Event::Peer(peer(1), true));
 }
 
 #[test]
 fn a_part_that_panics_is_out_of_service_and_told_and_the_others_go_on() {
     let one = start(0, &[address()]);
-    one.ports[0].ask(Ask::Fall(peer(0))).unwrap();
-    one.wait(0, Told::Gone);
+    one.ports[0].ask(Command::Fall(peer(0))).unwrap();
+    one.wait(0, Event::Gone);
     assert_eq!(
         one.faults.recv_timeout(LONG),
         Ok(Fault {
@@ -237,32 +237,32 @@
             why: "it fell".to_string()
         })
     );
-    assert_eq!(one.ports[0].ask(Ask::Wake(0)), Err(Refused::Gone));
+    assert_eq!(one.ports[0].ask(Command::Wake(0)), Err(Refused::Gone));
     assert_eq!(one.fleet.counts().faults.load(Ordering::Relaxed), 1);
-    one.ports[1].ask(Ask::Ping(peer(0), 3)).unwrap();
-    one.wait(1, Told::Pong(3));
+    one.ports[1].ask(Command::Ping(peer(0), 3)).unwrap();
+    one.wait(1, Event::Pong(3));
 }
 
 #[test]
 fn a_full_queue_refuses_at_once_and_counts() {
     let one = start(0, &[address()]);
     let (gate, blocked) = bounded(0);
-    one.ports[0].ask(Ask::Block(blocked.clone())).unwrap();
+    one.ports[0].ask(Command::Block(blocked.clone())).unwrap();
     gate.send(()).unwrap();
     // While the thread stands in that ask, eight more wait, and no ninth.
-    (0..8).for_each(|_| one.ports[0].ask(Ask::Block(blocked.clone())).unwrap());
-    assert_eq!(one.ports[0].ask(Ask::Wake(0)), Err(Refused::Full));
-    assert_eq!(one.ports[1].ask(Ask::Wake(0)), Err(Refused::Full));
+    (0..8).for_each(|_| one.ports[0].ask(Command::Block(blocked.clone())).unwrap());
+    assert_eq!(one.ports[0].ask(Command::Wake(0)), Err(Refused::Full));
+    assert_eq!(one.ports[1].ask(Command::Wake(0)), Err(Refused::Full));
     assert_eq!((one.ports[0].refused(), one.ports[1].refused()), (1, 1));
     drop(gate);
-    one.wait(0, Told::Blocked);
+    one.wait(0, Event::Blocked);
     let port = one.ports[0].clone();
     one.fleet.end(LONG);
-    assert_eq!(port.ask(Ask::Wake(0)), Err(Refused::Gone));
+    assert_eq!(port.ask(Command::Wake(0)), Err(Refused::Gone));
     // All that was asked before the end was carried out, and then what is owed no more is said.
-    let told: Vec<Told> = one.told[0].try_iter().collect();
+    let told: Vec<Event> = one.told[0].try_iter().collect();
     assert!(
-        told.len() == 9 && told.last() == Some(&Told::Gone),
+        told.len() == 9 && told.last() == Some(&Event::Gone),
         "{told:?}"
     );
 }
@@ -270,27 +270,27 @@
 #[test]
 fn a_part_that_speaks_to_itself_for_ever_does_not_keep_the_others_from_their_turn() {
     let one = start(0, &[address()]);
-    one.ports[0].ask(Ask::Storm).unwrap();
-    one.ports[1].ask(Ask::Wake(500)).unwrap();
-    one.wait(1, Told::Woke);
-    one.ports[1].ask(Ask::Ping(peer(0), 3)).unwrap();
-    one.wait(1, Told::Pong(3));
+    one.ports[0].ask(Command::Storm).unwrap();
+    one.ports[1].ask(Command::Wake(500)).unwrap();
+    one.wait(1, Event::Woke);
+    one.ports[1].ask(Command::Ping(peer(0), 3)).unwrap();
+    one.wait(1, Event::Pong(3));
 }
 
 #[test]
 fn what_was_sent_before_the_end_arrives() {
     let all = [address(), address()];
     let (a, b) = (start(0, &all), start(1, &all));
-    a.wait(0, Told::Peer(peer(1), true));
-    b.wait(0, Told::Peer(peer(0), true));
+    a.wait(0, Event::Peer(peer(1), true));
+    b.wait(0, Event::Peer(peer(0), true));
     // The last thing said before leaving: the other falls by it.
     while b.faults.is_empty() {
-        a.ports[1].ask(Ask::Fall(peer(1))).unwrap();
+        a.ports[1].ask(Command::Fall(peer(1))).unwrap();
         if b.faults.recv_timeout(Duration::from_millis(20)).is_ok() {
             break;
         }
     }
-    a.ports[0].ask(Ask::Fall(peer(1))).unwrap();
+    a.ports[0].ask(Command::Fall(peer(1))).unwrap();
     a.fleet.end(LONG);
     assert_eq!(b.faults.recv_timeout(LONG).map(|fault| fault.part), Ok(4));
 }
