--- a/edge/operations/src/lib.rs
+++ b/edge/operations/src/lib.rs
@@ -1,10 +1,12 @@
-//! The operator line, without its sockets: what a line asks ([`call`]), which pop caches are out by hand
-//! ([`maintenance`]), and how the figures are written ([`stats`]).
+//! The admin interface without its sockets, and what a reload does to the classes.
 //!
-//! Owns: the grammar of calls and answers, the maintenance set and its form on disk, the names of the figures.
-//! May not: do I/O, read a clock, or decide where a request goes: the module does, from what it is told.
+//! [`command`] reads what an operator asks, [`maintenance`] holds the pop caches that are out of service by hand,
+//! [`statistics`] writes the counts, and [`class_table`] keeps classes in their slots across reloads.
+//!
+//! Nothing here does I/O, reads a clock, or decides where a request goes.
+#![warn(missing_docs)]
 
-pub mod call;
+pub mod class_table;
+pub mod command;
 pub mod maintenance;
-pub mod retune;
-pub mod stats;
+pub mod statistics;
--- a/edge/proxy/src/admin/maintenance.rs
+++ b/edge/proxy/src/admin/maintenance.rs
@@ -1,106 +1,122 @@
-//! The pop caches out by hand, as they are told to the desk.
+//! The pop caches that are out of service by hand, applied to the endpoint list on its way to the event loop.
 
 use super::maintenance_file::MaintenanceFile;
 use foldmux::interface::State;
 use foldmux_core::desk::{DeskHandle, Notice};
 use foldmux_core::members::Listed;
-use foldmux_operations::maintenance::{Maintenance, Refused};
+use foldmux_operations::maintenance::{MaintenanceError, MaintenanceSet};
 use std::collections::HashMap;
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The pop caches out by hand, and the last line of each as the journal service told it. One lock over both and
-/// over telling the desk, so that what the journal says and what the operator says reach the desk in one order.
+/// The pop caches that are out of service by hand, and the last entry of each as the journal service listed it.
+///
+/// One lock is held over both and over sending to the event loop, so that what the journal service says and what
+/// operators say reach the event loop in one order.
 pub struct MaintenanceRegistry {
-    held: Mutex<Held>,
-    desk: DeskHandle,
-    /// Where the set is kept: `$TMPDIR`, shared with a new version started beside this one.
-    kept: Option<MaintenanceFile>,
+    state: Mutex<RegistryState>,
+    event_loop: DeskHandle,
+    /// Where the set is stored, for this process's successor and for one beside it.
+    file: Option<MaintenanceFile>,
 }
 
-struct Held {
-    out: Maintenance,
-    told: HashMap<Arc<str>, Listed>,
+struct RegistryState {
+    out_of_service: MaintenanceSet,
+    listed: HashMap<Arc<str>, Listed>,
+}
+
+/// How many endpoints are known.
+pub struct EndpointCounts {
+    /// All that are listed.
+    pub listed: usize,
+    /// Those of them that are not ready, or out of service by hand.
+    pub unhealthy: usize,
 }
 
 impl MaintenanceRegistry {
-    /// With what an earlier process of this place kept, where there is a file.
-    pub fn new(desk: DeskHandle, file: Option<PathBuf>) -> MaintenanceRegistry {
-        let kept = file.map(MaintenanceFile::new);
-        let out = kept
-            .as_ref()
-            .and_then(MaintenanceFile::read)
-            .unwrap_or_default();
-        if !out.is_empty() {
-            tracing::info!("maintenance: {} pop caches out by hand, as kept", out.len());
+    /// With what an earlier process stored in `file`, where there is one.
+    pub fn new(event_loop: DeskHandle, file: Option<PathBuf>) -> MaintenanceRegistry {
+        let file = file.map(MaintenanceFile::new);
+        let stored = file.as_ref().and_then(MaintenanceFile::read);
+        let out_of_service = stored.unwrap_or_default();
+        if !out_of_service.is_empty() {
+            let count = out_of_service.len();
+            tracing::info!("maintenance: {count} pop caches out by hand, as kept");
         }
         MaintenanceRegistry {
-            held: Mutex::new(Held {
-                out,
-                told: HashMap::new(),
+            state: Mutex::new(RegistryState {
+                out_of_service,
+                listed: HashMap::new(),
             }),
-            desk,
-            kept,
+            event_loop,
+            file,
         }
     }
 
-    fn held(&self) -> MutexGuard<'_, Held> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, RegistryState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells the desk what the journal service listed, with those out by hand as draining.
-    pub fn members(&self, full: bool, listed: Vec<Listed>) {
-        let mut held = self.held();
+    /// Forwards what the journal service listed, with those out of service by hand as draining. `full`: the list is whole,
+    /// and what it leaves out is gone.
+    pub fn forward(&self, full: bool, listed: Vec<Listed>) {
+        let mut state = self.state();
         if full {
-            held.told.clear();
+            state.listed.clear();
         }
-        let mut told = Vec::with_capacity(listed.len());
-        for line in listed {
-            match line.member.state {
-                State::Gone => held.told.remove(&line.name),
-                _ => held.told.insert(line.name.clone(), line.clone()),
+        let mut forwarded = Vec::with_capacity(listed.len());
+        for entry in listed {
+            match entry.member.state {
+                State::Gone => state.listed.remove(&entry.name),
+                _ => state.listed.insert(entry.name.clone(), entry.clone()),
             };
-            told.push(out_by_hand(&held.out, line));
+            forwarded.push(with_maintenance(&state.out_of_service, entry));
         }
-        self.desk.tell(Notice::Members { full, listed: told });
+        self.event_loop.tell(Notice::Members {
+            full,
+            listed: forwarded,
+        });
     }
 
-    /// `maint-on` and `maint-off`: `Ok(true)` where the set changed.
-    pub fn set(&self, id: &str, out: bool) -> Result<bool, Refused> {
-        let mut held = self.held();
-        let known = held.told.contains_key(id);
-        let one = |set: &mut Maintenance| {
-            if out {
-                set.on(id, known)
-            } else {
-                set.off(id, known)
-            }
+    /// Takes a pop cache out of service, or brings it back. Returns whether that changed anything.
+    ///
+    /// # Errors
+    ///
+    /// Where no pop cache has this id, or too many are out of service.
+    pub fn set(&self, id: &str, out_of_service: bool) -> Result<bool, MaintenanceError> {
+        let mut state = self.state();
+        let listed = state.listed.contains_key(id);
+        let change = |set: &mut MaintenanceSet| match out_of_service {
+            true => set.add(id, listed),
+            false => set.remove(id, listed),
         };
-        let (set, changed) = match &self.kept {
-            Some(kept) => kept.change(&held.out, one),
+        let (set, changed) = match &self.file {
+            Some(file) => file.change(&state.out_of_service, change),
             None => {
-                let mut set = held.out.clone();
-                let changed = one(&mut set);
+                let mut set = state.out_of_service.clone();
+                let changed = change(&mut set);
                 (set, changed)
             }
         };
-        self.take(&mut held, set);
+        self.apply(&mut state, set);
         changed
     }
 
-    /// Goes by another set from now on; how many listed pop caches that concerns.
-    fn take(&self, held: &mut Held, set: Maintenance) -> usize {
-        let differs = |line: &&Listed| set.holds(&line.name) != held.out.holds(&line.name);
-        let changed: Vec<Listed> = held
-            .told
+    /// Puts another set in place of the present one. Returns how many listed pop caches that changes.
+    fn apply(&self, state: &mut RegistryState, set: MaintenanceSet) -> usize {
+        let differs = |entry: &&Listed| {
+            set.contains(&entry.name) != state.out_of_service.contains(&entry.name)
+        };
+        let changed: Vec<Listed> = state
+            .listed
             .values()
             .filter(differs)
-            .map(|line| out_by_hand(&set, line.clone()))
+            .map(|entry| with_maintenance(&set, entry.clone()))
             .collect();
-        held.out = set;
+        state.out_of_service = set;
         let count = changed.len();
         if count > 0 {
-            self.desk.tell(Notice::Members {
+            self.event_loop.tell(Notice::Members {
                 full: false,
                 listed: changed,
             });
@@ -108,24 +124,29 @@
         count
     }
 
-    /// How many are listed, and how many of them are not ready or are out by hand: as told here, which the desk may be about
-    /// to take.
-    pub fn census(&self) -> (usize, usize) {
-        let held = self.held();
-        let unready = |l: &&Listed| l.member.state != State::Ready || held.out.holds(&l.name);
-        (held.told.len(), held.told.values().filter(unready).count())
+    /// Counts the endpoints as known here, which the event loop may be about to apply.
+    pub fn endpoint_counts(&self) -> EndpointCounts {
+        let state = self.state();
+        let is_unhealthy = |entry: &&Listed| {
+            entry.member.state != State::Ready || state.out_of_service.contains(&entry.name)
+        };
+        EndpointCounts {
+            listed: state.listed.len(),
+            unhealthy: state.listed.values().filter(is_unhealthy).count(),
+        }
     }
 
-    /// Takes what another process of this place (a version beside this one) wrote, where it differs: both count
-    /// as one edge proxy, and a pop cache that one of them takes out is out for both.
+    /// Applies what another process that serves this port (a version beside this one) stored: both count as one edge
+    /// proxy, and a pop cache that one of them takes out of service is out for both.
     pub fn sync(&self) {
-        let Some(kept) = &self.kept else { return };
-        // Read under the lock: a call here may change it between the reading and the taking.
-        let mut held = self.held();
-        let Some(set) = kept.read().filter(|set| *set != held.out) else {
+        let Some(file) = &self.file else { return };
+        // Read under the lock: a command here may change the file between the reading and the applying.
+        let mut state = self.state();
+        let stored = file.read();
+        let Some(set) = stored.filter(|set| *set != state.out_of_service) else {
             return;
         };
-        let changed = self.take(&mut held, set);
+        let changed = self.apply(&mut state, set);
         if changed > 0 {
             tracing::info!(
                 "maintenance: {changed} pop caches changed by the process beside this one"
@@ -133,15 +154,15 @@
         }
     }
 
-    /// Whether the set is shared with another process through a file.
-    pub fn shared(&self) -> bool {
-        self.kept.is_some()
+    /// Whether the set is shared with other processes through a file.
+    pub fn is_shared(&self) -> bool {
+        self.file.is_some()
     }
 }
 
-fn out_by_hand(out: &Maintenance, mut line: Listed) -> Listed {
-    if line.member.state == State::Ready && out.holds(&line.name) {
-        line.member.state = State::Draining;
+fn with_maintenance(out_of_service: &MaintenanceSet, mut entry: Listed) -> Listed {
+    if entry.member.state == State::Ready && out_of_service.contains(&entry.name) {
+        entry.member.state = State::Draining;
     }
-    line
+    entry
 }
--- a/edge/proxy/src/check_config.rs
+++ b/edge/proxy/src/check_config.rs
@@ -1,178 +1,191 @@
-//! What `check-config` and `plan` print.
+//! `foldmux check-config`: reads the configuration and the operator's file, and prints what they hold.
 
-use crate::hierarchy::Zones;
-use crate::{config, limits};
-use foldmux_hierarchy::plan::{plan, Plan};
+use crate::config::{self, ConfigError, NEXT_LINE};
+use crate::hierarchy::{HierarchyError, Zones};
+use crate::limits;
+use crate::operator_file::{self, OperatorFileError};
 use foldmux_hierarchy::tree::Kind;
+use foldmux_limits::table::Draft;
+use foldmux_limits::Account;
 use foldmux_operator::{Fleet, Hierarchy, Operator};
 use std::ffi::OsString;
-use std::path::{Path, PathBuf};
+use std::fmt;
+use std::path::PathBuf;
 
-/// Where the configuration is: the same file is read at the start and at each reload.
-pub fn place(file: Option<OsString>) -> Result<PathBuf, String> {
-    let file = file
-        .or_else(|| std::env::var_os("GW_CONFIG"))
-        .ok_or("no configuration: set GW_CONFIG")?;
-    Ok(file.into())
+/// Environment variable with the path of the configuration.
+const CONFIG_VARIABLE: &str = "GW_CONFIG";
+
+/// Why the files can't be used. Its text is what the program prints.
+#[derive(Debug)]
+pub enum CheckError {
+    /// No configuration is named.
+    NoConfig,
+    /// The configuration can't be used.
+    Config(ConfigError),
+    /// The operator's file can't be used.
+    Operator(OperatorFileError),
+    /// The hierarchy can't be used at this proxy.
+    Hierarchy(HierarchyError),
+    /// The fleet or the limits can't be used: every fault.
+    Faults(Vec<String>),
+    /// The DNS front can't be used; the text says why.
+    Dns(String),
+}
+
+impl fmt::Display for CheckError {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            CheckError::NoConfig => write!(out, "no configuration: set {CONFIG_VARIABLE}"),
+            CheckError::Config(error) => write!(out, "{error}"),
+            CheckError::Operator(error) => write!(out, "{error}"),
+            CheckError::Hierarchy(error) => write!(out, "{error}"),
+            CheckError::Faults(faults) => write!(out, "{}", faults.join(NEXT_LINE)),
+            CheckError::Dns(reason) => write!(out, "{reason}"),
+        }
+    }
 }
 
-pub fn load(file: &Path) -> Result<Operator, String> {
-    foldmux_operator::load(file).map_err(|faults| faults.join("\nfoldmux: "))
+impl std::error::Error for CheckError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            CheckError::Config(error) => Some(error),
+            CheckError::Operator(error) => Some(error),
+            CheckError::Hierarchy(error) => Some(error),
+            CheckError::NoConfig | CheckError::Faults(_) | CheckError::Dns(_) => None,
+        }
+    }
 }
 
-pub fn tree(file: &Path) -> Result<Hierarchy, String> {
-    load(file)?
-        .hierarchy
-        .ok_or_else(|| format!("{}: it has no hierarchy", file.display()))
+/// Where the configuration is: `file`, else the one that GW_CONFIG names.
+///
+/// # Errors
+///
+/// Where neither names one.
+pub fn config_path(file: Option<OsString>) -> Result<PathBuf, CheckError> {
+    let file = file.or_else(|| std::env::var_os(CONFIG_VARIABLE));
+    Ok(file.ok_or(CheckError::NoConfig)?.into())
 }
 
-pub fn check(config: Option<OsString>, operator: Option<PathBuf>) -> Result<(), String> {
-    let operator = operator
-        .map(|file| load(&file).map(|held| (file, held)))
-        .transpose()?;
-    let mut account = foldmux_limits::Account::default();
-    if config.is_some() || operator.is_none() || std::env::var_os("GW_CONFIG").is_some() {
-        let config = config::read(&place(config)?)?;
-        account = limits::account(&config.decoded, config.limits[0], config.limits[1]);
-        let (classes, bounds) = (config.decoded.classes.join(", "), config.bounds);
-        println!("{} on {}: classes {classes}", config.name, config.listen);
-        println!("{bounds:?}, {} events known", config.known.entries.len());
-        if let Some(fleet) = operator.as_ref().and_then(|(_, held)| held.fleet.as_ref()) {
-            let faults: Vec<String> = fleet.unknown(&config.decoded.classes).collect();
-            if !faults.is_empty() {
-                return Err(faults.join("\nfoldmux: "));
-            }
+/// Prints what the files hold. The configuration is read where one is named, or where there is no operator's file.
+///
+/// # Errors
+///
+/// Where a file can't be used; what comes before the fault has been printed.
+pub fn check(config: Option<OsString>, operator: Option<PathBuf>) -> Result<(), CheckError> {
+    let operator = match operator {
+        Some(file) => {
+            let content = operator_file::load(&file).map_err(CheckError::Operator)?;
+            Some((file, content))
         }
-        if let Some(hierarchy) = operator
-            .as_ref()
-            .and_then(|(_, held)| held.hierarchy.as_ref())
-        {
-            let settings = config.decoded.settings;
-            let zones = Zones {
-                names: config.decoded.zones,
-                own: settings.zone,
-                hub_of: settings.hub_of,
-            };
-            zones.notice(&hierarchy.tree)?;
+        None => None,
+    };
+    let config_is_named = config.is_some() || std::env::var_os(CONFIG_VARIABLE).is_some();
+    let account = match config_is_named || operator.is_none() {
+        true => check_config(config, operator.as_ref().map(|(_, content)| content))?,
+        false => Account::default(),
+    };
+    if let Some((file, content)) = operator {
+        println!("{}:", file.display());
+        check_operator(&content, &account)?;
+    }
+    Ok(())
+}
+
+/// Prints the configuration, and checks that the operator's file goes with it. Returns the account's rules.
+fn check_config(
+    file: Option<OsString>,
+    operator: Option<&Operator>,
+) -> Result<Account, CheckError> {
+    let config = config::read(&config_path(file)?).map_err(CheckError::Config)?;
+    let (decoded, bounds) = (&config.decoded, config.bounds);
+    println!(
+        "{} on {}: classes {}",
+        config.name,
+        config.listen,
+        decoded.classes.join(", ")
+    );
+    println!("{bounds:?}, {} events known", config.known.entries.len());
+    if let Some(fleet) = operator.and_then(|operator| operator.fleet.as_ref()) {
+        let faults: Vec<String> = fleet.unknown(&decoded.classes).collect();
+        if !faults.is_empty() {
+            return Err(CheckError::Faults(faults));
         }
     }
-    let Some((file, held)) = operator else {
-        return Ok(());
-    };
-    println!("{}:", file.display());
-    match &held.hierarchy {
+    if let Some(hierarchy) = operator.and_then(|operator| operator.hierarchy.as_ref()) {
+        Zones::of(decoded)
+            .notice(&hierarchy.tree)
+            .map_err(CheckError::Hierarchy)?;
+    }
+    Ok(limits::account(decoded, &config.limits))
+}
+
+/// Prints what the operator's file sets, a line or more for each part.
+fn check_operator(operator: &Operator, account: &Account) -> Result<(), CheckError> {
+    match &operator.hierarchy {
         None => println!("  hierarchy: off"),
-        Some(h) => {
-            let count = |kind| h.names(kind).len();
-            let (locations, hubs, tops) =
-                (count(Kind::Location), count(Kind::Hub), h.tree.tops().len());
-            println!(
-                "  hierarchy: tree {}, {locations} locations, {hubs} hubs, {tops} of them shields, {}",
-                h.tree.stamp(),
-                h.domain
-            );
-        }
+        Some(hierarchy) => print_hierarchy(hierarchy),
     }
-    held.relay
-        .iter()
-        .for_each(|relay| println!("  relay: {relay:?}"));
-    match &held.limits {
+    if let Some(relay) = &operator.relay {
+        println!("  relay: {relay:?}");
+    }
+    match &operator.limits {
         None => println!("  limits: off"),
-        Some(draft) => {
-            let table =
-                limits::table(&account, draft).map_err(|faults| faults.join("\nfoldmux: "))?;
-            let own = table
-                .all()
-                .filter(|resolved| !resolved.at.is_empty())
-                .count();
-            println!("  limits: {own} sets, {} budgets", table.budgets.len());
-        }
+        Some(draft) => check_limits(draft, account)?,
     }
-    match &held.ext_proc {
+    match &operator.ext_proc {
         None => println!("  ext_proc: off"),
-        Some(own) => println!("  ext_proc: {own:?}"),
+        Some(setup) => println!("  ext_proc: {setup:?}"),
     }
-    match &held.dns {
+    match &operator.dns {
         None => println!("  dns: off"),
         Some(dns) => {
-            foldmux_fronts::dns::server::zone(&dns.zone)?;
+            foldmux_fronts::dns::server::zone(&dns.zone).map_err(CheckError::Dns)?;
             println!("  dns: {dns:?}");
         }
     }
-    match &held.fleet {
+    match &operator.fleet {
         None => println!("  fleet: off"),
-        Some(fleet) => print!("{}", told(fleet)),
+        Some(fleet) => print_fleet(fleet),
     }
     Ok(())
 }
 
-/// A fleet, and a line for each thing that it shares.
-fn told(fleet: &Fleet) -> String {
-    let seats = fleet.seats.join(", ");
-    let mut text = format!(
-        "  fleet: {} peers, seats {seats}, on {}, leases of {} ms, clocks within {} percent\n",
+fn print_hierarchy(hierarchy: &Hierarchy) {
+    let count = |kind| hierarchy.names(kind).len();
+    println!(
+        "  hierarchy: tree {}, {} locations, {} hubs, {} of them shields, {}",
+        hierarchy.tree.stamp(),
+        count(Kind::Location),
+        count(Kind::Hub),
+        hierarchy.tree.tops().len(),
+        hierarchy.domain
+    );
+}
+
+fn check_limits(draft: &Draft, account: &Account) -> Result<(), CheckError> {
+    let table = limits::table(account, draft).map_err(CheckError::Faults)?;
+    let own = limits::own_sets(&table);
+    println!("  limits: {own} sets, {} budgets", table.budgets.len());
+    Ok(())
+}
+
+/// The fleet, and a line for each thing that it shares.
+fn print_fleet(fleet: &Fleet) {
+    println!(
+        "  fleet: {} peers, seats {}, on {}, leases of {} ms, clocks within {} percent",
         fleet.peers.len(),
+        fleet.seats.join(", "),
         fleet.listen,
         fleet.lease_ms,
         fleet.drift_percent
     );
-    fleet
-        .covers
-        .iter()
-        .for_each(|cover| text += &format!("    {:?}\n", cover.value));
-    fleet
-        .streams
-        .iter()
-        .for_each(|stream| text += &format!("    {stream:?}\n"));
-    fleet
-        .pools
-        .iter()
-        .for_each(|pool| text += &format!("    {pool:?}\n"));
-    text
-}
-
-/// Prints what a rewiring moves; an error where the tree in service would refuse it.
-pub fn tell(old: &Hierarchy, new: &Hierarchy) -> Result<(), String> {
-    let Plan {
-        came,
-        went,
-        rewired,
-        shields_moved,
-        ways_moved,
-        extra_fetches,
-    } = plan(&old.tree, &new.tree);
-    println!("tree {} -> {}", old.tree.stamp(), new.tree.stamp());
-    came.iter().for_each(|name| println!("  new      {name}"));
-    went.iter().for_each(|name| println!("  gone     {name}"));
-    for change in &rewired {
-        let (kind, name) = (change.kind, &change.name);
-        println!(
-            "  rewired  {kind} {name}: {} -> {}",
-            change.before.join(", "),
-            change.after.join(", ")
-        );
+    for cover in &fleet.covers {
+        println!("    {:?}", cover.value);
     }
-    let of = |kind| rewired.iter().filter(|c| c.kind == kind).count();
-    println!(
-        "{} locations and {} hubs rewired",
-        of(Kind::Location),
-        of(Kind::Hub)
-    );
-    println!(
-        "{:.1}% of objects get another shield",
-        shields_moved * 100.0
-    );
-    println!(
-        "{:.1}% of (location, object) go by other hubs",
-        ways_moved * 100.0
-    );
-    println!("{extra_fetches:.3} extra fetches from the archive for each held object, at the most");
-    let root = old.tree.name(old.tree.archive());
-    let wiring = foldmux_hierarchy::epochs::Wiring::new(root, old.tree.clone(), 0);
-    let mut wiring = wiring.map_err(|refused| refused.to_string())?;
-    match wiring.take(1, new.tree.clone()) {
-        Ok(taken) => println!("it would be taken ({taken:?})"),
-        Err(refused) => return Err(format!("it would be refused: {refused}")),
+    for stream in &fleet.streams {
+        println!("    {stream:?}");
+    }
+    for pool in &fleet.pools {
+        println!("    {pool:?}");
     }
-    Ok(())
 }
--- /dev/null
+++ b/edge/proxy/src/config/document.rs
@@ -0,0 +1,150 @@
+//! Reads the configuration's JSON document, and finds everything that is wrong with it.
+
+use super::unique_keys::UniqueKeys;
+use super::{Bounds, Config, ConfigError, Limits};
+use foldmux_event_stream::words::Feed;
+use foldmux_settings::section::{Faults, Section};
+use foldmux_settings::{decode, Decoded};
+use simd_json::{ErrorType, OwnedValue};
+use std::net::SocketAddr;
+
+/// Fewest descriptors that the program can serve with.
+const MIN_SOCKETS: usize = 64;
+/// Least memory that the program can serve with (MB).
+const MIN_MEMORY_MB: usize = 16;
+/// Greatest limit: beyond any machine's, and far below where a bound that follows from it overflows.
+const MAX_LIMIT: usize = 1 << 24;
+
+/// Reads a configuration.
+///
+/// # Errors
+///
+/// All that is wrong with it.
+pub fn parse(mut bytes: Vec<u8>) -> Result<Config, ConfigError> {
+    // The parser changes its input.
+    let UniqueKeys = simd_json::serde::from_slice(&mut bytes.clone()).map_err(unreadable)?;
+    let document: OwnedValue = simd_json::serde::from_slice(&mut bytes).map_err(unreadable)?;
+    let faults = Faults::default();
+    let config = decode_document(&Section::new("configuration", &document, &faults));
+    match faults.into_lines() {
+        lines if lines.is_empty() => Ok(config),
+        lines => Err(ConfigError::new(lines)),
+    }
+}
+
+fn unreadable(error: simd_json::Error) -> ConfigError {
+    ConfigError::one(match error.error() {
+        ErrorType::Serde(reason) => format!("configuration: {reason}"),
+        _ => format!("configuration: {error}"),
+    })
+}
+
+/// The result must not be used where a fault was recorded.
+fn decode_document(document: &Section) -> Config {
+    let settings = document.section("settings");
+    let decoded = decode(&settings);
+    check_class_names(&settings, &decoded.classes);
+    check_indices(&settings, &decoded);
+    let name: String = document.optional("name").unwrap_or_default();
+    let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
+    let listen = document.optional("listen").unwrap_or(unspecified);
+    if document.is_there() && document.get("listen").is_none() {
+        document.fault("listen", "missing");
+    }
+    let limits = decode_limits(&document.section("limits"));
+    Config {
+        seed: decode_seed(document, &name, listen),
+        name,
+        listen,
+        journal: document.optional("journal"),
+        operator: document.optional("operator"),
+        known: decode_known_events(document),
+        bounds: Bounds::new(&limits),
+        limits,
+        decoded,
+    }
+}
+
+/// Clients ask for a class by its name, so each has one of its own.
+fn check_class_names(settings: &Section, names: &[String]) {
+    for (index, name) in names.iter().enumerate() {
+        let key = format!("classes[{index}].name");
+        if name.is_empty() {
+            settings.fault(&key, "it is empty or missing");
+        } else if names[..index].contains(name) {
+            settings.fault(&key, format_args!("class {name:?} is named twice"));
+        }
+    }
+}
+
+/// Where the settings name zones and kinds, this proxy's zone and the kinds of parents and origin are among them.
+fn check_indices(settings: &Section, decoded: &Decoded) {
+    let check = |key: &str, index: usize, list: &str, names: &[String]| {
+        if !names.is_empty() && index >= names.len() {
+            settings.fault(
+                key,
+                format_args!("{index} is none of the {} in {list}", names.len()),
+            );
+        }
+    };
+    let (zones, kinds) = (&decoded.zones, &decoded.kinds);
+    let router = &decoded.settings;
+    check("locality", router.zone, "dcs", zones);
+    check("domain.originKind", router.origin_kind, "kinds", kinds);
+    if let Some(kind) = router.parent_kind {
+        check("domain.midKind", kind, "kinds", kinds);
+    }
+}
+
+fn decode_limits(section: &Section) -> Limits {
+    Limits {
+        memory_mb: decode_limit(section, "memory_mb", MIN_MEMORY_MB),
+        sockets: decode_limit(section, "sockets", MIN_SOCKETS),
+    }
+}
+
+fn decode_limit(section: &Section, key: &str, min: usize) -> usize {
+    let limit: usize = section.required(key);
+    if section.get(key).is_some() && limit < min {
+        section.fault(
+            key,
+            format_args!("{limit} is too little to serve with; {min} at least"),
+        );
+    }
+    if limit > MAX_LIMIT {
+        section.fault(key, format_args!("{limit} is over {MAX_LIMIT}"));
+    }
+    limit.min(MAX_LIMIT)
+}
+
+fn decode_seed(document: &Section, name: &str, listen: SocketAddr) -> u64 {
+    let text: String = document.optional("seed").unwrap_or_default();
+    if text.is_empty() {
+        return default_seed(name, listen);
+    }
+    u64::from_str_radix(&text, 16).unwrap_or_else(|_| {
+        document.fault(
+            "seed",
+            format_args!("{text:?} is no hexadecimal number of 64 bits"),
+        );
+        0
+    })
+}
+
+/// The seed where none is configured. Proxies must not make the same random choices, so it follows from what is a proxy's
+/// own.
+fn default_seed(name: &str, listen: SocketAddr) -> u64 {
+    format!("{name} {listen}")
+        .bytes()
+        .fold(0, |seed, byte| foldmux_stats::mix(seed ^ byte as u64))
+}
+
+fn decode_known_events(document: &Section) -> Feed {
+    let Some(value) = document.get("known") else {
+        return Feed::default();
+    };
+    simd_json::serde::from_refowned_value(value).unwrap_or_else(|error| {
+        document.fault("known", error);
+        Feed::default()
+    })
+}
--- a/edge/proxy/src/drain.rs
+++ b/edge/proxy/src/drain.rs
@@ -1,90 +1,131 @@
-//! The end: how long is served on after SIGTERM, and when it is over.
+//! The graceful shutdown of the client listener: which waits follow SIGTERM, and when the process may exit.
 
 use foldmux::interface::Time;
 use foldmux_core::clock::span;
 use foldmux_core::Core;
+use foldmux_fronts::listen::{accept_until, named, READER_STACK};
+use foldmux_fronts::msgpack::Front;
 use foldmux_fronts::places::Places;
+use std::net::TcpListener;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Served on after SIGTERM: new connections arrive for 0.4 s, requests on them for 0.2 s more.
-const SERVE_ON: Duration = Duration::from_millis(800);
-/// Connections are taken for this long after SIGTERM: 0.4 s, and time for those on their way then. After it those queued,
-/// and the listener closes.
-const TAKE_ON: Duration = Duration::from_millis(500);
-/// Of the platform's SIGKILL after SIGTERM: the longest deadline, at most 3 s, then 0.7 s; and what is kept back
-/// from that for the last answers to be written and read.
-const KILL_AFTER_MOST: Duration = Duration::from_secs(3);
+/// Connections are accepted for this long after SIGTERM: the platform opens new ones for 0.4 s, and some are on their
+/// way then. Those queued by the kernel are accepted after that, then the listener closes.
+const ACCEPT_FOR: Duration = Duration::from_millis(500);
+/// Requests are read from new connections for this long after SIGTERM: 0.2 s beyond the last connection, with a margin.
+const SERVE_FOR: Duration = Duration::from_millis(800);
+/// Longest request deadline that the platform waits for before SIGKILL.
+const MAX_KILL_DELAY: Duration = Duration::from_secs(3);
+/// The platform sends SIGKILL this long after the longest request deadline.
 const KILL_GRACE: Duration = Duration::from_millis(700);
+/// Reserved before SIGKILL for writing the last responses, and for clients to read them.
 const KILL_MARGIN: Duration = Duration::from_millis(250);
-/// Between the last answers of requests that are given up and the end: they have left, and their clients read them.
-pub const ANSWERS_READ: Duration = Duration::from_millis(50);
-/// How often it is looked whether all is over.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
-/// Longest wait for what is open after that: SIGKILL follows.
-pub const LONGEST: Duration = Duration::from_secs(6);
+/// From the last rejections to the deadline: they are written, and their clients read them.
+pub const ANSWER_MARGIN: Duration = Duration::from_millis(50);
+/// Longest wait for requests in flight after SIGTERM; SIGKILL follows.
+pub const MAX_DRAIN: Duration = Duration::from_secs(6);
+/// How often the end of the drain is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The time that the log names is rounded up to a multiple of this (ms).
+const LOGGED_STEP_MS: u128 = 10;
 
-/// From SIGTERM until all must be answered. SIGKILL comes no earlier than the longest deadline, taken as 3 s where it is
-/// longer, and 0.7 s after that.
-pub fn until_killed(longest: Time) -> Duration {
-    span(longest).min(KILL_AFTER_MOST) + KILL_GRACE - KILL_MARGIN
+/// From SIGTERM until every request must have been answered. `longest_deadline` (us): of the classes in service.
+pub fn time_until_kill(longest_deadline: Time) -> Duration {
+    span(longest_deadline).min(MAX_KILL_DELAY) + KILL_GRACE - KILL_MARGIN
 }
 
-/// What must be over before the process may end.
-pub struct Leaving {
+/// The client listener, its thread and its connections.
+pub struct ClientListener {
+    connections: Arc<Places>,
+    stop_accepting: Arc<AtomicBool>,
+    acceptor: JoinHandle<()>,
+}
+
+impl ClientListener {
+    /// Accepts connections for `front`, at most `max_connections` at once.
+    ///
+    /// # Errors
+    ///
+    /// Where no thread can be had.
+    pub fn start(
+        listener: TcpListener,
+        front: Arc<Front>,
+        max_connections: usize,
+    ) -> Result<ClientListener, String> {
+        let connections = Places::new(max_connections);
+        let stop_accepting = Arc::new(AtomicBool::new(false));
+        let (stop, places) = (stop_accepting.clone(), connections.clone());
+        let serve = move |place| front.serve(place);
+        let acceptor = named("accept", READER_STACK, move || {
+            accept_until(&listener, &places, READER_STACK, Arc::new(serve), &stop);
+            tracing::info!("no more connections are accepted");
+        })?;
+        Ok(ClientListener {
+            connections,
+            stop_accepting,
+            acceptor,
+        })
+    }
+
+    /// Whether no connection is open or queued any more.
+    fn is_closed(&self) -> bool {
+        self.acceptor.is_finished() && self.connections.count() == 0
+    }
+}
+
+/// What must end before the process may exit.
+pub struct Drain {
+    /// Whose requests are in flight.
     pub core: Arc<Core>,
-    pub connections: Arc<Places>,
-    /// Told to take no more connections; its thread then takes those queued and ends.
-    pub closing: Arc<AtomicBool>,
-    pub acceptor: JoinHandle<()>,
-    /// When SIGKILL may come.
-    pub by: Instant,
+    /// Where clients connect.
+    pub listener: ClientListener,
+    /// When every request must have been answered: SIGKILL may follow.
+    pub deadline: Instant,
 }
 
-impl Leaving {
-    /// Serves on for a while, answers what was taken, ends each connection once nothing is open on it, and returns when
-    /// all have gone. A client that does not close is waited for until `by`, and no longer.
-    /// From when the front's `leave_by` is set, it says that the process is not well.
-    pub fn leave(self) {
-        let told = Instant::now();
-        self.connections.leave();
-        let left = self
-            .by
-            .saturating_duration_since(told)
-            .as_millis()
-            .next_multiple_of(10);
-        tracing::info!("told to leave: what is taken is answered first, within {left} ms");
-        self.sleep_until(told + TAKE_ON);
-        self.closing.store(true, Ordering::SeqCst);
-        self.sleep_until(told + SERVE_ON);
-        self.connections.close();
-        while !self.is_over(told) {
-            self.connections.sweep();
-            thread::sleep(LOOK_EVERY);
+impl Drain {
+    /// Accepts and serves for a while, ends each connection once it is idle, and returns when nothing is in flight and
+    /// no client is connected. A client that does not close is waited for until the deadline, and no longer.
+    pub fn run(self) {
+        let started = Instant::now();
+        let connections = &self.listener.connections;
+        connections.leave();
+        self.log_start(started);
+        self.sleep_until(started + ACCEPT_FOR);
+        self.listener.stop_accepting.store(true, Ordering::SeqCst);
+        self.sleep_until(started + SERVE_FOR);
+        connections.close();
+        while !self.is_over(started) {
+            connections.sweep();
+            thread::sleep(POLL_INTERVAL);
         }
-        let (open, connected) = (self.core.open(), self.connections.count());
+        let (in_flight, connected) = (self.core.open(), connections.count());
         tracing::info!(
-            "left {:?} after the signal, {open} open, {connected} connected",
-            told.elapsed()
+            "shut down {:?} after the signal, {in_flight} in flight, {connected} connected",
+            started.elapsed()
         );
     }
 
-    /// Where SIGKILL may come soon, the serving time is cut short.
+    fn log_start(&self, started: Instant) {
+        let left = self.deadline.saturating_duration_since(started);
+        let left = left.as_millis().next_multiple_of(LOGGED_STEP_MS);
+        tracing::info!("draining: requests in flight are answered first, within {left} ms");
+    }
+
+    /// Sleeps until `moment`, or until the deadline where that is earlier.
     fn sleep_until(&self, moment: Instant) {
-        thread::sleep(
-            moment
-                .min(self.by)
-                .saturating_duration_since(Instant::now()),
-        );
+        let wake = moment.min(self.deadline);
+        thread::sleep(wake.saturating_duration_since(Instant::now()));
     }
 
-    fn is_over(&self, told: Instant) -> bool {
-        if told.elapsed() >= LONGEST {
+    fn is_over(&self, started: Instant) -> bool {
+        if started.elapsed() >= MAX_DRAIN {
             return true;
         }
-        let gone = self.acceptor.is_finished() && self.connections.count() == 0;
-        self.core.open() == 0 && (gone || Instant::now() >= self.by)
+        let clients_gone = self.listener.is_closed() || Instant::now() >= self.deadline;
+        self.core.open() == 0 && clients_gone
     }
 }
--- a/edge/proxy/src/hierarchy.rs
+++ b/edge/proxy/src/hierarchy.rs
@@ -1,112 +1,173 @@
-//! The fill tree in service at this edge proxy, by the operator's file: told to the module as the zones whose
-//! parents it may name. Without a hierarchy in the file the settings hold, and nothing here is started.
+//! The fill hierarchy of the operator's file, in service at this edge proxy: applied to the router as the zones whose
+//! parents it may use. Without a hierarchy in the file the settings hold, and nothing here is started.
 
 use foldmux_core::clock::Clock;
 use foldmux_core::desk::{DeskHandle, Notice};
 use foldmux_hierarchy::epochs::{Taken, Wiring};
-use foldmux_hierarchy::tree::{Kind, Tree};
+use foldmux_hierarchy::tree::{Ix, Kind, Tree};
 use foldmux_operator::Hierarchy;
+use foldmux_settings::Decoded;
+use std::fmt;
 
-/// What the settings call the zones, where this proxy stands, and the hubs that they give.
+/// The zones of the settings, where this proxy stands among them, and the hub of each.
 #[derive(Clone, Debug)]
 pub struct Zones {
+    /// The zones' names, in the order of their numbers.
     pub names: Vec<String>,
+    /// The number of this proxy's zone.
     pub own: usize,
+    /// The number of each zone's hub.
     pub hub_of: Vec<usize>,
 }
 
-pub struct ActiveHierarchy {
-    wiring: Wiring,
-    zones: Zones,
-    clock: Clock,
-    desk: DeskHandle,
+/// Why a hierarchy can't be used at this proxy.
+#[derive(Debug, PartialEq, Eq)]
+pub enum HierarchyError {
+    /// This proxy's zone is no location of the tree.
+    NoLocation(String),
+    /// A hub of the tree is no zone of the settings.
+    UnknownHub(String),
+    /// The tree can't follow on the one in service; the text says why.
+    Refused(String),
+}
+
+impl fmt::Display for HierarchyError {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            HierarchyError::NoLocation(zone) => {
+                write!(out, "{zone}, this proxy's zone, is no location of the tree")
+            }
+            HierarchyError::UnknownHub(hub) => {
+                write!(out, "the hub {hub} is no zone of the settings")
+            }
+            HierarchyError::Refused(reason) => write!(out, "{reason}"),
+        }
+    }
 }
 
+impl std::error::Error for HierarchyError {}
+
 impl Zones {
-    fn number(&self, name: &str) -> Option<usize> {
-        self.names.iter().position(|zone| zone == name)
+    /// The zones of a configuration.
+    pub fn of(decoded: &Decoded) -> Zones {
+        Zones {
+            names: decoded.zones.clone(),
+            own: decoded.settings.zone,
+            hub_of: decoded.settings.hub_of.clone(),
+        }
+    }
+
+    fn own_name(&self) -> &str {
+        self.names.get(self.own).map_or("", String::as_str)
     }
 
-    /// What of a tree concerns this proxy, or why it can't be used here.
-    pub fn notice(&self, tree: &Tree) -> Result<Notice, String> {
-        let own = self.names.get(self.own).map_or("", String::as_str);
-        let ix = tree
-            .find(own)
-            .filter(|ix| tree.node(*ix).kind == Kind::Location);
-        let ix =
-            ix.ok_or_else(|| format!("{own}, this proxy's zone, is no location of the tree"))?;
-        let of = |ix| -> Result<Vec<usize>, String> {
-            let hubs = tree
-                .node(ix)
-                .parents
-                .iter()
-                .filter(|p| **p != tree.archive());
-            hubs.map(|hub| {
-                let name = tree.name(*hub);
-                self.number(name)
-                    .ok_or_else(|| format!("the hub {name} is no zone of the settings"))
-            })
-            .collect()
-        };
+    /// What of a tree concerns this proxy.
+    ///
+    /// # Errors
+    ///
+    /// Where the tree can't be used here.
+    pub fn notice(&self, tree: &Tree) -> Result<Notice, HierarchyError> {
+        let own = self.own_name();
+        let own_location =
+            location(tree, own).ok_or_else(|| HierarchyError::NoLocation(own.to_string()))?;
         let mut hub_of = self.hub_of.clone();
         for (zone, name) in self.names.iter().enumerate() {
             // A zone that the tree doesn't name keeps the hub that the settings give.
-            let hubs = tree
-                .find(name)
-                .filter(|ix| tree.node(*ix).kind == Kind::Location)
-                .map(of)
-                .transpose()?;
-            let first = hubs.and_then(|hubs| hubs.first().copied());
-            if let (Some(held), Some(first)) = (hub_of.get_mut(zone), first) {
-                *held = first;
+            let Some(location) = location(tree, name) else {
+                continue;
+            };
+            let first = self.hubs(tree, location)?.first().copied();
+            if let (Some(hub), Some(first)) = (hub_of.get_mut(zone), first) {
+                *hub = first;
             }
         }
         Ok(Notice::Wired {
-            hubs: of(ix)?,
+            hubs: self.hubs(tree, own_location)?,
             hub_of,
         })
     }
+
+    /// The hubs of a location, by their numbers among the zones.
+    fn hubs(&self, tree: &Tree, location: Ix) -> Result<Vec<usize>, HierarchyError> {
+        let parents = tree.node(location).parents.iter();
+        let hubs = parents.filter(|parent| **parent != tree.archive());
+        hubs.map(|hub| self.number(tree.name(*hub))).collect()
+    }
+
+    fn number(&self, hub: &str) -> Result<usize, HierarchyError> {
+        self.names
+            .iter()
+            .position(|zone| zone == hub)
+            .ok_or_else(|| HierarchyError::UnknownHub(hub.to_string()))
+    }
+}
+
+fn location(tree: &Tree, name: &str) -> Option<Ix> {
+    tree.find(name)
+        .filter(|index| tree.node(*index).kind == Kind::Location)
+}
+
+/// The hierarchy in service.
+pub struct ActiveHierarchy {
+    versions: Wiring,
+    zones: Zones,
+    clock: Clock,
+    event_loop: DeskHandle,
 }
 
 impl ActiveHierarchy {
-    /// Takes the tree of the start and tells the module.
+    /// Applies the tree of the start to the router.
+    ///
+    /// # Errors
+    ///
+    /// Where the tree can't be used here.
     pub fn start(
         hierarchy: &Hierarchy,
         zones: Zones,
         clock: Clock,
-        desk: DeskHandle,
-    ) -> Result<ActiveHierarchy, String> {
+        event_loop: DeskHandle,
+    ) -> Result<ActiveHierarchy, HierarchyError> {
         let notice = zones.notice(&hierarchy.tree)?;
-        let own = zones.names.get(zones.own).map_or("", String::as_str);
-        let wiring = Wiring::new(own, hierarchy.tree.clone(), hierarchy.overlap_ms * 1_000);
-        let wiring = wiring.map_err(|refused| refused.to_string())?;
-        desk.tell(notice);
+        let overlap = hierarchy.overlap_ms * 1_000;
+        let versions = Wiring::new(zones.own_name(), hierarchy.tree.clone(), overlap)
+            .map_err(|refused| HierarchyError::Refused(refused.to_string()))?;
+        event_loop.tell(notice);
         Ok(ActiveHierarchy {
-            wiring,
+            versions,
             zones,
             clock,
-            desk,
+            event_loop,
         })
     }
 
-    /// Tells the module the tree in service once more: its settings were taken anew, and what they say of hubs is not what
+    /// Applies the tree in service once more: the router's settings were replaced, and what they say of hubs is not what
     /// the tree says.
-    pub fn tell_again(&self) -> Result<(), String> {
-        self.desk.tell(self.zones.notice(self.wiring.present())?);
+    ///
+    /// # Errors
+    ///
+    /// Where the tree can't be used here.
+    pub fn reapply(&self) -> Result<(), HierarchyError> {
+        let notice = self.zones.notice(self.versions.present())?;
+        self.event_loop.tell(notice);
         Ok(())
     }
 
-    /// A new tree, or why it changes nothing.
-    pub fn take(&mut self, hierarchy: &Hierarchy) -> Result<String, String> {
+    /// Puts another tree in service. Returns a line that says which tree is in service now.
+    ///
+    /// # Errors
+    ///
+    /// Where the tree can't be used here; then nothing changes.
+    pub fn replace(&mut self, hierarchy: &Hierarchy) -> Result<String, HierarchyError> {
         let notice = self.zones.notice(&hierarchy.tree)?;
-        let taken = self.wiring.take(self.clock.now(), hierarchy.tree.clone());
-        if taken.map_err(|refused| refused.to_string())? == Taken::New {
-            self.desk.tell(notice);
+        let taken = self
+            .versions
+            .take(self.clock.now(), hierarchy.tree.clone())
+            .map_err(|refused| HierarchyError::Refused(refused.to_string()))?;
+        if taken == Taken::New {
+            self.event_loop.tell(notice);
         }
-        Ok(format!(
-            "tree {} is in service",
-            self.wiring.present().stamp()
-        ))
+        let stamp = self.versions.present().stamp();
+        Ok(format!("tree {stamp} is in service"))
     }
 }
 
--- a/edge/proxy/src/hierarchy/tests.rs
+++ b/edge/proxy/src/hierarchy/tests.rs
@@ -1,4 +1,4 @@
-//! A tree as it is told to the module.
+//! A tree as it is applied to the router.
 
 use super::*;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_tree_is_told_as_zones_or_refused_with_a_reason() {
+fn a_tree_is_applied_as_zones_or_refused_with_a_reason() {
     let names = ["south", "east", "porvoo", "kotka"]
         .map(str::to_string)
         .to_vec();
@@ -33,13 +33,13 @@
     }
     let without = zones.notice(&tree(hubs)).err().unwrap();
     assert_eq!(
-        without,
+        without.to_string(),
         "porvoo, this proxy's zone, is no location of the tree"
     );
     let unknown =
         "hub(\"west\", parents = [\"archive\"])\nlocation(\"porvoo\", parents = [\"west\"])";
     assert_eq!(
-        zones.notice(&tree(unknown)).err().unwrap(),
+        zones.notice(&tree(unknown)).err().unwrap().to_string(),
         "the hub west is no zone of the settings"
     );
 }
--- a/edge/proxy/src/journal.rs
+++ b/edge/proxy/src/journal.rs
@@ -1,186 +1,181 @@
-//! The watch on the journal service: a gapless long poll. Events are taken in order, each once; an answer that is lost,
-//! torn or garbled changes nothing and is asked for again.
+//! The client of the journal service: follows its events by a long poll without gaps. Events are applied in order, each
+//! once; a response that is lost, cut off or garbled changes nothing, and is requested again.
 //!
-//! Owns: how an answer is asked for and read ([`request`]), what its events say to the desk ([`commands`]),
-//! the poll loop ([`poll`]) and where the service is ([`service`]).
+//! [`poll`] is the loop, [`request`] one request and its response, [`service`] the connection and a move to another
+//! address, [`events`] turns events into endpoints and purges for the event loop.
 
-use commands::List;
+use events::{EndpointUpdate, EventDecoder};
 use foldmux_core::clock::Clock;
 use foldmux_core::desk::{DeskHandle, Notice};
 use foldmux_core::members::Listed;
-use foldmux_event_stream::Desk;
+use foldmux_event_stream::Desk as EventStream;
 use foldmux_upstream::pool::Pool;
-use start_times::StartTimes;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
+pub use events::Names;
 pub use foldmux_event_stream::words::{Entry, Feed};
-pub use service::Service;
+pub use service::JournalService;
 
-mod commands;
+mod events;
 mod poll;
 mod request;
 mod service;
 mod start_times;
 
-/// What the journal's words stand for: the settings' zones and kinds.
-#[derive(Clone)]
-pub struct Names {
-    pub zones: Vec<String>,
-    pub kinds: Vec<String>,
-}
-
+/// Applies the journal's events to the event loop's endpoint list and caches.
 #[derive(Clone)]
 pub struct JournalClient {
-    pub names: Names,
-    pub clock: Clock,
-    pub desk: DeskHandle,
+    decoder: EventDecoder,
+    event_loop: DeskHandle,
+    /// The connections to pop caches: those that idled for too long are closed between polls.
     pub pool: Arc<Pool>,
-    /// Set once a list is in: the proxy is well.
-    pub listed: Arc<AtomicBool>,
-    /// Where lists go by, for those out by hand; else straight to the desk.
-    pub hand: Option<Arc<crate::admin::MaintenanceRegistry>>,
-    /// Where this process shares what it reads with others of its site, and is told what they read.
-    shared: Option<Shared>,
-    boots: StartTimes,
-    /// The number of the last event that was taken.
-    pos: u64,
+    /// Set once a whole endpoint list was applied: from then on the process is ready.
+    listed: Arc<AtomicBool>,
+    /// Where endpoints are forwarded to, for those out of service by hand; else straight to the event loop.
+    pub maintenance: Option<Arc<crate::admin::MaintenanceRegistry>>,
+    /// Where this process shares the events that it reads with others of its site, and gets what they read.
+    shared: Option<SharedStream>,
+    /// The number of the last event that was applied.
+    position: u64,
 }
 
 #[derive(Clone)]
-struct Shared {
-    desk: Arc<Desk>,
-    /// The greatest index of a list that was taken: what comes by another way may be older.
-    newest: Arc<Mutex<u64>>,
+struct SharedStream {
+    stream: Arc<EventStream>,
+    /// The greatest index of an endpoint list that was applied: what comes from another process may be older.
+    newest_index: Arc<Mutex<u64>>,
 }
 
 impl JournalClient {
+    /// A client that has applied no event.
     pub fn new(
         names: Names,
         clock: Clock,
-        desk: DeskHandle,
+        event_loop: DeskHandle,
         pool: Arc<Pool>,
         listed: Arc<AtomicBool>,
     ) -> JournalClient {
-        let (hand, shared, boots) = (None, None, StartTimes::default());
         JournalClient {
-            names,
-            clock,
-            desk,
+            decoder: EventDecoder::new(names, clock),
+            event_loop,
             pool,
             listed,
-            hand,
-            shared,
-            boots,
-            pos: 0,
+            maintenance: None,
+            shared: None,
+            position: 0,
         }
     }
 
-    /// Takes the events that follow on those already taken: all of them, or none where one is missing or out of order.
-    /// False if so; the next call asks for them again.
-    pub fn take(&mut self, feed: &Feed) -> bool {
-        let Some(following) = following(&feed.entries, self.pos) else {
+    /// Applies the events that follow those already applied: all of them, or none where one is missing or out of order.
+    /// Returns false in that case; the next poll requests them again.
+    pub fn apply(&mut self, feed: &Feed) -> bool {
+        let Some(following) = following(&feed.entries, self.position) else {
             return false;
         };
         if let Some(last) = following.last() {
-            self.pos = last.pos;
-            self.tell_read(&following);
+            self.position = last.pos;
+            self.apply_from_source(&following);
         }
         true
     }
 
-    /// Takes a telling of all events from 1, by a service that numbers them anew: its lists come to one whole list, and
-    /// what that leaves out has gone. False where it is no such telling; then nothing changes.
-    fn take_anew(&mut self, feed: &Feed) -> bool {
+    /// Applies all events from 1 on, by a service that numbers them anew. Its lists come to one whole list, and what that
+    /// leaves out is gone. Returns false where the feed is no such restart; then nothing changes.
+    fn apply_restart(&mut self, feed: &Feed) -> bool {
         let Some(entries) = following(&feed.entries, 0) else {
             return false;
         };
         let Some(last) = entries.last().filter(|last| last.pos == feed.last()) else {
             return false;
         };
-        let whole = |entry: &&Entry| entry.hosts.as_ref().is_some_and(|hosts| hosts.snapshot);
-        if !entries.iter().any(whole) {
+        let has_snapshot = |entry: &&Entry| entry.hosts.as_ref().is_some_and(|list| list.snapshot);
+        if !entries.iter().any(has_snapshot) {
             return false;
         }
-        self.pos = last.pos;
-        self.tell_read(&entries);
+        self.position = last.pos;
+        self.apply_from_source(&entries);
         true
     }
 
-    /// Tells of events that this process read at the source.
-    fn tell_read(&self, entries: &[&Entry]) {
-        let Some(Shared { desk, newest }) = &self.shared else {
-            return self.tell(entries, None);
+    /// Applies events that this process read at the service.
+    fn apply_from_source(&self, entries: &[&Entry]) {
+        let Some(SharedStream {
+            stream,
+            newest_index,
+        }) = &self.shared
+        else {
+            return self.apply_entries(entries, None);
         };
-        entries.iter().for_each(|entry| desk.count(entry));
-        let mut newest = newest.lock().unwrap_or_else(PoisonError::into_inner);
-        self.tell(entries, Some(&mut newest));
+        entries.iter().for_each(|entry| stream.count(entry));
+        let mut newest_index = newest_index.lock().unwrap_or_else(PoisonError::into_inner);
+        self.apply_entries(entries, Some(&mut newest_index));
     }
 
-    /// Tells of several events at once: the desk hears of no state of a member that a later one of them changes. Guards
-    /// against one that drains or has gone being ready for a moment, because its former state is told first.
-    fn tell(&self, entries: &[&Entry], newest: Option<&mut u64>) {
-        if let Some(List {
-            full,
-            index,
-            listed,
-        }) = self.list(entries)
-        {
-            // A whole list counts from its own index.
-            newest
-                .into_iter()
-                .for_each(|newest| *newest = index.max(if full { 0 } else { *newest }));
-            self.tell_list(full, listed);
+    /// Applies several events at once. The event loop sees only the last state of each member: one that drains or is gone
+    /// by a later event must not be ready for a moment.
+    fn apply_entries(&self, entries: &[&Entry], newest_index: Option<&mut u64>) {
+        if let Some(update) = self.decoder.endpoints(entries) {
+            if let Some(newest_index) = newest_index {
+                // A whole list starts anew from its own index.
+                let former = if update.full { 0 } else { *newest_index };
+                *newest_index = update.index.max(former);
+            }
+            self.apply_endpoints(update);
         }
         for entry in entries {
-            let purged = entry
-                .expire
-                .as_ref()
-                .and_then(|expire| self.purged(entry.pos, expire));
-            purged.into_iter().for_each(|notice| self.desk.tell(notice));
+            let purge = entry.expire.as_ref();
+            let purge = purge.and_then(|expire| self.decoder.purge(entry.pos, expire));
+            if let Some(purge) = purge {
+                self.event_loop.tell(purge);
+            }
         }
     }
 
-    fn tell_list(&self, full: bool, listed: Vec<Listed>) {
-        match &self.hand {
-            Some(hand) => hand.members(full, listed),
-            None => self.desk.tell(Notice::Members { full, listed }),
-        }
+    fn apply_endpoints(&self, update: EndpointUpdate) {
+        let EndpointUpdate { full, listed, .. } = update;
+        self.forward(full, listed);
         if full {
             self.listed.store(true, Ordering::SeqCst);
         }
     }
 
-    /// From now on this process's reading of the source is shared by `desk`; what others read comes by
-    /// [`JournalClient::relayed`] of a clone.
-    pub fn share(&mut self, desk: Arc<Desk>) {
-        self.shared = Some(Shared {
-            desk,
-            newest: Arc::default(),
+    fn forward(&self, full: bool, listed: Vec<Listed>) {
+        match &self.maintenance {
+            Some(maintenance) => maintenance.forward(full, listed),
+            None => self.event_loop.tell(Notice::Members { full, listed }),
+        }
+    }
+
+    /// From now on `stream` shares what this process reads at the service. What others read is applied by
+    /// [`JournalClient::apply_relayed`] of a clone.
+    pub fn share(&mut self, stream: Arc<EventStream>) {
+        self.shared = Some(SharedStream {
+            stream,
+            newest_index: Arc::default(),
         });
     }
 
-    /// Events by way of a relay. A list older than the one that was taken is passed over: purges can't be too old.
-    pub fn relayed(&self, entries: &[Entry]) {
-        let Some(Shared { newest, .. }) = &self.shared else {
+    /// Applies events that another process read. An endpoint list older than the one that was applied is ignored; a
+    /// purge can't be too old.
+    pub fn apply_relayed(&self, entries: &[Entry]) {
+        let Some(SharedStream { newest_index, .. }) = &self.shared else {
             return;
         };
         for entry in entries {
-            let mut newest = newest.lock().unwrap_or_else(PoisonError::into_inner);
-            let older = entry
-                .hosts
-                .as_ref()
-                .is_some_and(|hosts| hosts.index < *newest);
-            if !older {
-                self.tell(&[entry], Some(&mut newest));
+            let mut newest_index = newest_index.lock().unwrap_or_else(PoisonError::into_inner);
+            let list = entry.hosts.as_ref();
+            let outdated = list.is_some_and(|list| list.index < *newest_index);
+            if !outdated {
+                self.apply_entries(&[entry], Some(&mut newest_index));
             }
         }
     }
 }
 
-/// The events after number `pos`, those before passed over; none where one is missing or out of order.
-fn following(entries: &[Entry], pos: u64) -> Option<Vec<&Entry>> {
-    let (mut last, mut following) = (pos, Vec::new());
+/// The events after number `position`; `None` where one is missing or out of order.
+fn following(entries: &[Entry], position: u64) -> Option<Vec<&Entry>> {
+    let (mut last, mut following) = (position, Vec::new());
     for entry in entries {
         if entry.pos <= last {
             continue;
--- a/edge/proxy/src/journal/poll.rs
+++ b/edge/proxy/src/journal/poll.rs
@@ -1,159 +1,184 @@
-//! The poll loop: asks for the events that follow, wherever the service is, for as long as the program runs.
+//! The poll loop: requests the events that follow, wherever the service is, for as long as the process runs.
 
-use super::request::{Call, Fault, MOST_ANSWER, PATIENCE};
-use super::{Feed, JournalClient, Service};
-use crate::backoff::{Backoff, LONGEST};
-use foldmux_event_stream::Desk;
-use std::net::SocketAddr;
+use super::request::{PollError, PollRequest, MAX_RESPONSE, RESPONSE_TIMEOUT};
+use super::service::{JournalService, Location};
+use super::{Feed, JournalClient};
+use crate::backoff::{Backoff, LONGEST as MAX_BACKOFF};
+use foldmux_event_stream::Desk as EventStream;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Asked for at the longest: short, so that a connection that went silent is noticed well within [`TOLD`]. Each poll
-/// asks for a part of its own.
+/// Longest wait that a poll asks the service for; each asks for a random part of it. Short, so that a connection that
+/// fell silent is noticed well within [`DELIVERY_TIME`].
 const MAX_WAIT: Duration = Duration::from_millis(1_000);
-/// By the platform's protocol: after this all that the service has to tell counts as told.
-const TOLD: Duration = Duration::from_secs(7);
-/// From the moment in which a connection falls silent until the next call is written, at the longest: the wait for the
-/// answer, the pause after it and the dial.
-const SILENCE: Duration = MAX_WAIT
-    .saturating_add(PATIENCE)
-    .saturating_add(LONGEST)
-    .saturating_add(PATIENCE);
-/// Two connections that fall silent one after the other leave time for a third.
-const _: () = assert!(SILENCE.saturating_mul(2).as_millis() < TOLD.as_millis());
+/// By the platform's protocol, what the service has to tell counts as delivered after this.
+const DELIVERY_TIME: Duration = Duration::from_secs(7);
+/// Longest time from when a connection falls silent to when the next request is written: the wait for the response, the
+/// backoff and the dial.
+const MAX_SILENCE: Duration = MAX_WAIT
+    .saturating_add(RESPONSE_TIMEOUT)
+    .saturating_add(MAX_BACKOFF)
+    .saturating_add(RESPONSE_TIMEOUT);
+// Two connections that fall silent in a row leave time for a third.
+const _: () = assert!(MAX_SILENCE.saturating_mul(2).as_millis() < DELIVERY_TIME.as_millis());
 
-/// What an answer came to.
+/// What a response came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Polled {
-    Taken,
-    /// It had no event that follows.
-    Nothing,
+    /// Events were applied.
+    Applied,
+    /// There was no event that follows.
+    NoEvents,
 }
 
-/// Where the service is, and how often it had moved by then.
-#[derive(Clone, Copy)]
-pub struct Place {
-    pub address: SocketAddr,
-    pub moves: u64,
-}
-
-struct Watch<'a> {
-    journal: JournalClient,
-    service: &'a Service,
+struct PollLoop<'a> {
+    client: JournalClient,
+    service: &'a JournalService,
+    /// The stream that shares the events with other processes, where there is one.
+    shared: Option<Arc<EventStream>>,
     buffer: Vec<u8>,
-    /// An answer ended before an event that was taken. Either it was an old one, or the service numbers its events anew:
-    /// the next call asks, on another connection, for all of them from 1.
-    recount: bool,
+    /// A response ended before an event that was applied: it was an old one, or the service numbers its events anew. The
+    /// next poll requests, on another connection, all events from 1.
+    restart: bool,
 }
 
 impl JournalClient {
-    /// Polls for as long as the program runs, wherever the service is; asks again as `backoff` says.
-    pub fn follow(self, service: &Service, backoff: Backoff) {
-        let shared = self.shared.as_ref().map(|shared| shared.desk.clone());
-        let buffer = vec![0; MOST_ANSWER];
-        Watch {
-            journal: self,
+    /// Polls for as long as the process runs, wherever the service is. `backoff` spaces the retries.
+    pub fn follow(self, service: &JournalService, backoff: Backoff) {
+        let shared = self.shared.as_ref().map(|shared| shared.stream.clone());
+        let mut poll_loop = PollLoop {
+            client: self,
             service,
-            buffer,
-            recount: false,
-        }
-        .run(shared, backoff);
+            shared,
+            buffer: vec![0; MAX_RESPONSE],
+            restart: false,
+        };
+        poll_loop.run(backoff);
     }
 }
 
-impl Watch<'_> {
-    fn run(mut self, shared: Option<Arc<Desk>>, mut backoff: Backoff) {
+impl PollLoop<'_> {
+    fn run(&mut self, mut backoff: Backoff) {
         loop {
-            // One that was not read for a while is asked for what there is.
-            let at_once = shared.as_ref().is_some_and(|desk| desk.gate.pass());
-            let max_wait = if at_once {
-                Duration::ZERO
-            } else {
-                backoff.hold(MAX_WAIT)
-            };
-            let place = self.service.current();
-            let asked = Instant::now();
-            match self.poll(place, max_wait) {
-                // Guards against a loop without a pause, where the service does not hold a call as long as it is asked to.
-                Ok(Polled::Nothing) if asked.elapsed() < max_wait / 2 => {
-                    shared.iter().for_each(|desk| desk.fed());
-                    self.service.pause(place.moves, backoff.failed());
-                }
-                Ok(_) => {
-                    backoff.well();
-                    shared.iter().for_each(|desk| desk.fed());
-                }
-                // What ended with the move to another address is no news of the service.
-                Err(_) if self.service.pause(place.moves, Duration::ZERO) => backoff.well(),
-                Err(fault) => {
-                    let wait = backoff.failed();
-                    tracing::warn!("journal service: {fault}; asking again in {wait:?}");
-                    self.service.hang_up();
-                    shared.iter().for_each(|desk| desk.unfed());
-                    self.service.pause(place.moves, wait);
-                }
+            self.poll_once(&mut backoff);
+            if self.is_gate_shut() {
+                self.service.close_connection();
+            }
+            self.client.pool.sweep();
+        }
+    }
+
+    fn poll_once(&mut self, backoff: &mut Backoff) {
+        let max_wait = self.next_wait(backoff);
+        let location = self.service.location();
+        let asked = Instant::now();
+        match self.poll(location, max_wait) {
+            // Without a pause this would spin where the service does not hold requests for as long as they ask.
+            Ok(Polled::NoEvents) if asked.elapsed() < max_wait / 2 => {
+                self.report_fed();
+                let pause = backoff.failed();
+                self.service.sleep_unless_moved(location.moves, pause);
             }
-            if shared.as_ref().is_some_and(|desk| desk.gate.shut()) {
-                self.service.hang_up();
+            Ok(_) => {
+                backoff.well();
+                self.report_fed();
             }
-            self.journal.pool.sweep();
+            // A poll that was ended by a move says nothing of the service.
+            Err(_)
+                if self
+                    .service
+                    .sleep_unless_moved(location.moves, Duration::ZERO) =>
+            {
+                backoff.well()
+            }
+            Err(error) => {
+                let pause = backoff.failed();
+                tracing::warn!("journal service: {error}; asking again in {pause:?}");
+                self.service.close_connection();
+                if let Some(stream) = &self.shared {
+                    stream.unfed();
+                }
+                self.service.sleep_unless_moved(location.moves, pause);
+            }
+        }
+    }
+
+    /// After a while without polls, what there is now is requested at once.
+    fn next_wait(&self, backoff: &mut Backoff) -> Duration {
+        let shared = self.shared.as_ref();
+        match shared.is_some_and(|stream| stream.gate.pass()) {
+            true => Duration::ZERO,
+            false => backoff.hold(MAX_WAIT),
         }
     }
 
-    fn poll(&mut self, place: Place, max_wait: Duration) -> Result<Polled, Fault> {
-        let stream = self.service.connection(place)?;
-        let tail = if self.recount { 0 } else { self.journal.pos };
-        let call = Call {
-            address: place.address,
-            tail,
+    /// Whether another process of the site reads the service now.
+    fn is_gate_shut(&self) -> bool {
+        let shared = self.shared.as_ref();
+        shared.is_some_and(|stream| stream.gate.shut())
+    }
+
+    fn report_fed(&self) {
+        if let Some(stream) = &self.shared {
+            stream.fed();
+        }
+    }
+
+    fn poll(&mut self, location: Location, max_wait: Duration) -> Result<Polled, PollError> {
+        let stream = self.service.connection(location)?;
+        let request = PollRequest {
+            address: location.address,
+            tail: if self.restart {
+                0
+            } else {
+                self.client.position
+            },
             max_wait,
         };
-        let answer = call.make(&stream, &mut self.buffer)?;
+        let response = request.send(&stream, &mut self.buffer)?;
         let service = self.service;
-        // One step with the check: an answer of an address that the service has left is not taken.
-        let polled = service.unless_moved(place.moves, || self.take(&answer.feed))??;
-        if !answer.reusable {
-            service.hang_up();
+        // One step with the check: a response of an address that the service has left is not applied.
+        let polled = service.unless_moved(location.moves, || self.apply(&response.feed))??;
+        if !response.reusable {
+            service.close_connection();
         }
         Ok(polled)
     }
 
-    fn take(&mut self, feed: &Feed) -> Result<Polled, Fault> {
-        if std::mem::take(&mut self.recount) {
-            return self.take_anew(feed);
+    fn apply(&mut self, feed: &Feed) -> Result<Polled, PollError> {
+        if std::mem::take(&mut self.restart) {
+            return self.apply_restart(feed);
         }
-        let (last, taken) = (feed.last(), self.journal.pos);
-        if last < taken {
-            self.recount = true;
-            return Err(Fault::Older { last, taken });
+        let (last, applied) = (feed.last(), self.client.position);
+        if last < applied {
+            self.restart = true;
+            return Err(PollError::Outdated { last, applied });
         }
-        if !self.journal.take(feed) {
-            return Err(Fault::Missing { after: taken });
+        if !self.client.apply(feed) {
+            return Err(PollError::Gap { after: applied });
         }
-        match self.journal.pos > taken {
-            true => Ok(Polled::Taken),
-            false if last > taken => Err(Fault::Missing { after: taken }),
-            false => Ok(Polled::Nothing),
+        match self.client.position > applied {
+            true => Ok(Polled::Applied),
+            false if last > applied => Err(PollError::Gap { after: applied }),
+            false => Ok(Polled::NoEvents),
         }
     }
 
-    /// Takes all events from 1, if these are they.
-    fn take_anew(&mut self, feed: &Feed) -> Result<Polled, Fault> {
+    /// Applies all events from 1, where the feed has them.
+    fn apply_restart(&mut self, feed: &Feed) -> Result<Polled, PollError> {
         if feed.last() == 0 {
-            // It started anew and has nothing yet: the list stays until it has.
-            self.recount = true;
-            return Ok(Polled::Nothing);
+            // The service started anew and has no events yet: the endpoint list stays until it has.
+            self.restart = true;
+            return Ok(Polled::NoEvents);
         }
-        let taken = self.journal.pos;
-        if !self.journal.take_anew(feed) {
-            return Err(Fault::Missing { after: 0 });
+        let applied = self.client.position;
+        if !self.client.apply_restart(feed) {
+            return Err(PollError::Gap { after: 0 });
         }
-        if self.journal.pos < taken {
-            tracing::warn!(
-                "journal service: it numbers anew, to {} after {taken}",
-                self.journal.pos
-            );
+        let position = self.client.position;
+        if position < applied {
+            tracing::warn!("journal service: it numbers anew, to {position} after {applied}");
         }
-        Ok(Polled::Taken)
+        Ok(Polled::Applied)
     }
 }
--- a/edge/proxy/src/journal/request.rs
+++ b/edge/proxy/src/journal/request.rs
@@ -1,4 +1,4 @@
-//! One call of the journal service: the request, and its answer read whole within one deadline.
+//! One request to the journal service, and its response within one deadline.
 
 use super::Feed;
 use foldmux_http1::io::write_all;
@@ -7,85 +7,105 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How long after the wait that was asked for an answer counts as lost, and how long a dial may take.
-pub const PATIENCE: Duration = Duration::from_millis(700);
-/// Longest answer (bytes): some thousand events.
-pub const MOST_ANSWER: usize = 1024 * 1024;
+/// A response counts as lost this long after the wait that was asked for; a dial may take as long.
+pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
+/// Longest response (bytes): some thousand events.
+pub(super) const MAX_RESPONSE: usize = 1024 * 1024;
+/// The status of a response with events.
+const OK: u16 = 200;
 
-/// Why a call brought nothing that can be taken.
+/// Why a poll brought no events that can be applied.
 #[derive(Debug)]
-pub enum Fault {
-    NoConnection(std::io::Error),
-    /// The service has moved to another address: what its old one says counts no more.
+pub(super) enum PollError {
+    /// No connection could be made.
+    Connect(std::io::Error),
+    /// The service has moved to another address: a response of its old one doesn't count.
     Moved,
-    Broken(Broken),
+    /// The request or the response broke off.
+    Transport(Broken),
+    /// The response has another status than 200.
     Status(u16),
-    Unreadable(simd_json::Error),
+    /// The body is no feed.
+    Body(simd_json::Error),
     /// Events after this number are missing, or out of order.
-    Missing {
-        after: u64,
-    },
-    /// Its last event comes before one that was taken.
-    Older {
-        last: u64,
-        taken: u64,
-    },
+    Gap { after: u64 },
+    /// The last event comes before one that was applied.
+    Outdated { last: u64, applied: u64 },
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for PollError {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::NoConnection(error) => write!(out, "no connection: {error}"),
-            Fault::Moved => write!(out, "it has moved"),
-            Fault::Broken(Broken::TimedOut) => write!(out, "no answer in time"),
-            Fault::Broken(Broken::Reset) => write!(out, "the connection broke"),
-            Fault::Broken(Broken::Unreadable) => write!(out, "an answer that can't be read"),
-            Fault::Status(status) => write!(out, "answered {status}"),
-            Fault::Unreadable(error) => write!(out, "an answer that can't be read: {error}"),
-            Fault::Missing { after } => {
+            PollError::Connect(error) => write!(out, "no connection: {error}"),
+            PollError::Moved => write!(out, "it has moved"),
+            PollError::Transport(Broken::TimedOut) => write!(out, "no answer in time"),
+            PollError::Transport(Broken::Reset) => write!(out, "the connection broke"),
+            PollError::Transport(Broken::Unreadable) => write!(out, "an answer that can't be read"),
+            PollError::Status(status) => write!(out, "answered {status}"),
+            PollError::Body(error) => write!(out, "an answer that can't be read: {error}"),
+            PollError::Gap { after } => {
                 write!(out, "events after {after} are missing or out of order")
             }
-            Fault::Older { last, taken } => write!(out, "it ends at event {last}, before {taken}"),
+            PollError::Outdated { last, applied } => {
+                write!(out, "it ends at event {last}, before {applied}")
+            }
+        }
+    }
+}
+
+impl std::error::Error for PollError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            PollError::Connect(error) => Some(error),
+            PollError::Body(error) => Some(error),
+            _ => None,
         }
     }
 }
 
-/// What to ask for: the events after `tail`, or word after `max_wait` that there are none.
-pub struct Call {
-    pub address: SocketAddr,
-    pub tail: u64,
-    pub max_wait: Duration,
+/// Requests the events after `tail`; without any, the service responds after `max_wait`.
+pub(super) struct PollRequest {
+    pub(super) address: SocketAddr,
+    pub(super) tail: u64,
+    pub(super) max_wait: Duration,
 }
 
-pub struct Answer {
-    pub feed: Feed,
-    /// The connection may carry another call.
-    pub reusable: bool,
+pub(super) struct PollResponse {
+    pub(super) feed: Feed,
+    /// The connection may carry another request.
+    pub(super) reusable: bool,
 }
 
-impl Call {
-    /// Makes the call. One deadline bounds the whole, however little of an answer comes at a time.
-    pub fn make(&self, stream: &TcpStream, buffer: &mut [u8]) -> Result<Answer, Fault> {
-        let Call {
-            address,
-            tail,
-            max_wait,
-        } = self;
-        let wait = max_wait.as_millis();
-        let request =
-            format!("GET /journal?tail={tail}&max_wait={wait} HTTP/1.1\r\nHost: {address}\r\n\r\n");
-        let deadline = Instant::now() + *max_wait + PATIENCE;
-        let written = write_all(stream, &[request.as_bytes()], deadline);
-        written.map_err(|unwritten| Fault::Broken(unwritten.cause))?;
-        let response = read_response(stream, buffer, deadline).map_err(Fault::Broken)?;
-        if response.status != 200 {
-            return Err(Fault::Status(response.status));
+impl PollRequest {
+    /// Sends the request and reads its response into `buffer`. One deadline bounds the whole, however little of the
+    /// response comes at a time.
+    ///
+    /// # Errors
+    ///
+    /// Where no whole response with events came in time.
+    pub(super) fn send(
+        &self,
+        stream: &TcpStream,
+        buffer: &mut [u8],
+    ) -> Result<PollResponse, PollError> {
+        let deadline = Instant::now() + self.max_wait + RESPONSE_TIMEOUT;
+        write_all(stream, &[self.render().as_bytes()], deadline)
+            .map_err(|unwritten| PollError::Transport(unwritten.cause))?;
+        let response = read_response(stream, buffer, deadline).map_err(PollError::Transport)?;
+        if response.status != OK {
+            return Err(PollError::Status(response.status));
         }
         let feed =
-            simd_json::serde::from_slice(&mut buffer[response.body]).map_err(Fault::Unreadable)?;
-        Ok(Answer {
+            simd_json::serde::from_slice(&mut buffer[response.body]).map_err(PollError::Body)?;
+        Ok(PollResponse {
             feed,
             reusable: response.reusable,
         })
     }
+
+    fn render(&self) -> String {
+        let PollRequest { address, tail, .. } = self;
+        let wait = self.max_wait.as_millis();
+        format!("GET /journal?tail={tail}&max_wait={wait} HTTP/1.1\r\nHost: {address}\r\n\r\n")
+    }
 }
--- a/edge/proxy/src/journal/service/tests.rs
+++ b/edge/proxy/src/journal/service/tests.rs
@@ -5,9 +5,9 @@
 use std::thread;
 
 /// Far longer than a move takes that nothing holds up.
-const A_WHILE: Duration = Duration::from_millis(300);
+const BLOCKED_FOR: Duration = Duration::from_millis(300);
 /// Longer than anything takes; it ends a test that waits for what never comes.
-const TIME_OUT: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn address(port: u16) -> Option<SocketAddr> {
     Some(SocketAddr::from(([127, 0, 0, 1], port)))
@@ -15,18 +15,18 @@
 
 #[test]
 fn an_answer_that_was_decoded_before_the_move_and_comes_to_be_taken_after_it_is_not() {
-    let service = Service::new(address(1));
-    let asked = service.current();
+    let service = JournalService::new(address(1));
+    let asked = service.location();
     service.move_to(address(2));
     let taken = service.unless_moved(asked.moves, || panic!("it is taken"));
-    assert!(matches!(taken, Err(Fault::Moved)));
-    assert_eq!(service.current().address, address(2).unwrap());
+    assert!(matches!(taken, Err(PollError::Moved)));
+    assert_eq!(service.location().address, address(2).unwrap());
 }
 
 #[test]
 fn a_move_waits_for_the_answer_that_is_being_taken() {
-    let service = Arc::new(Service::new(address(1)));
-    let asked = service.current();
+    let service = Arc::new(JournalService::new(address(1)));
+    let asked = service.location();
     let (told, moved) = channel();
     let taken = service.unless_moved(asked.moves, || {
         let service = service.clone();
@@ -34,17 +34,17 @@
             service.move_to(address(2));
             told.send(()).unwrap();
         });
-        moved.recv_timeout(A_WHILE).is_err()
+        moved.recv_timeout(BLOCKED_FOR).is_err()
     });
     assert!(
         taken.unwrap(),
         "the service had moved before all of the answer was taken"
     );
     moved
-        .recv_timeout(TIME_OUT)
+        .recv_timeout(TEST_TIMEOUT)
         .expect("it moves once the answer is taken");
     assert!(matches!(
         service.unless_moved(asked.moves, || ()),
-        Err(Fault::Moved)
+        Err(PollError::Moved)
     ));
 }
--- a/edge/proxy/src/journal/start_times.rs
+++ b/edge/proxy/src/journal/start_times.rs
@@ -1,41 +1,52 @@
-//! When each member started, as it was first told: the same start must be the same time whenever a line is repeated.
+//! When each member started: the same start must be the same time, however often the journal lists it.
 
 use foldmux::interface::{CacheId, State, Time};
 use foldmux_core::members::Listed;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Stamps become times by two clocks that are read one after the other, so that the same stamp gives times some
-/// microseconds apart. Guards against a repeated line that looks like a start anew: all that is known of the member
-/// would be void, and all connections to it closed.
+/// The time of each member's start, as it was computed when the start was first listed.
+///
+/// A timestamp becomes a time by two clocks that are read one after the other, so that the same timestamp gives times some
+/// microseconds apart. Without this a repeated entry would look like a restart: everything known of the member would be
+/// discarded, and all connections to it closed.
 #[derive(Clone, Default)]
-pub struct StartTimes(Arc<Mutex<HashMap<CacheId, (u64, Time)>>>);
+pub(super) struct StartTimes(Arc<Mutex<HashMap<CacheId, StartTime>>>);
+
+struct StartTime {
+    /// As the journal lists it (ms since the epoch).
+    since_ms: u64,
+    time: Time,
+}
 
 impl StartTimes {
-    fn held(&self) -> MutexGuard<'_, HashMap<CacheId, (u64, Time)>> {
+    fn times(&self) -> MutexGuard<'_, HashMap<CacheId, StartTime>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The time of this start; `time` where it is told for the first time.
-    pub fn of(&self, cache: CacheId, since_ms: u64, time: impl FnOnce() -> Time) -> Time {
-        let mut held = self.held();
-        match held.get(&cache) {
-            Some((since, boot)) if *since == since_ms => *boot,
+    /// The time of this start: `compute` where it is listed for the first time.
+    pub(super) fn of(&self, cache: CacheId, since_ms: u64, compute: impl FnOnce() -> Time) -> Time {
+        let mut times = self.times();
+        match times.get(&cache) {
+            Some(start) if start.since_ms == since_ms => start.time,
             _ => {
-                let boot = time();
-                held.insert(cache, (since_ms, boot));
-                boot
+                let time = compute();
+                times.insert(cache, StartTime { since_ms, time });
+                time
             }
         }
     }
 
-    /// Keeps those alone that are listed after these lines: all of them (`full`), or what changed.
-    pub fn retain(&self, full: bool, lines: &[Listed]) {
-        let told: HashMap<CacheId, State> = lines
+    /// Discards members that are no longer listed after `listed`: the whole list (`full`), or what changed in it.
+    pub(super) fn retain(&self, full: bool, listed: &[Listed]) {
+        let states: HashMap<CacheId, State> = listed
             .iter()
-            .map(|l| (l.member.cache, l.member.state))
+            .map(|entry| (entry.member.cache, entry.member.state))
             .collect();
-        self.held()
-            .retain(|cache, _| told.get(cache).map_or(!full, |state| *state != State::Gone));
+        self.times().retain(|cache, _| {
+            states
+                .get(cache)
+                .map_or(!full, |state| *state != State::Gone)
+        });
     }
 }
--- a/edge/proxy/src/lib.rs
+++ b/edge/proxy/src/lib.rs
@@ -3,7 +3,7 @@
 //! | concern | module |
 //! | --- | --- |
 //! | start, serve and shut down | [`server`], [`signals`], [`drain`], [`log`] |
-//! | configuration, and what a reload changes | [`config`], [`reload`], [`startup_settings`], [`check_config`] |
+//! | configuration, and what a reload changes | [`config`], [`reload`], [`startup_settings`], [`check_config`], [`operator_file`], [`plan`] |
 //! | the journal service's endpoint list and purges | [`journal`], [`backoff`], [`relayed`] |
 //! | the admin interface and maintenance | [`admin`] |
 //! | the fill hierarchy in service | [`hierarchy`] |
@@ -24,6 +24,8 @@
 pub mod limits;
 pub mod load_reports;
 pub mod log;
+pub mod operator_file;
+pub mod plan;
 pub mod relayed;
 pub mod reload;
 pub mod retry_after;
--- a/edge/proxy/src/limits.rs
+++ b/edge/proxy/src/limits.rs
@@ -1,53 +1,101 @@
-//! Limits by class and route, from the operator's file into service: checked against the account's rules, shown, compared,
-//! and taken anew at a reload. Without them in the file nothing here is started.
+//! Limits by class and route of the operator's file: checked against the account's rules, shown and compared. Without
+//! them in the file nothing here is started.
 
-use foldmux::interface::{Group as Grouped, Repeat as Repeats, Settings};
+use crate::config::{self, NEXT_LINE};
+use foldmux::interface::{Class as RouterClass, Group as RouterGroup, Repeat as RouterRepeat};
 use foldmux_limits::account::{Account, Class, Group, Repeat};
 use foldmux_limits::check::check;
 use foldmux_limits::export;
 use foldmux_limits::table::{Draft, Table};
-use foldmux_operator::Operator;
 use foldmux_settings::Decoded;
+use std::fmt;
 use std::path::Path;
 
-/// The account's rules as the platform's settings give them. `sockets` and `memory_mb`: the process's.
-pub fn account(decoded: &Decoded, sockets: u64, memory_mb: u64) -> Account {
-    let Settings {
-        classes,
-        max_attempts,
-        may_duplicate,
-        retry_after,
-        answer_slack,
-        purge_slack,
-        ..
-    } = &decoded.settings;
-    let ms = |us: u64| us / 1_000;
-    let class = |(name, class): (&String, &foldmux::interface::Class)| Class {
-        name: name.clone(),
-        deadline_ms: ms(class.deadline),
-        aim_ms: ms(class.aim),
+const USAGE: &str =
+    "limits show CLASS [--route R] | export | schema | diff OLD NEW; see foldmux help";
+
+/// Why `foldmux limits` could not do what it was asked for.
+#[derive(Debug, PartialEq, Eq)]
+pub enum LimitsError {
+    /// A file can't be used: every fault.
+    File(Vec<String>),
+    /// No class has this name.
+    UnknownClass(String),
+    /// The class has no such route.
+    UnknownRoute {
+        /// The class that was named.
+        class: String,
+        /// The route that was named.
+        route: String,
+    },
+    /// The words are no command.
+    Usage,
+}
+
+impl fmt::Display for LimitsError {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            LimitsError::File(faults) => write!(out, "{}", faults.join(NEXT_LINE)),
+            LimitsError::UnknownClass(class) => write!(out, "no class {class}"),
+            LimitsError::UnknownRoute { class, route } => {
+                write!(out, "{class} has no route {route}")
+            }
+            LimitsError::Usage => write!(out, "{USAGE}"),
+        }
+    }
+}
+
+impl std::error::Error for LimitsError {}
+
+/// The account's rules as the platform's settings give them, and the limits on this process.
+pub fn account(decoded: &Decoded, process: &config::Limits) -> Account {
+    let settings = &decoded.settings;
+    let classes = decoded.classes.iter().zip(&settings.classes);
+    Account {
+        classes: classes
+            .map(|(name, class)| account_class(name, class))
+            .collect(),
+        max_attempts: settings.max_attempts as u64,
+        may_duplicate: settings.may_duplicate,
+        max_wait_ms: settings.retry_after.map(milliseconds),
+        answer_slack_ms: milliseconds(settings.answer_slack),
+        purge_slack_ms: milliseconds(settings.purge_slack),
+        sockets: process.sockets as u64,
+        memory_mb: process.memory_mb as u64,
+    }
+}
+
+fn account_class(name: &str, class: &RouterClass) -> Class {
+    Class {
+        name: name.to_string(),
+        deadline_ms: milliseconds(class.deadline),
+        aim_ms: milliseconds(class.aim),
         repeat: match class.repeat {
-            Repeats::Safe => Repeat::Free,
-            Repeats::SingleShot => Repeat::Once,
-            Repeats::Keyed(Grouped::All) => Repeat::Keyed(Group::All),
-            Repeats::Keyed(Grouped::Zone) => Repeat::Keyed(Group::Zone),
-            Repeats::Keyed(Grouped::Cell) => Repeat::Keyed(Group::Cell),
+            RouterRepeat::Safe => Repeat::Free,
+            RouterRepeat::SingleShot => Repeat::Once,
+            RouterRepeat::Keyed(RouterGroup::All) => Repeat::Keyed(Group::All),
+            RouterRepeat::Keyed(RouterGroup::Zone) => Repeat::Keyed(Group::Zone),
+            RouterRepeat::Keyed(RouterGroup::Cell) => Repeat::Keyed(Group::Cell),
         },
-        window_ms: ms(class.repeat_window),
-    };
-    Account {
-        classes: decoded.classes.iter().zip(classes).map(class).collect(),
-        max_attempts: *max_attempts as u64,
-        may_duplicate: *may_duplicate,
-        max_wait_ms: retry_after.map(ms),
-        answer_slack_ms: ms(*answer_slack),
-        purge_slack_ms: ms(*purge_slack),
-        sockets,
-        memory_mb,
+        window_ms: milliseconds(class.repeat_window),
     }
 }
 
-/// The table of a file, or all that is wrong with it, a line each.
+fn milliseconds(microseconds: u64) -> u64 {
+    microseconds / 1_000
+}
+
+/// How many sets of limits a table has of its own, beside the account's rules.
+pub fn own_sets(table: &Table) -> usize {
+    let sets = table.all();
+    sets.filter(|resolved| !resolved.at.is_empty()).count()
+}
+
+/// The table of a file.
+///
+/// # Errors
+///
+/// All that is wrong with it, a line each.
 pub fn table(account: &Account, draft: &Draft) -> Result<Table, Vec<String>> {
     let faults = check(account, draft);
     match faults.is_empty() {
@@ -56,44 +104,49 @@
     }
 }
 
-fn load(file: &Path) -> Result<Table, String> {
-    let Operator { limits, .. } =
-        foldmux_operator::load(file).map_err(|faults| faults.join("\nfoldmux: "))?;
-    let draft = limits.unwrap_or_default();
-    table(&Account::default(), &draft).map_err(|faults| faults.join("\nfoldmux: "))
+fn load(file: &Path) -> Result<Table, LimitsError> {
+    let operator = foldmux_operator::load(file).map_err(LimitsError::File)?;
+    let draft = operator.limits.unwrap_or_default();
+    table(&Account::default(), &draft).map_err(LimitsError::File)
+}
+
+fn load_or_default(file: Option<&Path>) -> Result<Table, LimitsError> {
+    match file {
+        Some(file) => load(file),
+        None => Ok(Table::new(&Account::default(), &Draft::default())),
+    }
 }
 
-/// `foldmux limits …`: what is printed.
+/// `foldmux limits ...`: what is printed.
+///
+/// # Errors
+///
+/// Where the words are no command, a file can't be used, or it has no such class or route.
 pub fn command(
     words: &[String],
     operator: Option<&Path>,
     route: Option<&str>,
-) -> Result<String, String> {
+) -> Result<String, LimitsError> {
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    let file = |named: Option<&Path>| {
-        named.map_or_else(
-            || Ok(Table::new(&Account::default(), &Draft::default())),
-            load,
-        )
-    };
     match words[..] {
-        ["show", class] => {
-            let table = file(operator)?;
-            let resolved = table.named(class, route).ok_or_else(|| match route {
-                Some(route) => format!("{class} has no route {route}"),
-                None => format!("no class {class}"),
-            })?;
-            Ok(export::show(&table, resolved))
-        }
-        ["export"] => Ok(export::json(&file(operator)?) + "\n"),
+        ["show", class] => show(&load_or_default(operator)?, class, route),
+        ["export"] => Ok(export::json(&load_or_default(operator)?) + "\n"),
         ["schema"] => Ok(export::schema()),
         ["diff", old, new] => {
             let lines = export::diff(&load(Path::new(old))?, &load(Path::new(new))?);
             Ok(lines.iter().map(|line| format!("{line}\n")).collect())
         }
-        _ => Err(
-            "limits show CLASS [--route R] | export | schema | diff OLD NEW; see foldmux help"
-                .to_string(),
-        ),
+        _ => Err(LimitsError::Usage),
     }
 }
+
+fn show(table: &Table, class: &str, route: Option<&str>) -> Result<String, LimitsError> {
+    let resolved = table.named(class, route).ok_or_else(|| match route {
+        Some(route) => LimitsError::UnknownRoute {
+            class: class.to_string(),
+            route: route.to_string(),
+        },
+        None => LimitsError::UnknownClass(class.to_string()),
+    })?;
+    Ok(export::show(table, resolved))
+}
--- a/edge/proxy/src/load_reports.rs
+++ b/edge/proxy/src/load_reports.rs
@@ -1,4 +1,4 @@
-//! Reports and probes, where the settings have them: put between the desk and whoever makes attempts.
+//! Load reports and health checks, where the settings have them: connected between the event loop and the upstream client.
 
 use foldmux::interface::Settings;
 use foldmux_core::clock::span;
@@ -9,57 +9,59 @@
 use foldmux_upstream::{Reporting, Upstream};
 use std::sync::Arc;
 
-/// Whoever makes attempts, told of what answers report. Where the settings have neither reports nor probes, that is
-/// `upstream` as it is: no thread, no lock and no notice more.
+/// Starts health checks where they are configured, and returns the upstream client, which forwards the load reports of
+/// responses. Where the settings have neither, that is `upstream` unchanged: no thread, lock or notice is added.
+///
+/// # Errors
+///
+/// Where no thread can be had for the health checks.
 pub fn start(
     setup: Setup,
     settings: &Settings,
-    desk: &mut Desk,
+    event_loop: &mut Desk,
     handle: &DeskHandle,
     upstream: Upstream,
 ) -> Result<Box<dyn Tries>, String> {
-    let Some(beside) = Beside::new(setup.clone(), settings) else {
+    let Some(reports) = Beside::new(setup.clone(), settings) else {
         return Ok(Box::new(upstream));
     };
-    let asks = setup.asks();
-    let Setup {
-        fields,
-        in_answers,
-        patience,
-        ..
-    } = setup;
-    let prober = || {
-        let (members, pool) = (upstream.members.clone(), upstream.pool.clone());
-        let desk = handle.clone();
-        let hears = move |cache, start, well, load| {
-            desk.tell(Notice::Probed {
-                cache,
-                start,
-                well,
-                load,
-            })
-        };
-        Prober::start(
-            members,
-            pool,
-            Arc::new(hears),
-            fields.clone(),
-            span(patience),
-        )
+    let prober = match setup.asks() {
+        true => Some(start_prober(&setup, handle, &upstream)?),
+        false => None,
     };
-    let prober = asks.then(prober).transpose()?;
-    desk.report_to(
-        beside,
-        prober.map(|prober| Box::new(prober) as Box<dyn Probes>),
-    );
-    if !in_answers || fields.is_empty() {
+    event_loop.report_to(reports, prober);
+    if !setup.in_answers || setup.fields.is_empty() {
         return Ok(Box::new(upstream));
     }
-    let desk = handle.clone();
-    let hears = move |cache, start, load| desk.tell(Notice::Load { cache, start, load });
+    let handle = handle.clone();
+    let on_report = move |cache, start, load| handle.tell(Notice::Load { cache, start, load });
     Ok(Box::new(Reporting {
         upstream,
-        fields,
-        hears: Box::new(hears),
+        fields: setup.fields,
+        hears: Box::new(on_report),
     }))
 }
+
+fn start_prober(
+    setup: &Setup,
+    handle: &DeskHandle,
+    upstream: &Upstream,
+) -> Result<Box<dyn Probes>, String> {
+    let handle = handle.clone();
+    let on_probe = move |cache, start, well, load| {
+        handle.tell(Notice::Probed {
+            cache,
+            start,
+            well,
+            load,
+        })
+    };
+    let prober = Prober::start(
+        upstream.members.clone(),
+        upstream.pool.clone(),
+        Arc::new(on_probe),
+        setup.fields.clone(),
+        span(setup.patience),
+    )?;
+    Ok(Box::new(prober))
+}
--- a/edge/proxy/src/log.rs
+++ b/edge/proxy/src/log.rs
@@ -1,62 +1,107 @@
-//! The log: lines on standard error, plain or as JSON, through a bounded queue that drops rather than waits, so that
-//! no thread of the program is ever held up by whoever reads it.
+//! The log: lines on standard error, plain or as JSON. They go through a bounded queue that drops lines rather than wait,
+//! so that no thread of the process is ever held up by whoever reads the log.
 
 use foldmux_fronts::listen::{named, READER_STACK};
+use std::fmt;
 use std::panic::catch_unwind;
+use std::str::FromStr;
 use tracing_appender::non_blocking::{NonBlocking, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
 /// Lines that wait to be written; those beyond are dropped and counted by the writer.
-const QUEUE: usize = 4_096;
-/// How often the log's thread is asked for, where there was one for others in between.
-const STARTS: usize = 3;
+const MAX_QUEUED_LINES: usize = 4_096;
+/// Attempts to start the log's thread, each after a thread could be had.
+const MAX_START_ATTEMPTS: usize = 3;
+/// Environment variable with the level, or a filter by module.
+const LEVEL_VARIABLE: &str = "FOLDMUX_LOG";
+const DEFAULT_LEVEL: &str = "info";
 
+/// The form of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum LogFormat {
+    /// Text.
     Plain,
+    /// A JSON object.
     Json,
 }
 
-impl Form {
-    pub fn parse(text: &str) -> Result<Form, String> {
-        match text {
-            "plain" => Ok(Form::Plain),
-            "json" => Ok(Form::Json),
-            other => Err(format!("no form of log {other:?}; plain or json")),
+/// Why the log could not be started.
+#[derive(Debug, PartialEq, Eq)]
+pub enum LogError {
+    /// No format has this name.
+    UnknownFormat(String),
+    /// The level is neither a level nor a filter; and why.
+    Level(String, String),
+    /// The machine has no thread left.
+    NoThread(String),
+    /// The log can't be set up; the text says why.
+    Setup(String),
+}
+
+impl fmt::Display for LogError {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            LogError::UnknownFormat(name) => {
+                write!(out, "no form of log {name:?}; plain or json")
+            }
+            LogError::Level(level, reason) => write!(out, "log level {level:?}: {reason}"),
+            LogError::NoThread(reason) => write!(out, "{reason}"),
+            LogError::Setup(reason) => write!(out, "log: {reason}"),
         }
     }
 }
 
-/// The queue and the thread that writes from it. The library panics where the machine has no thread left: then one is waited
-/// for, and it is asked again.
-fn writer() -> Result<(NonBlocking, WorkerGuard), String> {
-    for _ in 0..STARTS {
-        let builder = NonBlockingBuilder::default()
-            .lossy(true)
-            .buffered_lines_limit(QUEUE)
-            .thread_name("log");
-        if let Ok(writer) = catch_unwind(|| builder.finish(std::io::stderr())) {
-            return Ok(writer);
+impl std::error::Error for LogError {}
+
+impl FromStr for LogFormat {
+    type Err = LogError;
+
+    fn from_str(name: &str) -> Result<LogFormat, LogError> {
+        match name {
+            "plain" => Ok(LogFormat::Plain),
+            "json" => Ok(LogFormat::Json),
+            unknown => Err(LogError::UnknownFormat(unknown.to_string())),
         }
-        let _ = named("spare", READER_STACK, || ())?.join();
     }
-    Err("log: no thread to write it".to_string())
 }
 
-/// Starts the log; what is queued is written when the guard is dropped. `level`: a level or a filter by module, else
-/// what FOLDMUX_LOG says, else `info`.
-pub fn start(form: Form, level: Option<&str>) -> Result<WorkerGuard, String> {
-    let variable = std::env::var("FOLDMUX_LOG").ok();
-    let filter = level.or(variable.as_deref()).unwrap_or("info");
-    let filter = EnvFilter::try_new(filter).map_err(|e| format!("log level {filter:?}: {e}"))?;
-    let (writer, guard) = writer()?;
+/// Starts the log. What is queued is written when the guard is dropped. `level` is a level or a filter by module; without
+/// it FOLDMUX_LOG counts, then `info`.
+///
+/// # Errors
+///
+/// Where the level can't be read, or no thread can be had.
+pub fn start(format: LogFormat, level: Option<&str>) -> Result<WorkerGuard, LogError> {
+    let variable = std::env::var(LEVEL_VARIABLE).ok();
+    let level = level.or(variable.as_deref()).unwrap_or(DEFAULT_LEVEL);
+    let filter = EnvFilter::try_new(level)
+        .map_err(|error| LogError::Level(level.to_string(), error.to_string()))?;
+    let (writer, guard) = start_writer()?;
     let lines = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(writer)
         .with_ansi(false);
-    let set = match form {
-        Form::Plain => lines.with_target(false).try_init(),
-        Form::Json => lines.json().flatten_event(true).try_init(),
+    let installed = match format {
+        LogFormat::Plain => lines.with_target(false).try_init(),
+        LogFormat::Json => lines.json().flatten_event(true).try_init(),
     };
-    set.map(|()| guard).map_err(|e| format!("log: {e}"))
+    installed.map_err(|error| LogError::Setup(error.to_string()))?;
+    Ok(guard)
+}
+
+/// The queue and the thread that writes from it. The library panics where the machine has no thread left: then this waits
+/// until a thread could be had, and tries again.
+fn start_writer() -> Result<(NonBlocking, WorkerGuard), LogError> {
+    for _ in 0..MAX_START_ATTEMPTS {
+        let builder = NonBlockingBuilder::default()
+            .lossy(true)
+            .buffered_lines_limit(MAX_QUEUED_LINES)
+            .thread_name("log");
+        if let Ok(writer) = catch_unwind(|| builder.finish(std::io::stderr())) {
+            return Ok(writer);
+        }
+        let spare = named("spare", READER_STACK, || ()).map_err(LogError::NoThread)?;
+        let _ = spare.join();
+    }
+    Err(LogError::Setup("no thread to write it".to_string()))
 }
--- a/edge/proxy/src/relayed.rs
+++ b/edge/proxy/src/relayed.rs
@@ -126,7 +126,7 @@
     loop {
         if let Ok(mut reading) = desk.read(0) {
             while let Ok(entries) = reading.next(Instant::now() + Duration::from_secs(1)) {
-                journal.relayed(&entries);
+                journal.apply_relayed(&entries);
                 // Its own place at the source has no gap.
                 if entries.iter().any(|entry| entry.lost.is_some()) {
                     desk.gate.once();
--- a/edge/proxy/src/reload.rs
+++ b/edge/proxy/src/reload.rs
@@ -1,181 +1,214 @@
-//! What SIGHUP reads again, and the classes as each front takes them.
+//! What SIGHUP applies: the configuration, then each part of the operator's file that may change while it is in service.
 
-use crate::config;
-use crate::fleet::Running;
+use crate::admin::Admin;
+use crate::config::{self, ConfigFiles};
+use crate::fleet;
 use crate::hierarchy::ActiveHierarchy;
-use crate::journal::Service;
+use crate::journal::JournalService;
 use crate::limits;
-use crate::retry_after::refusal_wait;
+use crate::retry_after::rejection_wait;
 use crate::startup_settings::StartupSettings;
-use foldmux::interface::{Class, Repeat};
+use foldmux::interface::Class;
 use foldmux_core::desk::Notice;
 use foldmux_core::limits::Limiter;
-use foldmux_extproc::life::Class as Processed;
-use foldmux_extproc::serve::Serving;
-use foldmux_fronts::dns::Routed;
-use foldmux_fronts::msgpack::{Front, Taken};
-use foldmux_operations::retune::Classes;
+use foldmux_extproc::serve::Serving as Processor;
+use foldmux_fronts::msgpack::Front;
+use foldmux_limits::Account;
+use foldmux_operations::class_table::ClassTable;
+use foldmux_operator::Operator;
+use std::fmt::Display;
 use std::path::Path;
+use std::sync::atomic::Ordering;
 use std::sync::{Arc, PoisonError};
 
-/// What a part of a reload came to. One that was refused is a warning: staff who filter at that level must see it.
-pub fn tell(part: &str, came: Result<String, String>) {
-    match came {
-        Ok(taken) => tracing::info!("{part}: {taken}"),
-        Err(why) => tracing::warn!("{part}: {why}; all stays as it was"),
-    }
-}
+pub use classes::{client_classes, configured_classes, dns_classes, processor_classes};
+pub use error::ReloadError;
 
-/// Reads the configuration again: takes its settings and classes, and goes by where it says that the journal
-/// service is; what holds from the next start is told. Guards against a file that can't be used costing the settings in
-/// service or the service that there is: what can fail comes before the first change. One that names no journal service
-/// is taken as at the start: the list stays as it is.
-pub fn reload(
-    file: &Path,
-    service: &Service,
-    (started, tune): (&StartupSettings, &mut Classes<Class>),
-    front: &Front,
-) -> Result<String, String> {
-    let config = config::read(file).map_err(|unusable| unusable.on_one_line())?;
-    started
-        .check(&config)
-        .map_err(|unusable| unusable.on_one_line())?;
-    let mut settings = config.decoded.settings.clone();
-    tune.take(rules(&config.decoded))
-        .map_err(|refused| format!("configuration: {refused}"))?;
-    settings.classes = tune.all().cloned().collect();
-    front
-        .core
-        .retune(refusal_wait(&settings), settings.longest_cold());
-    // The module knows the new places before any client can name them.
-    front.core.desk.tell(Notice::Retuned(Box::new(settings)));
-    // Which member is a parent, the origin or a neighbour follows from the settings: it is worked out anew.
-    front.core.desk.tell(Notice::Members {
-        full: false,
-        listed: Vec::new(),
-    });
-    let taken = served(tune);
-    taken
-        .iter()
-        .for_each(|class| front.core.tally.know(&class.name));
-    *front
-        .classes
-        .write()
-        .unwrap_or_else(PoisonError::into_inner) = Arc::new(taken);
-    service.move_to(config.journal);
-    let names: Vec<&str> = tune.named().map(|(name, ..)| name).collect();
-    let at = config.journal.map_or(
-        "no journal service: the list stays as it is".to_string(),
-        |address| format!("the journal service is at {address}"),
-    );
-    let later = match started.later(&config) {
-        keys if keys.is_empty() => String::new(),
-        keys => format!("; from the next start: {}", keys.join(", ")),
-    };
-    Ok(format!("classes {}; {at}{later}", names.join(", ")))
-}
+mod classes;
+mod error;
 
-pub fn rules(decoded: &foldmux_settings::Decoded) -> Vec<(String, Class)> {
-    decoded
-        .classes
-        .iter()
-        .cloned()
-        .zip(decoded.settings.classes.iter().cloned())
-        .collect()
+/// What came of one part: what is in service now, or why all stays as it was.
+type Outcome = Result<String, ReloadError>;
+
+/// Applies the configuration's files to the parts in service, and logs what came of each part.
+pub struct Reloader<'a> {
+    /// What is read again.
+    pub files: ConfigFiles<'a>,
+    /// What no reload changes.
+    pub startup: StartupSettings,
+    /// The classes, in service or with requests in flight.
+    pub classes: ClassTable<Class>,
+    /// The account's rules at the start, by which limits are checked.
+    pub account: Account,
+    /// The fill hierarchy, where there is one.
+    pub hierarchy: Option<ActiveHierarchy>,
+    /// Where clients name classes.
+    pub front: Arc<Front>,
+    /// The journal service that is followed.
+    pub service: Arc<JournalService>,
+    /// Where reloads are counted.
+    pub admin: Arc<Admin>,
 }
 
-/// The classes that the front takes by name, each at its place.
-pub fn served(tune: &Classes<Class>) -> Vec<Taken> {
-    let one = |(name, place, class): (&str, &Arc<usize>, &Class)| {
-        let keyed = matches!(class.repeat, Repeat::Keyed(_));
-        Taken {
-            name: name.into(),
-            place: place.clone(),
-            keyed,
-            longest: class.deadline,
+impl Reloader<'_> {
+    /// Reads the files and applies each part on its own: one that is refused keeps none of the others from its change.
+    pub fn reload(&mut self, fleet: Option<&fleet::Running>, processor: Option<&Processor>) {
+        let settings = self.reload_settings();
+        self.count(settings.is_ok());
+        log_outcome("reload", settings);
+        let Some(operator_file) = self.files.operator else {
+            return;
+        };
+        if let Some(hierarchy) = &mut self.hierarchy {
+            log_outcome("rewire", reload_hierarchy(operator_file, hierarchy));
+        }
+        if let Some(limiter) = self.front.core.limits.get() {
+            log_outcome(
+                "limits",
+                reload_limits(operator_file, &self.account, limiter),
+            );
+        }
+        if let Some(fleet) = fleet {
+            if let Some(outcome) = self.reload_weights(operator_file, fleet).transpose() {
+                log_outcome("weights", outcome);
+            }
+        }
+        if let Some(processor) = processor {
+            // The counts are logged whether or not the keys were taken.
+            let counted = |outcome: &dyn Display| format!("{outcome}; {}", processor.line());
+            let outcome = reload_token_keys(operator_file, processor);
+            log_outcome(
+                "token keys",
+                outcome
+                    .map(|taken| counted(&taken))
+                    .map_err(|error| counted(&error)),
+            );
+        }
+    }
+
+    fn count(&self, taken: bool) {
+        let counter = match taken {
+            true => &self.admin.conf_loaded,
+            false => &self.admin.conf_invalid,
+        };
+        counter.fetch_add(1, Ordering::Relaxed);
+    }
+
+    /// Takes the configuration's settings, classes and journal service. Whatever can fail comes before the first change,
+    /// so that a file that can't be used changes nothing. One that names no journal service is taken as at the start:
+    /// the endpoint list stays as it is.
+    fn reload_settings(&mut self) -> Outcome {
+        let config = config::read(self.files.config)?;
+        self.startup.check(&config)?;
+        let mut settings = config.decoded.settings.clone();
+        self.classes
+            .replace(configured_classes(&config.decoded))
+            .map_err(ReloadError::Classes)?;
+        settings.classes = self.classes.slots().cloned().collect();
+        let core = &self.front.core;
+        core.retune(rejection_wait(&settings), settings.longest_cold());
+        // The router knows the new classes before any client can name them.
+        core.desk.tell(Notice::Retuned(Box::new(settings)));
+        // Which member is a parent, the origin or a neighbour follows from the settings: it is worked out anew.
+        core.desk.tell(Notice::Members {
+            full: false,
+            listed: Vec::new(),
+        });
+        self.serve_classes();
+        self.service.move_to(config.journal);
+        Ok(self.describe(&config))
+    }
+
+    /// From now on clients may name the classes in service, and no others.
+    fn serve_classes(&self) {
+        let served = client_classes(&self.classes);
+        for class in &served {
+            self.front.core.tally.know(&class.name);
         }
-    };
-    tune.named().map(one).collect()
+        let mut classes = self
+            .front
+            .classes
+            .write()
+            .unwrap_or_else(PoisonError::into_inner);
+        *classes = Arc::new(served);
+    }
+
+    fn describe(&self, config: &config::Config) -> String {
+        let names: Vec<&str> = self
+            .classes
+            .in_service()
+            .map(|entry| entry.name.as_str())
+            .collect();
+        let journal = match config.journal {
+            Some(address) => format!("the journal service is at {address}"),
+            None => "no journal service: the list stays as it is".to_string(),
+        };
+        let unapplied = match self.startup.changed_keys(config) {
+            keys if keys.is_empty() => String::new(),
+            keys => format!("; from the next start: {}", keys.join(", ")),
+        };
+        format!("classes {}; {journal}{unapplied}", names.join(", "))
+    }
+
+    /// Takes the weights of tenants, from the operator's file and the settings; `None` where no pool goes by them.
+    fn reload_weights(
+        &self,
+        operator_file: &Path,
+        fleet: &fleet::Running,
+    ) -> Result<Option<String>, ReloadError> {
+        let setup = read_operator(operator_file)?
+            .fleet
+            .ok_or_else(|| ReloadError::missing(operator_file, "fleet"))?;
+        let config = config::read(self.files.config)?;
+        let count = fleet.reweigh(&setup, &config.decoded.tenants);
+        Ok(count.map(|count| format!("{count} taken")))
+    }
+}
+
+/// A part that was refused is a warning: operators who filter at that level must see it.
+fn log_outcome<E: Display>(part: &str, outcome: Result<String, E>) {
+    match outcome {
+        Ok(taken) => tracing::info!("{part}: {taken}"),
+        Err(error) => tracing::warn!("{part}: {error}; all stays as it was"),
+    }
 }
 
-/// The classes as the DNS front routes them by name.
-pub fn routed(tune: &Classes<Class>) -> Vec<Routed> {
-    let one = |(name, place, class): (&str, &Arc<usize>, &Class)| Routed {
-        name: name.into(),
-        place: place.clone(),
-        writes: class.pass_on,
-    };
-    tune.named().map(one).collect()
+fn read_operator(file: &Path) -> Result<Operator, ReloadError> {
+    foldmux_operator::load(file).map_err(ReloadError::Operator)
 }
 
-/// Reads the operator's file again and takes its tree. Whatever else it says holds from the next start. The tree in
-/// service is told again first: the settings that were read again name other hubs.
-pub fn rewire(file: &Path, live: &mut ActiveHierarchy) -> Result<String, String> {
-    live.tell_again()?;
-    let operator = foldmux_operator::load(file).map_err(|faults| faults.join("; "))?;
-    let hierarchy = operator
+/// Takes the tree of the operator's file. The tree in service is applied again first: the settings that were taken just
+/// now name other hubs.
+fn reload_hierarchy(file: &Path, active: &mut ActiveHierarchy) -> Outcome {
+    active.reapply().map_err(ReloadError::Hierarchy)?;
+    let hierarchy = read_operator(file)?
         .hierarchy
-        .ok_or_else(|| format!("{}: no hierarchy", file.display()))?;
-    live.take(&hierarchy)
+        .ok_or_else(|| ReloadError::missing(file, "hierarchy"))?;
+    active.replace(&hierarchy).map_err(ReloadError::Hierarchy)
 }
 
-/// Reads the operator's file again and takes its limits, all at once; those who are open keep theirs.
-pub fn relimit(
-    file: &Path,
-    account: &foldmux_limits::Account,
-    limiter: &Limiter,
-) -> Result<String, String> {
-    let operator = foldmux_operator::load(file).map_err(|faults| faults.join("; "))?;
-    let draft = operator.limits.unwrap_or_default();
-    let table = limits::table(account, &draft).map_err(|faults| faults.join("; "))?;
-    let count = table
-        .all()
-        .filter(|resolved| !resolved.at.is_empty())
-        .count();
+/// Takes the limits of the operator's file, all at once; requests in flight keep theirs.
+fn reload_limits(file: &Path, account: &Account, limiter: &Limiter) -> Outcome {
+    let draft = read_operator(file)?.limits.unwrap_or_default();
+    let table = limits::table(account, &draft).map_err(ReloadError::Limits)?;
+    let count = limits::own_sets(&table);
     limiter.swap(table);
     Ok(format!("{count} sets of limits taken"))
 }
 
-/// Reads what tenants weigh again, in the operator's file and the settings, and takes it at the pools, where there are any.
-pub fn reweigh(file: &Path, settings: &Path, fleet: &Running) -> Option<Result<String, String>> {
-    let told = || -> Result<Option<usize>, String> {
-        let operator = foldmux_operator::load(file).map_err(|faults| faults.join("; "))?;
-        let said = operator
-            .fleet
-            .ok_or_else(|| format!("{}: no fleet", file.display()))?;
-        let read = config::read(settings).map_err(|unusable| unusable.on_one_line())?;
-        Ok(fleet.reweigh(&said, &read.decoded.tenants))
-    };
-    told()
-        .map(|count| count.map(|count| format!("{count} taken")))
-        .transpose()
-}
-
-/// Reads the operator's file again and takes its keys for tokens.
-pub fn rekey(file: &Path, serving: &Serving) -> Result<String, String> {
-    let operator = foldmux_operator::load(file).map_err(|faults| faults.join("; "))?;
-    let own = operator
+/// Takes the keys of the operator's file that sign the external processor's tokens.
+fn reload_token_keys(file: &Path, processor: &Processor) -> Outcome {
+    let setup = read_operator(file)?
         .ext_proc
-        .ok_or_else(|| format!("{}: no ext_proc", file.display()))?;
-    let keys: Vec<(u8, &[u8])> = own
+        .ok_or_else(|| ReloadError::missing(file, "ext_proc"))?;
+    let keys: Vec<(u8, &[u8])> = setup
         .keys
         .iter()
         .map(|key| (key.number, key.secret.as_bytes()))
         .collect();
-    serving.front.keeper.change(&keys);
-    Ok(keys
-        .last()
-        .map_or("none".to_string(), |(number, _)| format!("{number} signs")))
-}
-
-/// The classes, as the external processor serves them.
-pub fn processed(tune: &Classes<Class>) -> Vec<Processed> {
-    let class = |(name, place, class): (&str, &Arc<usize>, &Class)| Processed {
-        name: name.into(),
-        place: place.clone(),
-        repeat: class.repeat,
-        window: class.repeat_window,
-        longest: class.deadline,
-    };
-    tune.named().map(class).collect()
+    processor.front.keeper.change(&keys);
+    Ok(match keys.last() {
+        Some((number, _)) => format!("{number} signs"),
+        None => "none".to_string(),
+    })
 }
--- a/edge/proxy/src/retry_after.rs
+++ b/edge/proxy/src/retry_after.rs
@@ -1,20 +1,16 @@
-//! How long a client that is turned away for lack of room is told to stay away.
+//! How long a client that is rejected for want of capacity is asked to wait before its retry.
 
 use foldmux::interface::{Settings, Time};
 
-/// The longest (us): what is full frees its places at request speed.
+/// Longest wait (us). Capacity that is used up comes free within the time of a request.
 pub const MAX_RETRY_AFTER: Time = 300_000;
-/// It takes so small a part of the shortest deadline, which leaves a client the time to come again.
-const PART: Time = 10;
+/// The wait is at most this part of the shortest deadline, which leaves the client time for its retry.
+const DEADLINE_PARTS: Time = 10;
 
-/// Advised with a refusal of the core's own (us), as far as the settings let clients be told a wait.
-pub fn refusal_wait(settings: &Settings) -> Time {
-    let shortest = settings
-        .classes
-        .iter()
-        .map(|class| class.deadline)
-        .min()
-        .unwrap_or(0);
-    let wait = MAX_RETRY_AFTER.min(shortest / PART);
-    settings.retry_after.map_or(0, |most| wait.min(most))
+/// The wait that comes with the core's own rejections (us), as far as the settings allow one; 0 for none.
+pub fn rejection_wait(settings: &Settings) -> Time {
+    let deadlines = settings.classes.iter().map(|class| class.deadline);
+    let shortest = deadlines.min().unwrap_or(0);
+    let wait = MAX_RETRY_AFTER.min(shortest / DEADLINE_PARTS);
+    settings.retry_after.map_or(0, |max| wait.min(max))
 }
--- /dev/null
+++ b/edge/proxy/src/server/decisions.rs
@@ -0,0 +1,104 @@
+//! Phase 2: the core and the event loop that decides for every request.
+
+use super::checked::Checked;
+use super::StartError;
+use crate::load_reports;
+use crate::reload::dns_classes;
+use crate::retry_after::rejection_wait;
+use foldmux::interface::Repeat;
+use foldmux::Router;
+use foldmux_core::buffers::Buffers;
+use foldmux_core::clock::span;
+use foldmux_core::limits::Limiter;
+use foldmux_core::{Core, Desk};
+use foldmux_fronts::listen::named;
+use foldmux_limits::table::Table;
+use foldmux_settings::Decoded;
+use foldmux_upstream::{pool::Pool, Upstream};
+use std::panic::{catch_unwind, AssertUnwindSafe};
+use std::sync::Arc;
+
+/// Stack of the event loop's thread (bytes).
+const EVENT_LOOP_STACK: usize = 512 * 1024;
+/// Exit code where the event loop has ended.
+const EVENT_LOOP_ENDED: i32 = 3;
+
+/// What decides, and the connections that it decides about.
+pub(super) struct Decisions {
+    pub(super) core: Arc<Core>,
+    pub(super) pool: Arc<Pool>,
+}
+
+impl Decisions {
+    /// Builds the core, starts the DNS front where it is configured, and the event loop's thread.
+    pub(super) fn start(checked: &mut Checked) -> Result<Decisions, StartError> {
+        let (config, clock) = (&checked.config, &checked.clock);
+        let (decoded, bounds) = (&config.decoded, config.bounds);
+        let settings = &decoded.settings;
+        let pool = Pool::new(bounds.upstream, span(decoded.keep_alive));
+        let router = Router::new(settings.clone(), config.seed);
+        let (mut event_loop, handle) = Desk::new(router, clock.clone(), checked.members.clone());
+        let connections = pool.clone();
+        event_loop.when_ended(move |former| connections.discard(former.member.cache));
+        let upstream = Upstream {
+            members: checked.members.clone(),
+            pool: pool.clone(),
+            clock: clock.clone(),
+            dial_time_out: span(decoded.dial_time_out),
+        };
+        let buffers = Buffers::new(bounds.buffers);
+        let upstream = load_reports::start(
+            decoded.reports.clone(),
+            settings,
+            &mut event_loop,
+            &handle,
+            upstream,
+        )?;
+        let core = Core::new(
+            handle,
+            clock.clone(),
+            buffers,
+            checked.members.clone(),
+            upstream,
+            rejection_wait(settings),
+            settings.longest_cold(),
+            bounds.open,
+        );
+        if let Some(table) = checked.limits.take() {
+            enforce_limits(&core, table, decoded);
+        }
+        if let Some(mut dns) = checked.dns.take() {
+            let serial = dns.notify(&mut event_loop)?;
+            dns.serve(
+                core.clone(),
+                dns_classes(&checked.classes),
+                serial,
+                bounds.dns,
+            )?;
+        }
+        named("event-loop", EVENT_LOOP_STACK, move || {
+            run_event_loop(event_loop)
+        })?;
+        Ok(Decisions { core, pool })
+    }
+}
+
+fn enforce_limits(core: &Core, table: Table, decoded: &Decoded) {
+    let settings = &decoded.settings;
+    let idempotency: Vec<Repeat> = settings.classes.iter().map(|class| class.repeat).collect();
+    let own_zone = decoded
+        .zones
+        .get(settings.zone)
+        .cloned()
+        .unwrap_or_default();
+    let limiter = Limiter::new(table, core.clock.clone(), own_zone, idempotency);
+    let _ = core.limits.set(limiter);
+}
+
+/// The event loop ends only by a fault. Without it no request can be decided, so the process exits for the platform to
+/// start another.
+fn run_event_loop(event_loop: Desk) {
+    let _ = catch_unwind(AssertUnwindSafe(|| event_loop.run()));
+    eprintln!("the event loop ended: no decisions can be made");
+    std::process::exit(EVENT_LOOP_ENDED);
+}
--- /dev/null
+++ b/edge/proxy/src/server/outcome_log.rs
@@ -0,0 +1,33 @@
+//! The periodic lines of the log about how requests ended.
+
+use foldmux_core::Core;
+use foldmux_fronts::listen::{named, READER_STACK};
+use foldmux_upstream::pool::Pool;
+use std::sync::Arc;
+use std::thread;
+use std::time::Duration;
+
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
+
+/// Starts the thread that logs, and sweeps the pool's idle connections also where no journal service is followed.
+pub(super) fn start(core: Arc<Core>, pool: Arc<Pool>) -> Result<(), String> {
+    named("outcome-log", READER_STACK, move || loop {
+        thread::sleep(LOG_INTERVAL);
+        pool.sweep();
+        log_outcomes(&core);
+    })?;
+    Ok(())
+}
+
+fn log_outcomes(core: &Core) {
+    if let Some(outcomes) = core.tally.line() {
+        tracing::info!("{outcomes}; {} in flight", core.open());
+    }
+    if let Some(reasons) = core.tally.reasons_line() {
+        tracing::info!("rejected or failed: {reasons}");
+    }
+    let suppressed = core.unserved_lines.take_withheld();
+    if suppressed > 0 {
+        tracing::info!("{suppressed} lines of requests that were rejected or failed are left out");
+    }
+}
--- a/edge/proxy/src/signals.rs
+++ b/edge/proxy/src/signals.rs
@@ -1,7 +1,7 @@
-//! The signals that the program hears: SIGHUP, and SIGTERM or SIGINT.
+//! The signals that the process handles: SIGHUP reloads, SIGTERM and SIGINT shut down.
 //!
-//! Each sets a flag and writes to a pipe that wakes the one thread that waits. The flags alone tell what came: a read of the
-//! pipe that fails is no reason to miss a signal, or to end.
+//! Each handler sets a flag, then writes to a pipe that wakes the one waiting thread. Which signal came is told by the
+//! flags alone, so that a failed read of the pipe neither loses a signal nor ends the process.
 
 use foldmux_sockets::verdict::on_stream;
 use foldmux_sockets::Pauses;
@@ -13,48 +13,60 @@
 use std::sync::Arc;
 use std::thread;
 
+/// Bytes read from the pipe at once: one for each signal.
+const WAKE_BUFFER: usize = 64;
+
 /// What a signal asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGHUP: the configuration is read again.
+    /// SIGHUP: read the configuration again.
     Reload,
-    /// SIGTERM or SIGINT: the process leaves.
-    End,
+    /// SIGTERM or SIGINT: drain and exit.
+    Shutdown,
 }
 
-/// The signals that have come and were not taken yet.
+/// The signals that came and were not handled yet.
 pub struct Signals {
-    woken: UnixStream,
+    wakeups: UnixStream,
     reload: Arc<AtomicBool>,
-    end: Arc<AtomicBool>,
+    shutdown: Arc<AtomicBool>,
 }
 
 impl Signals {
-    /// From here on the signals are kept until they are taken, and no longer end the process by themselves.
+    /// Installs the handlers. From here on signals are kept until [`Signals::wait`] returns them, and no longer end the
+    /// process by themselves.
+    ///
+    /// # Errors
+    ///
+    /// Where the pipe can't be made or a handler can't be installed.
     pub fn new() -> io::Result<Signals> {
-        let (woken, wakes) = UnixStream::pair()?;
-        let (reload, end) = (Arc::default(), Arc::default());
-        for (signal, told) in [(SIGHUP, &reload), (SIGTERM, &end), (SIGINT, &end)] {
-            // The flag first: whoever is woken finds it set.
-            flag::register(signal, Arc::clone(told))?;
-            pipe::register(signal, wakes.try_clone()?)?;
+        let (wakeups, waker) = UnixStream::pair()?;
+        let (reload, shutdown) = (Arc::default(), Arc::default());
+        for (signal, raised) in [(SIGHUP, &reload), (SIGTERM, &shutdown), (SIGINT, &shutdown)] {
+            // Handlers run in the order of their registration: whoever is woken finds the flag set.
+            flag::register(signal, Arc::clone(raised))?;
+            pipe::register(signal, waker.try_clone()?)?;
         }
-        Ok(Signals { woken, reload, end })
+        Ok(Signals {
+            wakeups,
+            reload,
+            shutdown,
+        })
     }
 
-    /// Waits for the next signal; an end comes before a reload.
+    /// Waits for the next signal; a shutdown comes before a reload.
     pub fn wait(&self) -> Signal {
         let mut pauses = Pauses::default();
         loop {
-            if self.end.swap(false, Ordering::SeqCst) {
-                return Signal::End;
+            if self.shutdown.swap(false, Ordering::SeqCst) {
+                return Signal::Shutdown;
             }
             if self.reload.swap(false, Ordering::SeqCst) {
                 return Signal::Reload;
             }
-            match (&self.woken).read(&mut [0; 64]) {
+            match (&self.wakeups).read(&mut [0; WAKE_BUFFER]) {
                 Ok(count) if count > 0 => pauses = Pauses::default(),
-                // The other end is held by the handlers, and stays.
+                // The handlers hold the other end for as long as the process runs.
                 Ok(_) => thread::sleep(pauses.lengthen()),
                 Err(error) => thread::sleep(pauses.before_next(on_stream(&error))),
             }
--- a/edge/proxy/src/startup_settings.rs
+++ b/edge/proxy/src/startup_settings.rs
@@ -1,93 +1,107 @@
-//! What a process was started with and keeps: a reload can't change it. Part of that gives zones and kinds their numbers,
-//! by which the list and the limits go; settings that number them otherwise would be read wrongly, and are refused as a
-//! whole. The rest holds from the next start, and the reload says so.
+//! The configuration's values that a reload can't change.
+//!
+//! Some of them number zones and kinds. The endpoint list and the limits refer to those numbers, so a configuration that
+//! numbers them otherwise is refused as a whole. The others apply from the next start, and the reload says so.
 
 use crate::config::{Config, ConfigError};
+use std::fmt::Debug;
 
 /// One value of the configuration, by the path of its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Kept {
+struct StartupValue {
     key: &'static str,
     value: String,
 }
 
-/// The values in service that no reload changes.
-#[derive(Clone, Debug)]
-pub struct StartupSettings {
-    numbering: Vec<Kept>,
-    kept: Vec<Kept>,
+impl StartupValue {
+    fn new(key: &'static str, value: impl Debug) -> StartupValue {
+        StartupValue {
+            key,
+            value: format!("{value:?}"),
+        }
+    }
 }
 
-fn keep(key: &'static str, value: impl std::fmt::Debug) -> Kept {
-    Kept {
-        key,
-        value: format!("{value:?}"),
-    }
+/// The values that the process was started with.
+#[derive(Clone, Debug)]
+pub struct StartupSettings {
+    /// Must be the same in every configuration.
+    numbering: Vec<StartupValue>,
+    /// May differ, and then apply from the next start.
+    deferred: Vec<StartupValue>,
 }
 
 impl StartupSettings {
+    /// The values of a configuration.
     pub fn of(config: &Config) -> StartupSettings {
         let decoded = &config.decoded;
         let numbering = vec![
-            keep("settings.dcs", &decoded.zones),
-            keep("settings.kinds", &decoded.kinds),
-            keep("settings.locality", decoded.settings.zone),
+            StartupValue::new("settings.dcs", &decoded.zones),
+            StartupValue::new("settings.kinds", &decoded.kinds),
+            StartupValue::new("settings.locality", decoded.settings.zone),
         ];
-        let kept = vec![
-            keep("name", &config.name),
-            keep("listen", config.listen),
-            keep("operator", config.operator),
-            keep("seed", config.seed),
-            keep("limits", config.limits),
-            keep("settings.limits.dialTimeout", decoded.dial_time_out),
-            keep("settings.limits.keepalive", decoded.keep_alive),
-            keep(
+        let deferred = vec![
+            StartupValue::new("name", &config.name),
+            StartupValue::new("listen", config.listen),
+            StartupValue::new("operator", config.operator),
+            StartupValue::new("seed", config.seed),
+            StartupValue::new("limits", config.limits),
+            StartupValue::new("settings.limits.dialTimeout", decoded.dial_time_out),
+            StartupValue::new("settings.limits.keepalive", decoded.keep_alive),
+            StartupValue::new(
                 "settings.report, limits.probes or charges.probe",
-                reports(config),
+                load_report_settings(config),
             ),
         ];
-        StartupSettings { numbering, kept }
+        StartupSettings {
+            numbering,
+            deferred,
+        }
     }
 
-    /// Whether `config` numbers zones and kinds as they are in service, or a line for each that it doesn't.
+    /// Checks that `config` numbers zones and kinds as they are in service.
+    ///
+    /// # Errors
+    ///
+    /// A line for each value that differs.
     pub fn check(&self, config: &Config) -> Result<(), ConfigError> {
         let other = StartupSettings::of(config).numbering;
-        let differs = |(held, told): (&Kept, &Kept)| {
-            let Kept { key, value } = held;
-            let line = || {
+        let faults: Vec<String> = differing(&self.numbering, &other)
+            .map(|(in_service, configured)| {
                 format!(
-                    "configuration.{key}: {} is not {value}, which is in service",
-                    told.value
+                    "configuration.{}: {} is not {}, which is in service",
+                    in_service.key, configured.value, in_service.value
                 )
-            };
-            (held != told).then(line)
-        };
-        let lines: Vec<String> = self
-            .numbering
-            .iter()
-            .zip(&other)
-            .filter_map(differs)
+            })
             .collect();
-        if lines.is_empty() {
-            return Ok(());
+        match faults.is_empty() {
+            true => Ok(()),
+            false => Err(ConfigError::new(faults)),
         }
-        Err(ConfigError(lines))
     }
 
-    /// The keys whose values in `config` hold from the next start.
-    pub fn later(&self, config: &Config) -> Vec<&'static str> {
-        let other = StartupSettings::of(config).kept;
-        self.kept
-            .iter()
-            .zip(&other)
-            .filter(|(held, told)| held != told)
-            .map(|(held, _)| held.key)
+    /// The keys whose values in `config` apply from the next start.
+    pub fn changed_keys(&self, config: &Config) -> Vec<&'static str> {
+        let other = StartupSettings::of(config).deferred;
+        differing(&self.deferred, &other)
+            .map(|(in_service, _)| in_service.key)
             .collect()
     }
 }
 
-/// How reports and probes are set up, but for what is derived from the classes.
-fn reports(config: &Config) -> impl std::fmt::Debug {
+/// The values that differ: in service, and as configured.
+fn differing<'a>(
+    in_service: &'a [StartupValue],
+    configured: &'a [StartupValue],
+) -> impl Iterator<Item = (&'a StartupValue, &'a StartupValue)> {
+    in_service
+        .iter()
+        .zip(configured)
+        .filter(|(in_service, configured)| in_service != configured)
+}
+
+/// How load reports and health checks are configured, but for what follows from the classes.
+fn load_report_settings(config: &Config) -> impl Debug {
     let reports = &config.decoded.reports;
     (
         format!("{:?}", reports.fields),
--- a/edge/proxy/tests/common/dns.rs
+++ b/edge/proxy/tests/common/dns.rs
@@ -40,7 +40,13 @@
 /// With limits, as the operator's file sets them.
 pub fn limited(zone: &str, more: &str, most: usize, limits: &str) -> Rig {
     let decoded = foldmux_settings::parse(common::SETTINGS).unwrap();
-    let account = foldmux_proxy::limits::account(&decoded, 1_024, 192);
+    let account = foldmux_proxy::limits::account(
+        &decoded,
+        &foldmux_proxy::config::Limits {
+            sockets: 1_024,
+            memory_mb: 192,
+        },
+    );
     let repeats = decoded
         .settings
         .classes
--- a/edge/proxy/tests/common/mod.rs
+++ b/edge/proxy/tests/common/mod.rs
@@ -150,7 +150,7 @@
                 .and_then(|(_, at)| at.trim().parse().ok())
         };
         at = [
-            after(" serves on "),
+            after(" is listening on "),
             at[1].or(after("external processor on ")),
         ];
         said += &line;
@@ -246,7 +246,7 @@
             ["term"] => {
                 program.signal("-TERM");
                 // The signal is on its way until the program says so: what comes before that is not late.
-                program.line("told to leave");
+                program.line("draining: ");
                 String::new()
             }
             ["ended"] => program.child.wait().unwrap().to_string(),
--- a/edge/proxy/tests/common/place.rs
+++ b/edge/proxy/tests/common/place.rs
@@ -9,7 +9,7 @@
 use foldmux_core::desk::Desk;
 use foldmux_core::members::{cache_id, Members};
 use foldmux_proxy::backoff::Backoff;
-use foldmux_proxy::journal::{Feed, JournalClient, Names, Service};
+use foldmux_proxy::journal::{Feed, JournalClient, JournalService, Names};
 use foldmux_upstream::pool::Pool;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,7 +18,7 @@
 
 pub struct Place {
     pub members: Arc<Members>,
-    pub service: Arc<Service>,
+    pub service: Arc<JournalService>,
     /// A whole list is in.
     pub listed: Arc<AtomicBool>,
     /// The names of members whose start took no more work, in the order in which it ended.
@@ -47,8 +47,8 @@
         let listed = Arc::new(AtomicBool::new(false));
         let mut journal = JournalClient::new(names, clock, handle, pool, listed.clone());
         let known: Feed = simd_json::serde::from_slice(&mut known.as_bytes().to_vec()).unwrap();
-        assert!(journal.take(&known));
-        let service = Arc::new(Service::new(Some(address)));
+        assert!(journal.apply(&known));
+        let service = Arc::new(JournalService::new(Some(address)));
         let followed = service.clone();
         std::thread::spawn(move || journal.follow(&followed, Backoff::new(1)));
         Place {
--- a/edge/proxy/tests/common/running.rs
+++ b/edge/proxy/tests/common/running.rs
@@ -80,8 +80,8 @@
             line.split_once(words)
                 .and_then(|(_, at)| at.trim().parse().ok())
         };
-        serves = serves.or(after(" serves on "));
-        operator = operator.or(after("operator line on "));
+        serves = serves.or(after(" is listening on "));
+        operator = operator.or(after("admin interface on "));
         said += &line;
     }
     let (told, log) = channel();
--- a/edge/proxy/tests/common/steps.rs
+++ b/edge/proxy/tests/common/steps.rs
@@ -144,7 +144,7 @@
     /// SIGTERM, and the program has begun to leave; what its log says then.
     pub fn leave(&self) -> String {
         self.signal("-TERM");
-        self.program.line("told to leave")
+        self.program.line("draining: ")
     }
 
     /// The program ended by itself, in order.
--- a/edge/proxy/tests/days.rs
+++ b/edge/proxy/tests/days.rs
@@ -99,8 +99,8 @@
         .status()
         .unwrap()
         .success());
-    let left =
-        std::iter::from_fn(|| old.log.recv_timeout(PATIENCE).ok()).find(|l| l.contains("left "));
+    let left = std::iter::from_fn(|| old.log.recv_timeout(PATIENCE).ok())
+        .find(|l| l.contains("shut down "));
     assert!(left.is_some());
     for _ in 0..20 {
         TcpStream::connect(new.serves).expect("the new one takes clients");
--- a/edge/proxy/tests/fleet.rs
+++ b/edge/proxy/tests/fleet.rs
@@ -188,7 +188,7 @@
     let mut lines = BufReader::new(stranger.stderr.take().unwrap())
         .lines()
         .map_while(Result::ok);
-    let off = lines.find(|line| line.contains("fleet: ") || line.contains("serves on"));
+    let off = lines.find(|line| line.contains("fleet: ") || line.contains(" is listening on "));
     let _ = stranger.kill();
     let _ = stranger.wait();
     assert!(
--- a/edge/proxy/tests/hand_over.rs
+++ b/edge/proxy/tests/hand_over.rs
@@ -44,7 +44,7 @@
         .unwrap()
         .success());
     let mut lines = std::iter::from_fn(|| old.log.recv_timeout(running::PATIENCE).ok());
-    assert!(lines.any(|line| line.contains("told to leave")));
+    assert!(lines.any(|line| line.contains("draining: ")));
     assert_eq!(call(old.operator, b"status\n"), "done no\n");
     for (place, (asked, attempt)) in open.into_iter().enumerate() {
         attempt.serve();
@@ -54,7 +54,7 @@
             "request {place} is not lost"
         );
     }
-    assert!(lines.any(|line| line.contains("left ") && line.contains(", 0 open, ")));
+    assert!(lines.any(|line| line.contains("shut down ") && line.contains(", 0 in flight, ")));
     assert!(old.child.wait().unwrap().success());
     // The new one is alone, and takes what comes; what is out stays out until it is brought back.
     for object in 100..100 + OPEN {
--- a/edge/proxy/tests/lists.rs
+++ b/edge/proxy/tests/lists.rs
@@ -104,7 +104,7 @@
         lines.for_each(|line| events.push(event(events.len() as u64 + 1, false, &[line])));
         events.push(event(events.len() as u64 + 1, true, &first()));
     }
-    assert!(place.journal.take(&read(&feed(&events)).unwrap()));
+    assert!(place.journal.apply(&read(&feed(&events)).unwrap()));
     let (members, ended) = place.end();
     assert_eq!(
         (members.census(|_| false), ended),
@@ -191,7 +191,7 @@
                 }
             }
             assert_eq!(
-                place.journal.take(&read),
+                place.journal.apply(&read),
                 gapless,
                 "seed {seed} after {had}"
             );
--- a/edge/proxy/tests/operator.rs
+++ b/edge/proxy/tests/operator.rs
@@ -170,7 +170,7 @@
         .map_while(Result::ok);
     std::thread::spawn(move || lines.for_each(|line| drop(told.send(line))));
     let serving = Serving { child, log };
-    let first = serving.line("serves on");
+    let first = serving.line(" is listening on ");
     assert!(
         first.starts_with('{') && first.contains("\"level\":\"INFO\""),
         "{first}"
--- a/edge/proxy/tests/processor_end.rs
+++ b/edge/proxy/tests/processor_end.rs
@@ -37,7 +37,7 @@
     let request = ask(serves.expect("an address"), "sheet", OBJECT);
     let attempt = Attempt::next(&caches);
     program.signal("-TERM");
-    program.line("told to leave");
+    program.line("draining: ");
     Leaving {
         program,
         stream,
@@ -59,7 +59,7 @@
     // All clients are gone, and the stream is open still.
     assert!(program
         .line("after the signal")
-        .contains("0 open, 0 connected"));
+        .contains("0 in flight, 0 connected"));
     drop(stream);
     assert!(program
         .line("external processor: placed")
--- a/edge/proxy/tests/reports.rs
+++ b/edge/proxy/tests/reports.rs
@@ -208,9 +208,9 @@
             .find(|line| line.contains(words))
             .expect("a line in the log")
     };
-    let serves = line(" serves on ");
+    let serves = line(" is listening on ");
     let serves: SocketAddr = serves
-        .split_once(" serves on ")
+        .split_once(" is listening on ")
         .unwrap()
         .1
         .trim()
--- a/edge/proxy/tests/shutdown.rs
+++ b/edge/proxy/tests/shutdown.rs
@@ -71,7 +71,7 @@
     client.ask(TWO);
     rig.signal("-TERM");
     rig.go_on();
-    rig.program.line("told to leave");
+    rig.program.line("draining: ");
     rig.attempt().give(b"new");
     assert!(client.answer().contains("\\xc4\\x03new"));
     client.ends();
--- a/rigs/demo/src/extproc/instance.rs
+++ b/rigs/demo/src/extproc/instance.rs
@@ -114,7 +114,7 @@
                     .and_then(|(_, a)| a.trim().parse().ok())
             });
             serves = line
-                .split_once(" serves on ")
+                .split_once(" is listening on ")
                 .and_then(|(_, a)| a.trim().parse().ok());
             if serves.is_some() {
                 break;
--- a/rigs/harness/src/process.rs
+++ b/rigs/harness/src/process.rs
@@ -170,7 +170,7 @@
             spec: spec.clone(),
         };
         reader.map_err(told)?;
-        match process.log.wait(" serves on ", within) {
+        match process.log.wait(" is listening on ", within) {
             Some(_) => Ok(process),
             None => Err(format!(
                 "{} did not serve; it said:\n{}",
--- a/rigs/soak/src/process.rs
+++ b/rigs/soak/src/process.rs
@@ -52,7 +52,7 @@
                 )
             })?;
             let _ = writeln!(log, "{line}");
-            if let Some((_, at)) = line.split_once(" serves on ") {
+            if let Some((_, at)) = line.split_once(" is listening on ") {
                 break at.trim().parse().map_err(|e| format!("{line}: {e}"))?;
             }
         };
