--- a/edge/proxy/src/journal.rs
+++ b/edge/proxy/src/journal.rs
@@ -8,13 +8,13 @@
 use foldmux_core::clock::Clock;
 use foldmux_core::desk::{DeskHandle, Notice};
 use foldmux_core::members::Listed;
-use foldmux_event_stream::Desk as EventStream;
+use foldmux_event_stream::StreamReaders as EventStream;
 use foldmux_upstream::pool::Pool;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
 pub use events::Names;
-pub use foldmux_event_stream::words::{Entry, Feed};
+pub use foldmux_event_stream::journal::{Entry, PollResponse};
 pub use service::JournalService;
 
 mod events;
@@ -69,7 +69,7 @@
 
     /// Applies the events that follow those already applied: all of them, or none where one is missing or out of order.
     /// Returns false in that case; the next poll requests them again.
-    pub fn apply(&mut self, feed: &Feed) -> bool {
+    pub fn apply(&mut self, feed: &PollResponse) -> bool {
         let Some(following) = following(&feed.entries, self.position) else {
             return false;
         };
@@ -82,7 +82,7 @@
 
     /// Applies all events from 1 on, by a service that numbers them anew. Its lists come to one whole list, and what that
     /// leaves out is gone. Returns false where the feed is no such restart; then nothing changes.
-    fn apply_restart(&mut self, feed: &Feed) -> bool {
+    fn apply_restart(&mut self, feed: &PollResponse) -> bool {
         let Some(entries) = following(&feed.entries, 0) else {
             return false;
         };
--- a/edge/proxy/src/journal/events.rs
+++ b/edge/proxy/src/journal/events.rs
@@ -6,7 +6,7 @@
 use foldmux_core::clock::Clock;
 use foldmux_core::desk::Notice;
 use foldmux_core::members::{cache_id, Listed};
-use foldmux_event_stream::words::{Endpoint, Entry, Expire};
+use foldmux_event_stream::journal::{Endpoint, Entry, Expire};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/edge/proxy/src/journal/request.rs
+++ b/edge/proxy/src/journal/request.rs
@@ -1,6 +1,6 @@
 //! One request to the journal service, and its response within one deadline.
 
-use super::Feed;
+use super::PollResponse;
 use foldmux_http1::io::write_all;
 use foldmux_http1::{read_response, Broken};
 use std::fmt;
@@ -71,7 +71,7 @@
 }
 
 pub(super) struct PollResponse {
-    pub(super) feed: Feed,
+    pub(super) feed: PollResponse,
     /// The connection may carry another request.
     pub(super) reusable: bool,
 }
--- a/edge/proxy/src/relayed.rs
+++ b/edge/proxy/src/relayed.rs
@@ -4,8 +4,8 @@
 use crate::backoff::Backoff;
 use crate::fleet::parts::seats;
 use crate::journal::JournalClient;
-use foldmux_event_stream::desk::Tells;
-use foldmux_event_stream::{serve, Desk};
+use foldmux_event_stream::readers::RelaySink;
+use foldmux_event_stream::{serve, StreamReaders};
 use foldmux_fleet::Port;
 use foldmux_fronts::listen::named;
 use foldmux_operator::{Fleet, Slow, Stream, StreamFirst};
@@ -26,7 +26,7 @@
 const HOLD: Duration = Duration::from_secs(10);
 
 pub struct Relayed {
-    pub desk: Arc<Desk>,
+    pub desk: Arc<StreamReaders>,
     serve: Option<SocketAddr>,
     /// Connections of hubs and instances: this process's own reader is one too.
     most: usize,
@@ -38,7 +38,7 @@
         said: &Fleet,
         name: &str,
         seed: u64,
-    ) -> Result<Option<(Relayed, Relay, Tells)>, String> {
+    ) -> Result<Option<(Relayed, Relay, RelaySink)>, String> {
         let Some(journal) = said.streams.iter().find(|stream| stream.name == JOURNAL) else {
             return Ok(None);
         };
@@ -66,8 +66,8 @@
             hold: HOLD.as_micros() as u64,
             seed,
         };
-        let desk = Desk::new(JOURNAL, AHEAD);
-        let tells = Tells(desk.clone());
+        let desk = StreamReaders::new(JOURNAL, AHEAD);
+        let tells = RelaySink(desk.clone());
         // Until its reader is fed the process reads the source, as one without a fleet does.
         desk.gate.without(true);
         Ok(Some((
@@ -122,7 +122,7 @@
 }
 
 /// Takes what the site's relay tells, for as long as the process runs; the source is read by `journal` itself.
-fn follow(desk: &Arc<Desk>, journal: &JournalClient, mut backoff: Backoff) {
+fn follow(desk: &Arc<StreamReaders>, journal: &JournalClient, mut backoff: Backoff) {
     loop {
         if let Ok(mut reading) = desk.read(0) {
             while let Ok(entries) = reading.next(Instant::now() + Duration::from_secs(1)) {
--- a/shared/event-stream/src/items.rs
+++ b/shared/event-stream/src/items.rs
@@ -1,7 +1,7 @@
 //! Events of the source as items of a relayed stream, numbered from 1 by whoever reads the source; and items as events, in a
 //! reader's own numbers. A line of the list has its host as key, so that the last of each is the list; a purge has none.
 
-use crate::words::{Entry, Expire, Hosts, Lost};
+use crate::journal::{Entry, Expire, Hosts, Lost};
 use foldmux_relay::{Event, Item};
 use serde::Serialize;
 use std::hash::{BuildHasher, Hasher, RandomState};
--- a/shared/event-stream/src/desk.rs
+++ b/shared/event-stream/src/readers.rs
@@ -1,8 +1,8 @@
 //! The readers of a relayed stream in this process, and what this process reads at the source for it.
 
-use crate::gate::Gate;
 use crate::items::{entries, Counter};
-use crate::words::Entry;
+use crate::journal::Entry;
+use crate::source_gate::SourceGate;
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError, Sender};
 use foldmux_fleet::{Port, Refused, Sink};
 use foldmux_relay::{Ask, Event, Told};
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::Instant;
 
-pub struct Desk {
+pub struct StreamReaders {
     stream: Arc<str>,
     /// Messages that wait for one reader: what it may be told ahead, one event in each, and its end.
     room: usize,
@@ -21,23 +21,23 @@
     ended: Mutex<Vec<u64>>,
     next: AtomicU64,
     counter: Mutex<Counter>,
-    pub gate: Gate,
+    pub gate: SourceGate,
 }
 
 /// A reader's stream has ended: it was too slow, there was no room, or the part is gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Over;
+pub struct SubscriptionEnded;
 
 /// Where the part tells what it has to tell.
-pub struct Tells(pub Arc<Desk>);
+pub struct RelaySink(pub Arc<StreamReaders>);
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Desk {
-    pub fn new(stream: &str, ahead: u64) -> Arc<Desk> {
-        Arc::new(Desk {
+impl StreamReaders {
+    pub fn new(stream: &str, ahead: u64) -> Arc<StreamReaders> {
+        Arc::new(StreamReaders {
             stream: stream.into(),
             room: ahead as usize + 4,
             port: OnceLock::new(),
@@ -45,7 +45,7 @@
             ended: Mutex::default(),
             next: AtomicU64::new(1),
             counter: Mutex::default(),
-            gate: Gate::default(),
+            gate: SourceGate::default(),
         })
     }
 
@@ -94,13 +94,13 @@
     }
 
     /// A reader whose own last number is `after`.
-    pub fn read(self: &Arc<Desk>, after: u64) -> Result<Reading, Over> {
+    pub fn read(self: &Arc<StreamReaders>, after: u64) -> Result<Subscription, SubscriptionEnded> {
         self.sweep();
         let (sender, told) = bounded(self.room);
         let ticket = self.next.fetch_add(1, Ordering::Relaxed);
         lock(&self.readers).insert(ticket, sender);
-        let reading = Reading {
-            desk: self.clone(),
+        let reading = Subscription {
+            readers: self.clone(),
             ticket,
             told,
             after,
@@ -112,22 +112,22 @@
             after,
             place: None,
         };
-        self.ask(ask).map_err(|_| Over)?;
+        self.ask(ask).map_err(|_| SubscriptionEnded)?;
         Ok(reading)
     }
 
-    /// Tells the part of readers that have gone.
+    /// RelaySink the part of readers that have gone.
     fn sweep(&self) {
         lock(&self.ended)
             .retain(|reader| self.ask(Ask::Cancel { reader: *reader }) == Err(Refused::Full));
     }
 }
 
-impl Sink<Told> for Tells {
+impl Sink<Told> for RelaySink {
     fn told(&self, told: Told) {
-        let desk = &self.0;
+        let readers = &self.0;
         let reader = match &told {
-            Told::Source { open, .. } => return desk.gate.open(*open),
+            Told::Source { open, .. } => return readers.gate.open(*open),
             Told::Relay {
                 from: Some(from),
                 stream,
@@ -137,7 +137,7 @@
             Told::Refused { ticket, .. } => *ticket,
             Told::News { reader, .. } | Told::Ended { reader, .. } => *reader,
         };
-        let mut readers = lock(&desk.readers);
+        let mut readers = lock(&readers.readers);
         let over = !matches!(told, Told::News { .. });
         // One whose channel is full is at its end: a gap would be untold.
         if over
@@ -155,8 +155,8 @@
     }
 }
 
-pub struct Reading {
-    desk: Arc<Desk>,
+pub struct Subscription {
+    readers: Arc<StreamReaders>,
     ticket: u64,
     told: Receiver<Told>,
     /// The last of its own numbers that it was told; and that it took, as far as the part knows.
@@ -164,15 +164,15 @@
     taken: u64,
 }
 
-impl Reading {
+impl Subscription {
     /// What came, at least one event, or nothing until then.
-    pub fn next(&mut self, until: Instant) -> Result<Vec<Entry>, Over> {
+    pub fn next(&mut self, until: Instant) -> Result<Vec<Entry>, SubscriptionEnded> {
         let mut found = Vec::new();
         while found.is_empty() {
             match self.told.recv_deadline(until) {
                 Ok(told) => self.add(told, &mut found),
                 Err(RecvTimeoutError::Timeout) => return Ok(found),
-                Err(RecvTimeoutError::Disconnected) => return Err(Over),
+                Err(RecvTimeoutError::Disconnected) => return Err(SubscriptionEnded),
             }
         }
         while let Ok(told) = self.told.try_recv() {
@@ -192,7 +192,7 @@
     pub fn took(&mut self, number: u64) {
         if number > self.taken
             && self
-                .desk
+                .readers
                 .ask(Ask::Taken {
                     reader: self.ticket,
                     number,
@@ -204,10 +204,10 @@
     }
 }
 
-impl Drop for Reading {
+impl Drop for Subscription {
     fn drop(&mut self) {
-        lock(&self.desk.readers).remove(&self.ticket);
-        lock(&self.desk.ended).push(self.ticket);
-        self.desk.sweep();
+        lock(&self.readers.readers).remove(&self.ticket);
+        lock(&self.readers.ended).push(self.ticket);
+        self.readers.sweep();
     }
 }
--- a/shared/event-stream/src/serve.rs
+++ b/shared/event-stream/src/serve.rs
@@ -1,8 +1,8 @@
 //! The journal's long poll as a relay serves it: numbers go on from the reader's own, whichever process it asked before. A
 //! connection is a reader: a new one begins with the whole list, and is told that something may be missing where it read before.
 
-use crate::desk::{Desk, Over, Reading};
-use crate::words::{Entry, Feed, Lost};
+use crate::journal::{Entry, Lost, PollResponse};
+use crate::readers::{StreamReaders, Subscription, SubscriptionEnded};
 use foldmux_http1::io::write_all;
 use foldmux_http1::request::read_request;
 use std::io;
@@ -20,10 +20,10 @@
 const LONGEST: u64 = 5_000;
 
 /// Serves for as long as the process runs, at most so many connections at once; where it listens.
-pub fn serve(desk: &Arc<Desk>, on: SocketAddr, most: usize) -> io::Result<SocketAddr> {
+pub fn serve(readers: &Arc<StreamReaders>, on: SocketAddr, most: usize) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(on)?;
     let address = listener.local_addr()?;
-    let (desk, open) = (desk.clone(), Arc::new(AtomicUsize::new(0)));
+    let (readers, open) = (readers.clone(), Arc::new(AtomicUsize::new(0)));
     named("feed", move || {
         for stream in listener.incoming() {
             let Ok(stream) = stream else {
@@ -35,9 +35,9 @@
                 open.fetch_sub(1, Ordering::SeqCst);
                 continue;
             }
-            let (desk, counted) = (desk.clone(), open.clone());
+            let (readers, counted) = (readers.clone(), open.clone());
             let served = named("feed reader", move || {
-                let _ = one(&stream, &desk);
+                let _ = one(&stream, &readers);
                 counted.fetch_sub(1, Ordering::SeqCst);
             });
             if served.is_err() {
@@ -56,10 +56,10 @@
         .map(drop)
 }
 
-fn one(stream: &TcpStream, desk: &Arc<Desk>) -> Option<()> {
+fn one(stream: &TcpStream, readers: &Arc<StreamReaders>) -> Option<()> {
     let _ = stream.set_nodelay(true);
     let (mut buffer, mut filled) = (vec![0; REQUEST], 0);
-    let mut reading: Option<Reading> = None;
+    let mut reading: Option<Subscription> = None;
     // Told, and not known to have come: told again where the reader asks from before.
     let mut told: Vec<Entry> = Vec::new();
     loop {
@@ -95,9 +95,9 @@
                         ..Entry::default()
                     });
                 }
-                match desk.read(tail + u64::from(again)) {
+                match readers.read(tail + u64::from(again)) {
                     Ok(new) => reading.insert(new),
-                    Err(Over) => return answer(stream, "503 Service Unavailable", ""),
+                    Err(SubscriptionEnded) => return answer(stream, "503 Service Unavailable", ""),
                 }
             }
         };
@@ -105,10 +105,10 @@
         if told.iter().all(|entry| entry.lost.is_some()) {
             match reading.next(until) {
                 Ok(next) => told.extend(next),
-                Err(Over) => return answer(stream, "503 Service Unavailable", ""),
+                Err(SubscriptionEnded) => return answer(stream, "503 Service Unavailable", ""),
             }
         }
-        let feed = Feed {
+        let feed = PollResponse {
             pos: reading.after,
             entries: told.clone(),
         };
--- a/shared/event-stream/src/gate.rs
+++ b/shared/event-stream/src/source_gate.rs
@@ -14,12 +14,12 @@
 }
 
 #[derive(Default)]
-pub struct Gate {
+pub struct SourceGate {
     state: Mutex<State>,
     change: Condvar,
 }
 
-impl Gate {
+impl SourceGate {
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -61,7 +61,7 @@
         std::mem::take(&mut state.shut) || once
     }
 
-    /// Whether the next [`Gate::pass`] will wait.
+    /// Whether the next [`SourceGate::pass`] will wait.
     pub fn shut(&self) -> bool {
         let state = self.state();
         !(state.open || state.without || state.once || state.gone)
