--- a/edge/proxy/src/config.rs
+++ b/edge/proxy/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration of an edge proxy: one JSON document, decoded once into the values that the program uses.
 
-use foldmux_event_stream::journal::PollResponse;
+use foldmux_event_stream::journal::EventBatch;
 use foldmux_settings::Decoded;
 use std::fmt;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
     /// The admin interface's address, where there is one (`operator`, or `$GW_OPERATOR`).
     pub operator: Option<SocketAddr>,
     /// The events that are known before the journal service is asked.
-    pub known: PollResponse,
+    pub known: EventBatch,
     /// What follows from `limits`.
     pub bounds: Bounds,
     /// The limits on the process.
--- a/edge/proxy/src/config/document.rs
+++ b/edge/proxy/src/config/document.rs
@@ -2,7 +2,7 @@
 
 use super::unique_keys::UniqueKeys;
 use super::{Bounds, Config, ConfigError, Limits};
-use foldmux_event_stream::journal::PollResponse;
+use foldmux_event_stream::journal::EventBatch;
 use foldmux_settings::section::{Faults, Section};
 use foldmux_settings::{decode, Decoded};
 use simd_json::{ErrorType, OwnedValue};
@@ -139,12 +139,12 @@
         .fold(0, |seed, byte| foldmux_stats::mix(seed ^ byte as u64))
 }
 
-fn decode_known_events(document: &Section) -> PollResponse {
+fn decode_known_events(document: &Section) -> EventBatch {
     let Some(value) = document.get("known") else {
-        return PollResponse::default();
+        return EventBatch::default();
     };
     simd_json::serde::from_refowned_value(value).unwrap_or_else(|error| {
         document.fault("known", error);
-        PollResponse::default()
+        EventBatch::default()
     })
 }
--- a/edge/proxy/src/journal.rs
+++ b/edge/proxy/src/journal.rs
@@ -14,7 +14,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 pub use events::Names;
-pub use foldmux_event_stream::journal::{Entry, PollResponse};
+pub use foldmux_event_stream::journal::{Entry, EventBatch};
 pub use service::JournalService;
 
 mod events;
@@ -69,7 +69,7 @@
 
     /// Applies the events that follow those already applied: all of them, or none where one is missing or out of order.
     /// Returns false in that case; the next poll requests them again.
-    pub fn apply(&mut self, feed: &PollResponse) -> bool {
+    pub fn apply(&mut self, feed: &EventBatch) -> bool {
         let Some(following) = following(&feed.entries, self.position) else {
             return false;
         };
@@ -82,7 +82,7 @@
 
     /// Applies all events from 1 on, by a service that numbers them anew. Its lists come to one whole list, and what that
     /// leaves out is gone. Returns false where the feed is no such restart; then nothing changes.
-    fn apply_restart(&mut self, feed: &PollResponse) -> bool {
+    fn apply_restart(&mut self, feed: &EventBatch) -> bool {
         let Some(entries) = following(&feed.entries, 0) else {
             return false;
         };
--- a/edge/proxy/src/journal/poll.rs
+++ b/edge/proxy/src/journal/poll.rs
@@ -2,7 +2,7 @@
 
 use super::request::{PollError, PollRequest, MAX_RESPONSE, RESPONSE_TIMEOUT};
 use super::service::{JournalService, Location};
-use super::{JournalClient, PollResponse};
+use super::{EventBatch, JournalClient};
 use crate::backoff::{Backoff, LONGEST as MAX_BACKOFF};
 use foldmux_event_stream::StreamReaders as EventStream;
 use std::sync::Arc;
@@ -145,7 +145,7 @@
         Ok(polled)
     }
 
-    fn apply(&mut self, feed: &PollResponse) -> Result<Polled, PollError> {
+    fn apply(&mut self, feed: &EventBatch) -> Result<Polled, PollError> {
         if std::mem::take(&mut self.restart) {
             return self.apply_restart(feed);
         }
@@ -165,7 +165,7 @@
     }
 
     /// Applies all events from 1, where the feed has them.
-    fn apply_restart(&mut self, feed: &PollResponse) -> Result<Polled, PollError> {
+    fn apply_restart(&mut self, feed: &EventBatch) -> Result<Polled, PollError> {
         if feed.last() == 0 {
             // The service started anew and has no events yet: the endpoint list stays until it has.
             self.restart = true;
--- a/edge/proxy/src/journal/request.rs
+++ b/edge/proxy/src/journal/request.rs
@@ -1,6 +1,6 @@
 //! One request to the journal service, and its response within one deadline.
 
-use super::PollResponse;
+use super::EventBatch;
 use foldmux_http1::io::write_all;
 use foldmux_http1::{read_response, Broken};
 use std::fmt;
@@ -71,7 +71,7 @@
 }
 
 pub(super) struct PollResponse {
-    pub(super) feed: PollResponse,
+    pub(super) feed: EventBatch,
     /// The connection may carry another request.
     pub(super) reusable: bool,
 }
--- a/edge/proxy/tests/common/place.rs
+++ b/edge/proxy/tests/common/place.rs
@@ -9,7 +9,7 @@
 use foldmux_core::desk::Desk;
 use foldmux_core::members::{cache_id, Members};
 use foldmux_proxy::backoff::Backoff;
-use foldmux_proxy::journal::{JournalClient, JournalService, Names, PollResponse};
+use foldmux_proxy::journal::{EventBatch, JournalClient, JournalService, Names};
 use foldmux_upstream::pool::Pool;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -46,7 +46,7 @@
         let pool = Pool::new(8, Duration::from_secs(10));
         let listed = Arc::new(AtomicBool::new(false));
         let mut journal = JournalClient::new(names, clock, handle, pool, listed.clone());
-        let known: PollResponse =
+        let known: EventBatch =
             simd_json::serde::from_slice(&mut known.as_bytes().to_vec()).unwrap();
         assert!(journal.apply(&known));
         let service = Arc::new(JournalService::new(Some(address)));
--- a/edge/proxy/tests/lists.rs
+++ b/edge/proxy/tests/lists.rs
@@ -5,7 +5,7 @@
 use foldmux_core::clock::Clock;
 use foldmux_core::desk::Desk;
 use foldmux_core::members::{cache_id, Members};
-use foldmux_event_stream::journal::PollResponse;
+use foldmux_event_stream::journal::EventBatch;
 use foldmux_proxy::journal::{JournalClient, Names};
 use foldmux_stats::Draws;
 use foldmux_upstream::pool::Pool;
@@ -78,7 +78,7 @@
     )
 }
 
-fn read(text: &str) -> Option<PollResponse> {
+fn read(text: &str) -> Option<EventBatch> {
     simd_json::serde::from_slice(&mut text.as_bytes().to_vec()).ok()
 }
 
--- a/hub/src/purges.rs
+++ b/hub/src/purges.rs
@@ -4,7 +4,7 @@
 
 use crate::state::Hub;
 use foldmux_event_stream::backoff::Backoff;
-use foldmux_event_stream::journal::{Expire, PollResponse};
+use foldmux_event_stream::journal::{EventBatch, Expire};
 use foldmux_http1::io::write_all;
 use foldmux_http1::read_response;
 use foldmux_sockets::dial::dial;
@@ -52,7 +52,7 @@
     }
 }
 
-fn take(hub: &Hub, feed: &PollResponse, pos: &mut u64) -> Result<(), String> {
+fn take(hub: &Hub, feed: &EventBatch, pos: &mut u64) -> Result<(), String> {
     for entry in feed.entries.iter().filter(|e| e.pos > 0) {
         if entry.pos <= *pos {
             continue;
@@ -78,7 +78,7 @@
     pos: u64,
     wait: Duration,
     buffer: &mut [u8],
-) -> Result<PollResponse, String> {
+) -> Result<EventBatch, String> {
     let stream = match link.take() {
         Some(stream) => stream,
         None => dial(address, PATIENCE, &|_| true).map_err(|e| format!("{address}: {e}"))?,
--- a/rigs/fuzz/src/json.rs
+++ b/rigs/fuzz/src/json.rs
@@ -1,7 +1,7 @@
 //! The journal's feed and the settings: the reader in use (`simd-json`) against `serde_json`, of the same types.
 
 use crate::{spoil, spoils};
-use foldmux_proxy::journal::PollResponse;
+use foldmux_proxy::journal::EventBatch;
 use proptest::collection::vec;
 use proptest::prelude::*;
 use simd_json::{OwnedValue, StaticNode};
@@ -43,12 +43,12 @@
     if differs(bytes) || fraction(bytes) {
         return Ok(());
     }
-    let used = simd_json::serde::from_slice::<PollResponse>(&mut bytes.to_vec());
+    let used = simd_json::serde::from_slice::<EventBatch>(&mut bytes.to_vec());
     // What is no text at all is refused; the other library does not look where nothing is wanted of it.
     if std::str::from_utf8(bytes).is_err() {
         return same(used.ok().map(|f| format!("{f:?}")), None);
     }
-    let other = serde_json::from_slice::<PollResponse>(bytes);
+    let other = serde_json::from_slice::<EventBatch>(bytes);
     same(
         used.ok().map(|f| format!("{f:?}")),
         other.ok().map(|f| format!("{f:?}")),
--- a/rigs/harness/src/place.rs
+++ b/rigs/harness/src/place.rs
@@ -3,7 +3,7 @@
 
 use crate::news::{numbered, PURGES, STREAM};
 use crate::record::Event;
-use foldmux_event_stream::journal::{Entry, PollResponse};
+use foldmux_event_stream::journal::{Entry, EventBatch};
 
 #[derive(Clone, Debug, Default)]
 pub struct Place {
@@ -29,7 +29,7 @@
     }
 
     /// What an answer says, as lines of the record; and the purges that are new.
-    pub fn take(&mut self, feed: &PollResponse) -> (Vec<Event>, Vec<(u64, u64)>) {
+    pub fn take(&mut self, feed: &EventBatch) -> (Vec<Event>, Vec<(u64, u64)>) {
         let (mut events, mut fresh) = (Vec::new(), Vec::new());
         for entry in &feed.entries {
             self.entry(entry, &mut events, &mut fresh);
--- a/rigs/harness/src/reader.rs
+++ b/rigs/harness/src/reader.rs
@@ -2,7 +2,7 @@
 
 use crate::place::Place;
 use crate::readers::{Begin, Shared};
-use foldmux_event_stream::journal::PollResponse;
+use foldmux_event_stream::journal::EventBatch;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::io::{ErrorKind, Read, Write};
@@ -114,7 +114,7 @@
                 Err(_) => return None,
             }
             while let Some((status, from, to)) = self.whole()? {
-                let feed: PollResponse = serde_json::from_slice(&self.filled[from..to])
+                let feed: EventBatch = serde_json::from_slice(&self.filled[from..to])
                     .ok()
                     .filter(|_| status == 200)?;
                 self.filled.drain(..to);
@@ -159,7 +159,7 @@
         (self.stream.as_mut()?.write(text.as_bytes()).ok()? == text.len()).then_some(())
     }
 
-    fn take(&mut self, shared: &Shared, feed: &PollResponse) {
+    fn take(&mut self, shared: &Shared, feed: &EventBatch) {
         let (wholes, losses) = (self.place.wholes, self.place.losses);
         // What one that comes new is told of before is no delay.
         let new = self.place.last.is_none();
--- a/rigs/harness/tests/place.rs
+++ b/rigs/harness/tests/place.rs
@@ -1,6 +1,6 @@
 //! What a reader makes of a served journal: news in order, a whole that tells some again, a gap told, one untold.
 
-use foldmux_event_stream::journal::{Entry, Expire, Hosts, Lost, PollResponse};
+use foldmux_event_stream::journal::{Entry, EventBatch, Expire, Hosts, Lost};
 use foldmux_harness::check::{read, Verdict};
 use foldmux_harness::news::{object, PURGES};
 use foldmux_harness::place::Place;
@@ -44,7 +44,7 @@
         .zip(1..)
         .map(|(e, pos)| Entry { pos, ..e })
         .collect();
-    let feed = PollResponse {
+    let feed = EventBatch {
         pos: entries.len() as u64,
         entries,
     };
--- a/shared/event-stream/src/journal.rs
+++ b/shared/event-stream/src/journal.rs
@@ -7,14 +7,14 @@
 use std::net::SocketAddr;
 
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct PollResponse {
+pub struct EventBatch {
     #[serde(default)]
     pub pos: u64,
     #[serde(default)]
     pub entries: Vec<Entry>,
 }
 
-impl PollResponse {
+impl EventBatch {
     /// The number of the last event that there is, 0 where there is none.
     pub fn last(&self) -> u64 {
         self.entries
--- a/shared/event-stream/src/journal/tests.rs
+++ b/shared/event-stream/src/journal/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn feed(text: &str) -> Result<PollResponse, String> {
+fn feed(text: &str) -> Result<EventBatch, String> {
     simd_json::serde::from_slice(&mut text.as_bytes().to_vec()).map_err(|e| e.to_string())
 }
 
--- a/shared/event-stream/src/serve.rs
+++ b/shared/event-stream/src/serve.rs
@@ -1,7 +1,7 @@
 //! The journal's long poll as a relay serves it: numbers go on from the reader's own, whichever process it asked before. A
 //! connection is a reader: a new one begins with the whole list, and is told that something may be missing where it read before.
 
-use crate::journal::{Entry, Lost, PollResponse};
+use crate::journal::{Entry, EventBatch, Lost};
 use crate::readers::{StreamReaders, Subscription, SubscriptionEnded};
 use foldmux_http1::io::write_all;
 use foldmux_http1::request::read_request;
@@ -108,7 +108,7 @@
                 Err(SubscriptionEnded) => return answer(stream, "503 Service Unavailable", ""),
             }
         }
-        let feed = PollResponse {
+        let feed = EventBatch {
             pos: reading.after,
             entries: told.clone(),
         };
--- a/shared/event-stream/tests/formats.rs
+++ b/shared/event-stream/tests/formats.rs
@@ -4,7 +4,7 @@
 mod fixtures;
 
 use foldmux_event_stream::items::{entries, Counter};
-use foldmux_event_stream::journal::{Endpoint, Entry, Expire, Hosts, Lost, PollResponse};
+use foldmux_event_stream::journal::{Endpoint, Entry, EventBatch, Expire, Hosts, Lost};
 use foldmux_relay::{Event, Item};
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
@@ -86,7 +86,7 @@
 
 #[test]
 fn the_text_of_answers_stays() {
-    let feed = PollResponse {
+    let feed = EventBatch {
         pos: 311,
         entries: vec![listed(), expire(Some("a"), Some(312))],
     };
