--- a/edge/proxy/src/cover/log.rs
+++ b/edge/proxy/src/cover/log.rs
@@ -289,3 +289,7 @@
 #[cfg(test)]
 #[path = "log_tests.rs"]
 mod tests;
+
+#[cfg(test)]
+#[path = "log_format_tests.rs"]
+mod format_tests;
