--- a/edge/core/src/admission.rs
+++ b/edge/core/src/admission.rs
@@ -1,102 +1,101 @@
-//! What a request waits for where it has limits: its place among them, and the pause before an attempt. Neither wait
-//! outlasts its client.
+//! What a request with limits waits for: its admission, and the backoff before an attempt. Neither outlasts its client.
 
-use crate::core::Core;
-use crate::inquiry::Inquiry;
-use crate::limits::{Allowed, Entered, Held};
-use crate::slot::{Line, Slot};
+use crate::cancellation::{CancelHandle, Cancellable};
+use crate::limits::{Admission, AttemptPermission, Limiter, QueueEnd, RequestLimits};
+use crate::request::ClientRequest;
+use crate::retry_after::Rejected;
 use crossbeam_channel::{bounded, Sender};
-use foldmux::interface::Time;
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a request that pauses before an attempt may miss that its client left.
-const PAUSE_PART: Duration = Duration::from_millis(5);
-/// What one that waits may hear: of its place, and that its client left.
-const WORDS: usize = 2;
+/// How long a request in its backoff may miss that its client is gone.
+const BACKOFF_POLL: Duration = Duration::from_millis(5);
+/// Events that a queued request may receive: the end of its wait, and its client's leave.
+const EVENT_CAPACITY: usize = 2;
 
 /// Why a request was not admitted.
-pub(crate) enum Turned {
-    /// For how long to stay away (us).
-    Away { wait: Time },
-    /// Its client left: nothing is owed.
-    Left,
+pub(crate) enum NotAdmitted {
+    Rejected(Rejected),
+    /// No response is owed.
+    ClientGone,
 }
 
-/// What a request that waits for a place is told.
-enum Word {
-    Place,
-    /// None will come.
-    Refused,
-    Left,
+/// What wakes a queued request.
+enum QueueEvent {
+    Ended(QueueEnd),
+    ClientGone,
 }
 
-/// Wakes a request that waits for a place: its client left.
-struct Waiting(Sender<Word>);
+/// Wakes a queued request when its client is gone.
+struct QueuedRequest(Sender<QueueEvent>);
 
-impl Line for Waiting {
-    fn cut(&self) {
-        let _ = self.0.try_send(Word::Left);
+impl Cancellable for QueuedRequest {
+    fn cancel(&self) {
+        let _ = self.0.try_send(QueueEvent::ClientGone);
     }
 }
 
-/// A place among those of the request's limits, where there are any. Waits for one as long as the limits say, and gives
-/// the wait up at once where the client leaves.
+/// Admits a request to its limits, where there are any. A queued one waits as long as the limits say and its client stays.
 pub(crate) fn admit(
-    core: &Core,
-    inquiry: &Inquiry,
-    slot: &Slot,
+    limiter: Option<&Limiter>,
+    request: &ClientRequest,
+    cancel: &CancelHandle,
     deadline: Instant,
-) -> Result<Option<Held>, Turned> {
-    let Some(limiter) = core.limits.get() else {
+) -> Result<Option<RequestLimits>, NotAdmitted> {
+    let Some(limiter) = limiter else {
         return Ok(None);
     };
-    let (tell, told) = bounded(WORDS);
-    let waiting = Arc::new(Waiting(tell.clone()));
-    let tell = Box::new(move |has: bool| {
-        let _ = tell.try_send(if has { Word::Place } else { Word::Refused });
+    let (sender, events) = bounded(EVENT_CAPACITY);
+    let queued = Arc::new(QueuedRequest(sender.clone()));
+    let on_queue_end = Box::new(move |end| {
+        let _ = sender.try_send(QueueEvent::Ended(end));
     });
-    match limiter.enter(*inquiry.class, &inquiry.caller, inquiry.front, tell) {
-        Entered::Free => Ok(None),
-        Entered::In(held) => Ok(Some(held)),
-        Entered::Refused { wait } => Err(Turned::Away { wait }),
-        Entered::Waits(mut held, age) => {
-            // No attempt is out yet: only the client's leave can cut this.
-            if !slot.hold(0, waiting) {
-                return Err(Turned::Left);
+    match limiter.admit(*request.class, &request.caller, request.front, on_queue_end) {
+        Admission::Unlimited => Ok(None),
+        Admission::Admitted(limits) => Ok(Some(limits)),
+        Admission::Rejected(rejected) => Err(NotAdmitted::Rejected(rejected)),
+        Admission::Queued(mut limits, max_wait) => {
+            // No attempt is in flight yet, so only the client's leave can cancel number 0.
+            if !cancel.register(0, queued) {
+                return Err(NotAdmitted::ClientGone);
             }
-            let word = told.recv_deadline(deadline.min(Instant::now() + age));
-            slot.release();
-            match word {
-                Ok(Word::Place) => {
-                    held.admitted();
-                    Ok(Some(held))
+            let event = events.recv_deadline(deadline.min(Instant::now() + max_wait));
+            cancel.unregister();
+            match event {
+                Ok(QueueEvent::Ended(QueueEnd::Admitted)) => {
+                    limits.take_grant();
+                    Ok(Some(limits))
+                }
+                Ok(QueueEvent::ClientGone) => Err(NotAdmitted::ClientGone),
+                Ok(QueueEvent::Ended(QueueEnd::Rejected)) | Err(_) => {
+                    Err(NotAdmitted::Rejected(Rejected {
+                        retry_after: limits.max_retry_after(),
+                    }))
                 }
-                Ok(Word::Left) => Err(Turned::Left),
-                Ok(Word::Refused) | Err(_) => Err(Turned::Away {
-                    wait: held.advice(Time::MAX),
-                }),
             }
         }
     }
 }
 
-/// Whether the attempt that the module wants is made, after the pause that the limits want before it.
-pub(crate) fn allow(held: &mut Held, slot: &Slot, deadline: Instant) -> bool {
-    match held.attempt() {
-        Allowed::Now => true,
-        Allowed::No => false,
-        Allowed::After(pause) => {
-            let end = Instant::now() + pause;
+/// Whether the attempt that the router decided may be made; returns after its backoff.
+pub(crate) fn await_permission(
+    limits: &mut RequestLimits,
+    cancel: &CancelHandle,
+    deadline: Instant,
+) -> bool {
+    match limits.permit_attempt() {
+        AttemptPermission::Now => true,
+        AttemptPermission::Denied => false,
+        AttemptPermission::After(backoff) => {
+            let end = Instant::now() + backoff;
             if end >= deadline {
                 return false;
             }
-            // In parts, so that a client that leaves meanwhile is heard of.
-            while !slot.left() && Instant::now() < end {
-                thread::sleep(PAUSE_PART.min(end.saturating_duration_since(Instant::now())));
+            while !cancel.is_client_gone() && Instant::now() < end {
+                thread::sleep(BACKOFF_POLL.min(end.saturating_duration_since(Instant::now())));
             }
-            !slot.left() && held.in_window()
+            !cancel.is_client_gone() && limits.is_within_repeat_window()
         }
     }
 }
--- a/edge/core/src/attempt.rs
+++ b/edge/core/src/attempt.rs
@@ -1,34 +1,42 @@
-//! One attempt, as the core hands it to whoever makes it.
+//! One attempt, as the core hands it to the upstream client.
 
-use crate::cover::Hold;
-use crate::inquiry::Inquiry;
-use crate::orders::Target;
-pub use crate::slot::Line;
-use crate::slot::Slot;
+use crate::cancellation::CancelHandle;
+use crate::messages::AttemptTarget;
+use crate::records::OwnedRecord;
+use crate::request::ClientRequest;
 use foldmux::interface::{Fetch, Outcome};
 use std::ops::Range;
 use std::time::Instant;
 
+/// An attempt that is to be made now.
 pub struct Attempt<'a> {
-    pub inquiry: &'a Inquiry,
-    pub slot: &'a Slot,
+    /// The request it belongs to.
+    pub request: &'a ClientRequest,
+    /// Cancels the attempt.
+    pub cancel: &'a CancelHandle,
+    /// The attempt as the router decided it.
     pub fetch: &'a Fetch,
-    pub target: &'a Target,
+    /// The servers that the router meant.
+    pub target: &'a AttemptTarget,
     /// When the client gives up.
     pub deadline: Instant,
-    /// Asked right before the first byte, where the request is covered.
-    pub guard: Option<&'a dyn Hold>,
+    /// Consulted right before the first byte is sent, where the request has a replicated record.
+    pub record: Option<&'a dyn OwnedRecord>,
 }
 
-/// What an answer brought: the bytes, by their place in the buffer, or word that the client has them.
+/// What a successful response brought.
 #[derive(Debug, PartialEq)]
-pub enum Got {
+pub enum Payload {
+    /// The body, at this range of the attempt's buffer.
     Body(Range<usize>),
-    Same,
+    /// The client's copy is current.
+    NotModified,
 }
 
-/// Makes attempts. It puts what a cancel must cut into the attempt's slot, and gives back whatever it held before it
-/// returns.
-pub trait Tries: Send + Sync {
-    fn attempt(&self, attempt: &Attempt, buffer: &mut [u8]) -> (Outcome, Option<Got>);
+/// Makes attempts.
+pub trait UpstreamClient: Send + Sync {
+    /// Makes one attempt and waits for its end; the response is read into `buffer`. It registers what it waits for with the
+    /// attempt's [`CancelHandle`] and gives back all that it holds before it returns. The payload is there where the
+    /// attempt served the request.
+    fn attempt(&self, attempt: &Attempt, buffer: &mut [u8]) -> (Outcome, Option<Payload>);
 }
--- a/edge/core/src/buffers.rs
+++ b/edge/core/src/buffers.rs
@@ -1,119 +1,117 @@
-//! Buffers of one size from one bounded pool. A lease gives its buffer back when it is dropped, and nowhere
-//! else; the pool makes buffers as they are first wanted, and pages that no answer reached cost no memory.
+//! Buffers of one size from one bounded pool. The pool makes them as they are first wanted, and pages that no response
+//! reached cost no memory.
 
 use std::ops::{Deref, DerefMut};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The longest object (240,000 bytes), its head and the fields behind it.
-pub const SIZE: usize = 256 * 1024;
+/// Size of a buffer (bytes): the longest object (240,000 bytes) with its head and trailers.
+pub const BUFFER_SIZE: usize = 256 * 1024;
+/// Request bodies may use one of so many buffers.
+const REQUEST_BODY_DIVISOR: usize = 4;
 
-pub struct Buffers {
+/// The pool.
+pub struct BufferPool {
     state: Mutex<State>,
-    most: usize,
+    max: usize,
 }
 
 #[derive(Default)]
 struct State {
     free: Vec<Box<[u8]>>,
+    /// Buffers made so far.
     made: usize,
-    bodies: usize,
+    /// Buffers in use for request bodies.
+    request_bodies: usize,
 }
 
-impl Buffers {
-    pub fn new(most: usize) -> Arc<Buffers> {
-        Arc::new(Buffers {
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Purpose {
+    Response,
+    RequestBody,
+}
+
+impl BufferPool {
+    /// A pool of at most `max` buffers.
+    pub fn new(max: usize) -> Arc<BufferPool> {
+        Arc::new(BufferPool {
             state: Mutex::default(),
-            most,
+            max,
         })
     }
 
-    /// A buffer, or none where all are out: the caller sheds.
-    pub fn lease(self: &Arc<Self>) -> Option<Lease> {
-        self.take(false)
+    /// A buffer for a response, or `None` where all are in use.
+    pub fn acquire(self: &Arc<Self>) -> Option<Buffer> {
+        self.take(Purpose::Response)
     }
 
-    /// One for the body of a request. Guards against bodies that never come whole keeping all from answers: they
-    /// have a quarter.
-    pub fn lease_for_body(self: &Arc<Self>) -> Option<Lease> {
-        self.take(true)
+    /// A buffer for the body of a request. These may use a quarter of the pool, so that bodies that never arrive whole
+    /// can't keep all buffers from responses.
+    pub fn acquire_for_request_body(self: &Arc<Self>) -> Option<Buffer> {
+        self.take(Purpose::RequestBody)
     }
 
-    fn take(self: &Arc<Self>, body: bool) -> Option<Lease> {
-        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        if body && state.bodies >= (self.most / 4).max(1) {
+    fn take(self: &Arc<Self>, purpose: Purpose) -> Option<Buffer> {
+        let mut state = self.state();
+        let is_body = purpose == Purpose::RequestBody;
+        if is_body && state.request_bodies >= (self.max / REQUEST_BODY_DIVISOR).max(1) {
             return None;
         }
         let bytes = match state.free.pop() {
             Some(bytes) => bytes,
-            None if state.made < self.most => {
+            None if state.made < self.max => {
                 state.made += 1;
-                vec![0; SIZE].into_boxed_slice()
+                vec![0; BUFFER_SIZE].into_boxed_slice()
             }
             None => return None,
         };
-        state.bodies += body as usize;
-        Some(Lease {
+        state.request_bodies += is_body as usize;
+        Some(Buffer {
             bytes,
-            body,
+            purpose,
             pool: self.clone(),
         })
     }
 
-    pub fn out(&self) -> usize {
-        let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+    /// How many buffers are in use.
+    pub fn in_use(&self) -> usize {
+        let state = self.state();
         state.made - state.free.len()
     }
+
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
 }
 
-pub struct Lease {
+/// A buffer in use; dropped, it returns to its pool.
+pub struct Buffer {
     bytes: Box<[u8]>,
-    body: bool,
-    pool: Arc<Buffers>,
+    purpose: Purpose,
+    pool: Arc<BufferPool>,
 }
 
-impl Deref for Lease {
+impl Deref for Buffer {
     type Target = [u8];
     fn deref(&self) -> &[u8] {
         &self.bytes
     }
 }
 
-impl DerefMut for Lease {
+impl DerefMut for Buffer {
     fn deref_mut(&mut self) -> &mut [u8] {
         &mut self.bytes
     }
 }
 
-impl Drop for Lease {
+impl Drop for Buffer {
     fn drop(&mut self) {
-        let mut state = self
-            .pool
-            .state
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner);
+        let mut state = self.pool.state();
         state.free.push(std::mem::take(&mut self.bytes));
-        state.bodies -= self.body as usize;
+        if self.purpose == Purpose::RequestBody {
+            state.request_bodies -= 1;
+        }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_pool_is_bounded_and_uses_its_buffers_again() {
-        let pool = Buffers::new(2);
-        let (mut first, second) = (pool.lease().unwrap(), pool.lease().unwrap());
-        first[0] = 7;
-        assert!(pool.lease().is_none());
-        drop(first);
-        assert_eq!(pool.lease().unwrap()[0], 7);
-        drop(second);
-        assert_eq!(pool.out(), 0);
-        // Bodies leave the others to answers.
-        let body = pool.lease_for_body().unwrap();
-        assert!(pool.lease_for_body().is_none() && pool.lease().is_some());
-        drop(body);
-        assert!(pool.lease_for_body().is_some());
-    }
-}
+mod tests;
--- a/edge/core/src/clock.rs
+++ b/edge/core/src/clock.rs
@@ -1,74 +1,62 @@
-//! The module's clock: microseconds that only go forward. Unix stamps become its times here and nowhere else.
+//! The router's clock: microseconds that only go forward. Unix timestamps become router times here and nowhere else.
 
 use foldmux::interface::Time;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
+const MICROS_PER_MILLI: u64 = 1_000;
+
+/// The router's clock.
 #[derive(Clone, Debug)]
 pub struct Clock {
-    started: Instant,
-    /// The module's time at `started`; the Unix time then, so that stamps before the start have room.
+    started_at: Instant,
+    /// Router time at `started_at`: the Unix time then, so that earlier timestamps have router times, too.
     origin: Time,
 }
 
 impl Default for Clock {
     fn default() -> Clock {
         Clock {
-            started: Instant::now(),
+            started_at: Instant::now(),
             origin: unix_us().max(1),
         }
     }
 }
 
 impl Clock {
+    /// The router time now (µs).
     pub fn now(&self) -> Time {
         self.at(Instant::now())
     }
 
+    /// The router time at `instant` (µs); that of the clock's start for any earlier one.
     pub fn at(&self, instant: Instant) -> Time {
-        self.origin + instant.saturating_duration_since(self.started).as_micros() as Time
+        let since_start = instant.saturating_duration_since(self.started_at);
+        self.origin + since_start.as_micros() as Time
     }
 
-    /// The module's time of a Unix stamp; 0 stays 0, which means long ago.
-    pub fn of_unix_ms(&self, stamp: u64) -> Time {
-        if stamp == 0 {
+    /// The router time (µs) of a Unix timestamp in milliseconds; 0 stays 0, which stands for long ago.
+    pub fn from_unix_ms(&self, timestamp_ms: u64) -> Time {
+        if timestamp_ms == 0 {
             return 0;
         }
-        place(self.now(), unix_us(), stamp.saturating_mul(1000))
+        let timestamp = timestamp_ms.saturating_mul(MICROS_PER_MILLI);
+        time_of(self.now(), unix_us(), timestamp)
     }
 }
 
-/// Goes by how long ago the stamp is on the system's clock as it stands: a clock that is set forth or back
-/// moves no time that was handed out. A stamp of the future counts as now, and nothing here can panic.
-fn place(now: Time, unix: u64, stamp: u64) -> Time {
-    now.saturating_sub(unix.saturating_sub(stamp)).max(1)
+/// The router time of a Unix timestamp (all in µs), by how long ago it is on the system's clock as that stands now: a step
+/// of that clock moves no router time. A timestamp of the future counts as now; the earliest result is 1.
+fn time_of(now: Time, unix_now: u64, timestamp: u64) -> Time {
+    let age = unix_now.saturating_sub(timestamp);
+    now.saturating_sub(age).max(1)
 }
 
-/// A clock before 1970 counts as 1970.
+/// The Unix time (µs); a system clock before 1970 counts as 1970.
 fn unix_us() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0, |d| d.as_micros() as u64)
-}
-
-/// A span of the module's as the standard library's.
-pub fn span(time: Time) -> Duration {
-    Duration::from_micros(time)
+        .map_or(0, |since| since.as_micros() as u64)
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn stamps_land_on_the_forward_clock_also_when_the_system_clock_steps() {
-        assert_eq!(place(5_000_000, 100_000_000, 99_000_000), 4_000_000);
-        // The system's clock was set back: the stamp lies in its future.
-        assert_eq!(place(5_000_000, 90_000_000, 99_000_000), 5_000_000);
-        // Far more ago than the clock knows: the earliest time, which is not "long ago".
-        assert_eq!(place(5_000_000, 100_000_000, 1), 1);
-        let clock = Clock::default();
-        assert_eq!(clock.of_unix_ms(0), 0);
-        assert!(clock.of_unix_ms(u64::MAX) <= clock.now());
-        assert!(clock.at(clock.started - Duration::from_secs(1)) >= clock.origin);
-    }
-}
+mod tests;
--- a/edge/core/src/core.rs
+++ b/edge/core/src/core.rs
@@ -1,204 +1,301 @@
-//! What all requests share: the desk, the buffers, the members, the limits, the counts, and the places of those that are
-//! open.
+//! The core's public face: what all requests share, and where a front starts a request.
 
-use crate::attempt::Tries;
-use crate::buffers::Buffers;
+use crate::attempt::UpstreamClient;
+use crate::attempt_history::AttemptHistory;
+use crate::buffers::BufferPool;
+use crate::cancellation::CancelHandle;
 use crate::clock::Clock;
-use crate::cover::{Cover, Hold};
-use crate::history::History;
-use crate::inquiry::{Answer, Inquiry, Reply};
+use crate::event_loop::EventLoopHandle;
+use crate::lifecycle::{run, RequestEnd};
 use crate::limits::Limiter;
-use crate::members::{Listed, Members};
-use crate::orders::{DeskHandle, Notice, Target};
-use crate::reasons::Reason;
-use crate::slot::Slot;
-use crate::tally::{End, Tally};
-use crate::throttle::Throttle;
-use crate::turn::Turn;
-use crossbeam_channel::Sender;
-use foldmux::interface::*;
-use std::collections::HashSet;
+use crate::log_throttle::LogThrottle;
+use crate::messages::Command;
+use crate::metrics::{Completion, Metrics};
+use crate::open_requests::{IdClaim, OpenIds, OpenRequest, OpenRequests};
+use crate::permits::AttemptPermits;
+use crate::reason::Reason;
+use crate::records::{OwnedRecord, RequestRecords};
+use crate::replicated;
+use crate::request::{ClientRequest, Responder, Response};
+use crate::retry_after::RetryAfter;
+use crate::servers::{Server, ServerList};
+use crate::services::Services;
+use crate::workers::{Job, NotStarted, WorkerPool};
+use foldmux::interface::{RequestId, Time};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex, OnceLock, PoisonError};
-use std::time::Instant;
-
-pub(crate) struct Job {
-    pub(crate) _claim: Claim,
-    pub(crate) inquiry: Inquiry,
-    pub(crate) slot: Arc<Slot>,
-    pub(crate) work: Work,
-}
+use std::sync::{Arc, OnceLock};
+use std::time::{Duration, Instant};
 
-/// Whom a request is run for.
-pub(crate) enum Work {
-    Client(Box<dyn Reply>),
-    /// Nobody here: it was taken over.
-    Taken(Box<dyn Hold>),
+/// What a core is made of.
+pub struct CoreSetup {
+    /// The running event loop.
+    pub event_loop: EventLoopHandle,
+    /// The router's clock.
+    pub clock: Clock,
+    /// Buffers for responses and request bodies.
+    pub buffers: Arc<BufferPool>,
+    /// The servers, as the event loop keeps them.
+    pub servers: Arc<ServerList>,
+    /// Makes the attempts.
+    pub upstream: Box<dyn UpstreamClient>,
+    /// Retry-After of the core's own rejections.
+    pub retry_after: Duration,
+    /// How long after its start a server may still be warming up.
+    pub warm_up: Duration,
+    /// Requests that may be open at once.
+    pub max_open: usize,
 }
 
-/// Takes requests from all fronts, up to a bound, each on a thread that is used again.
+/// Takes requests from all fronts, up to a bound, and serves each on a thread of its own.
 pub struct Core {
+    /// The router's clock.
     pub clock: Clock,
-    pub desk: DeskHandle,
-    pub buffers: Arc<Buffers>,
-    pub members: Arc<Members>,
-    pub upstream: Box<dyn Tries>,
-    pub tally: Tally,
-    /// How many lines the log has for requests that were not served.
-    pub unserved_lines: Throttle,
+    /// The event loop that owns the router.
+    pub event_loop: EventLoopHandle,
+    /// Buffers for responses and request bodies.
+    pub buffers: Arc<BufferPool>,
+    /// The servers that attempts may go to.
+    pub servers: Arc<ServerList>,
+    /// Counters of requests and attempts.
+    pub metrics: Arc<Metrics>,
+    /// Bounds the log lines of requests that were not served.
+    pub unserved_log: LogThrottle,
     /// Limits by class and route, where the operator's file has them.
-    pub limits: OnceLock<Arc<Limiter>>,
-    /// Who keeps the records of covered requests, where the operator's file has a fleet.
-    pub cover: OnceLock<Arc<dyn Cover>>,
-    /// Whose turn it is at pools of places, where the operator's file has any.
-    pub turns: OnceLock<Arc<dyn Turn>>,
-    /// Advised with a refusal of the core's own.
-    refusal_wait: AtomicU64,
-    /// How long after its start a member may still be cold.
-    cold_for: AtomicU64,
-    pub(crate) most: usize,
-    pub(crate) open: AtomicUsize,
+    pub limiter: OnceLock<Arc<Limiter>>,
+    /// Replicated request records, where the operator's file has a fleet.
+    pub records: OnceLock<Arc<dyn RequestRecords>>,
+    /// Concurrency pools, where the operator's file has any.
+    pub permits: OnceLock<Arc<dyn AttemptPermits>>,
+    upstream: Box<dyn UpstreamClient>,
+    retry_after: RetryAfter,
+    warm_up_us: AtomicU64,
+    workers: Arc<WorkerPool<RequestJob>>,
+    open: Arc<OpenRequests>,
+    open_ids: Arc<OpenIds>,
     /// Requests whose attempts others make; their fronts bound them.
-    pub(crate) lent: AtomicUsize,
-    serial: AtomicU64,
-    /// The clients' ids of open requests.
-    claimed: Mutex<HashSet<u64>>,
-    /// Threads that wait for a job, each at a channel of its own; the last to finish is the first to go on.
-    /// Guards against a livelock: hundreds of threads that wait at one channel spin in turn for whoever holds
-    /// its slot, and on one core that thread may not get to run for a second.
-    pub(crate) idle: Mutex<Vec<Sender<Job>>>,
+    delegated: AtomicUsize,
+    next_id: AtomicU64,
 }
 
 impl Core {
-    #[allow(clippy::too_many_arguments)]
-    pub fn new(
-        desk: DeskHandle,
-        clock: Clock,
-        buffers: Arc<Buffers>,
-        members: Arc<Members>,
-        upstream: Box<dyn Tries>,
-        refusal_wait: Time,
-        cold_for: Time,
-        most: usize,
-    ) -> Arc<Core> {
+    /// A core without limits, records and pools; set them before it serves.
+    pub fn new(setup: CoreSetup) -> Arc<Core> {
+        let open = OpenRequests::new(setup.max_open);
         Arc::new(Core {
-            clock,
-            desk,
-            buffers,
-            members,
-            upstream,
-            tally: Tally::default(),
-            unserved_lines: Throttle::new(Instant::now()),
-            limits: OnceLock::new(),
-            cover: OnceLock::new(),
-            turns: OnceLock::new(),
-            refusal_wait: refusal_wait.into(),
-            cold_for: cold_for.into(),
-            most,
-            open: AtomicUsize::new(0),
-            lent: AtomicUsize::new(0),
-            serial: AtomicU64::new(1),
-            claimed: Mutex::default(),
-            idle: Mutex::default(),
+            clock: setup.clock,
+            event_loop: setup.event_loop,
+            buffers: setup.buffers,
+            servers: setup.servers,
+            metrics: Arc::default(),
+            unserved_log: LogThrottle::new(Instant::now()),
+            limiter: OnceLock::new(),
+            records: OnceLock::new(),
+            permits: OnceLock::new(),
+            upstream: setup.upstream,
+            retry_after: RetryAfter::new(setup.retry_after),
+            warm_up_us: AtomicU64::new(setup.warm_up.as_micros() as u64),
+            workers: WorkerPool::new(open.clone()),
+            open,
+            open_ids: Arc::default(),
+            delegated: AtomicUsize::new(0),
+            next_id: AtomicU64::new(1),
         })
     }
 
-    pub fn slot(&self) -> Arc<Slot> {
-        Slot::new(RequestId(self.serial.fetch_add(1, Ordering::Relaxed)))
+    /// The handle of a new request.
+    pub fn new_cancel_handle(&self) -> Arc<CancelHandle> {
+        CancelHandle::new(RequestId(self.next_id.fetch_add(1, Ordering::Relaxed)))
     }
 
-    pub fn open(&self) -> usize {
-        self.open.load(Ordering::SeqCst)
+    /// Starts a request, or rejects it at once where there is no room for it.
+    pub fn start(
+        self: &Arc<Core>,
+        request: ClientRequest,
+        cancel: Arc<CancelHandle>,
+        responder: Box<dyn Responder>,
+    ) {
+        // Of two open requests under one id, a cache would take the second for the first.
+        let Some(claim) = self.open_ids.claim(request.via_id) else {
+            self.services().record_completion(
+                &request,
+                Completion::Failed(Reason::IdInUse),
+                &AttemptHistory::default(),
+            );
+            return responder.respond(Response::Failed);
+        };
+        let work = Work::Client(responder);
+        let started = self.start_job(claim, request, cancel, work);
+        if let Err(NotStarted { job, reason }) = started {
+            job.shed(reason);
+        }
     }
 
-    pub fn lent(&self) -> usize {
-        self.lent.load(Ordering::SeqCst)
+    /// Starts a request that was taken over; false where there is no room for it: then its record is released.
+    pub fn start_taken_over(
+        self: &Arc<Core>,
+        request: ClientRequest,
+        cancel: Arc<CancelHandle>,
+        record: Box<dyn OwnedRecord>,
+    ) -> bool {
+        let Some(claim) = self.open_ids.claim(request.via_id) else {
+            return false;
+        };
+        self.start_job(claim, request, cancel, Work::TakenOver(record))
+            .is_ok()
     }
 
-    /// Refuses what the program has no room for, before the module hears of it.
-    pub(crate) fn shed(&self, inquiry: &Inquiry, reason: Reason, reply: Box<dyn Reply>) {
-        self.count_end(inquiry, End::Shed(reason), &History::default());
-        reply.answer(Answer::Shed {
-            wait: self.refusal_wait(),
-        });
+    fn start_job(
+        self: &Arc<Core>,
+        claim: IdClaim,
+        request: ClientRequest,
+        cancel: Arc<CancelHandle>,
+        work: Work,
+    ) -> Result<(), NotStarted<RequestJob>> {
+        self.workers.start(RequestJob {
+            core: self.clone(),
+            claim,
+            request,
+            cancel,
+            work,
+        })
     }
 
-    /// Counts how a request ended. One that was not served gets a line in the log with its id, why, and what was tried for
-    /// it, as far as the log has lines for that.
-    pub(crate) fn count_end(&self, inquiry: &Inquiry, end: End, history: &History) {
-        self.tally.end(Some(&inquiry.class_name), end);
-        if end.reason().is_none() || !self.unserved_lines.admits(Instant::now()) {
-            return;
+    fn services(&self) -> Services<'_> {
+        Services {
+            event_loop: &self.event_loop,
+            servers: &self.servers,
+            buffers: &self.buffers,
+            upstream: &*self.upstream,
+            metrics: &self.metrics,
+            unserved_log: &self.unserved_log,
+            limiter: self.limiter.get().map(|limiter| &**limiter),
+            permits: self.permits.get().map(|permits| &**permits),
+            retry_after: &self.retry_after,
         }
-        let (class, after) = (&inquiry.class_name, inquiry.arrived.elapsed().as_millis());
-        tracing::info!(
-            "request {:016x} class {class}: {end}; {history}; after {after} ms",
-            inquiry.via
-        );
     }
 
-    /// Advised with a refusal of the core's own (us).
-    pub fn refusal_wait(&self) -> Time {
-        self.refusal_wait.load(Ordering::Relaxed)
+    /// The client is gone: its attempt is cancelled, and the router hears of it.
+    pub fn client_gone(&self, cancel: &CancelHandle) {
+        cancel.client_gone();
+        self.event_loop.send(Command::ClientGone(cancel.id));
+    }
+
+    /// Retry-After of the core's own rejections.
+    pub fn retry_after(&self) -> Duration {
+        self.retry_after.get()
+    }
+
+    /// Applies other settings: Retry-After of the core's own rejections, and how long after its start a server may be
+    /// warming up.
+    pub fn update_settings(&self, retry_after: Duration, warm_up: Duration) {
+        self.retry_after.set(retry_after);
+        self.warm_up_us
+            .store(warm_up.as_micros() as u64, Ordering::Relaxed);
+    }
+
+    /// Whether a server started so recently that it may be warming up at `now` (router time, µs).
+    pub fn is_warming_up(&self, now: Time, server: &Server) -> bool {
+        let boot = server.member.boot;
+        boot > 0 && now < boot + self.warm_up_us.load(Ordering::Relaxed)
     }
 
-    /// Other settings: what is advised with a refusal of the core's own, and how long a member may be cold (us).
-    pub fn retune(&self, refusal_wait: Time, cold_for: Time) {
-        self.refusal_wait.store(refusal_wait, Ordering::Relaxed);
-        self.cold_for.store(cold_for, Ordering::Relaxed);
+    /// How many requests are open.
+    pub fn open_requests(&self) -> usize {
+        self.open.count()
     }
 
-    /// Where nearly all places are taken: the share of one in so many that ask.
-    pub fn share(&self, among: usize) -> Option<usize> {
-        (self.open() >= self.most * 15 / 16).then(|| (self.most / among.max(1)).max(1))
+    /// How many requests are delegated.
+    pub fn delegated_requests(&self) -> usize {
+        self.delegated.load(Ordering::SeqCst)
     }
 
-    /// Whether a member started so lately that it may be cold.
-    pub fn cold(&self, now: Time, listed: &Listed) -> bool {
-        listed.member.boot > 0 && now < listed.member.boot + self.cold_for.load(Ordering::Relaxed)
+    /// How many requests each of `clients` may have open; `None` while there is room for all.
+    pub fn fair_share(&self, clients: usize) -> Option<usize> {
+        let max = self.open.max();
+        let is_nearly_full = self.open.count() >= max * 15 / 16;
+        is_nearly_full.then(|| (max / clients.max(1)).max(1))
     }
 
-    pub(crate) fn report(&self, id: RequestId, target: &Target, outcome: Outcome, last: bool) {
-        self.tally.attempt(outcome);
-        let elapsed = target.decided.elapsed().as_micros() as Time;
-        let (attempt, note) = (target.attempt, Note::Untold);
-        self.desk.tell(Notice::Outcome(Report {
-            id,
-            attempt,
-            outcome,
-            note,
-            elapsed,
-            last,
-        }));
+    /// Counts an open request that no worker thread serves; `None` where as many are open as may be.
+    pub(crate) fn enter(&self) -> Option<OpenRequest> {
+        self.open.enter()
     }
 
-    /// The client left: the module hears, and the attempt's socket is shut.
-    pub fn leave(&self, slot: &Slot) {
-        slot.leave();
-        self.desk.tell(Notice::Left(slot.id));
+    /// Counts one more delegated request; returns how many there were.
+    pub(crate) fn count_delegated(&self) -> usize {
+        self.delegated.fetch_add(1, Ordering::SeqCst)
     }
+
+    pub(crate) fn uncount_delegated(&self) {
+        self.delegated.fetch_sub(1, Ordering::SeqCst);
+    }
+}
+
+/// Whom a request is served for.
+enum Work {
+    Client(Box<dyn Responder>),
+    /// A client of another process, which lost the request.
+    TakenOver(Box<dyn OwnedRecord>),
+}
+
+/// A request on its way to its thread.
+struct RequestJob {
+    core: Arc<Core>,
+    claim: IdClaim,
+    request: ClientRequest,
+    cancel: Arc<CancelHandle>,
+    work: Work,
 }
 
-/// A client's id, while the request under it is open.
-pub(crate) struct Claim(Arc<Core>, u64);
+impl RequestJob {
+    /// Rejects the request before the router heard of it. One that was taken over has no client here: dropping its record
+    /// releases it.
+    fn shed(self, reason: Reason) {
+        let Work::Client(responder) = self.work else {
+            return;
+        };
+        let services = self.core.services();
+        let completion = Completion::Shed(reason);
+        services.record_completion(&self.request, completion, &AttemptHistory::default());
+        responder.respond(Response::Rejected(services.rejected()));
+    }
+}
 
-impl Claim {
-    pub(crate) fn on(core: &Arc<Core>, via: u64) -> Option<Claim> {
-        let free = core
-            .claimed
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .insert(via);
-        free.then(|| Claim(core.clone(), via))
+impl Job for RequestJob {
+    fn run(self) {
+        let RequestJob {
+            core,
+            claim: _claim,
+            request,
+            cancel,
+            work,
+        } = self;
+        let services = core.services();
+        match work {
+            Work::Client(responder) => match core.records.get() {
+                Some(records) => {
+                    replicated::serve(&services, &**records, request, &cancel, responder)
+                }
+                None => serve(&services, request, &cancel, responder),
+            },
+            Work::TakenOver(record) => {
+                replicated::serve_taken_over(&services, request, &cancel, &*record)
+            }
+        }
     }
 }
 
-impl Drop for Claim {
-    fn drop(&mut self) {
-        self.0
-            .claimed
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .remove(&self.1);
+/// Serves a request that has no replicated record.
+fn serve(
+    services: &Services,
+    request: ClientRequest,
+    cancel: &Arc<CancelHandle>,
+    responder: Box<dyn Responder>,
+) {
+    let mut history = AttemptHistory::default();
+    let end = run(services, &request, cancel, None, &mut history);
+    if let RequestEnd::Finished(completion, response) = end {
+        services.record_completion(&request, completion, &history);
+        responder.respond(response);
     }
 }
--- a/edge/core/src/lib.rs
+++ b/edge/core/src/lib.rs
@@ -1,39 +1,68 @@
-//! The core: it knows no wire. One desk owns the module; each request is one function on a thread of its own.
-//!
-//! Owns: the module, its timers and the table of open requests ([`desk`]; what passes to and from it: [`orders`]), the life
-//! of a request ([`request`], on the threads of [`threads`]) and of one whose attempts somebody else makes ([`lent`]), what
-//! they share ([`core`]), what it asks of whoever covers requests ([`cover`]), whose turn it is in front of an attempt
-//! ([`turn`]), the list of members ([`members`]), the limits in service ([`limits`]), the buffers
-//! ([`buffers`]), the clock ([`clock`]), the counts ([`tally`]), why a request was refused or failed ([`reasons`]) and how many
-//! lines the log has for that ([`throttle`]).
-//!
-//! May not: open, read or write a socket, or know how a request came or an attempt is made. Fronts hand it an
-//! [`Inquiry`] and a [`Reply`]; whoever makes attempts implements [`attempt::Tries`]. It depends on the module and the
-//! pure crates of limits and reports alone.
+//! The core of the proxy, between its fronts and its upstream client. It knows no wire protocol.
+//!
+//! A front reads a request from its client and hands the core a [`ClientRequest`] with a [`Responder`]. The request is served
+//! on a thread of its own, which asks the event loop for the router's decisions, has the [`UpstreamClient`] make the
+//! attempts, and responds once. Whoever makes the attempts itself holds a [`DelegatedRequest`](delegated::DelegatedRequest)
+//! instead.
+//!
+//! ```text
+//! front -- Core::start --> worker thread -- Command::Request --> event loop (Router)
+//!                                        <-- Directive -------
+//!                          lifecycle::run -- Attempt --> UpstreamClient
+//!                                        -- Command::Outcome -->
+//! front <-- Responder::respond ---
+//! ```
+//!
+//! # Modules
+//!
+//! Modules depend on those of the rows above theirs alone; within a row, on those to their left. No two depend on each other.
+//!
+//! | layer | modules |
+//! | --- | --- |
+//! | basics | [`clock`], [`buffers`], [`cancellation`], [`servers`], [`reason`], [`retry_after`], [`log_throttle`], `attempt_history`, `open_requests` |
+//! | a request and its messages | [`request`], [`messages`], [`metrics`] |
+//! | what a request goes through | [`event_loop`], [`limits`], [`permits`], [`records`], [`attempt`], `admission`, `rejection`, `in_flight`, `workers` |
+//! | the life of a request | `services`, `lifecycle`, `replicated` |
+//! | the face of the crate | [`core`], [`delegated`] |
+//!
+//! Two rules have one owner each: `rejection` decides whether a request that the core gives up is rejected or failed, and
+//! [`retry_after`] how long a client is told to wait after the core's own rejections.
+//!
+//! # Bounds
+//!
+//! The core opens, reads and writes no socket. It depends on the router and on the state machines of limits and load reports
+//! alone.
+#![warn(missing_docs)]
 
 mod admission;
 pub mod attempt;
+mod attempt_history;
 pub mod buffers;
+pub mod cancellation;
 pub mod clock;
 pub mod core;
-pub mod cover;
-pub mod desk;
-mod history;
-pub mod inquiry;
-pub mod lent;
+pub mod delegated;
+pub mod event_loop;
+mod in_flight;
+mod lifecycle;
 pub mod limits;
-pub mod members;
-pub mod orders;
-pub mod reasons;
+pub mod log_throttle;
+pub mod messages;
+pub mod metrics;
+mod open_requests;
+pub mod permits;
+pub mod reason;
+pub mod records;
+mod rejection;
+mod replicated;
 pub mod request;
-pub mod slot;
-pub mod tally;
-pub mod threads;
-pub mod throttle;
-pub mod turn;
+pub mod retry_after;
+pub mod servers;
+mod services;
+mod workers;
 
-pub use crate::core::Core;
-pub use attempt::{Attempt, Got, Tries};
-pub use desk::{Desk, DeskHandle};
-pub use inquiry::{Answer, Inquiry, Reply, Served};
-pub use slot::Slot;
+pub use crate::core::{Core, CoreSetup};
+pub use attempt::{Attempt, Payload, UpstreamClient};
+pub use cancellation::CancelHandle;
+pub use event_loop::{EventLoop, EventLoopHandle};
+pub use request::{ClientRequest, Responder, Response, ResponseBody};
--- a/edge/core/src/limits.rs
+++ b/edge/core/src/limits.rs
@@ -1,174 +1,131 @@
-//! Limits in service: the table that holds and the state that enforces it, behind one lock. Each request finds its limits
-//! once and keeps them, whatever is loaded meanwhile; its place is given back where its [`Held`] is dropped.
+//! Limits by class and route, in service: concurrency limits with queues, retry budgets, fill limits.
+//!
+//! The table in service and the state that enforces it are behind one lock. Each request looks its limits up once and keeps
+//! them, whatever is loaded meanwhile; its place is given back when its [`RequestLimits`] is dropped.
 
-mod held;
+mod request_limits;
+mod shared;
 
-pub use held::{Allowed, Fill, Held};
+pub use request_limits::{AttemptPermission, FillPermit, RequestLimits};
+pub use shared::{OnQueueEnd, QueueEnd};
 
 use crate::clock::Clock;
-use foldmux::interface::{Repeat, Time};
-use foldmux_limits::gate::{place, Admitted, Gate};
-use foldmux_limits::standing::Standing;
+use crate::retry_after::Rejected;
+use foldmux::interface::Repeat;
+use foldmux_limits::gate::{place, Admitted};
 use foldmux_limits::table::Table;
-use std::collections::{HashMap, HashSet};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use shared::Shared;
+use std::sync::Arc;
 use std::time::Duration;
 
-/// Called once, where a request waits: whether it has a place now.
-pub type Tell = Box<dyn FnOnce(bool) + Send>;
-
-struct State {
-    table: Standing,
-    gate: Gate,
-    waiting: HashMap<u64, Tell>,
-    /// Those that were told that they have a place, and have not heard it yet.
-    granted: HashSet<u64>,
-    next: u64,
-}
-
-impl State {
-    fn grant(&mut self, id: u64) -> Option<Tell> {
-        let tell = self.waiting.remove(&id)?;
-        self.granted.insert(id);
-        Some(tell)
-    }
-}
-
+/// Enforces the limits.
 pub struct Limiter {
-    state: Mutex<State>,
-    clock: Clock,
+    shared: Arc<Shared>,
     /// Where this proxy stands, as routes name it.
     zone: String,
-    /// By class.
-    repeats: Vec<Repeat>,
 }
 
-/// What a request is told when it comes.
-pub enum Entered {
-    /// No limits but the module's own.
-    Free,
-    In(Held),
-    /// Told later, by what it handed in; so long at the most.
-    Waits(Held, Duration),
-    Refused {
-        wait: Time,
-    },
+/// The answer to a request that asks to be admitted.
+pub enum Admission {
+    /// No limits apply but the router's own.
+    Unlimited,
+    /// Admitted.
+    Admitted(RequestLimits),
+    /// Queued for at most this long; the callback hears the end of it.
+    Queued(RequestLimits, Duration),
+    /// Not admitted, and not queued.
+    Rejected(Rejected),
+}
+
+/// How many requests the limits count.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Occupancy {
+    /// Admitted and not ended.
+    pub open: u64,
+    /// In a queue.
+    pub queued: u64,
 }
 
 impl Limiter {
+    /// Enforces `table` at a proxy in `zone`; `repeats` says for each class whether it may be repeated.
     pub fn new(table: Table, clock: Clock, zone: String, repeats: Vec<Repeat>) -> Arc<Limiter> {
-        let gate = Gate::new(&table);
-        let state = State {
-            table: Standing::new(&table, &zone),
-            gate,
-            waiting: HashMap::new(),
-            granted: HashSet::new(),
-            next: 0,
-        };
         Arc::new(Limiter {
-            state: Mutex::new(state),
-            clock,
+            shared: Arc::new(Shared::new(&table, &zone, clock, repeats)),
             zone,
-            repeats,
         })
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Replaces all limits at once; requests that are open keep theirs.
+    pub fn replace_table(&self, table: Table) {
+        self.shared.replace_table(&table, &self.zone);
     }
 
-    /// All limits at once: requests that are open keep theirs.
-    pub fn swap(&self, table: Table) {
-        let standing = Standing::new(&table, &self.zone);
-        let mut state = self.state();
-        // Under the lock, so that times come to the gate in their order.
-        let now = self.clock.now();
-        let (gone, admitted) = state.gate.swap(now, &table);
-        state.table = standing;
-        let gone: Vec<Tell> = gone
-            .iter()
-            .filter_map(|id| state.waiting.remove(id))
-            .collect();
-        let admitted: Vec<Tell> = admitted
-            .into_iter()
-            .filter_map(|id| state.grant(id))
-            .collect();
-        drop(state);
-        gone.into_iter().for_each(|tell| tell(false));
-        admitted.into_iter().for_each(|tell| tell(true));
-    }
-
-    pub fn enter(
-        self: &Arc<Limiter>,
+    /// Admits or queues a request, by the limits of its class, caller and front. Where it is queued, `on_queue_end` is
+    /// called once: never after the [`RequestLimits`] is dropped.
+    pub fn admit(
+        &self,
         class: usize,
         caller: &str,
         front: &str,
-        tell: Tell,
-    ) -> Entered {
-        let mut state = self.state();
-        let now = self.clock.now();
+        on_queue_end: OnQueueEnd,
+    ) -> Admission {
+        let mut state = self.shared.state();
+        let now = self.shared.clock.now();
         let Some(resolved) = state.table.find(class, caller, front).cloned() else {
-            return Entered::Free;
+            return Admission::Unlimited;
         };
         if resolved.at.is_empty() {
-            return Entered::Free;
+            return Admission::Unlimited;
         }
         let at = place(&resolved);
-        state.next += 1;
-        let id = state.next;
+        let id = state.next_id();
         let admitted = state.gate.admit(now, &at, id);
         if admitted == Admitted::Waits {
-            state.waiting.insert(id, tell);
+            state.queued.insert(id, on_queue_end);
         }
-        let over = self.expire(&mut state, now);
+        let expired = state.take_expired(now);
         drop(state);
-        over.into_iter().for_each(|tell| tell(false));
-        let held = |open| Held {
-            limiter: self.clone(),
-            at: at.clone(),
-            resolved: resolved.clone(),
-            id,
-            open,
-            attempts: 0,
-            sent: None,
-        };
+        expired
+            .into_iter()
+            .for_each(|on_queue_end| on_queue_end(QueueEnd::Rejected));
+        let limits = |is_open| RequestLimits::new(&self.shared, at, resolved.clone(), id, is_open);
         match admitted {
-            Admitted::Now => Entered::In(held(true)),
-            Admitted::Waits => Entered::Waits(
-                held(false),
-                Duration::from_millis(resolved.values.queue_age_ms),
-            ),
-            Admitted::Refused => Entered::Refused {
-                wait: resolved.values.wait_ms.saturating_mul(1_000),
-            },
+            Admitted::Now => Admission::Admitted(limits(true)),
+            Admitted::Waits => {
+                let max_wait = Duration::from_millis(resolved.values.queue_age_ms);
+                Admission::Queued(limits(false), max_wait)
+            }
+            Admitted::Refused => Admission::Rejected(Rejected {
+                retry_after: request_limits::max_retry_after(&resolved),
+            }),
         }
     }
 
-    /// A place at once or none, for who can't wait for one.
-    pub fn enter_now(
-        self: &Arc<Limiter>,
+    /// Admits a request that cannot be queued; `None` where no limits apply.
+    ///
+    /// # Errors
+    ///
+    /// Its limits have no free place.
+    pub fn try_admit(
+        &self,
         class: usize,
         caller: &str,
         front: &str,
-    ) -> Result<Option<Held>, Time> {
-        match self.enter(class, caller, front, Box::new(|_| ())) {
-            Entered::Free => Ok(None),
-            Entered::In(held) => Ok(Some(held)),
-            Entered::Waits(held, _) => Err(held.advice(Time::MAX)),
-            Entered::Refused { wait } => Err(wait),
+    ) -> Result<Option<RequestLimits>, Rejected> {
+        match self.admit(class, caller, front, Box::new(|_| ())) {
+            Admission::Unlimited => Ok(None),
+            Admission::Admitted(limits) => Ok(Some(limits)),
+            Admission::Queued(limits, _) => Err(Rejected {
+                retry_after: limits.max_retry_after(),
+            }),
+            Admission::Rejected(rejected) => Err(rejected),
         }
     }
 
-    fn expire(&self, state: &mut State, now: Time) -> Vec<Tell> {
-        let over = state.gate.expired(now);
-        over.iter()
-            .filter_map(|id| state.waiting.remove(id))
-            .collect()
-    }
-
-    /// Open, and waiting.
-    pub fn sizes(&self) -> [u64; 2] {
-        self.state().gate.sizes()
+    /// How many requests are open and queued now.
+    pub fn occupancy(&self) -> Occupancy {
+        let [open, queued] = self.shared.state().gate.sizes();
+        Occupancy { open, queued }
     }
 }
 
--- /dev/null
+++ b/edge/core/src/limits/request_limits.rs
@@ -0,0 +1,222 @@
+//! The limits of one request, and its place among them.
+
+use super::shared::{QueueEnd, Shared};
+use foldmux::interface::{Fetch, Group, Repeat, Time};
+use foldmux_limits::gate::Place;
+use foldmux_limits::table::Resolved;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// Retention ranks that the caches know are 0 to this.
+const MAX_KEEP: u64 = 3;
+/// The source of values that no one set: they are as they are without limits.
+const DEFAULT_LAYER: &str = "today";
+
+/// The limits of one request and its place among them, from its admission until it is dropped.
+pub struct RequestLimits {
+    shared: Arc<Shared>,
+    at: Place,
+    resolved: Arc<Resolved>,
+    id: u64,
+    /// Whether it has a place; else it is queued, or was granted one and has not taken it yet.
+    is_open: bool,
+    /// Attempts permitted so far.
+    attempts: u64,
+    /// When the first attempt that may have executed was sent.
+    first_sent_at: Option<Instant>,
+}
+
+/// Whether an attempt that the router decided may be made.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AttemptPermission {
+    /// At once.
+    Now,
+    /// After this backoff.
+    After(Duration),
+    /// No.
+    Denied,
+}
+
+/// The longest Retry-After that a client is told under these limits.
+pub(super) fn max_retry_after(resolved: &Resolved) -> Duration {
+    Duration::from_micros(resolved.values.wait_ms.saturating_mul(1_000))
+}
+
+impl RequestLimits {
+    pub(super) fn new(
+        shared: &Arc<Shared>,
+        at: Place,
+        resolved: Arc<Resolved>,
+        id: u64,
+        is_open: bool,
+    ) -> RequestLimits {
+        RequestLimits {
+            shared: shared.clone(),
+            at,
+            resolved,
+            id,
+            is_open,
+            attempts: 0,
+            first_sent_at: None,
+        }
+    }
+
+    /// The queued request takes the place that it was granted.
+    pub fn take_grant(&mut self) {
+        self.shared.state().granted.remove(&self.id);
+        self.is_open = true;
+    }
+
+    /// When a request that arrived then must have its response.
+    pub fn deadline(&self, arrived_at: Instant) -> Instant {
+        arrived_at + Duration::from_millis(self.resolved.values.deadline_ms)
+    }
+
+    /// Whether the next attempt may be made, and after which backoff.
+    pub fn permit_attempt(&mut self) -> AttemptPermission {
+        let values = &self.resolved.values;
+        let backoff_ms =
+            self.shared
+                .state()
+                .gate
+                .attempt(&self.at, values, self.attempts, fastrand::f64());
+        self.attempts += backoff_ms.is_some() as u64;
+        match backoff_ms {
+            None => AttemptPermission::Denied,
+            Some(0) => AttemptPermission::Now,
+            Some(backoff_ms) => AttemptPermission::After(Duration::from_millis(backoff_ms)),
+        }
+    }
+
+    /// Whether a retry may still be sent after its backoff: one that was decided within the window in which the origin drops
+    /// repeats of a key must not arrive after it.
+    pub fn is_within_repeat_window(&self) -> bool {
+        match (self.repeat(), self.first_sent_at) {
+            (Some(Repeat::Keyed(_)), Some(sent_at)) => sent_at.elapsed() < self.repeat_window(),
+            (Some(Repeat::SingleShot), Some(_)) => false,
+            _ => true,
+        }
+    }
+
+    /// Tightens what the router decided to what the limits allow.
+    pub fn tighten(&self, fetch: &mut Fetch) {
+        let values = &self.resolved.values;
+        fetch.time_out = values.time_out(fetch.time_out);
+        if let Some(deadline) = self.repeat_deadline() {
+            fetch.begin_by(deadline);
+        }
+        fetch.keep = fetch.keep.min(values.keep.min(MAX_KEEP) as u8);
+        let stale_is_limited = self
+            .resolved
+            .from
+            .get("stale_ms")
+            .is_some_and(|layer| layer != DEFAULT_LAYER);
+        if stale_is_limited {
+            fetch.renew &= values.stale_ms > 0;
+        }
+    }
+
+    /// Before when a repeat of a request with an idempotency key must be sent (router time).
+    fn repeat_deadline(&self) -> Option<Time> {
+        if !matches!(self.repeat(), Some(Repeat::Keyed(_))) {
+            return None;
+        }
+        let sent_at = self.first_sent_at?;
+        Some(self.shared.clock.at(sent_at + self.repeat_window()))
+    }
+
+    /// A permit for the attempt's fill, or `None` where its source has as many fills of the class as it may.
+    pub fn acquire_fill(&self, fetch: &Fetch) -> Option<FillPermit> {
+        let max = self.resolved.values.fills;
+        if max == 0 || fetch.source == fetch.cache {
+            return Some(FillPermit(None));
+        }
+        let fill = Fill {
+            shared: self.shared.clone(),
+            source: fetch.source.0 as u64,
+            class: self.resolved.class,
+        };
+        let admitted = self.shared.state().gate.fill(fill.source, fill.class, max);
+        admitted.then_some(FillPermit(Some(fill)))
+    }
+
+    /// Records how an attempt ended that was sent at `sent_at`.
+    pub fn record_attempt(&mut self, sent_at: Instant, served: bool, never_executed: bool) {
+        if !never_executed {
+            self.first_sent_at.get_or_insert(sent_at);
+        }
+        let elapsed = sent_at.elapsed().as_micros() as Time;
+        self.shared.state().gate.heard(&self.at, elapsed, served);
+    }
+
+    /// Whether the client may send the request again without executing it twice.
+    pub fn retry_is_harmless(&self) -> bool {
+        self.first_sent_at.is_none()
+            || matches!(
+                self.repeat(),
+                Some(Repeat::Safe | Repeat::Keyed(Group::All))
+            )
+    }
+
+    /// A Retry-After within the limits.
+    pub fn cap_retry_after(&self, retry_after: Duration) -> Duration {
+        retry_after.min(self.max_retry_after())
+    }
+
+    /// The longest Retry-After that the limits allow.
+    pub fn max_retry_after(&self) -> Duration {
+        max_retry_after(&self.resolved)
+    }
+
+    fn repeat(&self) -> Option<&Repeat> {
+        self.shared.repeats.get(self.resolved.class)
+    }
+
+    fn repeat_window(&self) -> Duration {
+        Duration::from_millis(self.resolved.values.window_ms)
+    }
+}
+
+impl Drop for RequestLimits {
+    fn drop(&mut self) {
+        let mut state = self.shared.state();
+        let now = self.shared.clock.now();
+        if !self.is_open && state.queued.remove(&self.id).is_some() {
+            // Still queued: its callback is dropped with its place in the queue.
+            state.gate.left(&self.at, self.id);
+            return;
+        }
+        if !self.is_open && !state.granted.remove(&self.id) {
+            return;
+        }
+        // It had a place, even if it never learnt of the grant.
+        let next = state
+            .gate
+            .ended(now, &self.at)
+            .and_then(|id| state.grant(id));
+        let expired = state.take_expired(now);
+        drop(state);
+        next.into_iter()
+            .for_each(|on_queue_end| on_queue_end(QueueEnd::Admitted));
+        expired
+            .into_iter()
+            .for_each(|on_queue_end| on_queue_end(QueueEnd::Rejected));
+    }
+}
+
+struct Fill {
+    shared: Arc<Shared>,
+    source: u64,
+    class: usize,
+}
+
+/// Permits one fill at a source, until it is dropped; holds nothing where fills are not limited.
+pub struct FillPermit(Option<Fill>);
+
+impl Drop for FillPermit {
+    fn drop(&mut self) {
+        if let Some(fill) = self.0.take() {
+            fill.shared.state().gate.filled(fill.source, fill.class);
+        }
+    }
+}
--- /dev/null
+++ b/edge/core/src/limits/shared.rs
@@ -0,0 +1,104 @@
+//! The state that all requests with limits share.
+
+use crate::clock::Clock;
+use foldmux::interface::{Repeat, Time};
+use foldmux_limits::gate::Gate;
+use foldmux_limits::standing::Standing;
+use foldmux_limits::table::Table;
+use std::collections::{HashMap, HashSet};
+use std::sync::{Mutex, MutexGuard, PoisonError};
+
+/// How a request's wait in a queue ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum QueueEnd {
+    /// It has a place.
+    Admitted,
+    /// It waited for too long, or its limits are gone.
+    Rejected,
+}
+
+/// Called once, when a queued request's wait ends.
+pub type OnQueueEnd = Box<dyn FnOnce(QueueEnd) + Send>;
+
+pub(super) struct Shared {
+    state: Mutex<State>,
+    pub(super) clock: Clock,
+    /// Whether a request may be repeated, by class.
+    pub(super) repeats: Vec<Repeat>,
+}
+
+pub(super) struct State {
+    pub(super) table: Standing,
+    pub(super) gate: Gate,
+    pub(super) queued: HashMap<u64, OnQueueEnd>,
+    /// Requests that were called back with a place, and have not taken it yet.
+    pub(super) granted: HashSet<u64>,
+    last_id: u64,
+}
+
+impl Shared {
+    pub(super) fn new(table: &Table, zone: &str, clock: Clock, repeats: Vec<Repeat>) -> Shared {
+        let state = State {
+            table: Standing::new(table, zone),
+            gate: Gate::new(table),
+            queued: HashMap::new(),
+            granted: HashSet::new(),
+            last_id: 0,
+        };
+        Shared {
+            state: Mutex::new(state),
+            clock,
+            repeats,
+        }
+    }
+
+    pub(super) fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    pub(super) fn replace_table(&self, table: &Table, zone: &str) {
+        let standing = Standing::new(table, zone);
+        let mut state = self.state();
+        // Read under the lock: the gate must see times in their order.
+        let now = self.clock.now();
+        let (gone, admitted) = state.gate.swap(now, table);
+        state.table = standing;
+        let gone: Vec<OnQueueEnd> = gone
+            .iter()
+            .filter_map(|id| state.queued.remove(id))
+            .collect();
+        let admitted: Vec<OnQueueEnd> = admitted
+            .into_iter()
+            .filter_map(|id| state.grant(id))
+            .collect();
+        drop(state);
+        gone.into_iter()
+            .for_each(|on_queue_end| on_queue_end(QueueEnd::Rejected));
+        admitted
+            .into_iter()
+            .for_each(|on_queue_end| on_queue_end(QueueEnd::Admitted));
+    }
+}
+
+impl State {
+    pub(super) fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
+    }
+
+    /// Grants a queued request its place; the callback is to be called without the lock.
+    pub(super) fn grant(&mut self, id: u64) -> Option<OnQueueEnd> {
+        let on_queue_end = self.queued.remove(&id)?;
+        self.granted.insert(id);
+        Some(on_queue_end)
+    }
+
+    /// The callbacks of requests that have been queued for too long.
+    pub(super) fn take_expired(&mut self, now: Time) -> Vec<OnQueueEnd> {
+        let expired = self.gate.expired(now);
+        expired
+            .iter()
+            .filter_map(|id| self.queued.remove(id))
+            .collect()
+    }
+}
--- a/edge/core/src/limits/tests.rs
+++ b/edge/core/src/limits/tests.rs
@@ -1,7 +1,7 @@
 //! Places that go to whoever waits, and tables that change in service.
 
 use super::*;
-use foldmux::interface::Fetch;
+use foldmux::interface::{Fetch, Time};
 use foldmux_limits::table::{Draft, Said};
 use foldmux_limits::values::{Concurrency, Layer};
 use foldmux_limits::Account;
@@ -40,9 +40,13 @@
     Limiter::new(table(1), Clock::default(), "turku".into(), repeats)
 }
 
-fn held(entered: Entered) -> Held {
+fn occupancy(open: u64, queued: u64) -> Occupancy {
+    Occupancy { open, queued }
+}
+
+fn held(entered: Admission) -> RequestLimits {
     match entered {
-        Entered::In(held) | Entered::Waits(held, _) => held,
+        Admission::Admitted(held) | Admission::Queued(held, _) => held,
         _ => panic!("no place and no wait"),
     }
 }
@@ -53,42 +57,48 @@
     let (tell, told) = channel();
     let enter = || {
         let tell = tell.clone();
-        limiter.enter(
+        limiter.admit(
             1,
             "",
             "msgpack",
-            Box::new(move |has| {
-                let _ = tell.send(has);
+            Box::new(move |end| {
+                let _ = tell.send(end);
             }),
         )
     };
     assert!(
         matches!(
-            limiter.enter(0, "", "msgpack", Box::new(|_| ())),
-            Entered::Free
+            limiter.admit(0, "", "msgpack", Box::new(|_| ())),
+            Admission::Unlimited
         ),
         "no limits were set"
     );
     let first = held(enter());
     let (second, third) = (held(enter()), held(enter()));
-    assert_eq!(limiter.sizes(), [1, 2]);
+    assert_eq!(limiter.occupancy(), occupancy(1, 2));
     drop(first);
-    assert_eq!((told.recv(), limiter.sizes()), (Ok(true), [1, 1]));
+    assert_eq!(
+        (told.recv(), limiter.occupancy()),
+        (Ok(QueueEnd::Admitted), occupancy(1, 1))
+    );
     // It had a place, and its client left before it heard of it.
     drop(second);
-    assert_eq!((told.recv(), limiter.sizes()), (Ok(true), [1, 0]));
+    assert_eq!(
+        (told.recv(), limiter.occupancy()),
+        (Ok(QueueEnd::Admitted), occupancy(1, 0))
+    );
     drop(third);
-    assert_eq!(limiter.sizes(), [0, 0]);
+    assert_eq!(limiter.occupancy(), occupancy(0, 0));
 }
 
 #[test]
 fn another_table_holds_for_those_that_come_and_not_for_those_that_are_open() {
     let limiter = limiter();
-    let mut old = held(limiter.enter(1, "", "dns", Box::new(|_| ())));
-    limiter.swap(Table::new(&Account::default(), &Draft::default()));
+    let mut old = held(limiter.admit(1, "", "dns", Box::new(|_| ())));
+    limiter.replace_table(Table::new(&Account::default(), &Draft::default()));
     assert!(matches!(
-        limiter.enter(1, "", "dns", Box::new(|_| ())),
-        Entered::Free
+        limiter.admit(1, "", "dns", Box::new(|_| ())),
+        Admission::Unlimited
     ));
     let mut fetch = Fetch {
         id: foldmux::interface::RequestId(1),
@@ -102,17 +112,21 @@
         hold_only: false,
         renew: true,
     };
-    old.narrow(&mut fetch);
+    old.tighten(&mut fetch);
     assert_eq!(
         (fetch.time_out, fetch.keep, fetch.renew),
         (200_000, 1, true)
     );
     assert_eq!(
-        [0, 1, 2].map(|_| old.attempt()),
-        [Allowed::Now, Allowed::Now, Allowed::No]
+        [0, 1, 2].map(|_| old.permit_attempt()),
+        [
+            AttemptPermission::Now,
+            AttemptPermission::Now,
+            AttemptPermission::Denied
+        ]
     );
     drop(old);
-    assert_eq!(limiter.sizes(), [0, 0]);
+    assert_eq!(limiter.occupancy(), occupancy(0, 0));
 }
 
 #[test]
@@ -143,9 +157,9 @@
     );
     let limiter = Limiter::new(table, clock.clone(), "turku".into(), repeats);
     let bound = |class, never_ran, by| {
-        let mut held = held(limiter.enter(class, "", "msgpack", Box::new(|_| ())));
+        let mut held = held(limiter.admit(class, "", "msgpack", Box::new(|_| ())));
         let began = Instant::now();
-        held.heard(began, false, never_ran);
+        held.record_attempt(began, false, never_ran);
         let mut fetch = Fetch {
             id: foldmux::interface::RequestId(1),
             cache: foldmux::interface::CacheId(1),
@@ -158,7 +172,7 @@
             hold_only: false,
             renew: false,
         };
-        held.narrow(&mut fetch);
+        held.tighten(&mut fetch);
         (fetch.send_by, clock.at(began) + 2_000_000)
     };
     let (by, window) = bound(KEYED, false, 0);
--- a/edge/core/src/throttle_tests.rs
+++ b/edge/core/src/log_throttle/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn a_storm_gets_its_first_lines_then_a_steady_rate_and_the_rest_is_counted() {
     let start = Instant::now();
-    let throttle = Throttle::new(start);
+    let throttle = LogThrottle::new(start);
     let written = (0..1_000).filter(|_| throttle.admits(start)).count();
     assert_eq!(
         (written, throttle.take_withheld()),
@@ -21,7 +21,7 @@
 #[test]
 fn a_quiet_time_fills_the_bucket_and_no_further() {
     let start = Instant::now();
-    let throttle = Throttle::new(start);
+    let throttle = LogThrottle::new(start);
     (0..BURST).for_each(|_| assert!(throttle.admits(start)));
     let later = start + Duration::from_secs(3_600);
     assert_eq!(
--- a/edge/core/src/reasons.rs
+++ b/edge/core/src/reason.rs
@@ -1,54 +1,53 @@
-//! Why a request got no answer from a cache: one reason for each refusal and failure, told in the log with the request's
-//! id and counted.
+//! Why a request was not served: one reason for each rejection and failure, logged with the request's id and counted.
 
 use std::fmt;
 
-/// Why a request was refused, failed, or could not be used.
+/// Why a request was rejected, failed, or could not be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The decision module said so.
-    Module,
-    /// The limits by class and route allow no more.
+    /// The router decided so.
+    Router,
+    /// The limits of its class and route allow no more.
     Limits,
-    /// Its turn at a pool did not come in time.
-    Turn,
-    /// All places for open requests are taken.
+    /// No permit of its concurrency pool came in time.
+    NoPermit,
+    /// As many requests are open as may be.
     RequestsFull,
     /// The machine gives no more threads.
     NoThread,
-    /// All buffers for answers are out.
+    /// All response buffers are in use.
     NoBuffer,
-    /// All buffers for the bodies of requests are out.
-    NoBodyBuffer,
+    /// All buffers for request bodies are in use.
+    NoRequestBodyBuffer,
     /// Its connection has as many open requests as it may.
     ConnectionFull,
-    /// The process is leaving and must go before the request could be answered.
-    Leaving,
-    /// A request under the same id is open.
+    /// The process shuts down before the request could have its response.
+    ShuttingDown,
+    /// Another request with the same id is open.
     IdInUse,
-    /// The deadline passed without a decision of the module.
+    /// The deadline passed without a decision of the router.
     NoDecision,
-    /// The replicas of a covered request said so, or hold a failure for it.
+    /// The replicas of its record decided so, or store a failure for it.
     Replicas,
-    /// Its function ended without an answer.
+    /// It ended without a response.
     Unfinished,
-    /// The external processor said so.
+    /// The external processor decided so.
     Processor,
     /// What the client sent can't be used.
     BadRequest,
 }
 
-/// All reasons, in the order of their counts.
+/// All reasons, in the order of their counters.
 pub const REASONS: [Reason; 15] = [
-    Reason::Module,
+    Reason::Router,
     Reason::Limits,
-    Reason::Turn,
+    Reason::NoPermit,
     Reason::RequestsFull,
     Reason::NoThread,
     Reason::NoBuffer,
-    Reason::NoBodyBuffer,
+    Reason::NoRequestBodyBuffer,
     Reason::ConnectionFull,
-    Reason::Leaving,
+    Reason::ShuttingDown,
     Reason::IdInUse,
     Reason::NoDecision,
     Reason::Replicas,
@@ -60,15 +59,15 @@
 impl fmt::Display for Reason {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         out.write_str(match self {
-            Reason::Module => "decided by the module",
+            Reason::Router => "decided by the module",
             Reason::Limits => "limits by class",
-            Reason::Turn => "no turn at its pool",
+            Reason::NoPermit => "no turn at its pool",
             Reason::RequestsFull => "all places for requests taken",
             Reason::NoThread => "no thread",
             Reason::NoBuffer => "no buffer",
-            Reason::NoBodyBuffer => "no buffer for its body",
+            Reason::NoRequestBodyBuffer => "no buffer for its body",
             Reason::ConnectionFull => "too many open on its connection",
-            Reason::Leaving => "the process leaves",
+            Reason::ShuttingDown => "the process leaves",
             Reason::IdInUse => "its id is in use",
             Reason::NoDecision => "no decision in time",
             Reason::Replicas => "replicas of its record",
--- /dev/null
+++ b/edge/core/src/rejection.rs
@@ -0,0 +1,46 @@
+//! Whether a request that ends without being served is rejected or failed.
+//!
+//! This module owns that rule for what the core ends by itself; the router applies its own to what it gives up.
+
+use crate::limits::RequestLimits;
+use crate::metrics::Completion;
+use crate::reason::Reason;
+use crate::request::Response;
+use crate::retry_after::Rejected;
+use std::time::Duration;
+
+/// The final response of a request that the core gives up: rejected where a retry is harmless, because no attempt may have
+/// executed or its class may be repeated anywhere; else failed.
+pub(crate) fn reject_or_fail(
+    reason: Reason,
+    retry_after: Duration,
+    may_have_executed: bool,
+    limits: Option<&RequestLimits>,
+) -> (Completion, Response) {
+    let retry_is_harmless =
+        !may_have_executed || limits.is_some_and(RequestLimits::retry_is_harmless);
+    if !retry_is_harmless {
+        return (Completion::Failed(reason), Response::Failed);
+    }
+    (
+        Completion::Rejected(reason),
+        Response::Rejected(cap(retry_after, limits)),
+    )
+}
+
+/// The final response of a request that the router rejected.
+pub(crate) fn rejected_by_router(
+    Rejected { retry_after }: Rejected,
+    limits: Option<&RequestLimits>,
+) -> (Completion, Response) {
+    (
+        Completion::Rejected(Reason::Router),
+        Response::Rejected(cap(retry_after, limits)),
+    )
+}
+
+fn cap(retry_after: Duration, limits: Option<&RequestLimits>) -> Rejected {
+    Rejected {
+        retry_after: limits.map_or(retry_after, |limits| limits.cap_retry_after(retry_after)),
+    }
+}
--- /dev/null
+++ b/edge/core/src/replicated.rs
@@ -0,0 +1,129 @@
+//! Serving requests with a replicated record: the response is stored before any client is given it.
+
+use crate::attempt_history::AttemptHistory;
+use crate::cancellation::CancelHandle;
+use crate::lifecycle::{run, RequestEnd};
+use crate::metrics::Completion;
+use crate::reason::Reason;
+use crate::records::{Acquired, OwnedRecord, RequestRecords, StoredResponse};
+use crate::request::{ClientRequest, Responder, Response, ResponseBody};
+use crate::services::Services;
+use std::sync::Arc;
+
+/// Room (bytes) before a stored body, where a front puts the head of its message.
+const HEAD_ROOM: usize = 256;
+
+/// Serves a request from the acquisition of its record to its response.
+pub(crate) fn serve(
+    services: &Services,
+    records: &dyn RequestRecords,
+    mut request: ClientRequest,
+    cancel: &Arc<CancelHandle>,
+    responder: Box<dyn Responder>,
+) {
+    let deadline = request.deadline();
+    let mut ownership_lost = false;
+    let mut history = AttemptHistory::default();
+    loop {
+        let end = match records.acquire(&request, deadline, ownership_lost) {
+            Acquired::NotReplicated => run(services, &request, cancel, None, &mut history),
+            Acquired::Owned(record) => {
+                request.required_group = record.required_group();
+                run_owned(services, &request, cancel, &*record, &mut history)
+            }
+            Acquired::Stored(stored) => respond_stored(services, &request, stored),
+            Acquired::Rejected(rejected) => RequestEnd::Finished(
+                Completion::Shed(Reason::Replicas),
+                Response::Rejected(rejected),
+            ),
+            Acquired::Failed => failed(Reason::Replicas),
+        };
+        match end {
+            RequestEnd::Finished(completion, response) => {
+                services.record_completion(&request, completion, &history);
+                return responder.respond(response);
+            }
+            RequestEnd::ClientGone => return,
+            // Another process goes on with it, and this client waits for that one's response.
+            RequestEnd::OwnershipLost => ownership_lost = true,
+        }
+    }
+}
+
+/// Serves a request that was taken over: its response is stored, and there is no client to give it to.
+pub(crate) fn serve_taken_over(
+    services: &Services,
+    request: ClientRequest,
+    cancel: &Arc<CancelHandle>,
+    record: &dyn OwnedRecord,
+) {
+    let mut history = AttemptHistory::default();
+    run_owned(services, &request, cancel, record, &mut history);
+}
+
+/// Serves a request that this process owns, and stores its response. Ownership counts as lost where the response is not
+/// known to be stored.
+fn run_owned(
+    services: &Services,
+    request: &ClientRequest,
+    cancel: &Arc<CancelHandle>,
+    record: &dyn OwnedRecord,
+    history: &mut AttemptHistory,
+) -> RequestEnd {
+    let end = run(services, request, cancel, Some(record), history);
+    let RequestEnd::Finished(completion, response) = end else {
+        return end;
+    };
+    let stored = match &response {
+        Response::Served(body) => StoredResponse::Served(body.buffer[body.range.clone()].into()),
+        Response::NotModified => StoredResponse::NotModified,
+        Response::Rejected(_) | Response::Failed if !record.may_have_executed() => {
+            // A retry begins anew, so nothing needs to be stored for it.
+            record.abandon();
+            return RequestEnd::Finished(completion, response);
+        }
+        Response::Rejected(_) | Response::Failed => StoredResponse::Failed,
+    };
+    let is_failure = stored == StoredResponse::Failed;
+    if !record.store_response(stored) {
+        return RequestEnd::OwnershipLost;
+    }
+    if is_failure {
+        // A rejection would invite a retry, which finds the stored failure.
+        return failed(completion.reason().unwrap_or(Reason::Replicas));
+    }
+    RequestEnd::Finished(completion, response)
+}
+
+/// The response that the record stores, in a buffer of this process.
+fn respond_stored(
+    services: &Services,
+    request: &ClientRequest,
+    stored: StoredResponse,
+) -> RequestEnd {
+    let bytes = match stored {
+        StoredResponse::Served(bytes) => bytes,
+        StoredResponse::NotModified if request.etag.is_some() => {
+            return RequestEnd::Finished(Completion::NotModified, Response::NotModified);
+        }
+        // Stored for a client that held a copy, while this one holds none.
+        StoredResponse::NotModified | StoredResponse::Failed => return failed(Reason::Replicas),
+    };
+    let range = HEAD_ROOM..HEAD_ROOM + bytes.len();
+    let buffer = services.buffers.acquire();
+    let Some(mut buffer) = buffer.filter(|buffer| range.end <= buffer.len()) else {
+        return RequestEnd::Finished(
+            Completion::Shed(Reason::NoBuffer),
+            Response::Rejected(services.rejected()),
+        );
+    };
+    buffer[range.clone()].copy_from_slice(&bytes);
+    RequestEnd::Finished(
+        Completion::Served,
+        Response::Served(ResponseBody { buffer, range }),
+    )
+}
+
+fn failed(reason: Reason) -> RequestEnd {
+    RequestEnd::Finished(Completion::Failed(reason), Response::Failed)
+}
--- /dev/null
+++ b/edge/core/src/servers.rs
@@ -0,0 +1,204 @@
+//! The servers that attempts may go to (pop caches, parents and the origin), as the journal last listed them: names,
+//! addresses, and what may be sent to. Only the event loop writes the list; everybody else reads it.
+
+use foldmux::interface::{CacheId, Member, State, Time};
+use std::collections::{HashMap, HashSet};
+use std::net::SocketAddr;
+use std::sync::{Arc, PoisonError, RwLock, RwLockReadGuard};
+
+/// One entry of the list: what the router knows of the server, and what only its clients need.
+#[derive(Clone, Debug)]
+pub struct Server {
+    /// The entry as the router takes it.
+    pub member: Member,
+    /// The server's name.
+    pub name: Arc<str>,
+    /// Where it listens.
+    pub address: SocketAddr,
+}
+
+/// One incarnation of a server, from its start to its end, at one address. Attempts and idle connections are valid for one
+/// incarnation alone.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Incarnation {
+    /// When it started (router time, µs); 0 stands for long ago.
+    pub boot: Time,
+    /// Where it listens.
+    pub address: SocketAddr,
+}
+
+impl Server {
+    /// The incarnation that is listed.
+    pub fn incarnation(&self) -> Incarnation {
+        Incarnation {
+            boot: self.member.boot,
+            address: self.address,
+        }
+    }
+
+    fn is_ready(&self) -> bool {
+        self.member.state == State::Ready
+    }
+}
+
+/// How many servers are listed.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Census {
+    /// All listed servers.
+    pub listed: usize,
+    /// Those of them that are not to be used.
+    pub unready: usize,
+}
+
+/// The list of servers.
+#[derive(Default)]
+pub struct ServerList {
+    by_id: RwLock<HashMap<CacheId, Server>>,
+}
+
+impl ServerList {
+    fn read(&self) -> RwLockReadGuard<'_, HashMap<CacheId, Server>> {
+        self.by_id.read().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// The server of this id.
+    pub fn get(&self, cache: CacheId) -> Option<Server> {
+        self.read().get(&cache).cloned()
+    }
+
+    /// The listed incarnation of a server.
+    pub fn incarnation(&self, cache: CacheId) -> Option<Incarnation> {
+        self.read().get(&cache).map(Server::incarnation)
+    }
+
+    /// The server of this name.
+    pub fn by_name(&self, name: &str) -> Option<Server> {
+        self.read()
+            .get(&cache_id(name))
+            .filter(|server| *server.name == *name)
+            .cloned()
+    }
+
+    /// Counts the servers; those that `excluded` names count as unready, besides those that are not ready.
+    pub fn census(&self, excluded: impl Fn(&str) -> bool) -> Census {
+        let servers = self.read();
+        let unready = servers
+            .values()
+            .filter(|server| !server.is_ready() || excluded(&server.name))
+            .count();
+        Census {
+            listed: servers.len(),
+            unready,
+        }
+    }
+
+    /// Whether new work may be sent to this incarnation, or name it as a source: it may have drained, ended or restarted
+    /// since it was chosen.
+    pub fn accepts(&self, cache: CacheId, incarnation: Incarnation) -> bool {
+        self.read()
+            .get(&cache)
+            .is_some_and(|server| server.is_ready() && server.incarnation() == incarnation)
+    }
+
+    /// The server, if new work may be sent to this incarnation. One look-up, so that what is returned is what was checked.
+    pub fn get_accepting(
+        &self,
+        cache: CacheId,
+        incarnation: Option<Incarnation>,
+    ) -> Option<Server> {
+        let servers = self.read();
+        let server = servers.get(&cache).filter(|server| server.is_ready())?;
+        (Some(server.incarnation()) == incarnation).then(|| server.clone())
+    }
+
+    /// Marks as gone whichever server lost its address to another that started later, whichever of them is listed first:
+    /// what one cache holds must not be asked of the one that replaced it. Servers that started at the same time, or at an
+    /// unknown one, may share an address.
+    pub fn resolve_address_conflicts(&self, full: bool, mut update: Vec<Server>) -> Vec<Server> {
+        let servers = self.read();
+        let updated: HashSet<CacheId> = update.iter().map(|server| server.member.cache).collect();
+        let remains = |server: &&Server| !full && !updated.contains(&server.member.cache);
+        let mut latest_boot: HashMap<SocketAddr, Time> = HashMap::new();
+        let present = update
+            .iter()
+            .filter(|server| server.member.state != State::Gone);
+        for server in present.chain(servers.values().filter(remains)) {
+            let boot = latest_boot.entry(server.address).or_default();
+            *boot = server.member.boot.max(*boot);
+        }
+        let is_replaced = |server: &Server| {
+            latest_boot
+                .get(&server.address)
+                .is_some_and(|boot| *boot > server.member.boot)
+        };
+        let replaced: Vec<Server> = servers
+            .values()
+            .filter(remains)
+            .filter(|server| is_replaced(server))
+            .cloned()
+            .map(mark_gone)
+            .collect();
+        update
+            .iter_mut()
+            .filter(|server| is_replaced(server))
+            .for_each(|server| server.member.state = State::Gone);
+        update.extend(replaced);
+        update
+    }
+
+    /// Applies an update and returns the former entries of servers whose incarnation takes no more work. `full`: a server
+    /// that the update doesn't list is gone.
+    pub fn apply(&self, full: bool, update: Vec<Server>) -> Vec<Server> {
+        let mut servers = self.by_id.write().unwrap_or_else(PoisonError::into_inner);
+        let mut ended = Vec::new();
+        if full {
+            let updated: Vec<CacheId> = update.iter().map(|server| server.member.cache).collect();
+            let gone: Vec<CacheId> = servers
+                .keys()
+                .filter(|cache| !updated.contains(cache))
+                .copied()
+                .collect();
+            ended.extend(gone.into_iter().filter_map(|cache| servers.remove(&cache)));
+        }
+        for server in update {
+            let (cache, state) = (server.member.cache, server.member.state);
+            let incarnation = server.incarnation();
+            let former = match state {
+                State::Gone => servers.remove(&cache),
+                _ => servers.insert(cache, server),
+            };
+            let has_ended = |former: &Server| {
+                former.is_ready() && (former.incarnation() != incarnation || state != State::Ready)
+            };
+            ended.extend(former.filter(has_ended));
+        }
+        ended
+    }
+}
+
+fn mark_gone(mut server: Server) -> Server {
+    server.member.state = State::Gone;
+    server
+}
+
+/// FNV-1a, 32 bits.
+const FNV_OFFSET: u32 = 0x811c_9dc5;
+const FNV_PRIME: u32 = 0x0100_0193;
+
+/// The id of a server: the eight hex digits at the end of its name, as the platform gives them, else a hash of the name. Every
+/// proxy derives the same id, so that all of them place an object alike.
+pub fn cache_id(name: &str) -> CacheId {
+    let suffix = name.rsplit('-').next().unwrap_or(name);
+    let hex = (suffix.len() == 8)
+        .then(|| u32::from_str_radix(suffix, 16).ok())
+        .flatten();
+    let hash = || {
+        name.bytes().fold(FNV_OFFSET, |hash, byte| {
+            (hash ^ byte as u32).wrapping_mul(FNV_PRIME)
+        })
+    };
+    CacheId(hex.unwrap_or_else(hash))
+}
+
+#[cfg(test)]
+mod tests;
--- a/edge/core/tests/closing.rs
+++ b/edge/core/tests/closing.rs
@@ -4,14 +4,14 @@
 
 use common::*;
 use foldmux::interface::Outcome;
-use foldmux_core::desk::Notice;
+use foldmux_core::messages::Command;
 
 #[test]
 fn a_request_that_is_registered_after_the_end_was_decided_is_answered_by_then() {
     let rig = Rig::new();
     // It was read before that, with its client's whole time, which is longer than the test's.
-    rig.core.desk.tell(Notice::Closing {
-        by: rig.core.clock.now(),
+    rig.core.event_loop.send(Command::ShutDown {
+        deadline: rig.core.clock.now(),
     });
     let (_, heard) = rig.ask(1);
     assert_eq!(hears(&heard), Heard::Refused);
@@ -22,12 +22,12 @@
 #[test]
 fn an_answer_that_was_read_as_its_request_is_given_up_is_its_one_answer() {
     let rig = Rig::new();
-    let (slot, heard) = rig.ask(1);
+    let (cancel, heard) = rig.ask(1);
     assert_eq!(rig.begins(), 1);
-    rig.core.desk.tell(Notice::Closing {
-        by: rig.core.clock.now(),
+    rig.core.event_loop.send(Command::ShutDown {
+        deadline: rig.core.clock.now(),
     });
-    until("its attempt is called off", || slot.off(0));
+    until("its attempt is cancelled", || cancel.is_cancelled(0));
     // It was read whole before the call-off could cut it.
     rig.end(Outcome::Served);
     assert_eq!(hears(&heard), Heard::Same);
@@ -39,12 +39,12 @@
 #[test]
 fn an_attempt_whose_time_is_over_as_its_request_is_given_up_is_the_last() {
     let rig = Rig::new();
-    let (slot, heard) = rig.ask(1);
+    let (cancel, heard) = rig.ask(1);
     assert_eq!(rig.begins(), 1);
-    rig.core.desk.tell(Notice::Closing {
-        by: rig.core.clock.now(),
+    rig.core.event_loop.send(Command::ShutDown {
+        deadline: rig.core.clock.now(),
     });
-    until("its attempt is called off", || slot.off(0));
+    until("its attempt is cancelled", || cancel.is_cancelled(0));
     rig.end(Outcome::TimedOut);
     assert_eq!(hears(&heard), Heard::Refused);
     rig.open(0);
--- a/edge/core/tests/common/mod.rs
+++ b/edge/core/tests/common/mod.rs
@@ -1,15 +1,15 @@
 //! Requests at a core whose attempts the test ends one by one.
 #![allow(dead_code)]
 
-use foldmux::interface::{CacheId, Member, Outcome, State, Time};
+use foldmux::interface::{CacheId, Member, Outcome, State};
 use foldmux::Router;
-use foldmux_core::attempt::{Attempt, Got, Tries};
-use foldmux_core::buffers::Buffers;
+use foldmux_core::attempt::{Attempt, Payload, UpstreamClient};
+use foldmux_core::buffers::BufferPool;
 use foldmux_core::clock::Clock;
-use foldmux_core::desk::Notice;
-use foldmux_core::limits::Limiter;
-use foldmux_core::members::{Listed, Members};
-use foldmux_core::{Answer, Core, Desk, Inquiry, Reply, Slot};
+use foldmux_core::limits::{Limiter, Occupancy};
+use foldmux_core::messages::Command;
+use foldmux_core::servers::{Server, ServerList};
+use foldmux_core::{CancelHandle, ClientRequest, Core, CoreSetup, EventLoop, Responder, Response};
 use foldmux_limits::table::{Draft, Said, Table};
 use foldmux_limits::values::{Concurrency, Layer};
 use foldmux_limits::Account;
@@ -28,8 +28,8 @@
 "parentBreaksAt":2.0,"purgeSlack":1000000,"purgeDone":6000000}}"#;
 /// Longer than anything takes; it ends a test that waits for what never comes.
 pub const PATIENCE: Duration = Duration::from_secs(30);
-/// A client's wait, over all bounds of the tests (us): no wait here ends by the request's own time.
-const BUDGET: Time = 80_000_000;
+/// A client's wait, over all bounds of the tests: no wait here ends by the request's own time.
+const BUDGET: Duration = Duration::from_secs(80);
 
 /// How an attempt ends, as the test says.
 pub enum End {
@@ -43,9 +43,9 @@
     ends: Mutex<Receiver<End>>,
 }
 
-impl Tries for Scripted {
-    fn attempt(&self, attempt: &Attempt, _: &mut [u8]) -> (Outcome, Option<Got>) {
-        self.began.send(attempt.inquiry.via).unwrap();
+impl UpstreamClient for Scripted {
+    fn attempt(&self, attempt: &Attempt, _: &mut [u8]) -> (Outcome, Option<Payload>) {
+        self.began.send(attempt.request.via_id).unwrap();
         let end = self
             .ends
             .lock()
@@ -53,7 +53,10 @@
             .recv_timeout(PATIENCE)
             .expect("an end");
         match end {
-            End::With(outcome) => (outcome, (outcome == Outcome::Served).then_some(Got::Same)),
+            End::With(outcome) => (
+                outcome,
+                (outcome == Outcome::Served).then_some(Payload::NotModified),
+            ),
             End::Panic => panic!("planted in an attempt"),
         }
     }
@@ -71,13 +74,13 @@
 
 struct Told(Sender<Heard>, bool);
 
-impl Reply for Told {
-    fn answer(mut self: Box<Self>, answer: Answer) {
+impl Responder for Told {
+    fn respond(mut self: Box<Self>, response: Response) {
         self.1 = true;
-        let heard = match answer {
-            Answer::Served(_) | Answer::Same => Heard::Same,
-            Answer::Shed { .. } => Heard::Refused,
-            Answer::Failed => Heard::Failed,
+        let heard = match response {
+            Response::Served(_) | Response::NotModified => Heard::Same,
+            Response::Rejected(_) => Heard::Refused,
+            Response::Failed => Heard::Failed,
         };
         let _ = self.0.send(heard);
     }
@@ -100,13 +103,13 @@
 impl Rig {
     pub fn new() -> Rig {
         let decoded = foldmux_settings::parse(SETTINGS).unwrap();
-        let (clock, members) = (Clock::default(), Arc::new(Members::default()));
-        let (desk, handle) = Desk::new(
+        let (clock, servers) = (Clock::default(), Arc::new(ServerList::default()));
+        let (event_loop, handle) = EventLoop::new(
             Router::new(decoded.settings, 1),
             clock.clone(),
-            members.clone(),
+            servers.clone(),
         );
-        let listed = |n: u32, zone, kind| Listed {
+        let listed = |n: u32, zone, kind| Server {
             member: Member {
                 cache: CacheId(n),
                 zone,
@@ -125,28 +128,28 @@
             listed(90, 0, 1),
             listed(91, 0, 2),
         ];
-        handle.tell(Notice::Members {
+        handle.send(Command::Servers {
             full: true,
-            listed: all,
+            servers: all,
         });
         let ((told, began), (ends, ended)) = (channel(), channel());
-        let tries = Box::new(Scripted {
+        let upstream = Box::new(Scripted {
             began: told,
             ends: Mutex::new(ended),
         });
-        let core = Core::new(
-            handle,
+        let core = Core::new(CoreSetup {
+            event_loop: handle,
             clock,
-            Buffers::new(20),
-            members,
-            tries,
-            50_000,
-            0,
-            18,
-        );
+            buffers: BufferPool::new(20),
+            servers,
+            upstream,
+            retry_after: Duration::from_millis(50),
+            warm_up: Duration::ZERO,
+            max_open: 18,
+        });
         thread::Builder::new()
             .stack_size(512 * 1024)
-            .spawn(move || desk.run())
+            .spawn(move || event_loop.run())
             .unwrap();
         Rig { core, began, ends }
     }
@@ -182,33 +185,33 @@
         );
         let repeats = vec![foldmux::interface::Repeat::Safe];
         let limiter = Limiter::new(table, self.core.clock.clone(), "edge".into(), repeats);
-        assert!(self.core.limits.set(limiter.clone()).is_ok());
+        assert!(self.core.limiter.set(limiter.clone()).is_ok());
         limiter
     }
 
-    pub fn ask(&self, via: u64) -> (Arc<Slot>, Receiver<Heard>) {
-        let inquiry = Inquiry {
-            via,
+    pub fn ask(&self, via_id: u64) -> (Arc<CancelHandle>, Receiver<Heard>) {
+        let request = ClientRequest {
+            via_id,
             class: Arc::new(0),
             class_name: "sheet".into(),
-            object: via,
+            object: via_id,
             part: 0,
             group: 0,
             size_kb: 1.0,
             token: None,
-            got: Some("x".into()),
+            etag: Some("x".into()),
             body: None,
-            arrived: Instant::now(),
+            arrived_at: Instant::now(),
             budget: BUDGET,
             front: "msgpack",
             caller: "".into(),
-            within: None,
+            required_group: None,
         };
         let (told, heard) = channel();
-        let slot = self.core.slot();
+        let cancel = self.core.new_cancel_handle();
         self.core
-            .start(inquiry, slot.clone(), Box::new(Told(told, false)));
-        (slot, heard)
+            .start(request, cancel.clone(), Box::new(Told(told, false)));
+        (cancel, heard)
     }
 
     pub fn begins(&self) -> u64 {
@@ -222,11 +225,15 @@
     /// Waits until so many requests are open, and no more buffers are out than that.
     pub fn open(&self, count: usize) {
         until("what a request held is back", || {
-            (self.core.open(), self.core.buffers.out()) == (count, count)
+            (self.core.open_requests(), self.core.buffers.in_use()) == (count, count)
         });
     }
 }
 
+pub fn occupancy(open: u64, queued: u64) -> Occupancy {
+    Occupancy { open, queued }
+}
+
 pub fn until(what: &str, holds: impl Fn() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !holds() {
--- a/edge/core/tests/limits.rs
+++ b/edge/core/tests/limits.rs
@@ -2,13 +2,13 @@
 
 use foldmux::interface::{CacheId, Member, Outcome, State};
 use foldmux::Router;
-use foldmux_core::attempt::{Attempt, Got, Tries};
-use foldmux_core::buffers::Buffers;
+use foldmux_core::attempt::{Attempt, Payload, UpstreamClient};
+use foldmux_core::buffers::BufferPool;
 use foldmux_core::clock::Clock;
-use foldmux_core::desk::Notice;
-use foldmux_core::limits::Limiter;
-use foldmux_core::members::{Listed, Members};
-use foldmux_core::{Answer, Core, Desk, Inquiry, Reply};
+use foldmux_core::limits::{Limiter, Occupancy};
+use foldmux_core::messages::Command;
+use foldmux_core::servers::{Server, ServerList};
+use foldmux_core::{ClientRequest, Core, CoreSetup, EventLoop, Responder, Response};
 use foldmux_limits::table::{Draft, Said, Table};
 use foldmux_limits::values::{Budget, Concurrency, Layer};
 use foldmux_limits::Account;
@@ -19,6 +19,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Nobody holds a place, and nobody waits for one.
+const IDLE: Occupancy = Occupancy { open: 0, queued: 0 };
 const SETTINGS: &str = r#"{"index":0,"balancers":1,"locality":1,"dcs":["hub","edge"],
 "kinds":["box","parent","origin"],"classes":[{"name":"mix-video","slo":500000,"hardLimit":5000000,
 "idempotency":"free"},{"name":"formula-card","slo":250000,"hardLimit":3000000,"idempotency":"free"},
@@ -40,9 +42,9 @@
 
 struct Shared(Arc<Boxes>);
 
-impl Tries for Shared {
-    fn attempt(&self, attempt: &Attempt, _: &mut [u8]) -> (Outcome, Option<Got>) {
-        let (boxes, id) = (&self.0, attempt.inquiry.via);
+impl UpstreamClient for Shared {
+    fn attempt(&self, attempt: &Attempt, _: &mut [u8]) -> (Outcome, Option<Payload>) {
+        let (boxes, id) = (&self.0, attempt.request.via_id);
         {
             let mut running = boxes.running.lock().unwrap();
             let now = running.entry(id).or_default();
@@ -63,7 +65,7 @@
             0 | 1 => (Outcome::Error, None),
             2 => (Outcome::ConnectFailed, None),
             3 => (Outcome::Reset, None),
-            _ => (Outcome::Served, Some(Got::Same)),
+            _ => (Outcome::Served, Some(Payload::NotModified)),
         }
     }
 }
@@ -71,10 +73,10 @@
 /// Counts its answers.
 struct Counted(Sender<(u64, bool)>, u64);
 
-impl Reply for Counted {
-    fn answer(self: Box<Self>, answer: Answer) {
+impl Responder for Counted {
+    fn respond(self: Box<Self>, response: Response) {
         self.0
-            .send((self.1, matches!(answer, Answer::Same)))
+            .send((self.1, matches!(response, Response::NotModified)))
             .unwrap();
     }
 }
@@ -125,13 +127,13 @@
         .iter()
         .map(|class| class.repeat)
         .collect();
-    let (clock, members) = (Clock::default(), Arc::new(Members::default()));
-    let (desk, handle) = Desk::new(
+    let (clock, servers) = (Clock::default(), Arc::new(ServerList::default()));
+    let (event_loop, handle) = EventLoop::new(
         Router::new(decoded.settings, 1),
         clock.clone(),
-        members.clone(),
+        servers.clone(),
     );
-    let listed = |n: u32, zone, kind| Listed {
+    let listed = |n: u32, zone, kind| Server {
         member: Member {
             cache: CacheId(n),
             zone,
@@ -151,35 +153,35 @@
         listed(90, 0, 1),
         listed(91, 0, 2),
     ];
-    handle.tell(Notice::Members {
+    handle.send(Command::Servers {
         full: true,
-        listed: all,
+        servers: all,
     });
     let boxes = Arc::new(Boxes::default());
-    let tries = Box::new(Shared(boxes.clone()));
-    let core = Core::new(
-        handle,
-        clock.clone(),
-        Buffers::new(200),
-        members,
-        tries,
-        50_000,
-        0,
-        180,
-    );
+    let upstream = Box::new(Shared(boxes.clone()));
+    let core = Core::new(CoreSetup {
+        event_loop: handle,
+        clock: clock.clone(),
+        buffers: BufferPool::new(200),
+        servers,
+        upstream,
+        retry_after: Duration::from_millis(50),
+        warm_up: Duration::ZERO,
+        max_open: 180,
+    });
     let limiter = Limiter::new(table(8, 3, 60), clock, "edge".into(), repeats);
-    assert!(core.limits.set(limiter.clone()).is_ok());
+    assert!(core.limiter.set(limiter.clone()).is_ok());
     thread::Builder::new()
         .stack_size(512 * 1024)
-        .spawn(move || desk.run())
+        .spawn(move || event_loop.run())
         .unwrap();
     let (told, answers) = channel();
     let asking = {
         let core = core.clone();
         thread::spawn(move || {
             for id in 1..=REQUESTS {
-                let inquiry = Inquiry {
-                    via: id,
+                let request = ClientRequest {
+                    via_id: id,
                     class: ((id % 3) as usize).into(),
                     class_name: "any".into(),
                     object: id % 50,
@@ -187,15 +189,19 @@
                     group: 0,
                     size_kb: 1.0,
                     token: Some(format!("k{id}")),
-                    got: Some("x".into()),
+                    etag: Some("x".into()),
                     body: None,
-                    arrived: Instant::now(),
-                    budget: 2_000_000,
+                    arrived_at: Instant::now(),
+                    budget: Duration::from_secs(2),
                     front: "msgpack",
                     caller: "".into(),
-                    within: None,
+                    required_group: None,
                 };
-                core.start(inquiry, core.slot(), Box::new(Counted(told.clone(), id)));
+                core.start(
+                    request,
+                    core.new_cancel_handle(),
+                    Box::new(Counted(told.clone(), id)),
+                );
                 if id.is_multiple_of(8) {
                     thread::sleep(Duration::from_millis(1));
                 }
@@ -213,10 +219,10 @@
         turn += 1;
         if turn.is_multiple_of(20) {
             match turn / 20 % 4 {
-                0 => limiter.swap(table(2, 2, 10)),
-                1 => limiter.swap(table(30, 4, 60)),
-                2 => limiter.swap(Table::new(&Account::default(), &Draft::default())),
-                _ => limiter.swap(table(8, 3, 60)),
+                0 => limiter.replace_table(table(2, 2, 10)),
+                1 => limiter.replace_table(table(30, 4, 60)),
+                2 => limiter.replace_table(Table::new(&Account::default(), &Draft::default())),
+                _ => limiter.replace_table(table(8, 3, 60)),
             }
         }
     }
@@ -229,12 +235,12 @@
     );
     assert!(served > REQUESTS / 10, "{served}");
     let end = Instant::now() + Duration::from_secs(30);
-    while limiter.sizes() != [0, 0] || core.open() > 0 {
+    while limiter.occupancy() != IDLE || core.open_requests() > 0 {
         assert!(
             Instant::now() < end,
             "{:?} {}",
-            limiter.sizes(),
-            core.open()
+            limiter.occupancy(),
+            core.open_requests()
         );
         thread::sleep(Duration::from_millis(2));
     }
--- a/edge/core/tests/members.rs
+++ b/edge/core/tests/members.rs
@@ -1,7 +1,7 @@
-//! What is allowed of a member while the list changes at the same moment.
+//! Which incarnation of a server is returned while the list changes at the same moment.
 
 use foldmux::interface::{CacheId, Member, State, Time};
-use foldmux_core::members::{Listed, Members};
+use foldmux_core::servers::{Server, ServerList};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 
@@ -9,8 +9,8 @@
 /// How often the list changes under the reader.
 const CHANGES: Time = 200_000;
 
-/// A start of the member, each at an address of its own.
-fn started(boot: Time) -> Listed {
+/// Incarnations of the server, each at an address of its own.
+fn incarnation(boot: Time) -> Server {
     let member = Member {
         cache: CACHE,
         state: State::Ready,
@@ -18,7 +18,7 @@
         ..Member::default()
     };
     let address = SocketAddr::from(([127, 0, 0, 1], 7_000 + boot as u16 % 2));
-    Listed {
+    Server {
         member,
         name: "s-00000001".into(),
         address,
@@ -26,18 +26,18 @@
 }
 
 #[test]
-fn the_member_that_is_returned_is_the_start_that_was_allowed() {
-    let members = Members::default();
+fn the_server_that_is_returned_is_the_incarnation_that_was_accepted() {
+    let servers = ServerList::default();
     let over = AtomicBool::new(false);
-    let meant = started(0).start();
+    let meant = incarnation(0).incarnation();
     std::thread::scope(|scope| {
         scope.spawn(|| {
-            (0..CHANGES).for_each(|n| drop(members.apply(true, vec![started(n % 2)])));
+            (0..CHANGES).for_each(|n| drop(servers.apply(true, vec![incarnation(n % 2)])));
             over.store(true, Ordering::SeqCst);
         });
         while !over.load(Ordering::SeqCst) {
-            if let Some(listed) = members.allowed(CACHE, Some(meant)) {
-                assert_eq!(listed.start(), meant);
+            if let Some(server) = servers.get_accepting(CACHE, Some(meant)) {
+                assert_eq!(server.incarnation(), meant);
             }
         }
     });
--- a/edge/core/tests/reports.rs
+++ b/edge/core/tests/reports.rs
@@ -1,12 +1,13 @@
-//! Reports and probes at the desk: probes go only to starts that take requests, and word of any other is dropped.
+//! Load reports and health checks at the event loop: only incarnations that take requests are checked, and reports of any
+//! other are dropped.
 
 use crossbeam_channel::{bounded, unbounded, Receiver, Sender};
 use foldmux::interface::*;
 use foldmux::Router;
 use foldmux_core::clock::Clock;
-use foldmux_core::desk::{Notice, Order, Probes};
-use foldmux_core::members::{Listed, Members, Start};
-use foldmux_core::{Desk, DeskHandle, Slot};
+use foldmux_core::messages::{Command, Directive, ProbeSender};
+use foldmux_core::servers::{Incarnation, Server, ServerList};
+use foldmux_core::{CancelHandle, EventLoop, EventLoopHandle};
 use foldmux_load_reports::{Beside, Load};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,15 +20,15 @@
 "fallMultiple":2.5},"domain":{"originKind":1,"midKind":-1,"siblings":"any","notesGiven":"none","clientKbPerS":5000.0},
 "report":{"how":"answers","names":["util","inflight"]},"charges":{"probe":0.0}}"#;
 
-struct Prober(Sender<(CacheId, Start)>);
+struct Prober(Sender<(CacheId, Incarnation)>);
 
-impl Probes for Prober {
-    fn probe(&self, cache: CacheId, start: Start) {
-        let _ = self.0.send((cache, start));
+impl ProbeSender for Prober {
+    fn probe(&self, cache: CacheId, incarnation: Incarnation) {
+        let _ = self.0.send((cache, incarnation));
     }
 }
 
-fn listed(cache: u32, kind: usize, state: State, boot: Time) -> Listed {
+fn server(cache: u32, kind: usize, state: State, boot: Time) -> Server {
     let member = Member {
         cache: CacheId(cache),
         kind,
@@ -36,7 +37,7 @@
         weight: 1.0,
         ..Member::default()
     };
-    Listed {
+    Server {
         member,
         name: "s".into(),
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
@@ -44,8 +45,8 @@
 }
 
 struct Rig {
-    desk: DeskHandle,
-    probes: Receiver<(CacheId, Start)>,
+    event_loop: EventLoopHandle,
+    probes: Receiver<(CacheId, Incarnation)>,
     next: u64,
 }
 
@@ -54,20 +55,21 @@
     decoded.reports.acted_on = true;
     let beside = Beside::new(decoded.reports, &decoded.settings).expect("reports");
     let router = Router::new(decoded.settings, 1);
-    let (mut desk, handle) = Desk::new(router, Clock::default(), Arc::new(Members::default()));
+    let (mut event_loop, handle) =
+        EventLoop::new(router, Clock::default(), Arc::new(ServerList::default()));
     let (sender, probes) = unbounded();
-    desk.report_to(beside, Some(Box::new(Prober(sender))));
-    std::thread::spawn(move || desk.run());
-    let mut list: Vec<Listed> = (1..4)
-        .map(|cache| listed(cache, 0, State::Ready, 0))
+    event_loop.enable_load_reports(beside, Some(Box::new(Prober(sender))));
+    std::thread::spawn(move || event_loop.run());
+    let mut list: Vec<Server> = (1..4)
+        .map(|cache| server(cache, 0, State::Ready, 0))
         .collect();
-    list.push(listed(9, 1, State::Ready, 0));
-    handle.tell(Notice::Members {
+    list.push(server(9, 1, State::Ready, 0));
+    handle.send(Command::Servers {
         full: true,
-        listed: list,
+        servers: list,
     });
     Rig {
-        desk: handle,
+        event_loop: handle,
         probes,
         next: 0,
     }
@@ -78,7 +80,7 @@
     fn refused(&mut self) {
         self.next += 1;
         let id = RequestId(self.next);
-        let (sender, orders) = bounded(8);
+        let (sender, directives) = bounded(8);
         let object = ObjectId(self.next * 7_919);
         let ask = Ask {
             id,
@@ -91,12 +93,12 @@
             lease: 0,
             within: None,
         };
-        self.desk.tell(Notice::Ask {
-            ask,
-            slot: Slot::new(id),
-            orders: Box::new(sender),
+        self.event_loop.send(Command::Request {
+            request: ask,
+            cancel: CancelHandle::new(id),
+            directives: Box::new(sender),
         });
-        if let Ok(Order::Fetch(_, target)) = orders.recv_timeout(PATIENCE) {
+        if let Ok(Directive::Attempt(_, target)) = directives.recv_timeout(PATIENCE) {
             let (attempt, outcome, note) = (target.attempt, Outcome::Full, Note::Untold);
             let report = Report {
                 id,
@@ -106,13 +108,13 @@
                 elapsed: 1_000,
                 last: true,
             };
-            self.desk.tell(Notice::Outcome(report));
+            self.event_loop.send(Command::Outcome(report));
         }
-        self.desk.tell(Notice::Ended(id));
+        self.event_loop.send(Command::RequestEnded(id));
     }
 
     /// Goes on until a probe is ordered.
-    fn probe(&mut self) -> (CacheId, Start) {
+    fn probe(&mut self) -> (CacheId, Incarnation) {
         let until = Instant::now() + PATIENCE;
         while Instant::now() < until {
             self.refused();
@@ -131,19 +133,19 @@
     assert!((1..4).contains(&first.0 .0), "never the origin: {first:?}");
     // What it found is told of a start that is over by then: it is as if it never came.
     let old = first.1;
-    rig.desk.tell(Notice::Members {
+    rig.event_loop.send(Command::Servers {
         full: false,
-        listed: vec![listed(first.0 .0, 0, State::Draining, 0)],
+        servers: vec![server(first.0 .0, 0, State::Draining, 0)],
     });
-    rig.desk.tell(Notice::Load {
+    rig.event_loop.send(Command::LoadReport {
         cache: first.0,
-        start: old,
+        incarnation: old,
         load: Load::default(),
     });
-    rig.desk.tell(Notice::Probed {
+    rig.event_loop.send(Command::ProbeResult {
         cache: first.0,
-        start: old,
-        well: true,
+        incarnation: old,
+        healthy: true,
         load: Load::default(),
     });
     // One order may have been under way as the drain was told.
@@ -157,10 +159,10 @@
             inflight: None,
             ..Load::default()
         };
-        rig.desk.tell(Notice::Probed {
+        rig.event_loop.send(Command::ProbeResult {
             cache: next.0,
-            start: next.1,
-            well: true,
+            incarnation: next.1,
+            healthy: true,
             load,
         });
     }
--- a/edge/core/tests/threads.rs
+++ b/edge/core/tests/threads.rs
@@ -28,7 +28,7 @@
         (0..BURST).for_each(|_| rig.end(Outcome::Served));
         assert!(replies.iter().all(|reply| hears(reply) == Heard::Same));
         until("all threads are given back", || {
-            threads() == 0 && rig.core.open() == 0
+            threads() == 0 && rig.core.open_requests() == 0
         });
     }
 }
--- a/edge/fronts/extproc/benches/decide.rs
+++ b/edge/fronts/extproc/benches/decide.rs
@@ -6,8 +6,8 @@
 
 use common::{script, Instance};
 use flood::Flood;
-use foldmux_core::lent::{place, Placed};
-use foldmux_core::Inquiry;
+use foldmux_core::delegated::{route_once, Routing};
+use foldmux_core::ClientRequest;
 use foldmux_extproc::check::asks;
 use foldmux_extproc::pb::external_processor_client::ExternalProcessorClient;
 use foldmux_extproc::pb::{
@@ -88,9 +88,9 @@
     }
 }
 
-fn inquiry() -> Inquiry {
-    Inquiry {
-        via: 0,
+fn request() -> ClientRequest {
+    ClientRequest {
+        via_id: 0,
         class: 0.into(),
         class_name: "sheet".into(),
         object: 0xaa,
@@ -98,19 +98,19 @@
         group: 0,
         size_kb: 0.0,
         token: None,
-        got: None,
+        etag: None,
         body: None,
-        arrived: Instant::now(),
-        budget: 500_000,
+        arrived_at: Instant::now(),
+        budget: Duration::from_micros(500_000),
         front: "bench",
         caller: "".into(),
-        within: None,
+        required_group: None,
     }
 }
 
 fn bare(instance: &Instance, streams: usize, rate: f64) -> Run {
     let core = &instance.core;
-    let work = || move || matches!(place(core, &inquiry(), 0, |_| ()), Placed::At(()));
+    let work = || move || matches!(route_once(core, &request(), 0, |_| ()), Routing::To(()));
     open_loop((0..streams).map(|_| work()).collect(), rate)
 }
 
--- a/edge/fronts/extproc/src/answers.rs
+++ b/edge/fronts/extproc/src/answers.rs
@@ -3,13 +3,13 @@
 
 use crate::names;
 use crate::pb::*;
-use foldmux::interface::{bound_ms, Time};
-use foldmux_core::lent::Way;
+use foldmux::interface::bound_ms;
+use foldmux_core::delegated::Route;
 use std::collections::HashMap;
 
 /// A placement, as the caller is told of it.
 pub struct Placement<'a> {
-    pub way: &'a Way,
+    pub way: &'a Route,
     /// The token of this attempt.
     pub token: &'a str,
     /// The client's id for it, and how long its client waits still (ms).
@@ -37,11 +37,17 @@
     pub why: String,
     pub ran: Ran,
     /// When to come back (us).
-    pub wait: Option<Time>,
+    pub wait: Option<std::time::Duration>,
 }
 
 impl Final {
-    fn of(status: u16, error: &'static str, why: &str, ran: Ran, wait: Option<Time>) -> Final {
+    fn of(
+        status: u16,
+        error: &'static str,
+        why: &str,
+        ran: Ran,
+        wait: Option<std::time::Duration>,
+    ) -> Final {
         Final {
             status,
             error,
@@ -52,12 +58,12 @@
     }
 
     /// Turned away: trying again later is harmless, or said not to be.
-    pub fn refused(why: &str, ran: Ran, wait: Time) -> Final {
+    pub fn refused(why: &str, ran: Ran, wait: std::time::Duration) -> Final {
         Final::of(503, "destination_unavailable", why, ran, Some(wait))
     }
 
     /// The caller, and not the fleet, has too much out.
-    pub fn too_many(why: &str, wait: Time) -> Final {
+    pub fn too_many(why: &str, wait: std::time::Duration) -> Final {
         Final::of(
             429,
             "connection_limit_reached",
@@ -108,7 +114,7 @@
             field("proxy-status", status),
             field("content-type", "text/plain; charset=utf-8".into()),
         ];
-        if let Some(wait) = self.wait {
+        if let Some(wait) = self.wait.map(|wait| wait.as_micros()) {
             set.push(field(
                 "retry-after",
                 wait.div_ceil(1_000_000).max(1).to_string(),
--- a/edge/fronts/extproc/src/answers/tests.rs
+++ b/edge/fronts/extproc/src/answers/tests.rs
@@ -21,7 +21,12 @@
 
 #[test]
 fn a_final_answer_says_when_to_come_back_and_whether_anything_ran() {
-    let (status, fields) = of(&Final::refused("no room", Ran::Nothing, 87_001).answer("south"));
+    let (status, fields) = of(&Final::refused(
+        "no room",
+        Ran::Nothing,
+        std::time::Duration::from_micros(87_001),
+    )
+    .answer("south"));
     assert_eq!(
         (status, &*fields["retry-after"], &*fields[names::WAIT]),
         (503, "1", "88")
@@ -36,7 +41,8 @@
         fields["proxy-status"].ends_with("details=\"say \\\"a\\\\b\\\"??; may have run\""),
         "{fields:?}"
     );
-    let (status, fields) = of(&Final::too_many("streams", 0).answer("south"));
+    let (status, fields) =
+        of(&Final::too_many("streams", std::time::Duration::ZERO).answer("south"));
     assert_eq!(
         (
             status,
--- a/edge/fronts/extproc/src/front.rs
+++ b/edge/fronts/extproc/src/front.rs
@@ -6,9 +6,8 @@
 use crate::parked::Parked;
 use crate::pb::ProcessingResponse;
 use foldmux::interface::{Repeat, Time};
-use foldmux_core::clock::span;
-use foldmux_core::reasons::Reason;
-use foldmux_core::tally::End;
+use foldmux_core::metrics::Completion;
+use foldmux_core::reason::Reason;
 use foldmux_core::Core;
 use foldmux_idempotency::ledger::{Refusal, Rule};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -92,22 +91,25 @@
 
     pub(crate) fn finally(&self, last: &Final) -> ProcessingResponse {
         let (count, end) = match last.status {
-            400 => (&self.counts.unusable, End::Unusable),
-            404 => (&self.counts.unmatched, End::Unusable),
-            504 => (&self.counts.given_up, End::Failed(Reason::Processor)),
-            _ => (&self.counts.refused, End::Refused(Reason::Processor)),
+            400 => (&self.counts.unusable, Completion::Malformed),
+            404 => (&self.counts.unmatched, Completion::Malformed),
+            504 => (&self.counts.given_up, Completion::Failed(Reason::Processor)),
+            _ => (
+                &self.counts.refused,
+                Completion::Rejected(Reason::Processor),
+            ),
         };
         self.count(count);
-        self.core.tally.end(None, end);
+        self.core.metrics.record_completion(None, end);
         last.answer(&self.name)
     }
 
     pub(crate) fn no(&self, no: No, ran: Ran) -> Final {
         let wait = match &no {
             No::Ledger(Refusal::Running { until }) => {
-                until.saturating_sub(unix_ms()).saturating_mul(1_000).max(1)
+                Duration::from_micros(until.saturating_sub(unix_ms()).saturating_mul(1_000).max(1))
             }
-            _ => self.core.refusal_wait(),
+            _ => self.core.retry_after(),
         };
         let why = no.to_string();
         match no {
@@ -139,5 +141,5 @@
 
 /// A span of the module's from one of the operator's.
 pub fn us(ms: u64) -> Duration {
-    span(ms.saturating_mul(1_000))
+    Duration::from_micros(ms.saturating_mul(1_000))
 }
--- a/edge/fronts/extproc/src/life.rs
+++ b/edge/fronts/extproc/src/life.rs
@@ -13,7 +13,7 @@
 use crate::pb::{Kind, ProcessingRequest, ProcessingResponse};
 use crate::place::Decided;
 use foldmux::interface::Outcome;
-use foldmux_core::tally::End;
+use foldmux_core::metrics::Completion;
 use foldmux_idempotency::ledger::End as Word;
 use std::collections::HashMap;
 use std::future::Future;
@@ -99,7 +99,7 @@
             }
             match heard {
                 Heard::RequestHeaders(_) if open.1 >= front.streams => {
-                    let last = Final::too_many("too many streams", front.core.refusal_wait());
+                    let last = Final::too_many("too many streams", front.core.retry_after());
                     yield Ok(front.finally(&last));
                     return;
                 }
@@ -184,5 +184,8 @@
         },
         true,
     );
-    front.core.tally.end(None, End::Served);
+    front
+        .core
+        .metrics
+        .record_completion(None, Completion::Served);
 }
--- a/edge/fronts/extproc/src/next.rs
+++ b/edge/fronts/extproc/src/next.rs
@@ -5,9 +5,9 @@
 use crate::front::Front;
 use crate::keyed::Grip;
 use crate::outcome::Ended;
-use foldmux::interface::Time;
-use foldmux_core::lent::{Told, Way};
-use foldmux_core::limits::{Allowed, Entered, Held};
+use foldmux_core::delegated::{Instruction, Route};
+use foldmux_core::limits::{Admission, AttemptPermission, QueueEnd, RequestLimits};
+use foldmux_core::retry_after::Rejected;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
@@ -23,33 +23,37 @@
         class: usize,
         caller: &str,
         ran: Ran,
-    ) -> Result<Option<Held>, Final> {
-        let Some(limiter) = self.core.limits.get() else {
+    ) -> Result<Option<RequestLimits>, Final> {
+        let Some(limiter) = self.core.limiter.get() else {
             return Ok(None);
         };
         let (tell, told) = oneshot::channel();
-        match limiter.enter(
+        match limiter.admit(
             class,
             caller,
             "ext_proc",
-            Box::new(move |has| {
-                let _ = tell.send(has);
+            Box::new(move |end| {
+                let _ = tell.send(end);
             }),
         ) {
-            Entered::Free => Ok(None),
-            Entered::In(held) => Ok(Some(held)),
-            Entered::Refused { wait } => Err(Final::refused("its class has no place", ran, wait)),
-            Entered::Waits(mut held, age) => match timeout(age.min(self.patience), told).await {
-                Ok(Ok(true)) => {
-                    held.admitted();
-                    Ok(Some(held))
+            Admission::Unlimited => Ok(None),
+            Admission::Admitted(limits) => Ok(Some(limits)),
+            Admission::Rejected(Rejected { retry_after }) => {
+                Err(Final::refused("its class has no place", ran, retry_after))
+            }
+            Admission::Queued(mut limits, max_wait) => {
+                match timeout(max_wait.min(self.patience), told).await {
+                    Ok(Ok(QueueEnd::Admitted)) => {
+                        limits.take_grant();
+                        Ok(Some(limits))
+                    }
+                    _ => Err(Final::refused(
+                        "its class had no place in time",
+                        ran,
+                        limits.max_retry_after(),
+                    )),
                 }
-                _ => Err(Final::refused(
-                    "its class had no place in time",
-                    ran,
-                    held.advice(Time::MAX),
-                )),
-            },
+            }
         }
     }
 
@@ -60,24 +64,24 @@
         until: Instant,
         ran: Ran,
     ) -> Result<(), Final> {
-        let Some(held) = &mut attempt.limits else {
+        let Some(limits) = &mut attempt.limits else {
             return Ok(());
         };
-        match held.attempt() {
-            Allowed::Now => return Ok(()),
-            Allowed::After(pause) if Instant::now() + pause < until => {
+        match limits.permit_attempt() {
+            AttemptPermission::Now => return Ok(()),
+            AttemptPermission::After(pause) if Instant::now() + pause < until => {
                 sleep(pause).await;
-                if held.in_window() {
+                if limits.is_within_repeat_window() {
                     return Ok(());
                 }
             }
-            Allowed::After(_) | Allowed::No => {}
+            AttemptPermission::After(_) | AttemptPermission::Denied => {}
         }
-        match held.harmless() {
+        match limits.retry_is_harmless() {
             true => Err(Final::refused(
                 "its limits allow no other attempt",
                 ran,
-                held.advice(Time::MAX),
+                limits.max_retry_after(),
             )),
             false => Err(Final::given_up(
                 "its limits allow no other attempt",
@@ -92,17 +96,19 @@
         attempt: &mut Attempt,
         until: Instant,
         ran: Ran,
-    ) -> Result<Box<Way>, Final> {
+    ) -> Result<Box<Route>, Final> {
         loop {
-            let order = timeout_at(until.into(), attempt.orders.recv()).await;
-            let Ok(Some(order)) = order else {
+            let directive = timeout_at(until.into(), attempt.directives.recv()).await;
+            let Ok(Some(directive)) = directive else {
                 return Err(Final::given_up("no decision in time", ran));
             };
-            match attempt.lent.take(order) {
-                Told::Go(way) => return Ok(way),
-                Told::Wait => {}
-                Told::Refused { wait } => return Err(Final::refused("refused for now", ran, wait)),
-                Told::Failed | Told::Over => {
+            match attempt.delegated.take(directive) {
+                Instruction::Attempt(way) => return Ok(way),
+                Instruction::AwaitNext => {}
+                Instruction::Rejected(Rejected { retry_after }) => {
+                    return Err(Final::refused("refused for now", ran, retry_after))
+                }
+                Instruction::Failed | Instruction::ClientGone => {
                     return Err(Final::given_up("no server may be asked", ran))
                 }
             }
@@ -128,7 +134,7 @@
             return Err(Final::refused(
                 "an attempt may be running",
                 Ran::Maybe,
-                wait.saturating_mul(1_000),
+                Duration::from_micros(wait.saturating_mul(1_000)),
             ));
         }
         if !self.again {
--- a/edge/fronts/extproc/src/place.rs
+++ b/edge/fronts/extproc/src/place.rs
@@ -8,14 +8,14 @@
 use crate::mapping::{Asked, Unusable};
 use crate::pb::{HttpHeaders, ProcessingResponse};
 use foldmux::interface::{Outcome, Repeat, Time};
-use foldmux_core::desk::ORDERS;
-use foldmux_core::inquiry::without_ways;
-use foldmux_core::lent::Lent;
-use foldmux_core::Inquiry;
+use foldmux_core::delegated::DelegatedRequest;
+use foldmux_core::messages::DIRECTIVE_CAPACITY;
+use foldmux_core::request::serving_budget;
+use foldmux_core::ClientRequest;
 use foldmux_idempotency::token::{Mark, Token};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
 /// What the caller is told of a decision.
@@ -121,13 +121,13 @@
             },
             _ => {
                 let limits = self.admit(*class.place, caller, ran).await?;
-                let until = limits.as_ref().map(|held| held.deadline(arrived));
+                let until = limits.as_ref().map(|limits| limits.deadline(arrived));
                 let most =
                     until.map(|until| until.saturating_duration_since(arrived).as_micros() as Time);
                 let budget = most.map_or(budget, |most| most.min(budget));
                 let serial = self.serial.fetch_add(1, Ordering::Relaxed);
-                let inquiry = Inquiry {
-                    via: self.salt ^ serial,
+                let request = ClientRequest {
+                    via_id: self.salt ^ serial,
                     class: class.place.clone(),
                     class_name: class.name.clone(),
                     object: asked.object,
@@ -135,25 +135,20 @@
                     group: asked.group,
                     size_kb: asked.size_kb,
                     token: None,
-                    got: None,
+                    etag: None,
                     body: None,
-                    arrived,
-                    budget: without_ways(budget),
+                    arrived_at: arrived,
+                    budget: serving_budget(Duration::from_micros(budget)),
                     front: "ext_proc",
                     caller: caller.clone(),
-                    within,
+                    required_group: within,
                 };
-                let (sender, orders) = mpsc::channel(ORDERS);
-                let full = || {
-                    Final::refused(
-                        "no place for another request",
-                        ran,
-                        self.core.refusal_wait(),
-                    )
-                };
-                let lent = Lent::ask(
+                let (sender, directives) = mpsc::channel(DIRECTIVE_CAPACITY);
+                let full =
+                    || Final::refused("no place for another request", ran, self.core.retry_after());
+                let delegated = DelegatedRequest::start(
                     &self.core,
-                    &inquiry,
+                    &request,
                     0,
                     Box::new(Sent(sender)),
                     2 * self.streams,
@@ -162,8 +157,8 @@
                 let request = Mark::of(&format!("{:016x}/{serial}", self.salt));
                 let (class, holds) = (asked.class, asked.holds);
                 Attempt {
-                    lent,
-                    orders,
+                    delegated,
+                    directives,
                     way: None,
                     grip,
                     request,
@@ -178,14 +173,18 @@
                 }
             }
         };
-        let until = (arrived + self.patience).min(attempt.lent.deadline);
+        let until = (arrived + self.patience).min(attempt.delegated.deadline);
         self.allow(&mut attempt, until, ran).await?;
         loop {
-            let mut way = match attempt.way.take().filter(|way| attempt.lent.open(way)) {
+            let mut way = match attempt
+                .way
+                .take()
+                .filter(|way| attempt.delegated.is_current(way))
+            {
                 Some(way) => way,
                 None => {
                     // A way that was kept and is no more: as one that was never sent, and the module chooses anew.
-                    attempt.lent.end(Outcome::NeverSent, false);
+                    attempt.delegated.finish_attempt(Outcome::NeverSent, false);
                     self.next(&mut attempt, until, ran).await?
                 }
             };
@@ -197,10 +196,10 @@
                     Ran::Maybe,
                 ));
             }
-            if let Some(held) = &attempt.limits {
-                held.narrow(&mut way.fetch);
-                let fill = held.fill(&way.fetch).ok_or_else(|| {
-                    Final::refused("too many fills there", ran, held.advice(Time::MAX))
+            if let Some(limits) = &attempt.limits {
+                limits.tighten(&mut way.fetch);
+                let fill = limits.acquire_fill(&way.fetch).ok_or_else(|| {
+                    Final::refused("too many fills there", ran, limits.max_retry_after())
                 })?;
                 attempt.fill = Some(fill);
             }
@@ -229,13 +228,13 @@
                 }
             };
             // The disk took its time, and the list may have changed in it.
-            if !attempt.lent.open(&way) {
-                attempt.lent.end(Outcome::NeverSent, false);
+            if !attempt.delegated.is_current(&way) {
+                attempt.delegated.finish_attempt(Outcome::NeverSent, false);
                 attempt.way = Some(self.next(&mut attempt, until, ran).await?);
                 continue;
             }
             let left = attempt
-                .lent
+                .delegated
                 .deadline
                 .saturating_duration_since(Instant::now())
                 .as_millis() as u64;
--- a/edge/fronts/extproc/tests/common/mod.rs
+++ b/edge/fronts/extproc/tests/common/mod.rs
@@ -5,12 +5,12 @@
 
 use foldmux::interface::{CacheId, Class, Member, Outcome, Repeat, State};
 use foldmux::Router;
-use foldmux_core::attempt::{Attempt, Got, Tries};
-use foldmux_core::buffers::Buffers;
+use foldmux_core::attempt::{Attempt, Payload, UpstreamClient};
+use foldmux_core::buffers::BufferPool;
 use foldmux_core::clock::Clock;
-use foldmux_core::desk::Notice;
-use foldmux_core::members::{Listed, Members};
-use foldmux_core::{Core, Desk, DeskHandle};
+use foldmux_core::messages::Command;
+use foldmux_core::servers::{Server, ServerList};
+use foldmux_core::{Core, CoreSetup, EventLoop, EventLoopHandle};
 use foldmux_extproc::life;
 use foldmux_extproc::serve::{Bound, Serving};
 use foldmux_store::{Commit, Opener};
@@ -58,8 +58,8 @@
 /// No attempt is ever made from here.
 struct Never;
 
-impl Tries for Never {
-    fn attempt(&self, _: &Attempt, _: &mut [u8]) -> (Outcome, Option<Got>) {
+impl UpstreamClient for Never {
+    fn attempt(&self, _: &Attempt, _: &mut [u8]) -> (Outcome, Option<Payload>) {
         (Outcome::NeverSent, None)
     }
 }
@@ -67,12 +67,12 @@
 pub struct Instance {
     pub serving: Serving,
     pub core: Arc<Core>,
-    pub desk: DeskHandle,
+    pub desk: EventLoopHandle,
     pub address: SocketAddr,
-    waiting: Option<Desk>,
+    waiting: Option<EventLoop>,
 }
 
-pub fn line(number: u32, kind: usize, cell: u16, state: State, address: SocketAddr) -> Listed {
+pub fn line(number: u32, kind: usize, cell: u16, state: State, address: SocketAddr) -> Server {
     let zone = (kind == 0) as usize;
     let member = Member {
         cache: CacheId(number),
@@ -83,7 +83,7 @@
         weight: 1.0,
         boot: 0,
     };
-    Listed {
+    Server {
         member,
         name: format!("s-{number:08x}").into(),
         address,
@@ -153,19 +153,19 @@
             .unwrap();
         let bound = Bound::on(setup, classes, Some((store, commit))).unwrap();
         let address = bound.address().unwrap();
-        let (clock, members) = (Clock::default(), Arc::new(Members::default()));
+        let (clock, members) = (Clock::default(), Arc::new(ServerList::default()));
         let router = Router::new(decoded.settings, 1);
-        let (desk, handle) = Desk::new(router, clock.clone(), members.clone());
-        let core = Core::new(
-            handle.clone(),
+        let (desk, handle) = EventLoop::new(router, clock.clone(), members.clone());
+        let core = Core::new(CoreSetup {
+            event_loop: handle.clone(),
             clock,
-            Buffers::new(8),
-            members,
-            Box::new(Never),
-            50_000,
-            0,
-            4_096,
-        );
+            buffers: BufferPool::new(8),
+            servers: members,
+            upstream: Box::new(Never),
+            retry_after: Duration::from_millis(50),
+            warm_up: Duration::ZERO,
+            max_open: 4_096,
+        });
         let mut listed = vec![
             line(900, 2, 0, State::Ready, origin),
             line(901, 1, 0, State::Ready, origin),
@@ -173,7 +173,10 @@
         for (n, cache) in caches.iter().enumerate() {
             listed.push(line(n as u32 + 1, 0, n as u16 + 1, State::Ready, *cache));
         }
-        handle.tell(Notice::Members { full: true, listed });
+        handle.send(Command::Servers {
+            full: true,
+            servers: listed,
+        });
         let serving = bound
             .serve(core.clone(), 4, Arc::new(AtomicBool::new(true)))
             .unwrap();
@@ -194,10 +197,10 @@
             .unwrap();
     }
 
-    pub fn tell(&self, listed: Listed) {
-        self.desk.tell(Notice::Members {
+    pub fn tell(&self, listed: Server) {
+        self.desk.send(Command::Servers {
             full: false,
-            listed: vec![listed],
+            servers: vec![listed],
         });
     }
 
@@ -207,7 +210,7 @@
             let front = &self.serving.front;
             let streams = front.open.load(std::sync::atomic::Ordering::SeqCst);
             streams == 0
-                && self.core.lent() == 0
+                && self.core.delegated_requests() == 0
                 && front.parked.is_empty()
                 && front.keeper.sizes()[1] == 0
         });
--- a/edge/fronts/extproc/tests/streams_end.rs
+++ b/edge/fronts/extproc/tests/streams_end.rs
@@ -249,7 +249,7 @@
         "all streams ended in their order"
     );
     open.join().unwrap();
-    let tally = instance.core.tally.line().unwrap();
+    let tally = instance.core.metrics.take_summary().unwrap();
     assert!(
         tally.contains("ok 8") && tally.contains("served 8") && !tally.contains("cancelled"),
         "{tally}"
--- a/edge/fronts/src/dns/mod.rs
+++ b/edge/fronts/src/dns/mod.rs
@@ -6,8 +6,8 @@
 pub mod server;
 
 use foldmux::interface::{bound_ms, State, Time};
-use foldmux_core::lent::{place, Placed};
-use foldmux_core::{Core, Inquiry};
+use foldmux_core::delegated::{route_once, Routing};
+use foldmux_core::{ClientRequest, Core};
 use hickory_proto::op::{Edns, Header, Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::rdata::opt::EdnsOption;
 use hickory_proto::rr::rdata::{A, AAAA, SOA, SRV, TXT};
@@ -17,7 +17,7 @@
 use std::net::IpAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Arc;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 /// Longest UDP answer: passes any path unfragmented (DNS flag day 2020).
 const UDP_MOST: u16 = 1232;
@@ -170,8 +170,8 @@
         if !wanted.contains(&query.query_type()) {
             return Reply::answers(Vec::new());
         }
-        let inquiry = Inquiry {
-            via: 0,
+        let request = ClientRequest {
+            via_id: 0,
             class: class.place.clone(),
             class_name: class.name.clone(),
             object,
@@ -179,28 +179,28 @@
             group: 0,
             size_kb: 0.0,
             token: None,
-            got: None,
+            etag: None,
             body: None,
-            arrived: Instant::now(),
-            budget: self.patience,
+            arrived_at: Instant::now(),
+            budget: Duration::from_micros(self.patience),
             front: "dns",
             caller: "".into(),
-            within: None,
+            required_group: None,
         };
         // A query does not wait for a place: one thread answers all that come over UDP.
         let limits = self
             .core
-            .limits
+            .limiter
             .get()
-            .map(|l| l.enter_now(*inquiry.class, &inquiry.caller, inquiry.front));
+            .map(|limiter| limiter.try_admit(*request.class, &request.caller, request.front));
         let Ok(limits) = limits.transpose().map(Option::flatten) else {
             let why = "its class has no place";
             return Reply::no(ResponseCode::ServFail, Some((EDE_NOT_READY, why)));
         };
-        let placed = place(&self.core, &inquiry, self.lease, |way| {
-            let (cache, source) = (&way.cache, way.source.as_ref());
-            let mut fetch = way.fetch.clone();
-            limits.iter().for_each(|held| held.narrow(&mut fetch));
+        let placed = route_once(&self.core, &request, self.lease, |route| {
+            let (cache, source) = (&route.cache, route.source.as_ref());
+            let mut fetch = route.fetch.clone();
+            limits.iter().for_each(|limits| limits.tighten(&mut fetch));
             let name = query.name().clone();
             let record = |data| Record::from_rdata(name.clone(), 0, data);
             let node = names::node(&cache.name, &self.zone);
@@ -234,13 +234,15 @@
             }
         });
         match placed {
-            Placed::At(reply) => reply,
-            Placed::Full => Reply::no(ResponseCode::ServFail, Some((EDE_NOT_READY, "overloaded"))),
-            Placed::Refused => Reply::no(
+            Routing::To(reply) => reply,
+            Routing::Overloaded => {
+                Reply::no(ResponseCode::ServFail, Some((EDE_NOT_READY, "overloaded")))
+            }
+            Routing::Rejected => Reply::no(
                 ResponseCode::ServFail,
                 Some((EDE_UNREACHABLE, "refused for now")),
             ),
-            Placed::Failed => Reply::no(
+            Routing::Failed => Reply::no(
                 ResponseCode::ServFail,
                 Some((EDE_OTHER, "no placement in time")),
             ),
@@ -250,9 +252,9 @@
     /// A member's address, while it may be sent to: neither draining, gone nor cold.
     fn node(&self, query: &Query, member: &str) -> Reply {
         let now = self.core.clock.now();
-        let listed = self.core.members.named(member);
+        let listed = self.core.servers.by_name(member);
         let Some(listed) =
-            listed.filter(|l| l.member.state == State::Ready && !self.core.cold(now, l))
+            listed.filter(|l| l.member.state == State::Ready && !self.core.is_warming_up(now, l))
         else {
             return Reply::no(ResponseCode::NXDomain, None);
         };
--- a/edge/fronts/src/dns/server.rs
+++ b/edge/fronts/src/dns/server.rs
@@ -6,7 +6,7 @@
 use crate::places::{Place, Places};
 use crossbeam_channel::bounded;
 use foldmux::interface::Time;
-use foldmux_core::desk::Desk;
+use foldmux_core::event_loop::EventLoop;
 use foldmux_core::Core;
 use foldmux_identity::{Files, Identity};
 use foldmux_operator::Dns;
@@ -92,11 +92,11 @@
     }
 
     /// Hooks NOTIFY to the desk: called before it runs.
-    pub fn notify(&mut self, desk: &mut Desk) -> Result<Arc<AtomicU32>, String> {
+    pub fn notify(&mut self, desk: &mut EventLoop) -> Result<Arc<AtomicU32>, String> {
         let serial = Arc::new(AtomicU32::new(1));
         let (ring, bell) = bounded(1);
         let counted = serial.clone();
-        desk.when_ended(move |_| {
+        desk.on_incarnation_ended(move |_| {
             counted.fetch_add(1, Ordering::SeqCst);
             let _ = ring.try_send(());
         });
--- a/edge/fronts/src/msgpack/answering.rs
+++ b/edge/fronts/src/msgpack/answering.rs
@@ -3,7 +3,8 @@
 use super::codec;
 use super::connection::{Connection, Patience};
 use super::SLOW;
-use foldmux_core::{Answer, Reply};
+use foldmux_core::retry_after::Rejected;
+use foldmux_core::{Responder, Response};
 use std::sync::Arc;
 use std::time::Instant;
 
@@ -25,41 +26,43 @@
         }
     }
 
-    fn give(&mut self, answer: Answer) {
+    fn give(&mut self, response: Response) {
         self.done = true;
         if self.connection.close(self.id).is_none() {
             // Forgotten meanwhile: no answer is owed.
             return;
         }
-        self.write(answer);
+        self.write(response);
         self.connection.place.done();
     }
 
-    fn write(&self, answer: Answer) {
+    fn write(&self, response: Response) {
         let (id, patience) = (self.id, Patience::Until(self.deadline + SLOW));
-        match answer {
-            Answer::Served(mut served) => {
-                let message = codec::served(id, &mut served.bytes, served.body);
+        match response {
+            Response::Served(mut body) => {
+                let message = codec::served(id, &mut body.buffer, body.range);
                 match message {
-                    Some(message) => self.connection.write(&served.bytes[message], patience),
+                    Some(message) => self.connection.write(&body.buffer[message], patience),
                     None => {
                         let too_long = codec::error(id, "Fault", Some(("why", "answer too long")));
                         self.connection.write(&too_long, patience);
                     }
                 }
             }
-            Answer::Same => self.connection.write(&codec::same(id), patience),
-            Answer::Shed { wait } => self.connection.write(&codec::shed(id, wait), patience),
-            Answer::Failed => self
+            Response::NotModified => self.connection.write(&codec::same(id), patience),
+            Response::Rejected(Rejected { retry_after }) => self
+                .connection
+                .write(&codec::shed(id, retry_after), patience),
+            Response::Failed => self
                 .connection
                 .write(&codec::error(id, "Fault", None), patience),
         }
     }
 }
 
-impl Reply for Answering {
-    fn answer(mut self: Box<Self>, answer: Answer) {
-        self.give(answer);
+impl Responder for Answering {
+    fn respond(mut self: Box<Self>, response: Response) {
+        self.give(response);
     }
 }
 
@@ -67,7 +70,7 @@
     /// Guards against a request that ends without an answer, by a panic say: its client is told.
     fn drop(&mut self) {
         if !self.done {
-            self.give(Answer::Failed);
+            self.give(Response::Failed);
         }
     }
 }
--- a/edge/fronts/src/msgpack/codec.rs
+++ b/edge/fronts/src/msgpack/codec.rs
@@ -1,7 +1,7 @@
 //! MessagePack-RPC messages to and from bytes. Reading goes by the stream, so that nothing is held twice;
 //! every length is checked against a bound before anything is kept for it.
 
-use foldmux_core::buffers::{Buffers, Lease};
+use foldmux_core::buffers::{Buffer, BufferPool};
 use rmp::decode::{read_marker, MarkerReadError, RmpRead, ValueReadError};
 use rmp::Marker;
 use std::io::Read;
@@ -38,7 +38,7 @@
     pub method: String,
     /// What is asked for, or the field that is missing or can't be used.
     pub asked: Result<Asked, &'static str>,
-    pub body: Option<(Lease, usize)>,
+    pub body: Option<(Buffer, usize)>,
 }
 
 pub enum Unread {
@@ -77,7 +77,7 @@
 }
 
 /// The next message of a connection.
-pub fn read(r: &mut impl Read, buffers: &Arc<Buffers>) -> Result<Heard, Unread> {
+pub fn read(r: &mut impl Read, buffers: &Arc<BufferPool>) -> Result<Heard, Unread> {
     let mut id = None;
     message(r, buffers, &mut id).map_err(|fault| match fault {
         Fault::Over => Unread::Over,
@@ -85,7 +85,7 @@
     })
 }
 
-fn message(r: &mut impl Read, buffers: &Arc<Buffers>, id: &mut Option<u32>) -> Part<Heard> {
+fn message(r: &mut impl Read, buffers: &Arc<BufferPool>, id: &mut Option<u32>) -> Part<Heard> {
     let length = array(r)?;
     if !matches!(length, 3 | 4) {
         // Guards against one with nothing in it, whose kind would be read out of what follows.
@@ -168,13 +168,13 @@
 /// The body of a call.
 enum Body {
     None,
-    Read(Lease, usize),
+    Read(Buffer, usize),
     /// It was passed over: no buffer was free for it. Guards against a shortage of ours ending the connection, with all that
     /// is open on it and all that the client has sent behind.
     NoRoom,
 }
 
-fn body(r: &mut impl Read, buffers: &Arc<Buffers>) -> Part<Body> {
+fn body(r: &mut impl Read, buffers: &Arc<BufferPool>) -> Part<Body> {
     let length = match read_marker(r)? {
         Marker::Null => 0,
         Marker::Bin8 => r.read_data_u8()? as usize,
@@ -188,7 +188,7 @@
     if length == 0 {
         return Ok(Body::None);
     }
-    let Some(mut lease) = buffers.lease_for_body() else {
+    let Some(mut lease) = buffers.acquire_for_request_body() else {
         skip(r, length)?;
         return Ok(Body::NoRoom);
     };
--- a/edge/fronts/src/msgpack/codec/write.rs
+++ b/edge/fronts/src/msgpack/codec/write.rs
@@ -1,8 +1,8 @@
 //! Messages to bytes: into memory, which can't fail.
 
-use foldmux::interface::Time;
 use rmp::encode;
 use std::ops::Range;
+use std::time::Duration;
 
 fn head(id: u32) -> Vec<u8> {
     let mut out = Vec::with_capacity(64);
@@ -57,9 +57,13 @@
 }
 
 /// Refused: trying again is harmless, after a while.
-pub fn shed(id: u32, wait: Time) -> Vec<u8> {
-    let wait = (wait / 1000).to_string();
-    error(id, "Shed", (wait != "0").then_some(("w", wait.as_str())))
+pub fn shed(id: u32, retry_after: Duration) -> Vec<u8> {
+    let millis = retry_after.as_millis().to_string();
+    error(
+        id,
+        "Shed",
+        (millis != "0").then_some(("w", millis.as_str())),
+    )
 }
 
 pub fn well(id: u32, well: bool) -> Vec<u8> {
--- a/edge/fronts/src/msgpack/connection.rs
+++ b/edge/fronts/src/msgpack/connection.rs
@@ -3,7 +3,7 @@
 use super::end::EndReason;
 use crate::closing::{cut, discard, Discard};
 use crate::places::Place;
-use foldmux_core::request::Slot;
+use foldmux_core::cancellation::CancelHandle;
 use foldmux_sockets::stream::{self, Stop};
 use std::collections::HashMap;
 use std::net::TcpStream;
@@ -16,7 +16,7 @@
 
 /// A call that is open on a connection.
 pub(super) struct OpenCall {
-    pub slot: Arc<Slot>,
+    pub cancel: Arc<CancelHandle>,
     /// The client's id of its request.
     pub request: u64,
 }
@@ -74,9 +74,9 @@
         true
     }
 
-    /// Whoever gets the slot out owes the call's end: its answer, or word that the client left.
-    pub fn close(&self, id: u32) -> Option<Arc<Slot>> {
-        self.calls().remove(&id).map(|call| call.slot)
+    /// Whoever gets the handle out owes the call's end: its answer, or word that the client left.
+    pub fn close(&self, id: u32) -> Option<Arc<CancelHandle>> {
+        self.calls().remove(&id).map(|call| call.cancel)
     }
 
     pub fn close_all(&self) -> Vec<OpenCall> {
--- a/edge/fronts/src/msgpack/end.rs
+++ b/edge/fronts/src/msgpack/end.rs
@@ -1,6 +1,6 @@
 //! Why a client's connection ended, told in the log with what was open on it.
 
-use foldmux_core::throttle::Throttle;
+use foldmux_core::log_throttle::LogThrottle;
 use std::fmt;
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -46,7 +46,7 @@
 
 /// Tells of an end: a line at the level INFO where requests were given up with it, and at DEBUG where none was.
 pub(super) fn tell(
-    lines: &Throttle,
+    lines: &LogThrottle,
     client: Option<SocketAddr>,
     number: u64,
     reason: &EndReason,
--- a/edge/fronts/src/msgpack/mod.rs
+++ b/edge/fronts/src/msgpack/mod.rs
@@ -7,12 +7,11 @@
 use connection::{Connection, OpenCall, Patience};
 use end::EndReason;
 use foldmux::interface::Time;
-use foldmux_core::clock::span;
-use foldmux_core::inquiry::without_ways;
-use foldmux_core::reasons::Reason;
-use foldmux_core::tally::End;
-use foldmux_core::throttle::Throttle;
-use foldmux_core::{Core, Inquiry};
+use foldmux_core::log_throttle::LogThrottle;
+use foldmux_core::metrics::Completion;
+use foldmux_core::reason::Reason;
+use foldmux_core::request::serving_budget;
+use foldmux_core::{ClientRequest, Core};
 use patient::Patient;
 use std::io::BufReader;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -62,7 +61,7 @@
     /// Connections taken so far: the log names each by its number.
     pub connections: AtomicU64,
     /// How many lines the log has for connections that ended with requests open.
-    pub end_lines: Throttle,
+    pub end_lines: LogThrottle,
 }
 
 /// Why no more calls are read from a connection.
@@ -94,7 +93,9 @@
         }
         // Whatever is open yet, its client has closed: it wants none of its answers.
         let given_up = connection.close_all();
-        given_up.iter().for_each(|call| self.core.leave(&call.slot));
+        given_up
+            .iter()
+            .for_each(|call| self.core.client_gone(&call.cancel));
         connection.cut();
         let given_up: Vec<u64> = given_up.iter().map(|call| call.request).collect();
         let (Stopped::Gone(reason) | Stopped::Unreadable(reason)) = stopped;
@@ -131,7 +132,7 @@
                 Ok(Heard::NoRoom(id, method)) => {
                     let classes = self.classes();
                     let taken = classes.iter().find(|class| *class.name == *method);
-                    self.shed(connection, id, taken, Reason::NoBodyBuffer);
+                    self.shed(connection, id, taken, Reason::NoRequestBodyBuffer);
                 }
                 Err(Unread::Garbled(id, why)) => {
                     // What follows can't be told apart any more. What was asked before is answered still.
@@ -150,14 +151,16 @@
     }
 
     fn forget(&self, connection: &Connection, ids: Vec<u32>) {
-        for slot in ids.into_iter().filter_map(|id| connection.close(id)) {
-            self.core.leave(&slot);
+        for cancel in ids.into_iter().filter_map(|id| connection.close(id)) {
+            self.core.client_gone(&cancel);
             connection.place.done();
         }
     }
 
     fn unusable(&self, connection: &Connection, id: u32, why: &'static str) {
-        self.core.tally.end(None, End::Unusable);
+        self.core
+            .metrics
+            .record_completion(None, Completion::Malformed);
         connection.write(
             &codec::error(id, "Fault", Some(("why", why))),
             Patience::Behind(OWN_WORDS),
@@ -167,8 +170,8 @@
     /// A number that does not count up. Guards against two answers under one number, and against a client that
     /// can't tell which request an answer is for: the one that is open under it is given up, and answered so.
     fn misnumbered(&self, connection: &Connection, number: u32) {
-        if let Some(slot) = connection.close(number) {
-            self.core.leave(&slot);
+        if let Some(cancel) = connection.close(number) {
+            self.core.client_gone(&cancel);
             let error = codec::error(
                 number,
                 "Fault",
@@ -199,26 +202,26 @@
             Err(why) => return self.unusable(connection, id, why),
         };
         let Some(budget) = self.budget(taken, &asked, arrived) else {
-            return self.shed(connection, id, Some(taken), Reason::Leaving);
+            return self.shed(connection, id, Some(taken), Reason::ShuttingDown);
         };
-        let slot = self.core.slot();
+        let cancel = self.core.new_cancel_handle();
         // Guards against one client's flood taking all places for requests: the last are for those under their share.
         let most = self
             .core
-            .share(connection.place.among())
+            .fair_share(connection.place.among())
             .map_or(OPEN, |share| share.min(OPEN));
         if !connection.open(
             id,
             OpenCall {
-                slot: slot.clone(),
+                cancel: cancel.clone(),
                 request: asked.via,
             },
             most,
         ) {
             return self.shed(connection, id, Some(taken), Reason::ConnectionFull);
         }
-        let inquiry = Inquiry {
-            via: asked.via,
+        let request = ClientRequest {
+            via_id: asked.via,
             class: taken.place.clone(),
             class_name: taken.name.clone(),
             object: asked.object,
@@ -226,16 +229,20 @@
             group: asked.group,
             size_kb: asked.size_kb,
             token: asked.token,
-            got: asked.got,
+            etag: asked.got,
             body: call.body,
-            arrived,
-            budget: without_ways(budget),
+            arrived_at: arrived,
+            budget: serving_budget(Duration::from_micros(budget)),
             front: "msgpack",
             caller: self.nobody.clone(),
-            within: None,
+            required_group: None,
         };
-        let reply = Answering::new(connection.clone(), id, arrived + span(budget));
-        self.core.start(inquiry, slot, Box::new(reply));
+        let responder = Answering::new(
+            connection.clone(),
+            id,
+            arrived + Duration::from_micros(budget),
+        );
+        self.core.start(request, cancel, Box::new(responder));
     }
 
     /// How long the client waits for this; none where the process must go too soon to begin it.
@@ -252,10 +259,10 @@
     /// Refuses a call that there is no room or no time for, before the core hears of it.
     fn shed(&self, connection: &Connection, id: u32, taken: Option<&Taken>, reason: Reason) {
         self.core
-            .tally
-            .end(taken.map(|taken| &taken.name), End::Shed(reason));
+            .metrics
+            .record_completion(taken.map(|taken| &taken.name), Completion::Shed(reason));
         connection.write(
-            &codec::shed(id, self.core.refusal_wait()),
+            &codec::shed(id, self.core.retry_after()),
             Patience::Behind(OWN_WORDS),
         );
     }
--- a/edge/proxy/src/admin/commands.rs
+++ b/edge/proxy/src/admin/commands.rs
@@ -53,21 +53,18 @@
     }
 
     fn statistics(&self) -> Statistics {
-        let classes = self.core.tally.classes().into_iter();
-        let classes =
-            classes.map(
-                |(class, [answered, deferred, errored, sends])| ClassStatistics {
-                    class: class.to_string(),
-                    answered,
-                    deferred,
-                    errored,
-                    sends,
-                },
-            );
+        let classes = self.core.metrics.classes().into_iter();
+        let classes = classes.map(|counts| ClassStatistics {
+            class: counts.class.to_string(),
+            answered: counts.answered,
+            deferred: counts.deferred,
+            errored: counts.errored,
+            sends: counts.sends,
+        });
         let endpoints = self.maintenance.endpoint_counts();
         Statistics {
             classes: classes.collect(),
-            current: (self.core.open() + self.core.lent()) as u64,
+            current: (self.core.open_requests() + self.core.delegated_requests()) as u64,
             cluster_size: endpoints.listed as u64,
             cluster_unhealthy: endpoints.unhealthy as u64,
             conf_loaded: self.conf_loaded.load(Ordering::Relaxed),
--- a/edge/proxy/src/admin/maintenance.rs
+++ b/edge/proxy/src/admin/maintenance.rs
@@ -2,8 +2,9 @@
 
 use super::maintenance_file::MaintenanceFile;
 use foldmux::interface::State;
-use foldmux_core::desk::{DeskHandle, Notice};
-use foldmux_core::members::Listed;
+use foldmux_core::event_loop::EventLoopHandle;
+use foldmux_core::messages::Command;
+use foldmux_core::servers::Server;
 use foldmux_operations::maintenance::{MaintenanceError, MaintenanceSet};
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -15,14 +16,14 @@
 /// operators say reach the event loop in one order.
 pub struct MaintenanceRegistry {
     state: Mutex<RegistryState>,
-    event_loop: DeskHandle,
+    event_loop: EventLoopHandle,
     /// Where the set is stored, for this process's successor and for one beside it.
     file: Option<MaintenanceFile>,
 }
 
 struct RegistryState {
     out_of_service: MaintenanceSet,
-    listed: HashMap<Arc<str>, Listed>,
+    listed: HashMap<Arc<str>, Server>,
 }
 
 /// How many endpoints are known.
@@ -35,7 +36,7 @@
 
 impl MaintenanceRegistry {
     /// With what an earlier process stored in `file`, where there is one.
-    pub fn new(event_loop: DeskHandle, file: Option<PathBuf>) -> MaintenanceRegistry {
+    pub fn new(event_loop: EventLoopHandle, file: Option<PathBuf>) -> MaintenanceRegistry {
         let file = file.map(MaintenanceFile::new);
         let stored = file.as_ref().and_then(MaintenanceFile::read);
         let out_of_service = stored.unwrap_or_default();
@@ -59,7 +60,7 @@
 
     /// Forwards what the journal service listed, with those out of service by hand as draining. `full`: the list is whole,
     /// and what it leaves out is gone.
-    pub fn forward(&self, full: bool, listed: Vec<Listed>) {
+    pub fn forward(&self, full: bool, listed: Vec<Server>) {
         let mut state = self.state();
         if full {
             state.listed.clear();
@@ -72,9 +73,9 @@
             };
             forwarded.push(with_maintenance(&state.out_of_service, entry));
         }
-        self.event_loop.tell(Notice::Members {
+        self.event_loop.send(Command::Servers {
             full,
-            listed: forwarded,
+            servers: forwarded,
         });
     }
 
@@ -104,10 +105,10 @@
 
     /// Puts another set in place of the present one. Returns how many listed pop caches that changes.
     fn apply(&self, state: &mut RegistryState, set: MaintenanceSet) -> usize {
-        let differs = |entry: &&Listed| {
+        let differs = |entry: &&Server| {
             set.contains(&entry.name) != state.out_of_service.contains(&entry.name)
         };
-        let changed: Vec<Listed> = state
+        let changed: Vec<Server> = state
             .listed
             .values()
             .filter(differs)
@@ -116,9 +117,9 @@
         state.out_of_service = set;
         let count = changed.len();
         if count > 0 {
-            self.event_loop.tell(Notice::Members {
+            self.event_loop.send(Command::Servers {
                 full: false,
-                listed: changed,
+                servers: changed,
             });
         }
         count
@@ -127,7 +128,7 @@
     /// Counts the endpoints as known here, which the event loop may be about to apply.
     pub fn endpoint_counts(&self) -> EndpointCounts {
         let state = self.state();
-        let is_unhealthy = |entry: &&Listed| {
+        let is_unhealthy = |entry: &&Server| {
             entry.member.state != State::Ready || state.out_of_service.contains(&entry.name)
         };
         EndpointCounts {
@@ -160,7 +161,7 @@
     }
 }
 
-fn with_maintenance(out_of_service: &MaintenanceSet, mut entry: Listed) -> Listed {
+fn with_maintenance(out_of_service: &MaintenanceSet, mut entry: Server) -> Server {
     if entry.member.state == State::Ready && out_of_service.contains(&entry.name) {
         entry.member.state = State::Draining;
     }
--- a/edge/proxy/src/config/bounds.rs
+++ b/edge/proxy/src/config/bounds.rs
@@ -45,7 +45,7 @@
         let unreserved = sockets.saturating_sub(clients + operator + RESERVED_DESCRIPTORS);
         // Buffers may take 7/10 of the memory; each request needs one, and a write one more.
         let buffer_memory = limits.memory_mb * 1024 * 1024 * 7 / 10;
-        let buffers = (buffer_memory / foldmux_core::buffers::SIZE).max(MIN_BUFFERS);
+        let buffers = (buffer_memory / foldmux_core::buffers::BUFFER_SIZE).max(MIN_BUFFERS);
         Bounds {
             clients,
             open: (sockets / 2).min(buffers * 15 / 16).max(1),
--- a/edge/proxy/src/cover/hold.rs
+++ b/edge/proxy/src/cover/hold.rs
@@ -3,7 +3,7 @@
 use super::line::Line;
 use super::rules::Class;
 use foldmux::interface::{Member, Outcome};
-use foldmux_core::cover::{Final, Hold, Intended};
+use foldmux_core::records::{AttemptIntent, OwnedRecord, StoredResponse};
 use foldmux_takeover::{Answer, Command, End, Event, Key, Lease, Proof, Record};
 use std::sync::atomic::{AtomicBool, AtomicU8, Ordering};
 use std::sync::Arc;
@@ -76,15 +76,15 @@
     }
 }
 
-impl Hold for Held {
-    fn within(&self) -> Option<u32> {
+impl OwnedRecord for Held {
+    fn required_group(&self) -> Option<u32> {
         self.within
     }
 
-    fn intend(&self, member: &Member) -> Intended {
+    fn record_intent(&self, server: &Member) -> AttemptIntent {
         let (key, term) = (self.key, self.term);
         let number = self.number.fetch_add(1, Ordering::SeqCst) + 1;
-        let group = self.class.repeat.group_of(member);
+        let group = self.class.repeat.group_of(server);
         let told = self.line.ask(self.until, |ticket| Command::Intend {
             ticket,
             key,
@@ -93,13 +93,13 @@
             group,
         });
         match told {
-            Some(Event::Written { .. }) => Intended::Yes,
-            Some(Event::Refused { .. }) => Intended::No,
+            Some(Event::Written { .. }) => AttemptIntent::Recorded,
+            Some(Event::Refused { .. }) => AttemptIntent::Declined,
             Some(_) => {
                 self.lost();
-                Intended::Lost
+                AttemptIntent::OwnershipLost
             }
-            None => Intended::Lost,
+            None => AttemptIntent::OwnershipLost,
         }
     }
 
@@ -114,7 +114,7 @@
             .then(|| self.term << 8 | u64::from(self.number.load(Ordering::SeqCst)))
     }
 
-    fn ended(&self, outcome: Outcome) {
+    fn record_outcome(&self, outcome: Outcome) {
         let number = self.number.load(Ordering::SeqCst);
         let end = if outcome.never_ran() {
             End::NeverRan
@@ -132,16 +132,16 @@
         });
     }
 
-    fn may_have_run(&self) -> bool {
+    fn may_have_executed(&self) -> bool {
         self.may_have_run.load(Ordering::SeqCst)
     }
 
-    fn done(&self, answer: Final) -> bool {
+    fn store_response(&self, response: StoredResponse) -> bool {
         let (key, term) = (self.key, self.term);
-        let answer = match answer {
-            Final::Served(bytes) => Answer::Served(bytes),
-            Final::Same => Answer::Same,
-            Final::Failed => Answer::Failed,
+        let answer = match response {
+            StoredResponse::Served(bytes) => Answer::Served(bytes),
+            StoredResponse::NotModified => Answer::Same,
+            StoredResponse::Failed => Answer::Failed,
         };
         let told = self.line.ask(self.until, |ticket| Command::Done {
             ticket,
@@ -158,7 +158,7 @@
         kept
     }
 
-    fn over(&self) {
+    fn abandon(&self) {
         self.let_go(true);
     }
 }
--- a/edge/proxy/src/cover/mod.rs
+++ b/edge/proxy/src/cover/mod.rs
@@ -1,4 +1,4 @@
-//! Covered requests in service: the core's [`Cover`] over the fleet's part for takeover. Without a fleet in the operator's
+//! Covered requests in service: the core's [`RequestRecords`] over the fleet's part for takeover. Without a fleet in the operator's
 //! file nothing here is started.
 
 mod hold;
@@ -9,8 +9,9 @@
 pub mod start;
 mod taken;
 
-use foldmux_core::cover::{Claimed, Cover, Final};
-use foldmux_core::Inquiry;
+use foldmux_core::records::{Acquired, RequestRecords, StoredResponse};
+use foldmux_core::retry_after::Rejected;
+use foldmux_core::ClientRequest;
 use foldmux_takeover::{Answer, Command, Event, Key, Work};
 use hold::Held;
 use line::Line;
@@ -18,17 +19,17 @@
 pub use start::Ready;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 struct Covering {
     classes: Arc<Classes>,
     line: Arc<Line>,
-    /// Advised with a refusal (us).
-    shed_wait: u64,
+    /// Told with a rejection.
+    retry_after: Duration,
 }
 
 impl Covering {
-    fn uncovered(&self, refuse: bool) -> Claimed {
+    fn uncovered(&self, refuse: bool) -> Acquired {
         let count = if refuse {
             &self.line.counts.refused
         } else {
@@ -36,26 +37,26 @@
         };
         count.fetch_add(1, Ordering::Relaxed);
         match refuse {
-            true => Claimed::Refused {
-                wait: self.shed_wait,
-            },
-            false => Claimed::Uncovered,
+            true => Acquired::Rejected(Rejected {
+                retry_after: self.retry_after,
+            }),
+            false => Acquired::NotReplicated,
         }
     }
 }
 
-impl Cover for Covering {
-    fn claim(&self, inquiry: &Inquiry, deadline: Instant, again: bool) -> Claimed {
-        let Some(class) = self.classes.get(&inquiry.class_name) else {
-            return Claimed::Uncovered;
+impl RequestRecords for Covering {
+    fn acquire(&self, request: &ClientRequest, deadline: Instant, again: bool) -> Acquired {
+        let Some(class) = self.classes.get(&request.class_name) else {
+            return Acquired::NotReplicated;
         };
         // What carries no key has its client's id, which no other request has.
-        let own = || format!("{:016x}", inquiry.via);
+        let own = || format!("{:016x}", request.via_id);
         let key = Key::of(
-            &inquiry.class_name,
-            &inquiry.token.clone().unwrap_or_else(own),
+            &request.class_name,
+            &request.token.clone().unwrap_or_else(own),
         );
-        let work = Arc::new(work(inquiry));
+        let work = Arc::new(work(request));
         let left = deadline
             .saturating_duration_since(Instant::now())
             .as_micros() as u64;
@@ -75,38 +76,38 @@
                 ..
             }) => {
                 self.line.counts.covered.fetch_add(1, Ordering::Relaxed);
-                Claimed::Mine(Box::new(Held::new(
+                Acquired::Owned(Box::new(Held::new(
                     &self.line, *class, key, &record, proof, lease, deadline,
                 )))
             }
             Some(Event::Kept { answer, .. }) => {
                 self.line.counts.kept.fetch_add(1, Ordering::Relaxed);
-                Claimed::Kept(match answer {
-                    Answer::Served(bytes) => Final::Served(bytes),
-                    Answer::Same => Final::Same,
-                    Answer::Failed => Final::Failed,
+                Acquired::Stored(match answer {
+                    Answer::Served(bytes) => StoredResponse::Served(bytes),
+                    Answer::Same => StoredResponse::NotModified,
+                    Answer::Failed => StoredResponse::Failed,
                 })
             }
             // Once it was covered, a request that is lost is not run with no record of it.
             Some(Event::Uncovered { .. }) => self.uncovered(again),
             Some(Event::Refused { .. }) => self.uncovered(true),
             None if self.line.gone() => self.uncovered(class.refuse || again),
-            _ => Claimed::Failed,
+            _ => Acquired::Failed,
         }
     }
 }
 
-fn work(inquiry: &Inquiry) -> Work {
+fn work(request: &ClientRequest) -> Work {
     let text = |text: &Option<String>| text.as_deref().map(Arc::from);
     Work {
-        class: inquiry.class_name.clone(),
-        object: inquiry.object,
-        part: inquiry.part,
-        group: inquiry.group,
-        size: (inquiry.size_kb * 1_000.0).round() as u64,
-        token: text(&inquiry.token),
-        got: text(&inquiry.got),
-        body: inquiry
+        class: request.class_name.clone(),
+        object: request.object,
+        part: request.part,
+        group: request.group,
+        size: (request.size_kb * 1_000.0).round() as u64,
+        token: text(&request.token),
+        got: text(&request.etag),
+        body: request
             .body
             .as_ref()
             .map(|(lease, length)| Arc::from(&lease[..*length])),
--- a/edge/proxy/src/cover/start.rs
+++ b/edge/proxy/src/cover/start.rs
@@ -96,11 +96,11 @@
                 count.fetch_add(1, Ordering::Relaxed);
             }
         })?;
-        let shed_wait = core.refusal_wait();
-        let _ = core.cover.set(Arc::new(Covering {
+        let retry_after = core.retry_after();
+        let _ = core.records.set(Arc::new(Covering {
             classes,
             line: line.clone(),
-            shed_wait,
+            retry_after,
         }));
         Ok(Covered { line })
     }
--- a/edge/proxy/src/cover/taken.rs
+++ b/edge/proxy/src/cover/taken.rs
@@ -3,12 +3,11 @@
 use super::hold::Held;
 use super::line::Line;
 use super::rules::Classes;
-use foldmux_core::clock::span;
-use foldmux_core::{Core, Inquiry};
+use foldmux_core::{ClientRequest, Core};
 use foldmux_takeover::{Key, Lease, Proof, Record};
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::sync::Arc;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 pub struct Taken {
     pub key: Key,
@@ -36,14 +35,14 @@
         &record,
         proof,
         lease,
-        arrived + span(record.left),
+        arrived + Duration::from_micros(record.left),
     );
     let body = match &work.body {
         None => None,
         Some(bytes) => {
             let Some(mut lease) = core
                 .buffers
-                .lease_for_body()
+                .acquire_for_request_body()
                 .filter(|lease| bytes.len() <= lease.len())
             else {
                 return false;
@@ -53,9 +52,9 @@
         }
     };
     let text = |text: &Option<Arc<str>>| text.as_deref().map(str::to_string);
-    let inquiry = Inquiry {
+    let request = ClientRequest {
         // Of this process alone: the lost one's request may be open at a cache still.
-        via: RandomState::new().build_hasher().finish(),
+        via_id: RandomState::new().build_hasher().finish(),
         class: classes.place(&work.class),
         class_name: work.class.clone(),
         object: work.object,
@@ -63,14 +62,14 @@
         group: work.group,
         size_kb: work.size as f64 / 1_000.0,
         token: text(&work.token),
-        got: text(&work.got),
+        etag: text(&work.got),
         body,
-        arrived,
-        budget: record.left,
+        arrived_at: arrived,
+        budget: Duration::from_micros(record.left),
         front: "takeover",
         caller: "".into(),
-        within: foldmux_core::cover::Hold::within(&hold),
+        required_group: foldmux_core::records::OwnedRecord::required_group(&hold),
     };
-    let slot = core.slot();
-    core.start_taken(inquiry, slot, Box::new(hold))
+    let cancel = core.new_cancel_handle();
+    core.start_taken_over(request, cancel, Box::new(hold))
 }
--- a/edge/proxy/src/drain.rs
+++ b/edge/proxy/src/drain.rs
@@ -1,7 +1,6 @@
 //! The graceful shutdown of the client listener: which waits follow SIGTERM, and when the process may exit.
 
 use foldmux::interface::Time;
-use foldmux_core::clock::span;
 use foldmux_core::Core;
 use foldmux_fronts::listen::{accept_until, named, READER_STACK};
 use foldmux_fronts::msgpack::Front;
@@ -34,7 +33,7 @@
 
 /// From SIGTERM until every request must have been answered. `longest_deadline` (us): of the classes in service.
 pub fn time_until_kill(longest_deadline: Time) -> Duration {
-    span(longest_deadline).min(MAX_KILL_DELAY) + KILL_GRACE - KILL_MARGIN
+    Duration::from_micros(longest_deadline).min(MAX_KILL_DELAY) + KILL_GRACE - KILL_MARGIN
 }
 
 /// The client listener, its thread and its connections.
@@ -102,7 +101,7 @@
             connections.sweep();
             thread::sleep(POLL_INTERVAL);
         }
-        let (in_flight, connected) = (self.core.open(), connections.count());
+        let (in_flight, connected) = (self.core.open_requests(), connections.count());
         tracing::info!(
             "shut down {:?} after the signal, {in_flight} in flight, {connected} connected",
             started.elapsed()
@@ -126,6 +125,6 @@
             return true;
         }
         let clients_gone = self.listener.is_closed() || Instant::now() >= self.deadline;
-        self.core.open() == 0 && clients_gone
+        self.core.open_requests() == 0 && clients_gone
     }
 }
--- a/edge/proxy/src/fleet/parts.rs
+++ b/edge/proxy/src/fleet/parts.rs
@@ -5,7 +5,7 @@
 use crate::journal::JournalClient;
 use crate::relayed::{self, Relayed};
 use crate::turns::Turns;
-use foldmux_core::members::Members;
+use foldmux_core::servers::ServerList;
 use foldmux_core::Core;
 use foldmux_fleet::{Builder, Port};
 use foldmux_operator::Fleet as Said;
@@ -30,7 +30,7 @@
     pub decoded: &'a Decoded,
     /// The classes as the fronts serve them: name and place.
     pub classes: Vec<(&'a Arc<str>, &'a Arc<usize>)>,
-    pub members: &'a Arc<Members>,
+    pub members: &'a Arc<ServerList>,
     /// Requests that it has at once, and its memory (MB).
     pub open: usize,
     pub memory_mb: u64,
@@ -129,7 +129,7 @@
         }
         if let Some(turns) = turns {
             turns.start().map_err(|e| format!("fleet: {e}"))?;
-            let _ = core.turns.set(turns.clone());
+            let _ = core.permits.set(turns.clone());
             serving.turns = Some(turns);
         }
         told.iter().for_each(|line| tracing::info!("fleet: {line}"));
--- a/edge/proxy/src/hierarchy.rs
+++ b/edge/proxy/src/hierarchy.rs
@@ -2,7 +2,8 @@
 //! parents it may use. Without a hierarchy in the file the settings hold, and nothing here is started.
 
 use foldmux_core::clock::Clock;
-use foldmux_core::desk::{DeskHandle, Notice};
+use foldmux_core::event_loop::EventLoopHandle;
+use foldmux_core::messages::Command;
 use foldmux_hierarchy::epochs::{Taken, Wiring};
 use foldmux_hierarchy::tree::{Ix, Kind, Tree};
 use foldmux_operator::Hierarchy;
@@ -66,7 +67,7 @@
     /// # Errors
     ///
     /// Where the tree can't be used here.
-    pub fn notice(&self, tree: &Tree) -> Result<Notice, HierarchyError> {
+    pub fn notice(&self, tree: &Tree) -> Result<Command, HierarchyError> {
         let own = self.own_name();
         let own_location =
             location(tree, own).ok_or_else(|| HierarchyError::NoLocation(own.to_string()))?;
@@ -81,7 +82,7 @@
                 *hub = first;
             }
         }
-        Ok(Notice::Wired {
+        Ok(Command::Topology {
             hubs: self.hubs(tree, own_location)?,
             hub_of,
         })
@@ -112,7 +113,7 @@
     versions: Wiring,
     zones: Zones,
     clock: Clock,
-    event_loop: DeskHandle,
+    event_loop: EventLoopHandle,
 }
 
 impl ActiveHierarchy {
@@ -125,13 +126,13 @@
         hierarchy: &Hierarchy,
         zones: Zones,
         clock: Clock,
-        event_loop: DeskHandle,
+        event_loop: EventLoopHandle,
     ) -> Result<ActiveHierarchy, HierarchyError> {
         let notice = zones.notice(&hierarchy.tree)?;
         let overlap = hierarchy.overlap_ms * 1_000;
         let versions = Wiring::new(zones.own_name(), hierarchy.tree.clone(), overlap)
             .map_err(|refused| HierarchyError::Refused(refused.to_string()))?;
-        event_loop.tell(notice);
+        event_loop.send(notice);
         Ok(ActiveHierarchy {
             versions,
             zones,
@@ -148,7 +149,7 @@
     /// Where the tree can't be used here.
     pub fn reapply(&self) -> Result<(), HierarchyError> {
         let notice = self.zones.notice(self.versions.present())?;
-        self.event_loop.tell(notice);
+        self.event_loop.send(notice);
         Ok(())
     }
 
@@ -164,7 +165,7 @@
             .take(self.clock.now(), hierarchy.tree.clone())
             .map_err(|refused| HierarchyError::Refused(refused.to_string()))?;
         if taken == Taken::New {
-            self.event_loop.tell(notice);
+            self.event_loop.send(notice);
         }
         let stamp = self.versions.present().stamp();
         Ok(format!("tree {stamp} is in service"))
--- a/edge/proxy/src/hierarchy/tests.rs
+++ b/edge/proxy/src/hierarchy/tests.rs
@@ -26,7 +26,7 @@
         "{hubs}location(\"porvoo\", parents = [\"east\", \"south\"])"
     ));
     match zones.notice(&sound) {
-        Ok(Notice::Wired { hubs, hub_of }) => {
+        Ok(Command::Topology { hubs, hub_of }) => {
             assert_eq!((hubs, hub_of), (vec![1, 0], vec![0, 1, 1, 1]))
         }
         _ => panic!("no notice"),
--- a/edge/proxy/src/journal.rs
+++ b/edge/proxy/src/journal.rs
@@ -6,8 +6,9 @@
 
 use events::{EndpointUpdate, EventDecoder};
 use foldmux_core::clock::Clock;
-use foldmux_core::desk::{DeskHandle, Notice};
-use foldmux_core::members::Listed;
+use foldmux_core::event_loop::EventLoopHandle;
+use foldmux_core::messages::Command;
+use foldmux_core::servers::Server;
 use foldmux_event_stream::StreamReaders as EventStream;
 use foldmux_upstream::pool::Pool;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -27,7 +28,7 @@
 #[derive(Clone)]
 pub struct JournalClient {
     decoder: EventDecoder,
-    event_loop: DeskHandle,
+    event_loop: EventLoopHandle,
     /// The connections to pop caches: those that idled for too long are closed between polls.
     pub pool: Arc<Pool>,
     /// Set once a whole endpoint list was applied: from then on the process is ready.
@@ -52,7 +53,7 @@
     pub fn new(
         names: Names,
         clock: Clock,
-        event_loop: DeskHandle,
+        event_loop: EventLoopHandle,
         pool: Arc<Pool>,
         listed: Arc<AtomicBool>,
     ) -> JournalClient {
@@ -127,7 +128,7 @@
             let purge = entry.expire.as_ref();
             let purge = purge.and_then(|expire| self.decoder.purge(entry.pos, expire));
             if let Some(purge) = purge {
-                self.event_loop.tell(purge);
+                self.event_loop.send(purge);
             }
         }
     }
@@ -140,10 +141,13 @@
         }
     }
 
-    fn forward(&self, full: bool, listed: Vec<Listed>) {
+    fn forward(&self, full: bool, listed: Vec<Server>) {
         match &self.maintenance {
             Some(maintenance) => maintenance.forward(full, listed),
-            None => self.event_loop.tell(Notice::Members { full, listed }),
+            None => self.event_loop.send(Command::Servers {
+                full,
+                servers: listed,
+            }),
         }
     }
 
--- a/edge/proxy/src/journal/events.rs
+++ b/edge/proxy/src/journal/events.rs
@@ -4,8 +4,8 @@
 use super::start_times::StartTimes;
 use foldmux::interface::{Member, ObjectId, State};
 use foldmux_core::clock::Clock;
-use foldmux_core::desk::Notice;
-use foldmux_core::members::{cache_id, Listed};
+use foldmux_core::messages::Command;
+use foldmux_core::servers::{cache_id, Server};
 use foldmux_event_stream::journal::{Endpoint, Entry, Expire};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
     pub(super) full: bool,
     /// The greatest index, from the last whole list on.
     pub(super) index: u64,
-    pub(super) listed: Vec<Listed>,
+    pub(super) listed: Vec<Server>,
 }
 
 /// Turns the journal's words into the event loop's types.
@@ -71,20 +71,20 @@
     }
 
     /// A purge. `position` is the number of its event.
-    pub(super) fn purge(&self, position: u64, expire: &Expire) -> Option<Notice> {
+    pub(super) fn purge(&self, position: u64, expire: &Expire) -> Option<Command> {
         let Expire { name, set, stamp } = expire;
         let now = self.clock.now();
-        let ago = now.saturating_sub(self.clock.of_unix_ms((*stamp).max(1)));
+        let ago = now.saturating_sub(self.clock.from_unix_ms((*stamp).max(1)));
         let object = name
             .as_deref()
             .map(|name| u64::from_str_radix(name, 16).map(ObjectId));
         match (object, set) {
-            (Some(Ok(object)), _) => Some(Notice::Purged {
+            (Some(Ok(object)), _) => Some(Command::Invalidate {
                 object: Some(object),
                 group: NO_GROUP,
                 ago,
             }),
-            (None, Some(group)) => Some(Notice::Purged {
+            (None, Some(group)) => Some(Command::Invalidate {
                 object: None,
                 group: *group,
                 ago,
@@ -98,7 +98,7 @@
         }
     }
 
-    fn endpoint(&self, endpoint: &Endpoint) -> Option<Listed> {
+    fn endpoint(&self, endpoint: &Endpoint) -> Option<Server> {
         let state = match endpoint.status.as_str() {
             "ready" => State::Ready,
             "gone" => State::Gone,
@@ -124,7 +124,7 @@
         };
         let cache = cache_id(&endpoint.name);
         let boot = self.start_times.of(cache, endpoint.since_ms, || {
-            self.clock.of_unix_ms(endpoint.since_ms)
+            self.clock.from_unix_ms(endpoint.since_ms)
         });
         let member = Member {
             cache,
@@ -135,7 +135,7 @@
             weight: endpoint.weight,
             boot,
         };
-        Some(Listed {
+        Some(Server {
             member,
             name: endpoint.name.as_str().into(),
             address,
--- a/edge/proxy/src/journal/start_times.rs
+++ b/edge/proxy/src/journal/start_times.rs
@@ -1,7 +1,7 @@
 //! When each member started: the same start must be the same time, however often the journal lists it.
 
 use foldmux::interface::{CacheId, State, Time};
-use foldmux_core::members::Listed;
+use foldmux_core::servers::Server;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -38,7 +38,7 @@
     }
 
     /// Discards members that are no longer listed after `listed`: the whole list (`full`), or what changed in it.
-    pub(super) fn retain(&self, full: bool, listed: &[Listed]) {
+    pub(super) fn retain(&self, full: bool, listed: &[Server]) {
         let states: HashMap<CacheId, State> = listed
             .iter()
             .map(|entry| (entry.member.cache, entry.member.state))
--- a/edge/proxy/src/lib.rs
+++ b/edge/proxy/src/lib.rs
@@ -8,7 +8,7 @@
 //! | the admin interface and maintenance | [`admin`] |
 //! | the fill hierarchy in service | [`hierarchy`] |
 //! | load reports and health checks | [`load_reports`] |
-//! | limits by class and route, Retry-After | [`limits`], [`retry_after`] |
+//! | limits by class and route | [`limits`] |
 //! | the fleet and what its peers share | [`fleet`], [`cover`], [`turns`] |
 //!
 //! Nothing here decides for a request or reads one.
@@ -28,7 +28,6 @@
 pub mod plan;
 pub mod relayed;
 pub mod reload;
-pub mod retry_after;
 pub mod server;
 pub mod signals;
 pub mod startup_settings;
--- a/edge/proxy/src/load_reports.rs
+++ b/edge/proxy/src/load_reports.rs
@@ -1,13 +1,13 @@
 //! Load reports and health checks, where the settings have them: connected between the event loop and the upstream client.
 
 use foldmux::interface::Settings;
-use foldmux_core::clock::span;
-use foldmux_core::desk::{Notice, Probes};
-use foldmux_core::{Desk, DeskHandle, Tries};
+use foldmux_core::messages::{Command, ProbeSender};
+use foldmux_core::{EventLoop, EventLoopHandle, UpstreamClient};
 use foldmux_load_reports::{Beside, Setup};
 use foldmux_upstream::probe::Prober;
 use foldmux_upstream::{Reporting, Upstream};
 use std::sync::Arc;
+use std::time::Duration;
 
 /// Starts health checks where they are configured, and returns the upstream client, which forwards the load reports of
 /// responses. Where the settings have neither, that is `upstream` unchanged: no thread, lock or notice is added.
@@ -18,10 +18,10 @@
 pub fn start(
     setup: Setup,
     settings: &Settings,
-    event_loop: &mut Desk,
-    handle: &DeskHandle,
+    event_loop: &mut EventLoop,
+    handle: &EventLoopHandle,
     upstream: Upstream,
-) -> Result<Box<dyn Tries>, String> {
+) -> Result<Box<dyn UpstreamClient>, String> {
     let Some(reports) = Beside::new(setup.clone(), settings) else {
         return Ok(Box::new(upstream));
     };
@@ -29,12 +29,18 @@
         true => Some(start_prober(&setup, handle, &upstream)?),
         false => None,
     };
-    event_loop.report_to(reports, prober);
+    event_loop.enable_load_reports(reports, prober);
     if !setup.in_answers || setup.fields.is_empty() {
         return Ok(Box::new(upstream));
     }
     let handle = handle.clone();
-    let on_report = move |cache, start, load| handle.tell(Notice::Load { cache, start, load });
+    let on_report = move |cache, incarnation, load| {
+        handle.send(Command::LoadReport {
+            cache,
+            incarnation,
+            load,
+        })
+    };
     Ok(Box::new(Reporting {
         upstream,
         fields: setup.fields,
@@ -44,15 +50,15 @@
 
 fn start_prober(
     setup: &Setup,
-    handle: &DeskHandle,
+    handle: &EventLoopHandle,
     upstream: &Upstream,
-) -> Result<Box<dyn Probes>, String> {
+) -> Result<Box<dyn ProbeSender>, String> {
     let handle = handle.clone();
-    let on_probe = move |cache, start, well, load| {
-        handle.tell(Notice::Probed {
+    let on_probe = move |cache, incarnation, healthy, load| {
+        handle.send(Command::ProbeResult {
             cache,
-            start,
-            well,
+            incarnation,
+            healthy,
             load,
         })
     };
@@ -61,7 +67,7 @@
         upstream.pool.clone(),
         Arc::new(on_probe),
         setup.fields.clone(),
-        span(setup.patience),
+        Duration::from_micros(setup.patience),
     )?;
     Ok(Box::new(prober))
 }
--- a/edge/proxy/src/reload.rs
+++ b/edge/proxy/src/reload.rs
@@ -6,11 +6,11 @@
 use crate::hierarchy::ActiveHierarchy;
 use crate::journal::JournalService;
 use crate::limits;
-use crate::retry_after::rejection_wait;
 use crate::startup_settings::StartupSettings;
 use foldmux::interface::Class;
-use foldmux_core::desk::Notice;
 use foldmux_core::limits::Limiter;
+use foldmux_core::messages::Command;
+use foldmux_core::retry_after::own_retry_after;
 use foldmux_extproc::serve::Serving as Processor;
 use foldmux_fronts::msgpack::Front;
 use foldmux_limits::Account;
@@ -20,6 +20,7 @@
 use std::path::Path;
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, PoisonError};
+use std::time::Duration;
 
 pub use classes::{client_classes, configured_classes, dns_classes, processor_classes};
 pub use error::ReloadError;
@@ -62,7 +63,7 @@
         if let Some(hierarchy) = &mut self.hierarchy {
             log_outcome("rewire", reload_hierarchy(operator_file, hierarchy));
         }
-        if let Some(limiter) = self.front.core.limits.get() {
+        if let Some(limiter) = self.front.core.limiter.get() {
             log_outcome(
                 "limits",
                 reload_limits(operator_file, &self.account, limiter),
@@ -106,13 +107,16 @@
             .map_err(ReloadError::Classes)?;
         settings.classes = self.classes.slots().cloned().collect();
         let core = &self.front.core;
-        core.retune(rejection_wait(&settings), settings.longest_cold());
+        core.update_settings(
+            own_retry_after(&settings),
+            Duration::from_micros(settings.longest_cold()),
+        );
         // The router knows the new classes before any client can name them.
-        core.desk.tell(Notice::Retuned(Box::new(settings)));
+        core.event_loop.send(Command::Settings(Box::new(settings)));
         // Which member is a parent, the origin or a neighbour follows from the settings: it is worked out anew.
-        core.desk.tell(Notice::Members {
+        core.event_loop.send(Command::Servers {
             full: false,
-            listed: Vec::new(),
+            servers: Vec::new(),
         });
         self.serve_classes();
         self.service.move_to(config.journal);
@@ -123,7 +127,7 @@
     fn serve_classes(&self) {
         let served = client_classes(&self.classes);
         for class in &served {
-            self.front.core.tally.know(&class.name);
+            self.front.core.metrics.register_class(&class.name);
         }
         let mut classes = self
             .front
@@ -192,7 +196,7 @@
     let draft = read_operator(file)?.limits.unwrap_or_default();
     let table = limits::table(account, &draft).map_err(ReloadError::Limits)?;
     let count = limits::own_sets(&table);
-    limiter.swap(table);
+    limiter.replace_table(table);
     Ok(format!("{count} sets of limits taken"))
 }
 
--- a/edge/proxy/src/server/checked.rs
+++ b/edge/proxy/src/server/checked.rs
@@ -8,7 +8,7 @@
 use crate::startup_settings::StartupSettings;
 use foldmux::interface::Class;
 use foldmux_core::clock::Clock;
-use foldmux_core::members::Members;
+use foldmux_core::servers::ServerList;
 use foldmux_extproc::serve::Bound as BoundProcessor;
 use foldmux_fronts::dns::server::Bound as BoundDns;
 use foldmux_limits::table::Table;
@@ -23,7 +23,7 @@
     pub(super) startup: StartupSettings,
     pub(super) classes: ClassTable<Class>,
     pub(super) clock: Clock,
-    pub(super) members: Arc<Members>,
+    pub(super) members: Arc<ServerList>,
     pub(super) dns: Option<BoundDns>,
     pub(super) processor: Option<BoundProcessor>,
     pub(super) fleet: Option<Fleet>,
@@ -43,7 +43,7 @@
             .map(|setup| BoundProcessor::new(setup, processor_classes(&classes)))
             .transpose()?;
         let clock = Clock::default();
-        let members = Arc::new(Members::default());
+        let members = Arc::new(ServerList::default());
         let fleet = match &operator.fleet {
             Some(setup) => new_fleet(setup, &config, &classes, &members)?,
             None => None,
@@ -75,7 +75,7 @@
     setup: &foldmux_operator::Fleet,
     config: &Config,
     classes: &ClassTable<Class>,
-    members: &Arc<Members>,
+    members: &Arc<ServerList>,
 ) -> Result<Option<Fleet>, String> {
     let served = client_classes(classes);
     let own = Own {
--- a/edge/proxy/src/server/decisions.rs
+++ b/edge/proxy/src/server/decisions.rs
@@ -4,19 +4,19 @@
 use super::StartError;
 use crate::load_reports;
 use crate::reload::dns_classes;
-use crate::retry_after::rejection_wait;
 use foldmux::interface::Repeat;
 use foldmux::Router;
-use foldmux_core::buffers::Buffers;
-use foldmux_core::clock::span;
+use foldmux_core::buffers::BufferPool;
 use foldmux_core::limits::Limiter;
-use foldmux_core::{Core, Desk};
+use foldmux_core::retry_after::own_retry_after;
+use foldmux_core::{Core, CoreSetup, EventLoop};
 use foldmux_fronts::listen::named;
 use foldmux_limits::table::Table;
 use foldmux_settings::Decoded;
 use foldmux_upstream::{pool::Pool, Upstream};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::Arc;
+use std::time::Duration;
 
 /// Stack of the event loop's thread (bytes).
 const EVENT_LOOP_STACK: usize = 512 * 1024;
@@ -35,18 +35,18 @@
         let (config, clock) = (&checked.config, &checked.clock);
         let (decoded, bounds) = (&config.decoded, config.bounds);
         let settings = &decoded.settings;
-        let pool = Pool::new(bounds.upstream, span(decoded.keep_alive));
+        let pool = Pool::new(bounds.upstream, Duration::from_micros(decoded.keep_alive));
         let router = Router::new(settings.clone(), config.seed);
-        let (mut event_loop, handle) = Desk::new(router, clock.clone(), checked.members.clone());
+        let (mut event_loop, handle) =
+            EventLoop::new(router, clock.clone(), checked.members.clone());
         let connections = pool.clone();
-        event_loop.when_ended(move |former| connections.discard(former.member.cache));
+        event_loop.on_incarnation_ended(move |former| connections.discard(former.member.cache));
         let upstream = Upstream {
             members: checked.members.clone(),
             pool: pool.clone(),
             clock: clock.clone(),
-            dial_time_out: span(decoded.dial_time_out),
+            dial_time_out: Duration::from_micros(decoded.dial_time_out),
         };
-        let buffers = Buffers::new(bounds.buffers);
         let upstream = load_reports::start(
             decoded.reports.clone(),
             settings,
@@ -54,16 +54,16 @@
             &handle,
             upstream,
         )?;
-        let core = Core::new(
-            handle,
-            clock.clone(),
-            buffers,
-            checked.members.clone(),
+        let core = Core::new(CoreSetup {
+            event_loop: handle,
+            clock: clock.clone(),
+            buffers: BufferPool::new(bounds.buffers),
+            servers: checked.members.clone(),
             upstream,
-            rejection_wait(settings),
-            settings.longest_cold(),
-            bounds.open,
-        );
+            retry_after: own_retry_after(settings),
+            warm_up: Duration::from_micros(settings.longest_cold()),
+            max_open: bounds.open,
+        });
         if let Some(table) = checked.limits.take() {
             enforce_limits(&core, table, decoded);
         }
@@ -92,12 +92,12 @@
         .cloned()
         .unwrap_or_default();
     let limiter = Limiter::new(table, core.clock.clone(), own_zone, idempotency);
-    let _ = core.limits.set(limiter);
+    let _ = core.limiter.set(limiter);
 }
 
 /// The event loop ends only by a fault. Without it no request can be decided, so the process exits for the platform to
 /// start another.
-fn run_event_loop(event_loop: Desk) {
+fn run_event_loop(event_loop: EventLoop) {
     let _ = catch_unwind(AssertUnwindSafe(|| event_loop.run()));
     eprintln!("the event loop ended: no decisions can be made");
     std::process::exit(EVENT_LOOP_ENDED);
--- a/edge/proxy/src/server/endpoints.rs
+++ b/edge/proxy/src/server/endpoints.rs
@@ -43,17 +43,17 @@
         let mut journal = JournalClient::new(
             names,
             checked.clock.clone(),
-            core.desk.clone(),
+            core.event_loop.clone(),
             decisions.pool.clone(),
             listed.clone(),
         );
         let maintenance = Arc::new(MaintenanceRegistry::new(
-            core.desk.clone(),
+            core.event_loop.clone(),
             maintenance_file(address.port()),
         ));
         journal.maintenance = Some(maintenance.clone());
         for class in &config.decoded.classes {
-            core.tally.know(&class.as_str().into());
+            core.metrics.register_class(&class.as_str().into());
         }
         if let Some(fleet) = &checked.fleet {
             fleet.share(&mut journal);
@@ -94,7 +94,7 @@
         hierarchy,
         Zones::of(&checked.config.decoded),
         checked.clock.clone(),
-        decisions.core.desk.clone(),
+        decisions.core.event_loop.clone(),
     )?;
     Ok(Some(active))
 }
--- a/edge/proxy/src/server/outcome_log.rs
+++ b/edge/proxy/src/server/outcome_log.rs
@@ -20,13 +20,13 @@
 }
 
 fn log_outcomes(core: &Core) {
-    if let Some(outcomes) = core.tally.line() {
-        tracing::info!("{outcomes}; {} in flight", core.open());
+    if let Some(outcomes) = core.metrics.take_summary() {
+        tracing::info!("{outcomes}; {} in flight", core.open_requests());
     }
-    if let Some(reasons) = core.tally.reasons_line() {
+    if let Some(reasons) = core.metrics.take_reasons_summary() {
         tracing::info!("rejected or failed: {reasons}");
     }
-    let suppressed = core.unserved_lines.take_withheld();
+    let suppressed = core.unserved_log.take_withheld();
     if suppressed > 0 {
         tracing::info!("{suppressed} lines of requests that were rejected or failed are left out");
     }
--- a/edge/proxy/src/server/serving.rs
+++ b/edge/proxy/src/server/serving.rs
@@ -9,8 +9,8 @@
 use crate::drain::{time_until_kill, ClientListener, Drain, ANSWER_MARGIN, MAX_DRAIN};
 use crate::fleet;
 use crate::reload::{client_classes, Reloader};
-use foldmux_core::orders::Notice;
-use foldmux_core::throttle::Throttle;
+use foldmux_core::log_throttle::LogThrottle;
+use foldmux_core::messages::Command;
 use foldmux_core::Core;
 use foldmux_extproc::serve::{Bound as BoundProcessor, Serving as Processor};
 use foldmux_fronts::listen::named;
@@ -106,8 +106,8 @@
     pub(super) fn shut_down(self) {
         let deadline = Instant::now() + time_until_kill(self.longest_deadline());
         let _ = self.front.leave_by.set(deadline);
-        self.core.desk.tell(Notice::Closing {
-            by: self.core.clock.at(deadline - ANSWER_MARGIN),
+        self.core.event_loop.send(Command::ShutDown {
+            deadline: self.core.clock.at(deadline - ANSWER_MARGIN),
         });
         if let Some(fleet) = &self.fleet {
             fleet.leave();
@@ -156,7 +156,7 @@
         listed: endpoints.listed.clone(),
         nobody: "".into(),
         connections: AtomicU64::new(1),
-        end_lines: Throttle::new(Instant::now()),
+        end_lines: LogThrottle::new(Instant::now()),
     })
 }
 
