--- a/edge/proxy/src/turns.rs
+++ b/edge/proxy/src/turns.rs
@@ -5,14 +5,14 @@
 mod weights;
 
 use crate::fleet::parts::seats;
-use crate::retry_after::MAX_RETRY_AFTER;
 use crate::turns::pool::{Pool, TurnPlace, Word};
 use crate::turns::weights::{keyed, weights};
 use crossbeam_channel::{bounded, Sender};
-use foldmux::interface::{CacheId, Fetch, Time};
-use foldmux_core::members::Members;
-use foldmux_core::slot::Line;
-use foldmux_core::turn::{Place, Turn, Wanted};
+use foldmux::interface::{CacheId, Fetch};
+use foldmux_core::cancellation::Cancellable;
+use foldmux_core::permits::{AttemptPermits, Permit, PermitRequest};
+use foldmux_core::retry_after::{Rejected, MAX_RETRY_AFTER};
+use foldmux_core::servers::ServerList;
 use foldmux_fair_queue::local::{Asked, Local, Request};
 use foldmux_fair_queue::queue::Setup;
 use foldmux_fair_queue::slots::{FleetSetup, FleetSlots, PoolSetup};
@@ -66,7 +66,7 @@
 
 /// All pools, at this process.
 pub struct Turns {
-    members: Arc<Members>,
+    members: Arc<ServerList>,
     pools: Vec<(Kinds, Arc<Pool>)>,
 }
 
@@ -77,7 +77,7 @@
         said: &Said,
         name: &str,
         decoded: &Decoded,
-        members: Arc<Members>,
+        members: Arc<ServerList>,
         seed: u64,
     ) -> Result<Option<Arc<Turns>>, String> {
         if said.pools.is_empty() {
@@ -230,44 +230,47 @@
 /// Wakes a request that waits for its turn: its client left.
 struct Cut(Sender<Word>);
 
-impl Line for Cut {
-    fn cut(&self) {
+impl Cancellable for Cut {
+    fn cancel(&self) {
         let _ = self.0.try_send(Word::Left);
     }
 }
 
-impl Turn for Turns {
-    fn turn(&self, wanted: &Wanted) -> Result<Option<Box<dyn Place>>, Time> {
-        let Some((pool, source)) = self.pool(wanted.fetch) else {
+impl AttemptPermits for Turns {
+    fn acquire(&self, attempt: &PermitRequest) -> Result<Option<Box<dyn Permit>>, Rejected> {
+        let Some((pool, source)) = self.pool(attempt.fetch) else {
             return Ok(None);
         };
-        let inquiry = wanted.inquiry;
+        let client = attempt.request;
         let request = Request {
-            id: wanted.slot.id.0,
+            id: attempt.cancel.id.0,
             // The wires of the fronts name no tenant.
-            tenant: pool.by.name(None, &inquiry.caller, &inquiry.class_name),
-            class: *inquiry.class,
-            size_kb: inquiry.size_kb,
+            tenant: pool.by.name(None, &client.caller, &client.class_name),
+            class: *client.class,
+            size_kb: client.size_kb,
             source: source.0 as u64,
-            deadline: pool.at(wanted.deadline),
-            repeat: wanted.attempt > 0,
+            deadline: pool.at(attempt.deadline),
+            repeat: attempt.attempt > 0,
         };
         // Room for its turn and for its client's leave.
         let (tell, told) = bounded(2);
         let ticket = match pool.enter(&request, &tell) {
             Asked::Now(used) => return Ok(Some(Box::new(TurnPlace::new(pool, used)))),
-            Asked::Refused(wait) => return Err(pool.advice(wait)),
+            Asked::Refused(wait) => return Err(pool.rejected(Duration::from_micros(wait))),
             Asked::Waits(ticket) => ticket,
         };
         // A cancel that came before leaves it no turn.
-        let heard = match wanted.slot.hold(wanted.attempt, Arc::new(Cut(tell))) {
-            true => told.recv_deadline(wanted.deadline).ok(),
+        let heard = match attempt
+            .cancel
+            .register(attempt.attempt, Arc::new(Cut(tell)))
+        {
+            true => told.recv_deadline(attempt.deadline).ok(),
             false => None,
         };
-        wanted.slot.release();
+        attempt.cancel.unregister();
         match heard {
             Some(Word::Go(used)) => Ok(Some(Box::new(TurnPlace::new(pool, used)))),
-            Some(Word::Late) => Err(pool.advice(MAX_RETRY_AFTER)),
+            Some(Word::Late) => Err(pool.rejected(MAX_RETRY_AFTER)),
             _ => {
                 // It may have been told in this moment: then its slot comes back with the place.
                 if !pool.left(request.id, ticket) {
@@ -276,7 +279,7 @@
                         Word::Late | Word::Left => {}
                     });
                 }
-                Err(pool.advice(MAX_RETRY_AFTER))
+                Err(pool.rejected(MAX_RETRY_AFTER))
             }
         }
     }
--- a/edge/proxy/src/turns/pool.rs
+++ b/edge/proxy/src/turns/pool.rs
@@ -3,7 +3,8 @@
 use crate::turns::weights::{keyed, Weights};
 use crossbeam_channel::Sender;
 use foldmux::interface::Time;
-use foldmux_core::turn::Place;
+use foldmux_core::permits::Permit;
+use foldmux_core::retry_after::Rejected;
 use foldmux_fair_queue::local::{Asked, InUse, Local, Request, Then, Ticket};
 use foldmux_fair_queue::tenants::{By, Weight};
 use foldmux_fair_queue::{Ask, Told};
@@ -66,9 +67,11 @@
         self.at(Instant::now())
     }
 
-    /// How long to stay away (us), as far as clients follow it.
-    pub fn advice(&self, wait: Time) -> Time {
-        wait.min(self.longest)
+    /// A rejection; clients are told no longer wait than the settings allow.
+    pub fn rejected(&self, retry_after: Duration) -> Rejected {
+        Rejected {
+            retry_after: retry_after.min(Duration::from_micros(self.longest)),
+        }
     }
 
     pub fn enter(&self, request: &Request, tell: &Sender<Word>) -> Asked {
@@ -177,8 +180,8 @@
     }
 }
 
-impl Place for TurnPlace {
-    fn until(&self) -> Instant {
+impl Permit for TurnPlace {
+    fn expires_at(&self) -> Instant {
         self.until
     }
 }
@@ -242,8 +245,8 @@
             "its time is over"
         );
         assert_eq!(
-            [pool.advice(400_000), pool.advice(700_000)],
-            [400_000, 500_000],
+            [400, 700].map(|ms| pool.rejected(Duration::from_millis(ms)).retry_after),
+            [400, 500].map(Duration::from_millis),
             "as the settings allow"
         );
         drop(nobody);
--- a/edge/proxy/tests/common/dns.rs
+++ b/edge/proxy/tests/common/dns.rs
@@ -4,12 +4,13 @@
 use crate::common;
 use foldmux::interface::{CacheId, Member, State};
 use foldmux::Router;
-use foldmux_core::buffers::Buffers;
+use foldmux_core::buffers::BufferPool;
 use foldmux_core::clock::Clock;
-use foldmux_core::desk::{DeskHandle, Notice};
+use foldmux_core::event_loop::EventLoopHandle;
 use foldmux_core::limits::Limiter;
-use foldmux_core::members::{Listed, Members};
-use foldmux_core::{Core, Desk};
+use foldmux_core::messages::Command;
+use foldmux_core::servers::{Server, ServerList};
+use foldmux_core::{Core, CoreSetup, EventLoop};
 use foldmux_fronts::dns::{server::Bound, Routed};
 use foldmux_operator::script::evaluate;
 use foldmux_upstream::{pool::Pool, Upstream};
@@ -26,7 +27,7 @@
 
 pub struct Rig {
     pub core: Arc<Core>,
-    pub desk: DeskHandle,
+    pub desk: EventLoopHandle,
     pub clock: Clock,
     pub at: [Option<SocketAddr>; 3],
     pub zone: String,
@@ -55,11 +56,11 @@
         .collect();
     let (clock, members, pool) = (
         Clock::default(),
-        Arc::new(Members::default()),
+        Arc::new(ServerList::default()),
         Pool::new(8, Duration::from_secs(15)),
     );
     let router = Router::new(decoded.settings, 1);
-    let (mut desk, handle) = Desk::new(router, clock.clone(), members.clone());
+    let (mut desk, handle) = EventLoop::new(router, clock.clone(), members.clone());
     let dial_time_out = Duration::from_millis(400);
     let upstream = Upstream {
         members: members.clone(),
@@ -67,17 +68,17 @@
         clock: clock.clone(),
         dial_time_out,
     };
-    let buffers = Buffers::new(4);
-    let core = Core::new(
-        handle.clone(),
-        clock.clone(),
+    let buffers = BufferPool::new(4);
+    let core = Core::new(CoreSetup {
+        event_loop: handle.clone(),
+        clock: clock.clone(),
         buffers,
-        members,
-        Box::new(upstream),
-        0,
-        21_000_000,
-        most,
-    );
+        servers: members,
+        upstream: Box::new(upstream),
+        retry_after: Duration::ZERO,
+        warm_up: Duration::from_secs(21),
+        max_open: most,
+    });
     let setup = format!(
         "dns(zone = {zone:?}, udp = \"127.0.0.1:0\", tcp = \"127.0.0.1:0\", patience_ms = 20000{more})\n{limits}"
     );
@@ -85,7 +86,7 @@
     if let Some(draft) = &operator.limits {
         let table = foldmux_proxy::limits::table(&account, draft).unwrap();
         assert!(core
-            .limits
+            .limiter
             .set(Limiter::new(table, clock.clone(), "edge".into(), repeats))
             .is_ok());
     }
@@ -107,15 +108,15 @@
         zone: zone.to_string(),
     };
     let all = [(1, 0), (2, 0), (3, 1), (4, 2)].map(|(n, kind)| rig.line(n, kind, State::Ready, 0));
-    rig.desk.tell(Notice::Members {
+    rig.desk.send(Command::Servers {
         full: true,
-        listed: all.to_vec(),
+        servers: all.to_vec(),
     });
     rig
 }
 
 impl Rig {
-    pub fn line(&self, n: u32, kind: usize, state: State, boot: u64) -> Listed {
+    pub fn line(&self, n: u32, kind: usize, state: State, boot: u64) -> Server {
         let zone = if kind == 0 { 1 } else { 0 };
         let member = Member {
             cache: CacheId(n),
@@ -127,7 +128,7 @@
             ..Member::default()
         };
         let address = SocketAddr::from(([127, 0, 0, n as u8], 7001));
-        Listed {
+        Server {
             member,
             name: format!("s-{n:08x}").into(),
             address,
@@ -135,9 +136,9 @@
     }
 
     pub fn change(&self, n: u32, state: State, boot: u64) {
-        self.desk.tell(Notice::Members {
+        self.desk.send(Command::Servers {
             full: false,
-            listed: vec![self.line(n, 0, state, boot)],
+            servers: vec![self.line(n, 0, state, boot)],
         });
     }
 
--- a/edge/proxy/tests/common/place.rs
+++ b/edge/proxy/tests/common/place.rs
@@ -6,8 +6,8 @@
 use foldmux::interface::State;
 use foldmux::Router;
 use foldmux_core::clock::Clock;
-use foldmux_core::desk::Desk;
-use foldmux_core::members::{cache_id, Members};
+use foldmux_core::event_loop::EventLoop;
+use foldmux_core::servers::{cache_id, ServerList};
 use foldmux_proxy::backoff::Backoff;
 use foldmux_proxy::journal::{EventBatch, JournalClient, JournalService, Names};
 use foldmux_upstream::pool::Pool;
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 
 pub struct Place {
-    pub members: Arc<Members>,
+    pub members: Arc<ServerList>,
     pub service: Arc<JournalService>,
     /// A whole list is in.
     pub listed: Arc<AtomicBool>,
@@ -29,15 +29,17 @@
     /// With these events known, it watches the journal service at this address.
     pub fn start(address: SocketAddr, known: &str) -> Place {
         let decoded = foldmux_settings::parse(common::SETTINGS).unwrap();
-        let (clock, members) = (Clock::default(), Arc::new(Members::default()));
-        let (mut desk, handle) = Desk::new(
+        let (clock, members) = (Clock::default(), Arc::new(ServerList::default()));
+        let (mut desk, handle) = EventLoop::new(
             Router::new(decoded.settings, 1),
             clock.clone(),
             members.clone(),
         );
         let ended: Arc<Mutex<Vec<String>>> = Arc::default();
         let heard = ended.clone();
-        desk.when_ended(move |former| heard.lock().unwrap().push(former.name.to_string()));
+        desk.on_incarnation_ended(move |former| {
+            heard.lock().unwrap().push(former.name.to_string())
+        });
         std::thread::spawn(move || desk.run());
         let names = Names {
             zones: decoded.zones,
--- a/edge/proxy/tests/dns.rs
+++ b/edge/proxy/tests/dns.rs
@@ -1,8 +1,9 @@
 //! The DNS front's answers: placements, refusals, limits, what is too long for UDP.
 
 use foldmux::interface::State;
-use foldmux_core::desk::Notice;
-use foldmux_core::members::Listed;
+use foldmux_core::limits::Occupancy;
+use foldmux_core::messages::Command;
+use foldmux_core::servers::Server;
 use front::*;
 use hickory_proto::op::{Message, Query, ResponseCode};
 use hickory_proto::rr::{Name, RData, RecordType};
@@ -79,9 +80,9 @@
         (ResponseCode::ServFail, Some(14))
     );
     let rig = rig("route.example.", "", 8);
-    rig.desk.tell(Notice::Members {
+    rig.desk.send(Command::Servers {
         full: true,
-        listed: Vec::new(),
+        servers: Vec::new(),
     });
     let answer = rig.ask(&rig.part(0), RecordType::A);
     assert_eq!(
@@ -101,7 +102,7 @@
             .is_some_and(|answer| answer.data().to_string().contains("keep=0"))
     };
     assert!(unkept(&rig.ask(&rig.part(3), RecordType::TXT)));
-    let Ok(Some(held)) = rig.core.limits.get().unwrap().enter_now(0, "", "dns") else {
+    let Ok(Some(held)) = rig.core.limiter.get().unwrap().try_admit(0, "", "dns") else {
         panic!("a place")
     };
     let none = rig.ask(&rig.part(3), RecordType::TXT);
@@ -112,8 +113,8 @@
     drop(held);
     assert!(unkept(&rig.ask(&rig.part(3), RecordType::TXT)));
     assert_eq!(
-        rig.core.limits.get().unwrap().sizes(),
-        [0, 0],
+        rig.core.limiter.get().unwrap().occupancy(),
+        Occupancy { open: 0, queued: 0 },
         "each place is given back"
     );
 }
@@ -123,14 +124,14 @@
     let rig = rig("route.example.", "", 8);
     let long = [(1, 0), (3, 1)].map(|(n, kind)| {
         let name = format!("{}-{n:08x}", "x".repeat(230)).into();
-        Listed {
+        Server {
             name,
             ..rig.line(n, kind, State::Ready, 0)
         }
     });
-    rig.desk.tell(Notice::Members {
+    rig.desk.send(Command::Servers {
         full: true,
-        listed: long.to_vec(),
+        servers: long.to_vec(),
     });
     let mut query = Message::new();
     query.set_id(7).add_query(Query::query(
--- a/edge/proxy/tests/lists.rs
+++ b/edge/proxy/tests/lists.rs
@@ -3,8 +3,8 @@
 
 use foldmux::Router;
 use foldmux_core::clock::Clock;
-use foldmux_core::desk::Desk;
-use foldmux_core::members::{cache_id, Members};
+use foldmux_core::event_loop::EventLoop;
+use foldmux_core::servers::{cache_id, Census, ServerList};
 use foldmux_event_stream::journal::EventBatch;
 use foldmux_proxy::journal::{JournalClient, Names};
 use foldmux_stats::Draws;
@@ -21,7 +21,7 @@
 
 struct Place {
     journal: JournalClient,
-    members: Arc<Members>,
+    members: Arc<ServerList>,
     /// Starts that took no more work.
     ended: Arc<AtomicUsize>,
     desk: JoinHandle<()>,
@@ -30,15 +30,15 @@
 impl Place {
     fn new() -> Place {
         let decoded = foldmux_settings::parse(common::SETTINGS).unwrap();
-        let (clock, members) = (Clock::default(), Arc::new(Members::default()));
-        let (mut desk, handle) = Desk::new(
+        let (clock, members) = (Clock::default(), Arc::new(ServerList::default()));
+        let (mut desk, handle) = EventLoop::new(
             Router::new(decoded.settings, 1),
             clock.clone(),
             members.clone(),
         );
         let ended = Arc::new(AtomicUsize::new(0));
         let counted = ended.clone();
-        desk.when_ended(move |_| {
+        desk.on_incarnation_ended(move |_| {
             counted.fetch_add(1, Ordering::SeqCst);
         });
         let desk = std::thread::spawn(move || desk.run());
@@ -58,7 +58,7 @@
     }
 
     /// What the desk has once it took all: the members, and how many starts ended.
-    fn end(self) -> (Arc<Members>, usize) {
+    fn end(self) -> (Arc<ServerList>, usize) {
         drop(self.journal);
         self.desk.join().unwrap();
         (self.members, self.ended.load(Ordering::SeqCst))
@@ -94,6 +94,10 @@
         .collect()
 }
 
+fn all_ready(listed: usize) -> Census {
+    Census { listed, unready: 0 }
+}
+
 #[test]
 fn a_list_that_is_told_again_is_no_start_and_costs_no_connection() {
     let mut place = Place::new();
@@ -108,7 +112,7 @@
     let (members, ended) = place.end();
     assert_eq!(
         (members.census(|_| false), ended),
-        ((CACHES as usize, 0), 0)
+        (all_ready(CACHES as usize), 0)
     );
 }
 
@@ -200,7 +204,11 @@
         }
         assert!(refused > 0, "seed {seed}: nothing was missing");
         let (members, _) = place.end();
-        assert_eq!(members.census(|_| false), (then.len(), 0), "seed {seed}");
+        assert_eq!(
+            members.census(|_| false),
+            all_ready(then.len()),
+            "seed {seed}"
+        );
         for (id, (port, _)) in &then {
             let name = format!("s-{id:08x}");
             let held = members
--- a/edge/upstream/src/attempt.rs
+++ b/edge/upstream/src/attempt.rs
@@ -4,9 +4,9 @@
 use crate::proof::{dial_outcome, judge, outcome_of, Ended};
 use crate::{Hears, Upstream};
 use foldmux::interface::Outcome;
-use foldmux_core::attempt::{Attempt, Got, Line};
-use foldmux_core::clock::span;
-use foldmux_core::members::Start;
+use foldmux_core::attempt::{Attempt, Payload};
+use foldmux_core::cancellation::Cancellable;
+use foldmux_core::servers::Incarnation;
 use foldmux_http1::io::{is_quiet, write_all, Quiet, Unwritten};
 use foldmux_http1::read_response;
 use foldmux_sockets::stream::{self, Stop};
@@ -21,8 +21,8 @@
 /// A connection that an attempt is on: shut, its reader wakes.
 struct Held(Arc<TcpStream>);
 
-impl Line for Held {
-    fn cut(&self) {
+impl Cancellable for Held {
+    fn cancel(&self) {
         let _ = self.0.shutdown(Shutdown::Both);
     }
 }
@@ -40,10 +40,10 @@
         attempt: &Attempt,
         buffer: &mut [u8],
         hears: Hears,
-    ) -> (Outcome, Option<Got>) {
+    ) -> (Outcome, Option<Payload>) {
         let Ended { outcome, got } = self.make(attempt, buffer, hears);
-        attempt.slot.release();
-        if got.is_none() && attempt.slot.off(attempt.target.attempt) {
+        attempt.cancel.unregister();
+        if got.is_none() && attempt.cancel.is_cancelled(attempt.target.attempt) {
             return (called_off(outcome), None);
         }
         (outcome, got)
@@ -53,12 +53,14 @@
         let Attempt { fetch, target, .. } = attempt;
         let until = match fetch.time_out {
             0 => attempt.deadline,
-            time => attempt.deadline.min(target.decided + span(time)),
+            time => attempt
+                .deadline
+                .min(target.decided_at + Duration::from_micros(time)),
         };
         // No connection is opened to a cache that drains or is gone by now.
         let Some(start) = target
             .cache
-            .filter(|start| self.members.allows(fetch.cache, *start))
+            .filter(|start| self.members.accepts(fetch.cache, *start))
         else {
             return Ended::without(Outcome::NeverSent);
         };
@@ -101,7 +103,7 @@
         }
         let (head, written) = self.begin(attempt, &stream, idle, until)?;
         let body = attempt
-            .inquiry
+            .request
             .body
             .as_ref()
             .map_or(&[][..], |(lease, n)| &lease[..*n]);
@@ -125,13 +127,13 @@
             // and the source must still be allowed and be the starts that the module meant, with time left.
             let head = self.head(attempt, until).ok_or_else(never)?;
             // Whoever owns a covered request may have lost it in any of these waits.
-            if attempt.guard.is_some_and(|guard| !guard.may_send()) {
+            if attempt.record.is_some_and(|record| !record.may_send()) {
                 return Err(never());
             }
             match stream::write(stream, head.as_bytes(), until.min(Instant::now() + FRESH)) {
                 Ok(written) => return Ok((head, written)),
                 Err(Stop::TimedOut | Stop::Failing(_))
-                    if !attempt.slot.off(attempt.target.attempt) => {}
+                    if !attempt.cancel.is_cancelled(attempt.target.attempt) => {}
                 Err(Stop::TimedOut | Stop::Failing(_)) => return Err(never()),
                 Err(Stop::Over(_)) => return Err(unusable(idle)),
             }
@@ -146,7 +148,7 @@
         until: Instant,
     ) -> Result<Arc<TcpStream>, Outcome> {
         let time = self.time_to_begin(attempt, until);
-        if time.is_zero() || attempt.slot.off(attempt.target.attempt) {
+        if time.is_zero() || attempt.cancel.is_cancelled(attempt.target.attempt) {
             return Err(Outcome::NeverSent);
         }
         let dialled = loan.stream_while(time.min(self.dial_time_out), &|dial| held(attempt, dial));
@@ -165,7 +167,7 @@
         let left = until.saturating_duration_since(Instant::now());
         match attempt.fetch.send_by {
             0 => left,
-            by => left.min(span(by.saturating_sub(self.clock.now()))),
+            by => left.min(Duration::from_micros(by.saturating_sub(self.clock.now()))),
         }
     }
 
@@ -173,7 +175,7 @@
     fn receive(
         &self,
         attempt: &Attempt,
-        start: Start,
+        start: Incarnation,
         loan: &mut Loan,
         stream: &TcpStream,
         buffer: &mut [u8],
@@ -182,14 +184,14 @@
     ) -> Ended {
         let response = read_response(stream, buffer, until);
         // From here a cancel cuts nothing: the connection may be lent to another request.
-        attempt.slot.release();
+        attempt.cancel.unregister();
         match response {
             Ok(response) => {
                 let load = response.load.clone();
                 load.into_iter()
                     .for_each(|at| hears(attempt.fetch.cache, start, &buffer[at]));
                 loan.reusable = response.reusable;
-                judge(response, buffer, attempt.inquiry.got.as_deref())
+                judge(response, buffer, attempt.request.etag.as_deref())
             }
             Err(broken) => Ended::without(outcome_of(broken)),
         }
@@ -199,8 +201,8 @@
 /// Puts the attempt's connection where a cancel finds it; false if the cancel came first.
 fn held(attempt: &Attempt, stream: &Arc<TcpStream>) -> bool {
     attempt
-        .slot
-        .hold(attempt.target.attempt, Arc::new(Held(stream.clone())))
+        .cancel
+        .register(attempt.target.attempt, Arc::new(Held(stream.clone())))
 }
 
 /// A connection that ended, or spoke, before a byte of the request was written: nothing ran.
--- a/edge/upstream/src/head.rs
+++ b/edge/upstream/src/head.rs
@@ -3,7 +3,7 @@
 use crate::Upstream;
 use foldmux::interface::bound_ms;
 use foldmux_core::attempt::Attempt;
-use foldmux_core::inquiry::Inquiry;
+use foldmux_core::request::ClientRequest;
 use std::fmt::Write as _;
 use std::time::Instant;
 
@@ -11,45 +11,45 @@
     /// The request's head, or none where it must not be sent any more.
     pub(crate) fn head(&self, attempt: &Attempt, until: Instant) -> Option<String> {
         let Attempt {
-            inquiry,
+            request,
             fetch,
             target,
             ..
         } = attempt;
         let cache = target
             .cache
-            .filter(|start| self.members.allows(fetch.cache, *start))?;
+            .filter(|start| self.members.accepts(fetch.cache, *start))?;
         let mut source = None;
         if fetch.source != fetch.cache {
             target
                 .source
-                .filter(|start| self.members.allows(fetch.source, *start))?;
+                .filter(|start| self.members.accepts(fetch.source, *start))?;
             source = Some(self.members.get(fetch.source)?.name);
         }
         let wait = until.saturating_duration_since(Instant::now()).as_millis();
         if wait == 0 || !fetch.may_begin(self.clock.now()) {
             return None;
         }
-        let Inquiry {
-            via,
+        let ClientRequest {
+            via_id,
             class_name,
             object,
             part,
             ..
-        } = inquiry;
+        } = request;
         // Also where there is a body: the caches know no other method.
         let mut head = format!("GET /v2/q/{class_name}/{object:016x}/{part} HTTP/1.1\r\n");
         let mut field = |name: &str, value: &dyn std::fmt::Display| {
             let _ = write!(head, "{name}: {value}\r\n");
         };
         field("Host", &cache.address);
-        field("Via-Id", &format_args!("{via:016x}"));
+        field("Via-Id", &format_args!("{via_id:016x}"));
         field("Via-Wait", &wait);
-        inquiry
+        request
             .token
             .iter()
             .for_each(|token| field("Via-Token", token));
-        let term = attempt.guard.and_then(|guard| guard.term());
+        let term = attempt.record.and_then(|record| record.term());
         term.iter().for_each(|term| field("Via-Term", term));
         source
             .iter()
@@ -64,11 +64,11 @@
         if !flags.is_empty() {
             field("X-Flags", &flags);
         }
-        inquiry
-            .got
+        request
+            .etag
             .iter()
-            .for_each(|got| field("If-None-Match", got));
-        if let Some((_, length)) = inquiry.body {
+            .for_each(|etag| field("If-None-Match", etag));
+        if let Some((_, length)) = request.body {
             field("Content-Length", &length);
         }
         head.push_str("\r\n");
--- a/edge/upstream/src/lib.rs
+++ b/edge/upstream/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns: the connections to them ([`pool`]), the attempt itself ([`attempt`]), what an answer proves and reports, and the
 //! probes ([`probe`]). May not: choose a cache, repeat an attempt, or hold anything of a request once its attempt has
-//! returned. It implements the core's [`Tries`].
+//! returned. It implements the core's [`UpstreamClient`].
 
 mod attempt;
 mod head;
@@ -12,16 +12,16 @@
 pub mod probe;
 
 use foldmux::interface::{CacheId, Outcome};
-use foldmux_core::attempt::{Attempt, Got, Tries};
+use foldmux_core::attempt::{Attempt, Payload, UpstreamClient};
 use foldmux_core::clock::Clock;
-use foldmux_core::members::{Members, Start};
+use foldmux_core::servers::{Incarnation, ServerList};
 use foldmux_load_reports::{Fields, Load};
 use pool::Pool;
 use std::sync::Arc;
 use std::time::Duration;
 
 pub struct Upstream {
-    pub members: Arc<Members>,
+    pub members: Arc<ServerList>,
     pub pool: Arc<Pool>,
     pub clock: Clock,
     pub dial_time_out: Duration,
@@ -31,22 +31,22 @@
 pub struct Reporting {
     pub upstream: Upstream,
     pub fields: Fields,
-    pub hears: Box<dyn Fn(CacheId, Start, Load) + Send + Sync>,
+    pub hears: Box<dyn Fn(CacheId, Incarnation, Load) + Send + Sync>,
 }
 
 /// Hears what a start of a cache reported, as it stands in the answer.
-type Hears<'a> = &'a dyn Fn(CacheId, Start, &[u8]);
+type Hears<'a> = &'a dyn Fn(CacheId, Incarnation, &[u8]);
 
-impl Tries for Upstream {
+impl UpstreamClient for Upstream {
     /// Makes the attempt and says how it ended; whatever it held is given back when this returns.
-    fn attempt(&self, attempt: &Attempt, buffer: &mut [u8]) -> (Outcome, Option<Got>) {
+    fn attempt(&self, attempt: &Attempt, buffer: &mut [u8]) -> (Outcome, Option<Payload>) {
         self.ended(attempt, buffer, &|_, _, _| ())
     }
 }
 
-impl Tries for Reporting {
+impl UpstreamClient for Reporting {
     /// Whatever stands in the report, the answer is what it is.
-    fn attempt(&self, attempt: &Attempt, buffer: &mut [u8]) -> (Outcome, Option<Got>) {
+    fn attempt(&self, attempt: &Attempt, buffer: &mut [u8]) -> (Outcome, Option<Payload>) {
         self.upstream.ended(attempt, buffer, &|cache, start, load| {
             (self.hears)(cache, start, self.fields.read(load));
         })
--- a/edge/upstream/src/pool.rs
+++ b/edge/upstream/src/pool.rs
@@ -2,7 +2,7 @@
 //! to an attempt; what is lent comes home when the loan is dropped, and nowhere else. It bounds both together.
 
 use foldmux::interface::CacheId;
-use foldmux_core::members::Start;
+use foldmux_core::servers::Incarnation;
 use foldmux_http1::io::quiet;
 use foldmux_sockets::dial::{dial, StillWanted};
 use std::collections::HashMap;
@@ -38,7 +38,7 @@
 
 impl Shelf {
     /// Takes out an idle connection to this start that is alive, if there is one.
-    fn take(&mut self, start: Start, keep: Duration) -> Option<Arc<TcpStream>> {
+    fn take(&mut self, start: Incarnation, keep: Duration) -> Option<Arc<TcpStream>> {
         loop {
             let kept = self.next()?;
             if kept.start == start && kept.since.elapsed() < keep && quiet(&kept.stream) {
@@ -68,7 +68,7 @@
 
 struct Kept {
     stream: Arc<TcpStream>,
-    start: Start,
+    start: Incarnation,
     since: Instant,
 }
 
@@ -76,7 +76,7 @@
 pub struct Loan {
     pool: Arc<Pool>,
     cache: CacheId,
-    start: Start,
+    start: Incarnation,
     shelf: Arc<()>,
     stream: Option<Arc<TcpStream>>,
     /// The stream was idle here, and not dialled for this loan.
@@ -151,7 +151,7 @@
 
     /// An idle connection to this start of the cache, if one is alive, else a place to dial one; none where all places
     /// are out.
-    pub fn lend(self: &Arc<Self>, cache: CacheId, start: Start) -> Option<Loan> {
+    pub fn lend(self: &Arc<Self>, cache: CacheId, start: Incarnation) -> Option<Loan> {
         let mut state = self.state();
         let shelf = state.caches.entry(cache).or_default();
         let own = shelf.own.clone();
--- a/edge/upstream/src/pool/tests.rs
+++ b/edge/upstream/src/pool/tests.rs
@@ -9,7 +9,7 @@
 const HOUR: Duration = Duration::from_secs(3_600);
 
 /// Lends and gives back a connection; the other side of it.
-fn give_back(pool: &Arc<Pool>, listener: &TcpListener, start: Start) -> TcpStream {
+fn give_back(pool: &Arc<Pool>, listener: &TcpListener, start: Incarnation) -> TcpStream {
     let mut loan = pool.lend(CACHE, start).unwrap();
     assert!(loan.stream.is_none());
     loan.stream(Duration::from_secs(5)).unwrap();
@@ -17,14 +17,14 @@
     listener.accept().unwrap().0
 }
 
-fn lends_idle(pool: &Arc<Pool>, start: Start) -> bool {
+fn lends_idle(pool: &Arc<Pool>, start: Incarnation) -> bool {
     pool.lend(CACHE, start).unwrap().stream.is_some()
 }
 
 #[test]
 fn idle_connections_are_lent_for_one_start_and_only_while_they_are_quiet() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let start = Start {
+    let start = Incarnation {
         boot: 0,
         address: listener.local_addr().unwrap(),
     };
@@ -36,7 +36,7 @@
     assert_eq!(pool.count(), (0, 0));
     drop(far);
     let _far = give_back(&pool, &listener, start);
-    assert!(!lends_idle(&pool, Start { boot: 9, ..start }));
+    assert!(!lends_idle(&pool, Incarnation { boot: 9, ..start }));
     // Closed by the other side; an answer that nobody asked for.
     for speaks in [false, true] {
         let mut far = give_back(&pool, &listener, start);
@@ -54,7 +54,7 @@
 #[test]
 fn the_pool_bounds_all_connections_and_lets_go_of_what_is_old_or_discarded() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let start = Start {
+    let start = Incarnation {
         boot: 0,
         address: listener.local_addr().unwrap(),
     };
@@ -77,7 +77,7 @@
 #[test]
 fn what_is_out_when_its_cache_drains_is_closed_when_it_comes_home() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let start = Start {
+    let start = Incarnation {
         boot: 0,
         address: listener.local_addr().unwrap(),
     };
@@ -102,7 +102,7 @@
 }
 
 /// The other side of each of three idle connections, in the order in which the pool took them back.
-fn three_idle(pool: &Arc<Pool>, listener: &TcpListener, start: Start) -> Vec<TcpStream> {
+fn three_idle(pool: &Arc<Pool>, listener: &TcpListener, start: Incarnation) -> Vec<TcpStream> {
     let loans: Vec<Loan> = (0..3).map(|_| pool.lend(CACHE, start).unwrap()).collect();
     let dialled = loans.into_iter().map(|mut loan| {
         loan.stream(Duration::from_secs(5)).unwrap();
@@ -113,7 +113,7 @@
 }
 
 /// The local address of the connection that is lent next.
-fn lent_next(pool: &Arc<Pool>, start: Start) -> SocketAddr {
+fn lent_next(pool: &Arc<Pool>, start: Incarnation) -> SocketAddr {
     let mut loan = pool.lend(CACHE, start).unwrap();
     loan.reusable = true;
     let stream = loan.stream.as_ref().expect("an idle connection");
@@ -123,7 +123,7 @@
 #[test]
 fn a_connection_that_has_just_come_back_rests_while_another_one_is_idle() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let start = Start {
+    let start = Incarnation {
         boot: 0,
         address: listener.local_addr().unwrap(),
     };
@@ -169,7 +169,7 @@
 #[test]
 fn idle_connections_to_caches_that_are_gone_give_their_places_to_whoever_asks() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let start = Start {
+    let start = Incarnation {
         boot: 0,
         address: listener.local_addr().unwrap(),
     };
@@ -178,7 +178,7 @@
     // The cache is gone, and no list has said so: its connections are idle here until somebody wants their places.
     drop((far, listener));
     let other = TcpListener::bind("127.0.0.1:0").unwrap();
-    let live = Start {
+    let live = Incarnation {
         boot: 0,
         address: other.local_addr().unwrap(),
     };
--- a/edge/upstream/src/probe.rs
+++ b/edge/upstream/src/probe.rs
@@ -4,8 +4,8 @@
 use crate::pool::Pool;
 use crossbeam_channel::{bounded, Receiver, Sender};
 use foldmux::interface::CacheId;
-use foldmux_core::desk::Probes;
-use foldmux_core::members::{Listed, Members, Start};
+use foldmux_core::messages::ProbeSender;
+use foldmux_core::servers::{Incarnation, Server, ServerList};
 use foldmux_http1::answer::MOST_HEAD;
 use foldmux_http1::io::write_all;
 use foldmux_http1::read_response;
@@ -22,12 +22,12 @@
 const STACK: usize = 64 * 1024;
 
 /// Hears what a start of a member said to a probe: whether it is well, and its report; empty where it gave none.
-pub type Hears = Arc<dyn Fn(CacheId, Start, bool, Load) + Send + Sync>;
+pub type Hears = Arc<dyn Fn(CacheId, Incarnation, bool, Load) + Send + Sync>;
 
 /// What probes need; each thread has its own handles on it.
 #[derive(Clone)]
 struct Means {
-    members: Arc<Members>,
+    members: Arc<ServerList>,
     pool: Arc<Pool>,
     hears: Hears,
     fields: Fields,
@@ -35,12 +35,12 @@
 }
 
 /// Takes orders to probe and never waits; its threads end with it.
-pub struct Prober(Sender<(CacheId, Start)>);
+pub struct Prober(Sender<(CacheId, Incarnation)>);
 
 impl Prober {
     /// `patience`: the longest that one may take, its dial too.
     pub fn start(
-        members: Arc<Members>,
+        members: Arc<ServerList>,
         pool: Arc<Pool>,
         hears: Hears,
         fields: Fields,
@@ -67,18 +67,18 @@
     }
 
     /// Whether there was room for it.
-    pub fn order(&self, cache: CacheId, start: Start) -> bool {
+    pub fn order(&self, cache: CacheId, start: Incarnation) -> bool {
         self.0.try_send((cache, start)).is_ok()
     }
 }
 
-impl Probes for Prober {
-    fn probe(&self, cache: CacheId, start: Start) {
+impl ProbeSender for Prober {
+    fn probe(&self, cache: CacheId, start: Incarnation) {
         self.order(cache, start);
     }
 }
 
-fn serve(means: &Means, orders: &Receiver<(CacheId, Start)>) {
+fn serve(means: &Means, orders: &Receiver<(CacheId, Incarnation)>) {
     let mut buffer = vec![0; MOST];
     for (cache, start) in orders {
         let heard = one(
@@ -89,7 +89,7 @@
             &mut buffer,
         );
         // Guards against an answer that crossed a drain: it is of a process that takes no work any more.
-        if !means.members.allows(cache, start) {
+        if !means.members.accepts(cache, start) {
             continue;
         }
         let (well, load) = heard.unwrap_or((false, Load::default()));
@@ -101,15 +101,15 @@
 fn one(
     means: &Means,
     cache: CacheId,
-    start: Start,
+    start: Incarnation,
     until: Instant,
     buffer: &mut [u8],
 ) -> Option<(bool, Load)> {
-    let Listed { address, .. } = means.members.allowed(cache, Some(start))?;
+    let Server { address, .. } = means.members.get_accepting(cache, Some(start))?;
     let mut loan = means.pool.lend(cache, start)?;
     let stream = loan.stream(means.patience).ok()?;
     // Dialling took time, and the list may have changed in it.
-    means.members.allowed(cache, Some(start))?;
+    means.members.get_accepting(cache, Some(start))?;
     let path = if means.fields.is_empty() {
         "ping"
     } else {
--- a/edge/upstream/src/proof.rs
+++ b/edge/upstream/src/proof.rs
@@ -1,7 +1,7 @@
 //! What the end of an attempt proves: whether it ran, may have run, or never did.
 
 use foldmux::interface::Outcome;
-use foldmux_core::attempt::Got;
+use foldmux_core::attempt::Payload;
 use foldmux_http1::{Broken, Response};
 use foldmux_sockets::verdict::{on_dial, OnDial};
 
@@ -9,7 +9,7 @@
 #[derive(Debug, PartialEq)]
 pub(crate) struct Ended {
     pub(crate) outcome: Outcome,
-    pub(crate) got: Option<Got>,
+    pub(crate) got: Option<Payload>,
 }
 
 impl Ended {
@@ -18,7 +18,7 @@
         Ended { outcome, got: None }
     }
 
-    fn served(got: Got) -> Ended {
+    fn served(got: Payload) -> Ended {
         Ended {
             outcome: Outcome::Served,
             got: Some(got),
@@ -51,8 +51,8 @@
 pub(crate) fn judge(response: Response, bytes: &[u8], got: Option<&str>) -> Ended {
     let tag = response.tag.clone().map(|at| &bytes[at]);
     match (response.status, response.untouched) {
-        (200, _) => Ended::served(Got::Body(response.body)),
-        (304, _) if names(tag, got) => Ended::served(Got::Same),
+        (200, _) => Ended::served(Payload::Body(response.body)),
+        (304, _) if names(tag, got) => Ended::served(Payload::NotModified),
         (404, _) => Ended::without(Outcome::Miss),
         (503, true) => Ended::without(Outcome::Full),
         (504, true) => Ended::without(Outcome::NeverSent),
--- a/edge/upstream/tests/answers.rs
+++ b/edge/upstream/tests/answers.rs
@@ -137,7 +137,7 @@
     let rig = Rig::new();
     let ended = |got: Option<&str>, fields: &str| {
         let mut asked = rig.asked();
-        asked.inquiry.got = got.map(str::to_string);
+        asked.request.etag = got.map(str::to_string);
         let (outcome, brought, head) = rig.during(&asked, || {
             let stream = rig.accept();
             let head = read_head(&stream);
--- a/edge/upstream/tests/attempts.rs
+++ b/edge/upstream/tests/attempts.rs
@@ -1,11 +1,11 @@
 //! Attempts at caches that drain, go, start anew or move after the module decided: no connection is opened.
 
 use foldmux::interface::{Member, Outcome, RequestId, State, Time};
-use foldmux_core::attempt::{Attempt, Tries};
+use foldmux_core::attempt::{Attempt, UpstreamClient};
+use foldmux_core::cancellation::CancelHandle;
 use foldmux_core::clock::Clock;
-use foldmux_core::desk::Target;
-use foldmux_core::members::{Listed, Members};
-use foldmux_core::slot::Slot;
+use foldmux_core::messages::AttemptTarget;
+use foldmux_core::servers::{Server, ServerList};
 use foldmux_upstream::{pool::Pool, Upstream};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -14,10 +14,10 @@
 
 mod common;
 
-use common::{fetch, inquiry, CACHE};
+use common::{fetch, request, CACHE};
 
-fn line(address: SocketAddr, state: State, boot: Time) -> Listed {
-    Listed {
+fn line(address: SocketAddr, state: State, boot: Time) -> Server {
+    Server {
         member: Member {
             cache: CACHE,
             state,
@@ -30,24 +30,24 @@
 }
 
 /// How an attempt ends that the module decided on while the cache was `before`, and that is made once it is `after`.
-fn attempt(upstream: &Upstream, before: Listed, after: Option<Listed>) -> Outcome {
+fn attempt(upstream: &Upstream, before: Server, after: Option<Server>) -> Outcome {
     upstream.members.apply(true, vec![before.clone()]);
-    let target = Target {
-        cache: Some(before.start()),
+    let target = AttemptTarget {
+        cache: Some(before.incarnation()),
         source: None,
         attempt: 0,
-        decided: Instant::now(),
+        decided_at: Instant::now(),
     };
     upstream.members.apply(true, after.into_iter().collect());
-    let (inquiry, slot, fetch) = (inquiry(), Slot::new(RequestId(1)), fetch());
+    let (request, cancel, fetch) = (request(), CancelHandle::new(RequestId(1)), fetch());
     let deadline = Instant::now() + Duration::from_secs(20);
     let made = Attempt {
-        inquiry: &inquiry,
-        slot: &slot,
+        request: &request,
+        cancel: &cancel,
         fetch: &fetch,
         target: &target,
         deadline,
-        guard: None,
+        record: None,
     };
     upstream.attempt(&made, &mut vec![0; 64 * 1024]).0
 }
@@ -57,7 +57,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     let upstream = Upstream {
-        members: Arc::new(Members::default()),
+        members: Arc::new(ServerList::default()),
         pool: Pool::new(8, Duration::from_secs(60)),
         clock: Clock::default(),
         dial_time_out: Duration::from_secs(5),
--- a/edge/upstream/tests/common/mod.rs
+++ b/edge/upstream/tests/common/mod.rs
@@ -8,14 +8,15 @@
 pub use sockets::*;
 
 use foldmux::interface::{CacheId, Fetch, Member, Outcome, RequestId, State};
-use foldmux_core::attempt::{Attempt, Got, Line, Tries};
-use foldmux_core::buffers::Buffers;
+use foldmux_core::attempt::{Attempt, Payload, UpstreamClient};
+use foldmux_core::buffers::BufferPool;
+use foldmux_core::cancellation::CancelHandle;
+use foldmux_core::cancellation::Cancellable;
 use foldmux_core::clock::Clock;
-use foldmux_core::cover::{Hold, Intended};
-use foldmux_core::desk::Target;
-use foldmux_core::inquiry::Inquiry;
-use foldmux_core::members::{Listed, Members};
-use foldmux_core::slot::Slot;
+use foldmux_core::messages::AttemptTarget;
+use foldmux_core::records::{AttemptIntent, OwnedRecord};
+use foldmux_core::request::ClientRequest;
+use foldmux_core::servers::{Server, ServerList};
 use foldmux_upstream::{pool::Pool, Upstream};
 use std::net::{TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -29,7 +30,7 @@
 pub struct Rig {
     listener: Option<TcpListener>,
     pub upstream: Upstream,
-    listed: Listed,
+    listed: Server,
 }
 
 impl Rig {
@@ -41,13 +42,13 @@
             boot: 3,
             ..Member::default()
         };
-        let listed = Listed {
+        let listed = Server {
             member,
             name: "s".into(),
             address: listener.local_addr().unwrap(),
         };
         let upstream = Upstream {
-            members: Arc::new(Members::default()),
+            members: Arc::new(ServerList::default()),
             pool: Pool::new(8, Duration::from_secs(60)),
             clock: Clock::default(),
             dial_time_out: 2 * PATIENCE,
@@ -74,37 +75,37 @@
 
     /// A request for this cache, to be changed before it is made.
     pub fn asked(&self) -> Asked {
-        let (fetch, inquiry) = (fetch(), inquiry());
-        let target = Target {
-            cache: Some(self.listed.start()),
+        let (fetch, request) = (fetch(), request());
+        let target = AttemptTarget {
+            cache: Some(self.listed.incarnation()),
             source: None,
             attempt: 0,
-            decided: Instant::now(),
+            decided_at: Instant::now(),
         };
         Asked {
-            inquiry,
+            request,
             fetch,
             target,
-            slot: Slot::new(RequestId(1)),
-            guard: None,
+            cancel: CancelHandle::new(RequestId(1)),
+            record: None,
         }
     }
 
     /// Makes the attempt on the calling thread: how it ended, and the body that it brought.
     pub fn make(&self, asked: &Asked) -> (Outcome, Option<Brought>) {
         let attempt = Attempt {
-            inquiry: &asked.inquiry,
-            slot: &asked.slot,
+            request: &asked.request,
+            cancel: &asked.cancel,
             fetch: &asked.fetch,
             target: &asked.target,
             deadline: Instant::now() + 2 * PATIENCE,
-            guard: asked.guard.as_deref(),
+            record: asked.record.as_deref(),
         };
         let mut buffer = vec![0; 64 * 1024];
         let (outcome, got) = self.upstream.attempt(&attempt, &mut buffer);
         let brought = got.map(|got| match got {
-            Got::Body(at) => Brought::Body(String::from_utf8_lossy(&buffer[at]).into_owned()),
-            Got::Same => Brought::Same,
+            Payload::Body(at) => Brought::Body(String::from_utf8_lossy(&buffer[at]).into_owned()),
+            Payload::NotModified => Brought::Same,
         });
         (outcome, brought)
     }
@@ -153,31 +154,31 @@
 
 /// One attempt, as the core would hand it over.
 pub struct Asked {
-    pub inquiry: Inquiry,
+    pub request: ClientRequest,
     pub fetch: Fetch,
-    pub target: Target,
-    pub slot: Arc<Slot>,
-    pub guard: Option<Box<dyn Hold>>,
+    pub target: AttemptTarget,
+    pub cancel: Arc<CancelHandle>,
+    pub record: Option<Box<dyn OwnedRecord>>,
 }
 
 impl Asked {
     pub fn with_body(mut self, length: usize) -> Asked {
-        let body = Buffers::new(4).lease_for_body().unwrap();
-        self.inquiry.body = Some((body, length));
+        let body = BufferPool::new(4).acquire_for_request_body().unwrap();
+        self.request.body = Some((body, length));
         self
     }
 
     /// Runs `step` once the attempt has its connection, before it looks at it and writes.
     pub fn when_connected(self, step: impl FnOnce() + Send + Sync + 'static) -> Asked {
         assert!(self
-            .slot
-            .hold(0, Arc::new(Dropped(Mutex::new(Some(Box::new(step)))))));
+            .cancel
+            .register(0, Arc::new(Dropped(Mutex::new(Some(Box::new(step)))))));
         self
     }
 
     /// Runs `step` after all other looks, right before the first byte is written.
     pub fn before_first_byte(mut self, step: impl FnOnce() + Send + Sync + 'static) -> Asked {
-        self.guard = Some(Box::new(Guard(Mutex::new(Some(Box::new(step))))));
+        self.record = Some(Box::new(Guard(Mutex::new(Some(Box::new(step))))));
         self
     }
 }
@@ -195,11 +196,11 @@
 
 type Step = Mutex<Option<Box<dyn FnOnce() + Send + Sync>>>;
 
-/// Dropped by the slot where the attempt puts its own line in its place.
+/// Dropped by the cancel where the attempt puts its own line in its place.
 struct Dropped(Step);
 
-impl Line for Dropped {
-    fn cut(&self) {}
+impl Cancellable for Dropped {
+    fn cancel(&self) {}
 }
 
 impl Drop for Dropped {
@@ -211,13 +212,13 @@
 /// Asked by the attempt right before its first byte.
 struct Guard(Step);
 
-impl Hold for Guard {
-    fn within(&self) -> Option<u32> {
+impl OwnedRecord for Guard {
+    fn required_group(&self) -> Option<u32> {
         None
     }
 
-    fn intend(&self, _: &Member) -> Intended {
-        Intended::Yes
+    fn record_intent(&self, _: &Member) -> AttemptIntent {
+        AttemptIntent::Recorded
     }
 
     fn may_send(&self) -> bool {
@@ -229,17 +230,17 @@
         None
     }
 
-    fn ended(&self, _: Outcome) {}
+    fn record_outcome(&self, _: Outcome) {}
 
-    fn may_have_run(&self) -> bool {
+    fn may_have_executed(&self) -> bool {
         false
     }
 
-    fn done(&self, _: foldmux_core::cover::Final) -> bool {
+    fn store_response(&self, _: foldmux_core::records::StoredResponse) -> bool {
         true
     }
 
-    fn over(&self) {}
+    fn abandon(&self) {}
 }
 
 fn run(step: &Step) {
--- a/edge/upstream/tests/common/requests.rs
+++ b/edge/upstream/tests/common/requests.rs
@@ -2,9 +2,9 @@
 
 use super::CACHE;
 use foldmux::interface::{Fetch, RequestId};
-use foldmux_core::inquiry::Inquiry;
+use foldmux_core::request::ClientRequest;
 use std::sync::Arc;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 /// An attempt at the cache, without a source.
 pub fn fetch() -> Fetch {
@@ -23,9 +23,9 @@
 }
 
 /// A request with time for all that a test does.
-pub fn inquiry() -> Inquiry {
-    Inquiry {
-        via: 1,
+pub fn request() -> ClientRequest {
+    ClientRequest {
+        via_id: 1,
         class: Arc::new(0),
         class_name: "sheet".into(),
         object: 5,
@@ -33,12 +33,12 @@
         group: 0,
         size_kb: 1.0,
         token: None,
-        got: None,
+        etag: None,
         body: None,
-        arrived: Instant::now(),
-        budget: 60_000_000,
+        arrived_at: Instant::now(),
+        budget: Duration::from_secs(60),
         front: "test",
         caller: "".into(),
-        within: None,
+        required_group: None,
     }
 }
--- a/edge/upstream/tests/gone.rs
+++ b/edge/upstream/tests/gone.rs
@@ -10,7 +10,7 @@
 fn for_a_client_that_left_nothing_is_dialled() {
     let rig = Rig::new();
     let asked = rig.asked();
-    asked.slot.call_off(0);
+    asked.cancel.cancel_through(0);
     assert_eq!(rig.make(&asked), (Outcome::NeverSent, None));
     assert!(rig.nobody_dialled());
     assert_eq!(rig.upstream.pool.count(), (0, 0));
@@ -21,8 +21,8 @@
     let rig = Rig::new();
     let idle = rig.idle();
     let asked = rig.asked();
-    let slot = asked.slot.clone();
-    let asked = asked.before_first_byte(move || slot.call_off(0));
+    let cancel = asked.cancel.clone();
+    let asked = asked.before_first_byte(move || cancel.cancel_through(0));
     assert_eq!(rig.make(&asked), (Outcome::NeverSent, None));
     assert!(rest(&idle).is_empty(), "not a byte came");
     assert!(rig.nobody_dialled());
@@ -33,11 +33,11 @@
 fn a_client_that_leaves_after_the_first_byte_may_have_been_served() {
     let rig = Rig::new();
     let asked = rig.asked();
-    let slot = asked.slot.clone();
+    let cancel = asked.cancel.clone();
     let (outcome, brought, ended) = rig.during(&asked, || {
         let stream = rig.accept();
         read_head(&stream);
-        slot.call_off(0);
+        cancel.cancel_through(0);
         // The attempt's connection ends at once, and what is said after is heard by nobody.
         rest(&stream)
     });
@@ -54,10 +54,10 @@
     let at = rig.listener().local_addr().unwrap();
     let filled = Filled::new(rig.listener());
     let asked = rig.asked();
-    let slot = asked.slot.clone();
+    let cancel = asked.cancel.clone();
     let (outcome, brought, ()) = rig.during(&asked, || {
         until("the dial is under way", || is_dialled(at));
-        slot.call_off(0);
+        cancel.cancel_through(0);
     });
     // The queue was full all the time: by itself the dial would last as long as its time allows, beyond the test's.
     assert_eq!((outcome, brought), (Outcome::NeverSent, None));
@@ -70,9 +70,9 @@
 fn a_connection_that_came_up_as_its_client_left_is_closed_unused() {
     let rig = Rig::new();
     let asked = rig.asked();
-    let slot = asked.slot.clone();
+    let cancel = asked.cancel.clone();
     // The last look is over; the leave comes between that and the first byte, on a connection that was dialled.
-    let asked = asked.before_first_byte(move || slot.call_off(0));
+    let asked = asked.before_first_byte(move || cancel.cancel_through(0));
     let (outcome, brought, came) = rig.during(&asked, || rest(&rig.accept()));
     assert_eq!((outcome, brought, came), (Outcome::NeverSent, None, vec![]));
     assert_eq!(rig.upstream.pool.count(), (0, 0), "its place is back");
--- a/edge/upstream/tests/probes.rs
+++ b/edge/upstream/tests/probes.rs
@@ -1,7 +1,7 @@
 //! Probes on real sockets: what they ask, what ends them, and that none speaks of a member that takes no more work.
 
 use foldmux::interface::{CacheId, Member, State};
-use foldmux_core::members::{Listed, Members};
+use foldmux_core::servers::{Server, ServerList};
 use foldmux_load_reports::{Fields, Load};
 use foldmux_upstream::pool::Pool;
 use foldmux_upstream::probe::{Prober, PLACES, QUEUE};
@@ -18,7 +18,7 @@
 
 struct Rig {
     listener: TcpListener,
-    members: Arc<Members>,
+    members: Arc<ServerList>,
     pool: Arc<Pool>,
     prober: Option<Prober>,
     heard: Receiver<Heard>,
@@ -27,7 +27,7 @@
 fn rig(names: &[&str], patience: Duration) -> Rig {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (members, pool) = (
-        Arc::new(Members::default()),
+        Arc::new(ServerList::default()),
         Pool::new(16, Duration::from_secs(60)),
     );
     let (told, heard) = channel();
@@ -62,7 +62,7 @@
         let address = self.listener.local_addr().unwrap();
         self.members.apply(
             false,
-            vec![Listed {
+            vec![Server {
                 member,
                 name: "s".into(),
                 address,
@@ -72,7 +72,7 @@
 
     /// Whether there was room for it.
     fn probe(&self, cache: u32) -> bool {
-        let start = self.members.get(CacheId(cache)).unwrap().start();
+        let start = self.members.get(CacheId(cache)).unwrap().incarnation();
         self.prober.as_ref().unwrap().order(CacheId(cache), start)
     }
 
@@ -210,7 +210,7 @@
                 let address = rig.listener.local_addr().unwrap();
                 rig.members.apply(
                     false,
-                    vec![Listed {
+                    vec![Server {
                         member,
                         name: "s".into(),
                         address,
@@ -229,7 +229,7 @@
 fn a_member_that_drains_or_is_gone_is_not_even_dialled() {
     let rig = rig(&["util"], PATIENCE);
     rig.list(1, State::Ready);
-    let start = rig.members.get(CacheId(1)).unwrap().start();
+    let start = rig.members.get(CacheId(1)).unwrap().incarnation();
     // Out by hand is listed as draining.
     for state in [State::Draining, State::Gone] {
         rig.list(1, state);
--- a/rigs/fuzz/src/msgpack.rs
+++ b/rigs/fuzz/src/msgpack.rs
@@ -1,10 +1,11 @@
 //! MessagePack-RPC: calls against `rmpv`'s reading, in pieces and cut off; answers read back by it.
 
 use arbitrary::Unstructured;
-use foldmux_core::buffers::Buffers;
+use foldmux_core::buffers::BufferPool;
 use foldmux_fronts::msgpack::codec::{self, Asked, Heard, Unread};
 use rmpv::Value;
 use std::io::{self, Read};
+use std::time::Duration;
 
 /// The bounds of what is passed over, and of texts and bodies.
 const DEPTH: usize = 8;
@@ -40,7 +41,7 @@
 
 /// What the front reads, and how many bytes of it.
 fn read(bytes: &[u8], piece: usize) -> (Seen, usize) {
-    let (mut from, buffers) = (Pieces(bytes, piece), Buffers::new(8));
+    let (mut from, buffers) = (Pieces(bytes, piece), BufferPool::new(8));
     let seen = match codec::read(&mut from, &buffers) {
         Err(Unread::Over) => Seen::Over,
         Err(Unread::Garbled(..)) => Seen::Garbled,
@@ -248,7 +249,10 @@
             ok(Value::Binary(Vec::new()), &[("ok304", "1")]),
         ),
         (codec::well(id, well), ok(well.into(), &[])),
-        (codec::shed(id, wait as u64), bad("Shed", with)),
+        (
+            codec::shed(id, Duration::from_micros(wait as u64)),
+            bad("Shed", with),
+        ),
         (
             codec::error(id, "Late", Some(("at", "x"))),
             bad("Late", &[("at", "x")]),
