--- a/rigs/demo/src/day.rs
+++ b/rigs/demo/src/day.rs
@@ -126,12 +126,10 @@
 ask("formula-card", path = "/v2/q/formula-card/{object}/{part}")
 "#;
 
-/// One day, from empty caches to its end.
-fn day(program: &Path, folder: &Path, number: usize, called: bool) -> Result<Outcome, String> {
-    // The origin has all, after 45 ms; parents most of it, after 12 ms, and now and then no room.
-    let origin = Source::start(|_| Act::give(LENGTH, Duration::from_millis(45)));
+/// Parents that have most of what is asked of them, and now and then no room.
+fn parents() -> Vec<Source> {
     let turn = AtomicU64::new(0);
-    let parents: Vec<Source> = (0..2u64)
+    (0..2u64)
         .map(|parent| {
             let turn = AtomicU64::new(turn.fetch_add(1, Ordering::SeqCst));
             Source::start(move |ask| {
@@ -152,18 +150,34 @@
                 }
             })
         })
-        .collect();
-    let boxes: Vec<Mutex<Option<Cache>>> = (0..BOXES)
-        .map(|_| Mutex::new(Some(Cache::start())))
-        .collect();
-    let line = |n: u64, address, zone: &str, kind: &str, status, since_ms| Host {
+        .collect()
+}
+
+/// A line of the endpoint list.
+fn line(
+    n: u64,
+    address: SocketAddr,
+    zone: &str,
+    kind: &str,
+    status: &'static str,
+    since_ms: u64,
+) -> Host {
+    Host {
         name: format!("s-{n:08x}"),
         address,
         zone: zone.to_string(),
         kind: kind.to_string(),
         status,
         since_ms,
-    };
+    }
+}
+
+/// The endpoint list of the day: caches in two zones, parents and the origin.
+fn list(
+    boxes: &[Mutex<Option<Cache>>],
+    parents: &[Source],
+    origin: &Source,
+) -> Result<Vec<Host>, String> {
     let mut list = Vec::new();
     for (n, held) in boxes.iter().enumerate() {
         let address = held
@@ -192,6 +206,18 @@
         ));
     }
     list.push(line(0x200, origin.address(), "hub", "origin", "ready", 0));
+    Ok(list)
+}
+
+/// One day, from empty caches to its end.
+fn day(program: &Path, folder: &Path, number: usize, called: bool) -> Result<Outcome, String> {
+    // The origin has all, after 45 ms; parents most of it, after 12 ms, and now and then no room.
+    let origin = Source::start(|_| Act::give(LENGTH, Duration::from_millis(45)));
+    let parents = parents();
+    let boxes: Vec<Mutex<Option<Cache>>> = (0..BOXES)
+        .map(|_| Mutex::new(Some(Cache::start())))
+        .collect();
+    let list = list(&boxes, &parents, &origin)?;
     let teach = |cache: &Cache| {
         list.iter()
             .for_each(|line| cache.knows(&line.name, line.address))
--- a/rigs/demo/src/extproc.rs
+++ b/rigs/demo/src/extproc.rs
@@ -40,6 +40,42 @@
     pub forgets: bool,
 }
 
+/// One request of a run: a page that may be repeated, or a keyed record.
+fn request(seed: u64, number: u64) -> (u64, Request) {
+    let card = number % 5 == 0;
+    let object = draw(seed, &[number, 3]) % 500;
+    let request = match card {
+        true => Request::get(&foldmux_fakes::client::path("formula-card", object, 0)),
+        false => {
+            let key = format!("{seed:x}-{number}");
+            Request::keyed(&format!("/records/{object:x}"), "idempotency-key", &key)
+        }
+    };
+    (object, request)
+}
+
+/// Kills and restarts the instances in turn, one each 0.7 s, until the run is over.
+fn kill_in_turn(
+    instances: &Mutex<[Instance; 2]>,
+    caller: &Caller,
+    over: &AtomicBool,
+    kills: &AtomicU64,
+) -> Result<(), String> {
+    let mut which = 0;
+    while !over.load(Ordering::SeqCst) {
+        let until = Instant::now() + Duration::from_millis(700);
+        while Instant::now() < until && !over.load(Ordering::SeqCst) {
+            thread::sleep(Duration::from_millis(10));
+        }
+        let mut instances = instances.lock().unwrap_or_else(|e| e.into_inner());
+        instances[which].kill()?;
+        caller.moved(which, instances[which].address);
+        kills.fetch_add(1, Ordering::SeqCst);
+        which = 1 - which;
+    }
+    Ok(())
+}
+
 /// Plays a run against the program. `folder`: an empty one, for its files.
 pub fn run(program: &Path, folder: &Path, trial: Trial) -> Result<Report, String> {
     let Trial {
@@ -75,20 +111,8 @@
     let failed = Mutex::new(None);
     thread::scope(|scope| {
         let killer = scope.spawn(|| {
-            let mut which = 0;
-            while !over.load(Ordering::SeqCst) {
-                let until = Instant::now() + Duration::from_millis(700);
-                while Instant::now() < until && !over.load(Ordering::SeqCst) {
-                    thread::sleep(Duration::from_millis(10));
-                }
-                let mut instances = instances.lock().unwrap_or_else(|e| e.into_inner());
-                if let Err(why) = instances[which].kill() {
-                    *failed.lock().unwrap_or_else(|e| e.into_inner()) = Some(why);
-                    return;
-                }
-                caller.moved(which, instances[which].address);
-                kills.fetch_add(1, Ordering::SeqCst);
-                which = 1 - which;
+            if let Err(why) = kill_in_turn(&instances, &caller, &over, &kills) {
+                *failed.lock().unwrap_or_else(|e| e.into_inner()) = Some(why);
             }
         });
         let clients: Vec<_> = (0..CLIENTS)
@@ -98,17 +122,7 @@
                     if number >= requests {
                         return;
                     }
-                    let card = number % 5 == 0;
-                    let object = draw(seed, &[number, 3]) % 500;
-                    let request = match card {
-                        true => {
-                            Request::get(&foldmux_fakes::client::path("formula-card", object, 0))
-                        }
-                        false => {
-                            let key = format!("{seed:x}-{number}");
-                            Request::keyed(&format!("/records/{object:x}"), "idempotency-key", &key)
-                        }
-                    };
+                    let (object, request) = request(seed, number);
                     if let Some(answer) = caller.ask(&request) {
                         let whole =
                             answer.status != 200 || answer.body == body(object, 0, 1, LENGTH);
--- a/rigs/harness/src/check/streams.rs
+++ b/rigs/harness/src/check/streams.rs
@@ -46,37 +46,14 @@
                 reader,
                 number,
             } => {
-                let had = self
-                    .own
-                    .insert((stream.clone(), *reader), *number)
-                    .unwrap_or(0);
-                if *number <= had {
-                    verdict.numbers_twice += 1;
-                    verdict.tell(line.at, || {
-                        format!("{stream}, reader {reader}: own {number} after {had}")
-                    });
-                } else if *number > had + 1 {
-                    verdict.gaps_untold += 1;
-                    verdict.tell(line.at, || {
-                        format!("{stream}, reader {reader}: own {number} after {had}")
-                    });
-                }
+                self.numbered(line, verdict, (stream, *reader), *number);
             }
             Event::Listed {
                 stream,
                 reader,
                 index,
             } => {
-                let had = self
-                    .lists
-                    .insert((stream.clone(), *reader), *index)
-                    .unwrap_or(0);
-                if *index < had {
-                    verdict.numbers_twice += 1;
-                    verdict.tell(line.at, || {
-                        format!("{stream}, reader {reader}: list {index} after {had}")
-                    });
-                }
+                self.listed(line, verdict, (stream, *reader), *index);
             }
             Event::Joined {
                 stream,
@@ -106,19 +83,7 @@
                 epoch,
                 number,
             } => {
-                verdict.heard += 1;
-                let sent = self
-                    .sent
-                    .get(&(stream.clone(), *epoch))
-                    .copied()
-                    .unwrap_or(0);
-                if *number > sent {
-                    verdict.numbers_twice += 1;
-                    verdict.tell(line.at, || {
-                        format!("{stream}: {number} of {epoch} was never sent")
-                    });
-                }
-                self.follows(line, verdict, (stream, *reader), *epoch, *number, *number);
+                self.heard(line, verdict, (stream, *reader), (*epoch, *number));
             }
             Event::Gap {
                 stream,
@@ -136,19 +101,101 @@
                 epoch,
                 number,
             } => {
-                let place = self.readers.entry((stream.clone(), *reader)).or_default();
-                if place.is_some_and(|had| had > (*epoch, *number)) {
-                    verdict.numbers_twice += 1;
-                    verdict.tell(line.at, || {
-                        format!("{stream}, reader {reader}: a snapshot of before")
-                    });
-                }
-                *place = Some((*epoch, *number));
+                self.snapshot(line, verdict, (stream, *reader), (*epoch, *number));
             }
             _ => {}
         }
     }
 
+    /// A reader's own numbers go up by one.
+    fn numbered(
+        &mut self,
+        line: &Line,
+        verdict: &mut Verdict,
+        (stream, reader): (&str, u64),
+        number: u64,
+    ) {
+        let had = self
+            .own
+            .insert((stream.to_string(), reader), number)
+            .unwrap_or(0);
+        if number == had + 1 {
+            return;
+        }
+        if number <= had {
+            verdict.numbers_twice += 1;
+        } else {
+            verdict.gaps_untold += 1;
+        }
+        verdict.tell(line.at, || {
+            format!("{stream}, reader {reader}: own {number} after {had}")
+        });
+    }
+
+    /// The index of a reader's list never goes back.
+    fn listed(
+        &mut self,
+        line: &Line,
+        verdict: &mut Verdict,
+        (stream, reader): (&str, u64),
+        index: u64,
+    ) {
+        let had = self
+            .lists
+            .insert((stream.to_string(), reader), index)
+            .unwrap_or(0);
+        if index < had {
+            verdict.numbers_twice += 1;
+            verdict.tell(line.at, || {
+                format!("{stream}, reader {reader}: list {index} after {had}")
+            });
+        }
+    }
+
+    /// An event reaches a reader: the source sent it, and it follows what the reader has.
+    fn heard(
+        &mut self,
+        line: &Line,
+        verdict: &mut Verdict,
+        (stream, reader): (&str, u64),
+        (epoch, number): Place,
+    ) {
+        verdict.heard += 1;
+        let sent = self
+            .sent
+            .get(&(stream.to_string(), epoch))
+            .copied()
+            .unwrap_or(0);
+        if number > sent {
+            verdict.numbers_twice += 1;
+            verdict.tell(line.at, || {
+                format!("{stream}: {number} of {epoch} was never sent")
+            });
+        }
+        self.follows(line, verdict, (stream, reader), epoch, number, number);
+    }
+
+    /// A snapshot never takes a reader back.
+    fn snapshot(
+        &mut self,
+        line: &Line,
+        verdict: &mut Verdict,
+        (stream, reader): (&str, u64),
+        to: Place,
+    ) {
+        let place = self
+            .readers
+            .entry((stream.to_string(), reader))
+            .or_default();
+        if place.is_some_and(|had| had > to) {
+            verdict.numbers_twice += 1;
+            verdict.tell(line.at, || {
+                format!("{stream}, reader {reader}: a snapshot of before")
+            });
+        }
+        *place = Some(to);
+    }
+
     /// What a reader is told next must begin right behind what it has. A new epoch begins at 1.
     fn follows(
         &mut self,
--- a/rigs/harness/src/fanout.rs
+++ b/rigs/harness/src/fanout.rs
@@ -66,18 +66,7 @@
     );
     let readers = fleet.readers(6).map_err(|e| e.to_string())?;
     let direct = fleet.readers(1).map_err(|e| e.to_string())?;
-    for process in 0..size.processes {
-        (0..SAMPLED)
-            .for_each(|n| fleet.begin(&readers, process as u64 * SAMPLED + n, process, MS(1_000)));
-        let site = "direct".to_string();
-        let addresses = vec![fleet.journal().address()];
-        direct.begin(Begin {
-            reader: DIRECT + process as u64,
-            site,
-            addresses,
-            wait: MS(1_000),
-        });
-    }
+    begin_sampled(&fleet, &readers, &direct, size);
     let few = size.processes as u64 * SAMPLED;
     told(&fleet, &readers, few)?;
     let silences = [
@@ -98,26 +87,53 @@
     let most = fleet.journal().most();
     let lines = fleet.record().lines().ok_or("the record is full")?;
     let verdict = check::read(&lines);
-    println!("\n{:<44} {:>9}", "subscribers", all);
+    print(&Measured {
+        processes: size.processes,
+        subscribers: all,
+        streams: most,
+        bytes: after.0 - before.0,
+        polls: after.1 - before.1,
+        delays: [("few", &quiet), ("all", &busy)],
+        silences: [("kill", &silences[0]), ("leaving", &silences[1])],
+    });
+    println!("\n{verdict}{:.1} s", secs(began));
+    Ok(verdict.sound())
+}
+
+/// What a run measured.
+struct Measured<'a> {
+    processes: usize,
+    subscribers: u64,
+    /// Most streams at the source at one time.
+    streams: usize,
+    /// Bytes of answers of the source, and polls that it took.
+    bytes: u64,
+    polls: u64,
+    delays: [(&'static str, &'a Delays); 2],
+    silences: [(&'static str, &'a Silences); 2],
+}
+
+fn print(measured: &Measured) {
+    println!("\n{:<44} {:>9}", "subscribers", measured.subscribers);
     println!(
         "{:<44} {:>9}",
         "streams at the source: relayed, direct",
-        most.saturating_sub(size.processes)
+        measured.streams.saturating_sub(measured.processes)
     );
     println!(
         "{:<44} {:>9}",
         "  with one poll each",
-        size.processes as u64 + all
+        measured.processes as u64 + measured.subscribers
     );
-    let direct_part = size.processes as f64 / most.max(1) as f64;
-    let (bytes, polls) = (after.0 - before.0, after.1 - before.1);
+    let direct_part = measured.processes as f64 / measured.streams.max(1) as f64;
+    let (bytes, polls) = (measured.bytes, measured.polls);
     println!(
         "{:<44} {bytes:>9} in {polls} polls, {:.0} percent by {} direct readers beside",
         "bytes at the source",
         100.0 * direct_part,
-        size.processes
+        measured.processes
     );
-    for (name, times) in [("few", &quiet), ("all", &busy)] {
+    for (name, times) in measured.delays {
         println!(
             "{:<44} {}",
             format!("delay, {name}, by the relay"),
@@ -125,7 +141,7 @@
         );
         println!("{:<44} {}", format!("delay, {name}, direct"), ms(&times.1));
     }
-    for (name, silence) in [("kill", &silences[0]), ("leaving", &silences[1])] {
+    for (name, silence) in measured.silences {
         println!(
             "{:<44} {}",
             format!("silence after a {name}, who stayed"),
@@ -142,8 +158,20 @@
             "  streams beyond one a site, at most", silence.3
         );
     }
-    println!("\n{verdict}{:.1} s", secs(began));
-    Ok(verdict.sound())
+}
+
+/// Begins the sampled subscribers of each process, and a direct reader beside each.
+fn begin_sampled(fleet: &Fleet, readers: &Readers, direct: &Readers, size: &Size) {
+    for process in 0..size.processes {
+        (0..SAMPLED)
+            .for_each(|n| fleet.begin(readers, process as u64 * SAMPLED + n, process, MS(1_000)));
+        direct.begin(Begin {
+            reader: DIRECT + process as u64,
+            site: "direct".to_string(),
+            addresses: vec![fleet.journal().address()],
+            wait: MS(1_000),
+        });
+    }
 }
 
 fn secs(since: Instant) -> f64 {
--- a/rigs/harness/src/fleet.rs
+++ b/rigs/harness/src/fleet.rs
@@ -13,7 +13,7 @@
 use foldmux_fakes::journal::Host;
 use nix::sys::signal::Signal;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitStatus;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -41,14 +41,57 @@
     folder: PathBuf,
 }
 
+/// A new folder for the files of one fleet.
+fn new_folder() -> Result<PathBuf, String> {
+    static NUMBER: AtomicU64 = AtomicU64::new(0);
+    let number = NUMBER.fetch_add(1, Ordering::Relaxed);
+    let folder = std::env::temp_dir().join(format!("foldmux-rig-{}-{number}", std::process::id()));
+    std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
+    Ok(folder)
+}
+
+/// Where the processes of a fleet listen, and what they share.
+struct Place<'a> {
+    plan: &'a Plan,
+    folder: &'a Path,
+    key_file: &'a Path,
+    /// The fleet address of each process.
+    own: &'a [SocketAddr],
+    /// Where each process serves the relayed stream.
+    serves: &'a [SocketAddr],
+    /// By process: its lines to each other one.
+    peers: &'a [Vec<Line>],
+}
+
+impl Place<'_> {
+    fn spec(&self, process: usize, program: PathBuf, source: SocketAddr, known: &str) -> Spec {
+        let Place { plan, own, .. } = *self;
+        let listen = free();
+        let addresses = |lines: &Vec<Line>| -> Vec<SocketAddr> {
+            let address =
+                |(n, line): (usize, &Line)| if n == process { own[n] } else { line.address };
+            lines.iter().enumerate().map(address).collect()
+        };
+        let key_file = self.key_file.display().to_string();
+        let operator = self.peers.get(process).map(addresses).map(|to| {
+            settings::operator(plan, [own[process], self.serves[process]], &to, &key_file)
+        });
+        Spec {
+            program,
+            number: process,
+            name: settings::name(process),
+            config: settings::config(plan, process, listen, source, known),
+            operator,
+            listen,
+            folder: self.folder.join(settings::name(process)),
+        }
+    }
+}
+
 impl Fleet {
     /// Starts everything; each process is well.
     pub fn start(plan: &Plan) -> Result<Fleet, String> {
-        static NUMBER: AtomicU64 = AtomicU64::new(0);
-        let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let folder =
-            std::env::temp_dir().join(format!("foldmux-rig-{}-{number}", std::process::id()));
-        std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
+        let folder = new_folder()?;
         let (record, who, program) = (Record::default(), Who::default(), program()?);
         record.add(Event::Planned {
             seed: plan.seed,
@@ -93,39 +136,21 @@
             .collect();
         let key_file = folder.join("fleet.key");
         std::fs::write(&key_file, "0123456789abcdef".repeat(4)).map_err(|e| e.to_string())?;
+        let place = Place {
+            plan,
+            folder: &folder,
+            key_file: &key_file,
+            own: &own,
+            serves: &serves,
+            peers: &peers,
+        };
         let spec = |process: usize| {
-            let listen = free();
-            let addresses = |lines: &Vec<Line>| -> Vec<SocketAddr> {
-                lines
-                    .iter()
-                    .enumerate()
-                    .map(|(n, l)| if n == process { own[n] } else { l.address })
-                    .collect()
-            };
-            let key_file = key_file.display().to_string();
-            let operator = peers.get(process).map(addresses);
-            let operator = operator.map(|to| {
-                settings::operator(plan, [own[process], serves[process]], &to, &key_file)
-            });
             let source = if plan.direct {
                 journal.address()
             } else {
                 news[process].address
             };
-            let config = settings::config(plan, process, listen, source, &journal.known());
-            let (name, folder) = (
-                settings::name(process),
-                folder.join(settings::name(process)),
-            );
-            Spec {
-                program: program.clone(),
-                number: process,
-                name,
-                config,
-                operator,
-                listen,
-                folder,
-            }
+            place.spec(process, program.clone(), source, &journal.known())
         };
         let specs: Vec<Spec> = (0..plan.processes).map(spec).collect();
         let running = (0..plan.processes).map(|_| Mutex::default()).collect();
--- a/rigs/simulator/src/main.rs
+++ b/rigs/simulator/src/main.rs
@@ -87,36 +87,7 @@
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     match words[..] {
         [what @ ("run" | "plot"), file] if is_storm(file)? => {
-            let text = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
-            let storm = storm::Storm::parse(file, &text)?;
-            let report = storm::report(&storm, &storm::limits(&storm, std::path::Path::new(file))?);
-            if what == "plot" {
-                let out = out.ok_or("--out is wanted")?;
-                let fails = [storm.fail_at_s, storm.fail_at_s + storm.fail_for_s];
-                plot::storm(&out, fails, &report.limited.series, &report.today.series)?;
-                println!("{out}: {} seconds", report.limited.series.len());
-            } else if json {
-                println!(
-                    "{}",
-                    serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?
-                );
-            } else {
-                println!(
-                    "             load  recovery s  worth kept     after  records  attempts  rules broken"
-                );
-                for (name, day) in [("limited", &report.limited), ("today", &report.today)] {
-                    println!(
-                        "{name:<10} {:>6.2} {:>11.1} {:>11.3} {:>9.3} {:>8.4} {:>9.3}  {:?}",
-                        day.load_factor,
-                        day.recovery_s,
-                        day.worth_kept,
-                        day.worth_after,
-                        day.records_served,
-                        day.attempts_per_request,
-                        day.broken
-                    );
-                }
-            }
+            run_storm(file, what == "plot", out, json)?;
         }
         ["run", file] => {
             let run = beside(&scenario(file)?)?;
@@ -132,30 +103,76 @@
             let field = field.ok_or("--field is wanted")?;
             let values = values.ok_or("--values is wanted")?;
             let points = sweep(&scenario(file)?, &field, &values, repeats.clamp(1, 100))?;
-            if what == "plot" {
-                let out = out.ok_or("--out is wanted")?;
-                plot::draw(&out, &field, &points)?;
-                println!("{out}: {} points", points.len());
-            } else if json {
-                println!(
-                    "{}",
-                    serde_json::to_string_pretty(&points).map_err(|e| e.to_string())?
-                );
-            } else {
-                println!("{field:>14}  fetches a part: shielded (least..most)   plain (least..most)    worth   plain");
-                for p in &points {
-                    let [mean, least, most] = p.shielded;
-                    let [plain, plain_least, plain_most] = p.plain;
-                    println!(
+            print_sweep(&field, &points, (what == "plot").then_some(out), json)?;
+        }
+        ["help"] => println!("{USAGE}"),
+        _ => return Err("no such command; see foldmux-simulator help".to_string()),
+    }
+    Ok(())
+}
+
+/// Plays a storm of failures with limits and without, and prints or plots both.
+fn run_storm(file: &str, plot: bool, out: Option<String>, json: bool) -> Result<(), String> {
+    let text = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
+    let storm = storm::Storm::parse(file, &text)?;
+    let report = storm::report(&storm, &storm::limits(&storm, std::path::Path::new(file))?);
+    if plot {
+        let out = out.ok_or("--out is wanted")?;
+        let fails = [storm.fail_at_s, storm.fail_at_s + storm.fail_for_s];
+        crate::plot::storm(&out, fails, &report.limited.series, &report.today.series)?;
+        println!("{out}: {} seconds", report.limited.series.len());
+    } else if json {
+        println!(
+            "{}",
+            serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?
+        );
+    } else {
+        println!(
+            "             load  recovery s  worth kept     after  records  attempts  rules broken"
+        );
+        for (name, day) in [("limited", &report.limited), ("today", &report.today)] {
+            println!(
+                "{name:<10} {:>6.2} {:>11.1} {:>11.3} {:>9.3} {:>8.4} {:>9.3}  {:?}",
+                day.load_factor,
+                day.recovery_s,
+                day.worth_kept,
+                day.worth_after,
+                day.records_served,
+                day.attempts_per_request,
+                day.broken
+            );
+        }
+    }
+    Ok(())
+}
+
+/// Prints the points of a sweep, or plots them to the file `plot`.
+fn print_sweep(
+    field: &str,
+    points: &[Point],
+    plot: Option<Option<String>>,
+    json: bool,
+) -> Result<(), String> {
+    if let Some(out) = plot {
+        let out = out.ok_or("--out is wanted")?;
+        crate::plot::draw(&out, field, points)?;
+        println!("{out}: {} points", points.len());
+    } else if json {
+        println!(
+            "{}",
+            serde_json::to_string_pretty(points).map_err(|e| e.to_string())?
+        );
+    } else {
+        println!("{field:>14}  fetches a part: shielded (least..most)   plain (least..most)    worth   plain");
+        for p in points {
+            let [mean, least, most] = p.shielded;
+            let [plain, plain_least, plain_most] = p.plain;
+            println!(
                         "{:>14}  {mean:>23.3} ({least:.3}..{most:.3})  {plain:>6.3} ({plain_least:.3}..{plain_most:.3})  \
                          {:>6.3}  {:>6.3}",
                         p.value, p.worth, p.worth_plain
                     );
-                }
-            }
         }
-        ["help"] => println!("{USAGE}"),
-        _ => return Err("no such command; see foldmux-simulator help".to_string()),
     }
     Ok(())
 }
--- a/rigs/simulator/src/storm/boxes.rs
+++ b/rigs/simulator/src/storm/boxes.rs
@@ -106,37 +106,48 @@
         if number >= count {
             self.load[second] += 1;
         }
-        let end = |world: &mut World, us: f64, outcome| {
-            let limit = if fetch.time_out > 0 {
-                fetch.time_out as f64
-            } else {
-                f64::INFINITY
-            };
-            let (us, outcome) = if us > limit {
-                (limit, Outcome::TimedOut)
-            } else {
-                (us, outcome)
-            };
-            world.after(
-                us,
-                Event::Ended {
-                    id,
-                    attempt,
-                    outcome,
-                    sent: now,
-                },
-            );
+        let attempt_key = (id, key, class);
+        let (us, outcome) = self.serve(attempt_key, number, number < count && fails, &fetch);
+        let limit = if fetch.time_out > 0 {
+            fetch.time_out as f64
+        } else {
+            f64::INFINITY
+        };
+        let (us, outcome) = if us > limit {
+            (limit, Outcome::TimedOut)
+        } else {
+            (us, outcome)
         };
-        if number < count && fails {
+        self.after(
+            us,
+            Event::Ended {
+                id,
+                attempt,
+                outcome,
+                sent: now,
+            },
+        );
+    }
+
+    /// How an attempt at a box ends, and after how long (us).
+    fn serve(
+        &mut self,
+        (id, key, class): (u64, u64, usize),
+        number: usize,
+        failing: bool,
+        fetch: &Fetch,
+    ) -> (f64, Outcome) {
+        let now = self.now;
+        if failing {
             return match self.s.how {
-                How::Refuse => end(self, 2.0 * WAY, Outcome::ConnectFailed),
-                How::Errors => end(self, 2.0 * WAY, Outcome::Error),
+                How::Refuse => (2.0 * WAY, Outcome::ConnectFailed),
+                How::Errors => (2.0 * WAY, Outcome::Error),
                 How::Silence => {
                     let left = self
                         .open
                         .get(&id)
                         .map_or(0, |open| open.deadline.saturating_sub(now));
-                    end(self, left as f64, Outcome::TimedOut)
+                    (left as f64, Outcome::TimedOut)
                 }
             };
         }
@@ -150,12 +161,12 @@
             .expect("a box has slots");
         let begins = free.max(at);
         if begins - at > self.s.full_after_ms * 1e3 {
-            return end(self, 2.0 * WAY, Outcome::Full);
+            return (2.0 * WAY, Outcome::Full);
         }
         let object = self.open.get(&id).map_or(0, |open| open.ask.object.0);
         let kept = class == 2 || self.held.contains(&(number, object));
         if !kept && fetch.source == fetch.cache {
-            return end(self, 2.0 * WAY, Outcome::Miss);
+            return (2.0 * WAY, Outcome::Miss);
         }
         if !kept {
             self.held.insert((number, object));
@@ -170,7 +181,7 @@
                 self.broken("a key ran twice");
             }
         }
-        end(self, ends - now as f64 + WAY, Outcome::Served);
+        (ends - now as f64 + WAY, Outcome::Served)
     }
 
     pub(super) fn ended(&mut self, id: u64, attempt: u8, outcome: Outcome, sent: Time) {
