--- a/edge/core/src/limits.rs
+++ b/edge/core/src/limits.rs
@@ -12,8 +12,8 @@
 use crate::clock::Clock;
 use crate::retry_after::Rejected;
 use foldmux::interface::Repeat;
-use foldmux_limits::gate::{place, Admitted};
-use foldmux_limits::table::Table;
+use foldmux_limits::admission::{Admission as PoolAdmission, LimitKey};
+use foldmux_limits::resolve::LimitSet;
 use shared::Shared;
 use std::sync::Arc;
 use std::time::Duration;
@@ -48,7 +48,7 @@
 
 impl Limiter {
     /// Enforces `table` at a proxy in `zone`; `repeats` says for each class whether it may be repeated.
-    pub fn new(table: Table, clock: Clock, zone: String, repeats: Vec<Repeat>) -> Arc<Limiter> {
+    pub fn new(table: LimitSet, clock: Clock, zone: String, repeats: Vec<Repeat>) -> Arc<Limiter> {
         Arc::new(Limiter {
             shared: Arc::new(Shared::new(&table, &zone, clock, repeats)),
             zone,
@@ -56,7 +56,7 @@
     }
 
     /// Replaces all limits at once; requests that are open keep theirs.
-    pub fn replace_table(&self, table: Table) {
+    pub fn replace_table(&self, table: LimitSet) {
         self.shared.replace_table(&table, &self.zone);
     }
 
@@ -77,10 +77,10 @@
         if resolved.at.is_empty() {
             return Admission::Unlimited;
         }
-        let at = place(&resolved);
+        let key = LimitKey::from(&*resolved);
         let id = state.next_id();
-        let admitted = state.gate.admit(now, &at, id);
-        if admitted == Admitted::Waits {
+        let admitted = state.admission.admit(now, &key, id);
+        if admitted == PoolAdmission::Queued {
             state.queued.insert(id, on_queue_end);
         }
         let expired = state.take_expired(now);
@@ -88,14 +88,14 @@
         expired
             .into_iter()
             .for_each(|on_queue_end| on_queue_end(QueueEnd::Rejected));
-        let limits = |is_open| RequestLimits::new(&self.shared, at, resolved.clone(), id, is_open);
+        let limits = |is_open| RequestLimits::new(&self.shared, key, resolved.clone(), id, is_open);
         match admitted {
-            Admitted::Now => Admission::Admitted(limits(true)),
-            Admitted::Waits => {
-                let max_wait = Duration::from_millis(resolved.values.queue_age_ms);
+            PoolAdmission::Admitted => Admission::Admitted(limits(true)),
+            PoolAdmission::Queued => {
+                let max_wait = Duration::from_millis(resolved.values.queue_timeout_ms);
                 Admission::Queued(limits(false), max_wait)
             }
-            Admitted::Refused => Admission::Rejected(Rejected {
+            PoolAdmission::Rejected => Admission::Rejected(Rejected {
                 retry_after: request_limits::max_retry_after(&resolved),
             }),
         }
@@ -124,8 +124,11 @@
 
     /// How many requests are open and queued now.
     pub fn occupancy(&self) -> Occupancy {
-        let [open, queued] = self.shared.state().gate.sizes();
-        Occupancy { open, queued }
+        let occupancy = self.shared.state().admission.occupancy();
+        Occupancy {
+            open: occupancy.in_flight,
+            queued: occupancy.queued,
+        }
     }
 }
 
--- a/edge/core/src/limits/request_limits.rs
+++ b/edge/core/src/limits/request_limits.rs
@@ -2,21 +2,17 @@
 
 use super::shared::{QueueEnd, Shared};
 use foldmux::interface::{Fetch, Group, Repeat, Time};
-use foldmux_limits::gate::Place;
-use foldmux_limits::table::Resolved;
+use foldmux_limits::admission::LimitKey;
+use foldmux_limits::effective::{Field, MAX_RETENTION_RANK};
+use foldmux_limits::resolve::ResolvedLimits;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Retention ranks that the caches know are 0 to this.
-const MAX_KEEP: u64 = 3;
-/// The source of values that no one set: they are as they are without limits.
-const DEFAULT_LAYER: &str = "today";
-
 /// The limits of one request and its place among them, from its admission until it is dropped.
 pub struct RequestLimits {
     shared: Arc<Shared>,
-    at: Place,
-    resolved: Arc<Resolved>,
+    key: LimitKey,
+    resolved: Arc<ResolvedLimits>,
     id: u64,
     /// Whether it has a place; else it is queued, or was granted one and has not taken it yet.
     is_open: bool,
@@ -38,21 +34,21 @@
 }
 
 /// The longest Retry-After that a client is told under these limits.
-pub(super) fn max_retry_after(resolved: &Resolved) -> Duration {
-    Duration::from_micros(resolved.values.wait_ms.saturating_mul(1_000))
+pub(super) fn max_retry_after(resolved: &ResolvedLimits) -> Duration {
+    Duration::from_micros(resolved.values.max_retry_after_ms.saturating_mul(1_000))
 }
 
 impl RequestLimits {
     pub(super) fn new(
         shared: &Arc<Shared>,
-        at: Place,
-        resolved: Arc<Resolved>,
+        key: LimitKey,
+        resolved: Arc<ResolvedLimits>,
         id: u64,
         is_open: bool,
     ) -> RequestLimits {
         RequestLimits {
             shared: shared.clone(),
-            at,
+            key,
             resolved,
             id,
             is_open,
@@ -75,16 +71,17 @@
     /// Whether the next attempt may be made, and after which backoff.
     pub fn permit_attempt(&mut self) -> AttemptPermission {
         let values = &self.resolved.values;
-        let backoff_ms =
-            self.shared
-                .state()
-                .gate
-                .attempt(&self.at, values, self.attempts, fastrand::f64());
-        self.attempts += backoff_ms.is_some() as u64;
-        match backoff_ms {
+        let mut state = self.shared.state();
+        let draw = fastrand::f64();
+        let backoff = state
+            .admission
+            .start_attempt(&self.key, values, self.attempts, draw);
+        drop(state);
+        self.attempts += backoff.is_some() as u64;
+        match backoff {
             None => AttemptPermission::Denied,
-            Some(0) => AttemptPermission::Now,
-            Some(backoff_ms) => AttemptPermission::After(Duration::from_millis(backoff_ms)),
+            Some(Duration::ZERO) => AttemptPermission::Now,
+            Some(backoff) => AttemptPermission::After(backoff),
         }
     }
 
@@ -101,18 +98,15 @@
     /// Tightens what the router decided to what the limits allow.
     pub fn tighten(&self, fetch: &mut Fetch) {
         let values = &self.resolved.values;
-        fetch.time_out = values.time_out(fetch.time_out);
+        fetch.time_out = values.attempt_timeout().within_us(fetch.time_out);
         if let Some(deadline) = self.repeat_deadline() {
             fetch.begin_by(deadline);
         }
-        fetch.keep = fetch.keep.min(values.keep.min(MAX_KEEP) as u8);
-        let stale_is_limited = self
-            .resolved
-            .from
-            .get("stale_ms")
-            .is_some_and(|layer| layer != DEFAULT_LAYER);
-        if stale_is_limited {
-            fetch.renew &= values.stale_ms > 0;
+        fetch.keep = fetch
+            .keep
+            .min(values.retention_rank.min(MAX_RETENTION_RANK) as u8);
+        if self.resolved.is_set(Field::MaxStale) {
+            fetch.renew &= values.max_stale_ms > 0;
         }
     }
 
@@ -127,7 +121,7 @@
 
     /// A permit for the attempt's fill, or `None` where its source has as many fills of the class as it may.
     pub fn acquire_fill(&self, fetch: &Fetch) -> Option<FillPermit> {
-        let max = self.resolved.values.fills;
+        let max = self.resolved.values.max_fills;
         if max == 0 || fetch.source == fetch.cache {
             return Some(FillPermit(None));
         }
@@ -136,7 +130,11 @@
             source: fetch.source.0 as u64,
             class: self.resolved.class,
         };
-        let admitted = self.shared.state().gate.fill(fill.source, fill.class, max);
+        let admitted = self
+            .shared
+            .state()
+            .admission
+            .try_start_fill(fill.source, fill.class, max);
         admitted.then_some(FillPermit(Some(fill)))
     }
 
@@ -146,7 +144,10 @@
             self.first_sent_at.get_or_insert(sent_at);
         }
         let elapsed = sent_at.elapsed().as_micros() as Time;
-        self.shared.state().gate.heard(&self.at, elapsed, served);
+        self.shared
+            .state()
+            .admission
+            .record_attempt(&self.key, elapsed, served);
     }
 
     /// Whether the client may send the request again without executing it twice.
@@ -173,7 +174,7 @@
     }
 
     fn repeat_window(&self) -> Duration {
-        Duration::from_millis(self.resolved.values.window_ms)
+        Duration::from_millis(self.resolved.values.idempotency_window_ms)
     }
 }
 
@@ -183,7 +184,7 @@
         let now = self.shared.clock.now();
         if !self.is_open && state.queued.remove(&self.id).is_some() {
             // Still queued: its callback is dropped with its place in the queue.
-            state.gate.left(&self.at, self.id);
+            state.admission.cancel(&self.key, self.id);
             return;
         }
         if !self.is_open && !state.granted.remove(&self.id) {
@@ -191,8 +192,8 @@
         }
         // It had a place, even if it never learnt of the grant.
         let next = state
-            .gate
-            .ended(now, &self.at)
+            .admission
+            .release(now, &self.key)
             .and_then(|id| state.grant(id));
         let expired = state.take_expired(now);
         drop(state);
@@ -216,7 +217,10 @@
 impl Drop for FillPermit {
     fn drop(&mut self) {
         if let Some(fill) = self.0.take() {
-            fill.shared.state().gate.filled(fill.source, fill.class);
+            fill.shared
+                .state()
+                .admission
+                .finish_fill(fill.source, fill.class);
         }
     }
 }
--- a/edge/core/src/limits/shared.rs
+++ b/edge/core/src/limits/shared.rs
@@ -2,9 +2,9 @@
 
 use crate::clock::Clock;
 use foldmux::interface::{Repeat, Time};
-use foldmux_limits::gate::Gate;
-use foldmux_limits::standing::Standing;
-use foldmux_limits::table::Table;
+use foldmux_limits::admission::AdmissionControl;
+use foldmux_limits::lookup::LimitTable;
+use foldmux_limits::resolve::LimitSet;
 use std::collections::{HashMap, HashSet};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -28,8 +28,8 @@
 }
 
 pub(super) struct State {
-    pub(super) table: Standing,
-    pub(super) gate: Gate,
+    pub(super) table: LimitTable,
+    pub(super) admission: AdmissionControl,
     pub(super) queued: HashMap<u64, OnQueueEnd>,
     /// Requests that were called back with a place, and have not taken it yet.
     pub(super) granted: HashSet<u64>,
@@ -37,10 +37,10 @@
 }
 
 impl Shared {
-    pub(super) fn new(table: &Table, zone: &str, clock: Clock, repeats: Vec<Repeat>) -> Shared {
+    pub(super) fn new(table: &LimitSet, zone: &str, clock: Clock, repeats: Vec<Repeat>) -> Shared {
         let state = State {
-            table: Standing::new(table, zone),
-            gate: Gate::new(table),
+            table: LimitTable::new(table, zone),
+            admission: AdmissionControl::new(table),
             queued: HashMap::new(),
             granted: HashSet::new(),
             last_id: 0,
@@ -56,23 +56,26 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn replace_table(&self, table: &Table, zone: &str) {
-        let standing = Standing::new(table, zone);
+    pub(super) fn replace_table(&self, table: &LimitSet, zone: &str) {
+        let limit_table = LimitTable::new(table, zone);
         let mut state = self.state();
-        // Read under the lock: the gate must see times in their order.
+        // Read under the lock: the admission control must see times in their order.
         let now = self.clock.now();
-        let (gone, admitted) = state.gate.swap(now, table);
-        state.table = standing;
-        let gone: Vec<OnQueueEnd> = gone
+        let replaced = state.admission.replace_limits(now, table);
+        state.table = limit_table;
+        let rejected: Vec<OnQueueEnd> = replaced
+            .rejected
             .iter()
             .filter_map(|id| state.queued.remove(id))
             .collect();
-        let admitted: Vec<OnQueueEnd> = admitted
+        let admitted: Vec<OnQueueEnd> = replaced
+            .admitted
             .into_iter()
             .filter_map(|id| state.grant(id))
             .collect();
         drop(state);
-        gone.into_iter()
+        rejected
+            .into_iter()
             .for_each(|on_queue_end| on_queue_end(QueueEnd::Rejected));
         admitted
             .into_iter()
@@ -95,7 +98,7 @@
 
     /// The callbacks of requests that have been queued for too long.
     pub(super) fn take_expired(&mut self, now: Time) -> Vec<OnQueueEnd> {
-        let expired = self.gate.expired(now);
+        let expired = self.admission.expire(now);
         expired
             .iter()
             .filter_map(|id| self.queued.remove(id))
--- a/edge/core/src/limits/tests.rs
+++ b/edge/core/src/limits/tests.rs
@@ -2,31 +2,35 @@
 
 use super::*;
 use foldmux::interface::{Fetch, Time};
-use foldmux_limits::table::{Draft, Said};
-use foldmux_limits::values::{Concurrency, Layer};
+use foldmux_limits::concurrency::ConcurrencyLimit;
+use foldmux_limits::overrides::LimitOverrides;
+use foldmux_limits::resolve::{ClassOverrides, LimitSet, LimitsFile, Located};
 use foldmux_limits::Account;
 use std::sync::mpsc::channel;
 use std::time::Instant;
 
-fn table(places: u64) -> Table {
-    let layer = Layer {
-        concurrency: Some(Concurrency::Fixed { most: places }),
-        queue: Some(4),
-        queue_age_ms: Some(60_000),
-        attempts: Some(2),
-        keep: Some(1),
-        attempt_ms: Some(200),
-        ..Layer::default()
+fn table(places: u64) -> LimitSet {
+    let layer = LimitOverrides {
+        concurrency: Some(ConcurrencyLimit::Fixed { max: places }),
+        queue_capacity: Some(4),
+        queue_timeout_ms: Some(60_000),
+        max_attempts: Some(2),
+        retention_rank: Some(1),
+        attempt_timeout_ms: Some(200),
+        ..LimitOverrides::default()
     };
-    let said = Said {
+    let said = Located {
         at: "f:1".into(),
-        value: ("formula-card".to_string(), layer),
+        value: ClassOverrides {
+            class: "formula-card".to_string(),
+            overrides: layer,
+        },
     };
-    Table::new(
+    LimitSet::new(
         &Account::default(),
-        &Draft {
+        &LimitsFile {
             classes: vec![said],
-            ..Draft::default()
+            ..LimitsFile::default()
         },
     )
 }
@@ -95,7 +99,7 @@
 fn another_table_holds_for_those_that_come_and_not_for_those_that_are_open() {
     let limiter = limiter();
     let mut old = held(limiter.admit(1, "", "dns", Box::new(|_| ())));
-    limiter.replace_table(Table::new(&Account::default(), &Draft::default()));
+    limiter.replace_table(LimitSet::new(&Account::default(), &LimitsFile::default()));
     assert!(matches!(
         limiter.admit(1, "", "dns", Box::new(|_| ())),
         Admission::Unlimited
@@ -138,21 +142,21 @@
         Repeat::Keyed(foldmux::interface::Group::All),
     ];
     let clock = Clock::default();
-    let layer = |window_ms| Layer {
-        attempts: Some(3),
-        window_ms: Some(window_ms),
-        concurrency: Some(Concurrency::Fixed { most: 4 }),
-        ..Layer::default()
+    let layer = |window_ms| LimitOverrides {
+        max_attempts: Some(3),
+        idempotency_window_ms: Some(window_ms),
+        concurrency: Some(ConcurrencyLimit::Fixed { max: 4 }),
+        ..LimitOverrides::default()
     };
-    let defaults = Some(Said {
+    let defaults = Some(Located {
         at: "f:1".into(),
         value: layer(2_000),
     });
-    let table = Table::new(
+    let table = LimitSet::new(
         &Account::default(),
-        &Draft {
+        &LimitsFile {
             defaults,
-            ..Draft::default()
+            ..LimitsFile::default()
         },
     );
     let limiter = Limiter::new(table, clock.clone(), "turku".into(), repeats);
--- a/edge/core/tests/common/mod.rs
+++ b/edge/core/tests/common/mod.rs
@@ -10,8 +10,9 @@
 use foldmux_core::messages::Command;
 use foldmux_core::servers::{Server, ServerList};
 use foldmux_core::{CancelHandle, ClientRequest, Core, CoreSetup, EventLoop, Responder, Response};
-use foldmux_limits::table::{Draft, Said, Table};
-use foldmux_limits::values::{Concurrency, Layer};
+use foldmux_limits::concurrency::ConcurrencyLimit;
+use foldmux_limits::overrides::LimitOverrides;
+use foldmux_limits::resolve::{LimitSet, LimitsFile, Located};
 use foldmux_limits::Account;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Mutex};
@@ -161,26 +162,26 @@
 
     /// With a time for the whole request (ms), which may be shorter than the pause.
     pub fn limit_to(&self, places: u64, deadline_ms: u64) -> Arc<Limiter> {
-        let layer = Layer {
+        let layer = LimitOverrides {
             deadline_ms: Some(deadline_ms),
-            attempts: Some(4),
-            backoff_ms: Some(60_000),
-            backoff_most_ms: Some(60_000),
+            max_attempts: Some(4),
+            backoff_base_ms: Some(60_000),
+            backoff_max_ms: Some(60_000),
             jitter_percent: Some(0.0),
-            concurrency: Some(Concurrency::Fixed { most: places }),
-            queue: Some(4),
-            queue_age_ms: Some(60_000),
-            ..Layer::default()
+            concurrency: Some(ConcurrencyLimit::Fixed { max: places }),
+            queue_capacity: Some(4),
+            queue_timeout_ms: Some(60_000),
+            ..LimitOverrides::default()
         };
-        let defaults = Some(Said {
+        let defaults = Some(Located {
             at: "f:1".into(),
             value: layer,
         });
-        let table = Table::new(
+        let table = LimitSet::new(
             &Account::default(),
-            &Draft {
+            &LimitsFile {
                 defaults,
-                ..Draft::default()
+                ..LimitsFile::default()
             },
         );
         let repeats = vec![foldmux::interface::Repeat::Safe];
--- a/edge/core/tests/limits.rs
+++ b/edge/core/tests/limits.rs
@@ -9,8 +9,10 @@
 use foldmux_core::messages::Command;
 use foldmux_core::servers::{Server, ServerList};
 use foldmux_core::{ClientRequest, Core, CoreSetup, EventLoop, Responder, Response};
-use foldmux_limits::table::{Draft, Said, Table};
-use foldmux_limits::values::{Budget, Concurrency, Layer};
+use foldmux_limits::concurrency::ConcurrencyLimit;
+use foldmux_limits::overrides::LimitOverrides;
+use foldmux_limits::resolve::{LimitSet, LimitsFile, Located};
+use foldmux_limits::retry_budget::RetryBudget;
 use foldmux_limits::Account;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -81,38 +83,38 @@
     }
 }
 
-fn table(places: u64, attempts: u64, queue: u64) -> Table {
-    let layer = Layer {
-        attempts: Some(attempts),
-        backoff_ms: Some(1),
-        backoff_most_ms: Some(4),
+fn table(places: u64, attempts: u64, queue: u64) -> LimitSet {
+    let layer = LimitOverrides {
+        max_attempts: Some(attempts),
+        backoff_base_ms: Some(1),
+        backoff_max_ms: Some(4),
         jitter_percent: Some(50.0),
-        concurrency: Some(Concurrency::Fixed { most: places }),
-        queue: Some(queue),
-        queue_age_ms: Some(200),
-        budget: Some("b".into()),
-        ..Layer::default()
+        concurrency: Some(ConcurrencyLimit::Fixed { max: places }),
+        queue_capacity: Some(queue),
+        queue_timeout_ms: Some(200),
+        retry_budget: Some("b".into()),
+        ..LimitOverrides::default()
     };
-    let budget = Budget {
+    let budget = RetryBudget {
         name: "b".into(),
         percent: 50.0,
         burst: 20,
         parent: None,
     };
-    let defaults = Some(Said {
+    let defaults = Some(Located {
         at: "f:1".into(),
         value: layer,
     });
-    let budgets = vec![Said {
+    let budgets = vec![Located {
         at: "f:2".into(),
         value: budget,
     }];
-    Table::new(
+    LimitSet::new(
         &Account::default(),
-        &Draft {
+        &LimitsFile {
             defaults,
             budgets,
-            ..Draft::default()
+            ..LimitsFile::default()
         },
     )
 }
@@ -221,7 +223,8 @@
             match turn / 20 % 4 {
                 0 => limiter.replace_table(table(2, 2, 10)),
                 1 => limiter.replace_table(table(30, 4, 60)),
-                2 => limiter.replace_table(Table::new(&Account::default(), &Draft::default())),
+                2 => limiter
+                    .replace_table(LimitSet::new(&Account::default(), &LimitsFile::default())),
                 _ => limiter.replace_table(table(8, 3, 60)),
             }
         }
--- a/edge/proxy/src/check_config.rs
+++ b/edge/proxy/src/check_config.rs
@@ -5,7 +5,7 @@
 use crate::limits;
 use crate::operator_file::{self, OperatorFileError};
 use foldmux_hierarchy::tree::Kind;
-use foldmux_limits::table::Draft;
+use foldmux_limits::resolve::LimitsFile;
 use foldmux_limits::Account;
 use foldmux_operator::{Fleet, Hierarchy, Operator};
 use std::ffi::OsString;
@@ -162,7 +162,7 @@
     );
 }
 
-fn check_limits(draft: &Draft, account: &Account) -> Result<(), CheckError> {
+fn check_limits(draft: &LimitsFile, account: &Account) -> Result<(), CheckError> {
     let table = limits::table(account, draft).map_err(CheckError::Faults)?;
     let own = limits::own_sets(&table);
     println!("  limits: {own} sets, {} budgets", table.budgets.len());
--- a/edge/proxy/src/limits.rs
+++ b/edge/proxy/src/limits.rs
@@ -3,10 +3,10 @@
 
 use crate::config::{self, NEXT_LINE};
 use foldmux::interface::{Class as RouterClass, Group as RouterGroup, Repeat as RouterRepeat};
-use foldmux_limits::account::{Account, Class, Group, Repeat};
-use foldmux_limits::check::check;
+use foldmux_limits::account::{Account, ClassRules, IdempotencyScope, RetrySafety};
 use foldmux_limits::export;
-use foldmux_limits::table::{Draft, Table};
+use foldmux_limits::resolve::{LimitSet, LimitsFile};
+use foldmux_limits::validation::validate;
 use foldmux_settings::Decoded;
 use std::fmt;
 use std::path::Path;
@@ -57,27 +57,27 @@
             .collect(),
         max_attempts: settings.max_attempts as u64,
         may_duplicate: settings.may_duplicate,
-        max_wait_ms: settings.retry_after.map(milliseconds),
+        max_retry_after_ms: settings.retry_after.map(milliseconds),
         answer_slack_ms: milliseconds(settings.answer_slack),
         purge_slack_ms: milliseconds(settings.purge_slack),
-        sockets: process.sockets as u64,
+        max_sockets: process.sockets as u64,
         memory_mb: process.memory_mb as u64,
     }
 }
 
-fn account_class(name: &str, class: &RouterClass) -> Class {
-    Class {
+fn account_class(name: &str, class: &RouterClass) -> ClassRules {
+    ClassRules {
         name: name.to_string(),
         deadline_ms: milliseconds(class.deadline),
-        aim_ms: milliseconds(class.aim),
-        repeat: match class.repeat {
-            RouterRepeat::Safe => Repeat::Free,
-            RouterRepeat::SingleShot => Repeat::Once,
-            RouterRepeat::Keyed(RouterGroup::All) => Repeat::Keyed(Group::All),
-            RouterRepeat::Keyed(RouterGroup::Zone) => Repeat::Keyed(Group::Zone),
-            RouterRepeat::Keyed(RouterGroup::Cell) => Repeat::Keyed(Group::Cell),
+        objective_ms: milliseconds(class.aim),
+        retry_safety: match class.repeat {
+            RouterRepeat::Safe => RetrySafety::Idempotent,
+            RouterRepeat::SingleShot => RetrySafety::NotIdempotent,
+            RouterRepeat::Keyed(RouterGroup::All) => RetrySafety::Keyed(IdempotencyScope::All),
+            RouterRepeat::Keyed(RouterGroup::Zone) => RetrySafety::Keyed(IdempotencyScope::Zone),
+            RouterRepeat::Keyed(RouterGroup::Cell) => RetrySafety::Keyed(IdempotencyScope::Cell),
         },
-        window_ms: milliseconds(class.repeat_window),
+        idempotency_window_ms: milliseconds(class.repeat_window),
     }
 }
 
@@ -86,8 +86,8 @@
 }
 
 /// How many sets of limits a table has of its own, beside the account's rules.
-pub fn own_sets(table: &Table) -> usize {
-    let sets = table.all();
+pub fn own_sets(table: &LimitSet) -> usize {
+    let sets = table.iter();
     sets.filter(|resolved| !resolved.at.is_empty()).count()
 }
 
@@ -96,24 +96,24 @@
 /// # Errors
 ///
 /// All that is wrong with it, a line each.
-pub fn table(account: &Account, draft: &Draft) -> Result<Table, Vec<String>> {
-    let faults = check(account, draft);
-    match faults.is_empty() {
-        true => Ok(Table::new(account, draft)),
-        false => Err(faults.iter().map(ToString::to_string).collect()),
+pub fn table(account: &Account, draft: &LimitsFile) -> Result<LimitSet, Vec<String>> {
+    let violations = validate(account, draft);
+    match violations.is_empty() {
+        true => Ok(LimitSet::new(account, draft)),
+        false => Err(violations.iter().map(ToString::to_string).collect()),
     }
 }
 
-fn load(file: &Path) -> Result<Table, LimitsError> {
+fn load(file: &Path) -> Result<LimitSet, LimitsError> {
     let operator = foldmux_operator::load(file).map_err(LimitsError::File)?;
     let draft = operator.limits.unwrap_or_default();
     table(&Account::default(), &draft).map_err(LimitsError::File)
 }
 
-fn load_or_default(file: Option<&Path>) -> Result<Table, LimitsError> {
+fn load_or_default(file: Option<&Path>) -> Result<LimitSet, LimitsError> {
     match file {
         Some(file) => load(file),
-        None => Ok(Table::new(&Account::default(), &Draft::default())),
+        None => Ok(LimitSet::new(&Account::default(), &LimitsFile::default())),
     }
 }
 
@@ -130,7 +130,7 @@
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     match words[..] {
         ["show", class] => show(&load_or_default(operator)?, class, route),
-        ["export"] => Ok(export::json(&load_or_default(operator)?) + "\n"),
+        ["export"] => Ok(export::to_json(&load_or_default(operator)?) + "\n"),
         ["schema"] => Ok(export::schema()),
         ["diff", old, new] => {
             let lines = export::diff(&load(Path::new(old))?, &load(Path::new(new))?);
@@ -140,13 +140,13 @@
     }
 }
 
-fn show(table: &Table, class: &str, route: Option<&str>) -> Result<String, LimitsError> {
-    let resolved = table.named(class, route).ok_or_else(|| match route {
+fn show(table: &LimitSet, class: &str, route: Option<&str>) -> Result<String, LimitsError> {
+    let resolved = table.get(class, route).ok_or_else(|| match route {
         Some(route) => LimitsError::UnknownRoute {
             class: class.to_string(),
             route: route.to_string(),
         },
         None => LimitsError::UnknownClass(class.to_string()),
     })?;
-    Ok(export::show(table, resolved))
+    Ok(export::describe(table, resolved))
 }
--- a/edge/proxy/src/server/checked.rs
+++ b/edge/proxy/src/server/checked.rs
@@ -11,7 +11,7 @@
 use foldmux_core::servers::ServerList;
 use foldmux_extproc::serve::Bound as BoundProcessor;
 use foldmux_fronts::dns::server::Bound as BoundDns;
-use foldmux_limits::table::Table;
+use foldmux_limits::resolve::LimitSet;
 use foldmux_limits::Account;
 use foldmux_operations::class_table::ClassTable;
 use foldmux_operator::{Hierarchy, Operator};
@@ -29,7 +29,7 @@
     pub(super) fleet: Option<Fleet>,
     pub(super) hierarchy: Option<Hierarchy>,
     pub(super) account: Account,
-    pub(super) limits: Option<Table>,
+    pub(super) limits: Option<LimitSet>,
 }
 
 impl Checked {
--- a/edge/proxy/src/server/decisions.rs
+++ b/edge/proxy/src/server/decisions.rs
@@ -11,7 +11,7 @@
 use foldmux_core::retry_after::own_retry_after;
 use foldmux_core::{Core, CoreSetup, EventLoop};
 use foldmux_fronts::listen::named;
-use foldmux_limits::table::Table;
+use foldmux_limits::resolve::LimitSet;
 use foldmux_settings::Decoded;
 use foldmux_upstream::{pool::Pool, Upstream};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -83,7 +83,7 @@
     }
 }
 
-fn enforce_limits(core: &Core, table: Table, decoded: &Decoded) {
+fn enforce_limits(core: &Core, table: LimitSet, decoded: &Decoded) {
     let settings = &decoded.settings;
     let idempotency: Vec<Repeat> = settings.classes.iter().map(|class| class.repeat).collect();
     let own_zone = decoded
--- a/pure/limits/src/export.rs
+++ b/pure/limits/src/export.rs
@@ -1,168 +1,204 @@
-//! What is printed and exported: the effective values with where each comes from, as text and as JSON with a schema, and
-//! what differs between two files.
+//! What is printed and exported: the limits with where each was set, as text and as JSON with a schema, and the
+//! differences between two files.
 
-use crate::table::{Match, Resolved, Table};
-use crate::values::{Budget, Effective, FIELDS};
+use crate::effective::{EffectiveLimits, Field};
+use crate::resolve::{LimitSet, Located, ResolvedLimits};
+use crate::retry_budget::RetryBudget;
 use schemars::{schema_for, JsonSchema};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
+/// Version of the exported form.
+const VERSION: u32 = 1;
+/// Printed as the source of a limit that the file does not set.
+const BUILT_IN: &str = "today";
+
 /// The effective file.
 #[derive(Debug, Serialize, JsonSchema)]
-pub struct File {
+#[schemars(rename = "File")]
+#[expect(
+    missing_docs,
+    reason = "docs of fields would enter the exported schema"
+)]
+pub struct ExportedLimits {
     /// Of this form.
     pub version: u32,
-    pub budgets: Vec<Budget>,
-    pub limits: Vec<Entry>,
+    pub budgets: Vec<RetryBudget>,
+    pub limits: Vec<ExportedEntry>,
 }
 
 /// One class, or one of its routes; the first that matches a request holds.
 #[derive(Debug, Serialize, JsonSchema)]
-pub struct Entry {
+#[schemars(rename = "Entry")]
+#[expect(
+    missing_docs,
+    reason = "docs of fields would enter the exported schema"
+)]
+pub struct ExportedEntry {
     pub class: String,
     /// None: all that no route before it matches.
     pub route: Option<String>,
     pub zone: Option<String>,
     pub caller: Option<String>,
     pub front: Option<String>,
-    pub values: Effective,
+    pub values: EffectiveLimits,
     /// By field: FILE:LINE, or `today` where the file says nothing.
-    pub from: BTreeMap<String, String>,
-}
-
-pub fn file(table: &Table) -> File {
-    let entry = |resolved: &Resolved| {
-        let Match {
-            zone,
-            caller,
-            front,
-        } = resolved.matching.clone();
-        Entry {
-            class: table.names[resolved.class].clone(),
-            route: resolved.route.clone(),
-            zone,
-            caller,
-            front,
-            values: resolved.values.clone(),
-            from: resolved
-                .from
-                .iter()
-                .map(|(field, at)| (field.to_string(), at.clone()))
-                .collect(),
-        }
+    #[serde(rename = "from")]
+    pub sources: BTreeMap<String, String>,
+}
+
+fn source(resolved: &ResolvedLimits, field: Field) -> &str {
+    resolved.source(field).unwrap_or(BUILT_IN)
+}
+
+fn exported_entry(limits: &LimitSet, resolved: &ResolvedLimits) -> ExportedEntry {
+    let matching = resolved.matching.clone();
+    let source = |field: Field| {
+        (
+            field.name().to_string(),
+            source(resolved, field).to_string(),
+        )
     };
-    File {
-        version: 1,
-        budgets: table
+    ExportedEntry {
+        class: limits.class_names[resolved.class].clone(),
+        route: resolved.route.clone(),
+        zone: matching.zone,
+        caller: matching.caller,
+        front: matching.front,
+        values: resolved.values.clone(),
+        sources: Field::ALL.into_iter().map(source).collect(),
+    }
+}
+
+/// The limits in the exported form.
+pub fn export(limits: &LimitSet) -> ExportedLimits {
+    let entries = limits
+        .iter()
+        .map(|resolved| exported_entry(limits, resolved));
+    ExportedLimits {
+        version: VERSION,
+        budgets: limits
             .budgets
             .iter()
-            .map(|said| said.value.clone())
+            .map(|located| located.value.clone())
             .collect(),
-        limits: table.all().map(|resolved| entry(resolved)).collect(),
+        limits: entries.collect(),
     }
 }
 
-pub fn json(table: &Table) -> String {
-    serde_json::to_string_pretty(&file(table)).unwrap_or_default()
+/// The limits as JSON.
+pub fn to_json(limits: &LimitSet) -> String {
+    serde_json::to_string_pretty(&export(limits)).unwrap_or_default()
 }
 
-/// The schema of [`json`], as it is committed.
+/// The schema of [`to_json`], as it is committed.
 pub fn schema() -> String {
-    serde_json::to_string_pretty(&schema_for!(File)).unwrap_or_default() + "\n"
-}
-
-/// One class or route, a line for each field.
-pub fn show(table: &Table, resolved: &Resolved) -> String {
-    let mut out = title(table, resolved);
-    out.push('\n');
-    for field in FIELDS {
-        let from = resolved.from.get(field).map_or("today", String::as_str);
-        let _ = writeln!(
-            out,
-            "  {field:<16} {:<14} {from}",
-            resolved.values.text(field)
-        );
+    serde_json::to_string_pretty(&schema_for!(ExportedLimits)).unwrap_or_default() + "\n"
+}
+
+/// The limits of one class or route as text, a line for each field.
+pub fn describe(limits: &LimitSet, resolved: &ResolvedLimits) -> String {
+    let mut text = title(limits, resolved);
+    text.push('\n');
+    for field in Field::ALL {
+        let name = field.name();
+        let value = resolved.values.format_field(field);
+        let source = source(resolved, field);
+        // Writing to a string does not fail.
+        let _ = writeln!(text, "  {name:<16} {value:<14} {source}");
     }
-    out
+    text
 }
 
-fn title(table: &Table, resolved: &Resolved) -> String {
-    let class = &table.names[resolved.class];
+fn title(limits: &LimitSet, resolved: &ResolvedLimits) -> String {
+    let class = &limits.class_names[resolved.class];
     match &resolved.route {
         Some(route) => format!("{class}, route {route}"),
         None => class.clone(),
     }
 }
 
-/// What differs: a line for each value, each route that came or went, and each budget.
-pub fn diff(old: &Table, new: &Table) -> Vec<String> {
+/// The differences between two files: a line for each value, for each route that was added or removed, and for each
+/// budget.
+pub fn diff(old: &LimitSet, new: &LimitSet) -> Vec<String> {
     let mut lines = Vec::new();
-    let name = |table: &Table, r: &Resolved| (table.names[r.class].clone(), r.route.clone());
-    for resolved in old.all() {
-        let (class, route) = name(old, resolved);
-        match new.named(&class, route.as_deref()) {
-            None => lines.push(format!("gone     {}", title(old, resolved))),
-            Some(other) => {
-                if other.matching != resolved.matching {
-                    lines.push(format!("matches  {} other requests", title(old, resolved)));
-                }
-                for field in FIELDS {
-                    let (was, is) = (resolved.values.text(field), other.values.text(field));
-                    if was != is {
-                        lines.push(format!(
-                            "changed  {} {field}: {was} -> {is}",
-                            title(old, resolved)
-                        ));
-                    }
-                }
-            }
+    diff_entries(old, new, &mut lines);
+    diff_budgets(old, new, &mut lines);
+    lines
+}
+
+/// The limits of the same class and route in the other set.
+fn counterpart<'a>(
+    limits: &LimitSet,
+    resolved: &ResolvedLimits,
+    other: &'a LimitSet,
+) -> Option<&'a ResolvedLimits> {
+    let class = &limits.class_names[resolved.class];
+    let found = other.get(class, resolved.route.as_deref())?;
+    Some(found)
+}
+
+fn diff_entries(old: &LimitSet, new: &LimitSet, lines: &mut Vec<String>) {
+    for resolved in old.iter() {
+        let title = title(old, resolved);
+        match counterpart(old, resolved, new) {
+            None => lines.push(format!("gone     {title}")),
+            Some(other) => diff_values(&title, resolved, other, lines),
         }
     }
-    for resolved in new.all() {
-        let (class, route) = name(new, resolved);
-        if old.named(&class, route.as_deref()).is_none() {
+    for resolved in new.iter() {
+        if counterpart(new, resolved, old).is_none() {
             lines.push(format!("new      {}", title(new, resolved)));
         }
     }
-    let text = |b: &Budget| {
-        let under = b
-            .parent
-            .as_ref()
-            .map(|p| format!(" under {p}"))
-            .unwrap_or_default();
-        format!("{} percent, burst {}{under}", b.percent, b.burst)
+}
+
+fn diff_values(title: &str, old: &ResolvedLimits, new: &ResolvedLimits, lines: &mut Vec<String>) {
+    if new.matching != old.matching {
+        lines.push(format!("matches  {title} other requests"));
+    }
+    for field in Field::ALL {
+        let old = old.values.format_field(field);
+        let new = new.values.format_field(field);
+        if old != new {
+            lines.push(format!("changed  {title} {}: {old} -> {new}", field.name()));
+        }
+    }
+}
+
+fn budget_of_name<'a>(limits: &'a LimitSet, name: &str) -> Option<&'a Located<RetryBudget>> {
+    limits
+        .budgets
+        .iter()
+        .find(|located| located.value.name == name)
+}
+
+fn describe_budget(budget: &RetryBudget) -> String {
+    let parent = match &budget.parent {
+        Some(parent) => format!(" under {parent}"),
+        None => String::new(),
     };
-    for said in &old.budgets {
-        match new
-            .budgets
-            .iter()
-            .find(|other| other.value.name == said.value.name)
-        {
-            None => lines.push(format!("gone     budget {}", said.value.name)),
-            Some(other) if other.value != said.value => {
-                lines.push(format!(
-                    "changed  budget {}: {} -> {}",
-                    said.value.name,
-                    text(&said.value),
-                    text(&other.value)
-                ));
-            }
-            Some(_) => {}
+    format!("{} percent, burst {}{parent}", budget.percent, budget.burst)
+}
+
+fn diff_budgets(old: &LimitSet, new: &LimitSet, lines: &mut Vec<String>) {
+    for Located { value: budget, .. } in &old.budgets {
+        let name = &budget.name;
+        let Some(other) = budget_of_name(new, name) else {
+            lines.push(format!("gone     budget {name}"));
+            continue;
+        };
+        if other.value != *budget {
+            let before = describe_budget(budget);
+            let after = describe_budget(&other.value);
+            lines.push(format!("changed  budget {name}: {before} -> {after}"));
         }
     }
-    for said in &new.budgets {
-        if !old
-            .budgets
-            .iter()
-            .any(|other| other.value.name == said.value.name)
-        {
-            lines.push(format!(
-                "new      budget {}: {}",
-                said.value.name,
-                text(&said.value)
-            ));
+    for Located { value: budget, .. } in &new.budgets {
+        if budget_of_name(old, &budget.name).is_none() {
+            let described = describe_budget(budget);
+            lines.push(format!("new      budget {}: {described}", budget.name));
         }
     }
-    lines
 }
--- a/pure/limits/src/lib.rs
+++ b/pure/limits/src/lib.rs
@@ -1,32 +1,52 @@
-//! Limits by class and route: time-outs, attempts, budgets, concurrency, queues and rights to old copies.
+//! Limits by class and route: timeouts, attempts, backoff, retry budgets, concurrency, queues and staleness.
 //!
-//! Owns: what an operator may set ([`values`]) and how it is inherited ([`table`], [`standing`]); every rule of the account as a named
-//! check ([`check`]), with a bounded search where arithmetic does not settle it ([`explore`]); the state that enforces
-//! limits, each piece bounded: token buckets ([`bucket`]), adaptive concurrency ([`adaptive`]), the age of what waits
-//! ([`wait`]), all of them together ([`gate`]); what is printed and exported ([`export`]).
+//! Each limit is a policy in a module of its own, apart from the mechanism that enforces it:
 //!
-//! May not: do I/O, read a clock (times are passed in, in microseconds that only go forward), draw a random number
-//! (draws are passed in), choose a server, or decide whether an attempt that is allowed is made: the module does.
+//! - what an operator may set, [`overrides`], and what results for a request, [`effective`];
+//! - how defaults, classes and routes are combined, [`resolve`] and [`route_match`], and how a request finds its
+//!   limits, [`lookup`];
+//! - the policies: [`timeout`], [`backoff`], [`retry_budget`], [`concurrency`] (with [`gradient`]) and [`queue`];
+//! - the state that enforces all of them, [`admission`];
+//! - the rules of the account, [`account`], and every check against them, [`validation`], with a bounded search where
+//!   arithmetic does not settle a rule, [`duplicate_search`];
+//! - what is printed and exported, [`export`].
+//!
+//! The crate does no I/O, reads no clock (times are passed in) and draws no random numbers (draws are passed in). It
+//! neither selects a server nor decides that an attempt is made: the router does, within these limits.
+//!
+//! # Examples
+//!
+//! ```
+//! use foldmux_limits::{Account, LimitSet, LimitsFile};
+//!
+//! let limits = LimitSet::new(&Account::default(), &LimitsFile::default());
+//! let resolved = limits.find(0, "zone-a", "", "msgpack").expect("class 0 has limits");
+//! assert_eq!(resolved.values.max_attempts, 8);
+//! ```
+
+#![warn(missing_docs)]
 
 pub mod account;
-pub mod adaptive;
-pub mod bucket;
-pub mod check;
-pub mod explore;
+pub mod admission;
+pub mod backoff;
+pub mod concurrency;
+pub mod duplicate_search;
+pub mod effective;
 pub mod export;
-pub mod fault;
-pub mod gate;
-mod names;
-mod single;
-pub mod standing;
-pub mod table;
-mod together;
-pub mod values;
-pub mod wait;
+pub mod gradient;
+pub mod lookup;
+pub mod overrides;
+pub mod queue;
+pub mod resolve;
+pub mod retry_budget;
+pub mod route_match;
+pub mod timeout;
+pub mod validation;
 
-/// Microseconds, on a clock that only goes forward.
-pub type Time = u64;
+/// A time in microseconds of a clock that never goes back.
+pub type TimestampUs = u64;
 
 pub use account::Account;
-pub use table::{Draft, Table};
-pub use values::{Effective, Layer};
+pub use effective::EffectiveLimits;
+pub use overrides::LimitOverrides;
+pub use resolve::{LimitSet, LimitsFile};
--- a/pure/limits/src/standing/tests.rs
+++ b/pure/limits/src/lookup/tests.rs
@@ -1,8 +1,9 @@
-//! A proxy's own lookup against the table's.
+//! A proxy's own lookup table against the search of all limits.
 
 use super::*;
-use crate::table::{Draft, Route, Said};
-use crate::values::Layer;
+use crate::overrides::LimitOverrides;
+use crate::resolve::{LimitsFile, Located, RouteOverrides};
+use crate::route_match::RouteMatch;
 use crate::Account;
 use proptest::prelude::*;
 
@@ -11,26 +12,26 @@
 
 proptest! {
     #[test]
-    fn where_a_proxy_stands_finds_what_the_table_finds(
+    fn the_table_of_a_proxy_finds_what_the_limit_set_finds(
         routes in proptest::collection::vec((
             proptest::option::of("a|b|a\\*"), proptest::option::of("s|st|s\\*|\\*"), proptest::option::of(0usize..3),
         ), 0..12),
         zone in "a|b|ab|c", caller in "|s|st|sx", front in 0usize..4,
     ) {
-        let route = |(n, (zone, caller, front)): (usize, Drawn)| Said {
+        let route = |(n, (zone, caller, front)): (usize, Drawn)| Located {
             at: format!("f:{n}"),
-            value: Route {
+            value: RouteOverrides {
                 name: format!("r{n}"),
                 class: "mix-video".to_string(),
-                matching: Match { zone, caller, front: front.map(|n| FRONTS[n].to_string()) },
-                layer: Layer::default(),
+                matching: RouteMatch { zone, caller, front: front.map(|n| FRONTS[n].to_string()) },
+                overrides: LimitOverrides::default(),
             },
         };
-        let draft = Draft { routes: routes.into_iter().enumerate().map(route).collect(), ..Draft::default() };
-        let table = Table::new(&Account::default(), &draft);
+        let draft = LimitsFile { routes: routes.into_iter().enumerate().map(route).collect(), ..LimitsFile::default() };
+        let table = LimitSet::new(&Account::default(), &draft);
         let front = FRONTS.get(front).copied().unwrap_or("other");
         for class in 0..4 {
-            let (found, all) = (Standing::new(&table, &zone), table.find(class, &zone, &caller, front));
+            let (found, all) = (LimitTable::new(&table, &zone), table.find(class, &zone, &caller, front));
             prop_assert_eq!(found.find(class, &caller, front), all);
         }
     }
--- a/pure/limits/tests/export.rs
+++ b/pure/limits/tests/export.rs
@@ -1,49 +1,54 @@
 //! What is exported: of the schema that is committed, and what differs between two files.
 
-use foldmux_limits::export::{diff, json, schema, show};
-use foldmux_limits::table::{Draft, Match, Route, Said, Table};
-use foldmux_limits::values::{Budget, Layer};
+use foldmux_limits::export::{describe, diff, schema, to_json};
+use foldmux_limits::overrides::LimitOverrides;
+use foldmux_limits::resolve::{ClassOverrides, LimitSet, LimitsFile, Located, RouteOverrides};
+use foldmux_limits::retry_budget::RetryBudget;
+use foldmux_limits::route_match::RouteMatch;
 use foldmux_limits::Account;
 
-fn draft(attempts: u64, route: bool, percent: f64) -> Draft {
-    let said = |line: u32| format!("f.star:{line}");
-    let layer = Layer {
-        attempts: Some(attempts),
-        budget: Some("b".into()),
-        ..Layer::default()
+fn file(attempts: u64, route: bool, percent: f64) -> LimitsFile {
+    let at = |line: u32| format!("f.star:{line}");
+    let overrides = LimitOverrides {
+        max_attempts: Some(attempts),
+        retry_budget: Some("b".into()),
+        ..LimitOverrides::default()
     };
-    let matching = Match {
+    let matching = RouteMatch {
         zone: Some("oulu".into()),
-        ..Match::default()
+        ..RouteMatch::default()
     };
-    let own = Route {
+    let own = RouteOverrides {
         name: "north".into(),
         class: "mix-video".into(),
         matching,
-        layer: Layer::default(),
+        overrides: LimitOverrides::default(),
     };
-    Draft {
-        classes: vec![Said {
-            at: said(2),
-            value: ("mix-video".into(), layer),
+    LimitsFile {
+        classes: vec![Located {
+            at: at(2),
+            value: ClassOverrides {
+                class: "mix-video".into(),
+                overrides,
+            },
         }],
         routes: route
-            .then(|| Said {
-                at: said(3),
+            .then(|| Located {
+                at: at(3),
                 value: own,
             })
             .into_iter()
             .collect(),
-        budgets: vec![Said {
-            at: said(1),
-            value: Budget {
+        budgets: vec![Located {
+            at: at(1),
+            value: RetryBudget {
                 name: "b".into(),
                 percent,
                 burst: 4,
                 parent: None,
             },
         }],
-        ..Draft::default()
+        ..LimitsFile::default()
     }
 }
 
@@ -55,8 +60,8 @@
         schema(),
         "foldmux limits schema > docs/limits.schema.json"
     );
-    let table = Table::new(&Account::default(), &draft(3, true, 5.0));
-    let value: serde_json::Value = serde_json::from_str(&json(&table)).unwrap();
+    let limits = LimitSet::new(&Account::default(), &file(3, true, 5.0));
+    let value: serde_json::Value = serde_json::from_str(&to_json(&limits)).unwrap();
     assert_eq!(value["limits"].as_array().unwrap().len(), 4);
     assert_eq!(
         (
@@ -69,12 +74,12 @@
 
 #[test]
 fn values_are_shown_with_where_they_come_from_and_compared() {
-    let table = |draft| Table::new(&Account::default(), &draft);
-    let (old, new) = (table(draft(3, true, 5.0)), table(draft(2, false, 9.0)));
-    let shown = show(&old, old.named("mix-video", Some("north")).unwrap());
-    assert!(shown.starts_with("mix-video, route north\n"));
+    let limits = |file| LimitSet::new(&Account::default(), &file);
+    let (old, new) = (limits(file(3, true, 5.0)), limits(file(2, false, 9.0)));
+    let described = describe(&old, old.get("mix-video", Some("north")).unwrap());
+    assert!(described.starts_with("mix-video, route north\n"));
     let line = |field: &str| {
-        shown
+        described
             .lines()
             .find(|line| line.trim().starts_with(field))
             .unwrap()
@@ -82,7 +87,7 @@
     };
     assert!(
         line("attempts ").ends_with("f.star:2") && line("keep").ends_with("today"),
-        "{shown}"
+        "{described}"
     );
     assert_eq!(
         diff(&old, &new),
--- a/pure/limits/tests/formats.rs
+++ b/pure/limits/tests/formats.rs
@@ -2,10 +2,14 @@
 //!
 //! `WRITE_FIXTURES=1 cargo test -p foldmux-limits --test formats` writes it anew.
 
-use foldmux_limits::account::Group;
-use foldmux_limits::export::{json, Entry, File};
-use foldmux_limits::table::{Draft, Match, Route, Said, Table};
-use foldmux_limits::values::{Budget, Concurrency, Effective, Layer, FIELDS};
+use foldmux_limits::account::IdempotencyScope;
+use foldmux_limits::concurrency::ConcurrencyLimit;
+use foldmux_limits::effective::{EffectiveLimits, Field};
+use foldmux_limits::export::{to_json, ExportedEntry, ExportedLimits};
+use foldmux_limits::overrides::LimitOverrides;
+use foldmux_limits::resolve::{ClassOverrides, LimitSet, LimitsFile, Located, RouteOverrides};
+use foldmux_limits::retry_budget::RetryBudget;
+use foldmux_limits::route_match::RouteMatch;
 use foldmux_limits::Account;
 use std::collections::BTreeMap;
 use std::fs;
@@ -19,65 +23,68 @@
     assert_eq!(written, fixture, "{file}: the format has changed");
 }
 
-fn effective(concurrency: Concurrency, group: Group) -> Effective {
+fn effective(concurrency: ConcurrencyLimit, scope: IdempotencyScope) -> EffectiveLimits {
     // A new variant needs a value in the test below.
-    match (concurrency, group) {
-        (Concurrency::Fixed { .. } | Concurrency::Adaptive { .. }, _) => {}
+    match (concurrency, scope) {
+        (ConcurrencyLimit::Fixed { .. } | ConcurrencyLimit::Adaptive { .. }, _) => {}
     }
-    match group {
-        Group::Cell | Group::Zone | Group::All => {}
+    match scope {
+        IdempotencyScope::Cell | IdempotencyScope::Zone | IdempotencyScope::All => {}
     }
-    Effective {
+    EffectiveLimits {
         deadline_ms: 301,
-        attempt_ms: 302,
-        attempts: 303,
-        backoff_ms: 304,
+        attempt_timeout_ms: 302,
+        max_attempts: 303,
+        backoff_base_ms: 304,
         backoff_factor: 1.5,
-        backoff_most_ms: 305,
+        backoff_max_ms: 305,
         jitter_percent: 12.5,
-        budget: Some("child".into()),
+        retry_budget: Some("child".into()),
         concurrency: Some(concurrency),
-        queue: 306,
-        queue_age_ms: 307,
-        copies: 308,
-        keep: 309,
-        stale_ms: 310,
-        fills: 311,
-        wait_ms: 312,
-        window_ms: 313,
-        group,
+        queue_capacity: 306,
+        queue_timeout_ms: 307,
+        concurrent_attempts: 308,
+        retention_rank: 309,
+        max_stale_ms: 310,
+        max_fills: 311,
+        max_retry_after_ms: 312,
+        idempotency_window_ms: 313,
+        idempotency_scope: scope,
     }
 }
 
 #[test]
 fn the_text_of_exported_values_stays() {
-    let entry = |values| Entry {
+    let entry = |values| ExportedEntry {
         class: "mix-video".into(),
         route: Some("north".into()),
         zone: Some("oulu".into()),
         caller: Some("player".into()),
         front: Some("dns".into()),
         values,
-        from: BTreeMap::from([("attempts".into(), "f.star:2".into())]),
+        sources: BTreeMap::from([("attempts".into(), "f.star:2".into())]),
     };
-    let file = File {
+    let file = ExportedLimits {
         version: 1,
-        budgets: vec![Budget {
+        budgets: vec![RetryBudget {
             name: "child".into(),
             percent: 2.5,
             burst: 314,
             parent: Some("root".into()),
         }],
         limits: vec![
-            entry(effective(Concurrency::Fixed { most: 315 }, Group::Cell)),
             entry(effective(
-                Concurrency::Adaptive {
-                    least: 316,
-                    most: 317,
-                },
-                Group::Zone,
+                ConcurrencyLimit::Fixed { max: 315 },
+                IdempotencyScope::Cell,
+            )),
+            entry(effective(
+                ConcurrencyLimit::Adaptive { min: 316, max: 317 },
+                IdempotencyScope::Zone,
+            )),
+            entry(effective(
+                ConcurrencyLimit::Fixed { max: 318 },
+                IdempotencyScope::All,
             )),
-            entry(effective(Concurrency::Fixed { most: 318 }, Group::All)),
         ],
     };
     check(
@@ -88,42 +95,45 @@
 
 #[test]
 fn the_text_of_an_exported_table_stays() {
-    let said = |line: u32| format!("f.star:{line}");
-    let layer = |attempts| Layer {
-        attempts: Some(attempts),
-        ..Layer::default()
+    let at = |line: u32| format!("f.star:{line}");
+    let overrides = |attempts| LimitOverrides {
+        max_attempts: Some(attempts),
+        ..LimitOverrides::default()
     };
-    let route = Route {
+    let route = RouteOverrides {
         name: "north".into(),
         class: "mix-record".into(),
-        matching: Match {
+        matching: RouteMatch {
             zone: Some("oulu".into()),
             caller: Some("player".into()),
             front: Some("msgpack".into()),
         },
-        layer: layer(2),
+        overrides: overrides(2),
     };
-    let draft = Draft {
-        classes: vec![Said {
-            at: said(1),
-            value: ("mix-record".into(), layer(3)),
+    let file = LimitsFile {
+        classes: vec![Located {
+            at: at(1),
+            value: ClassOverrides {
+                class: "mix-record".into(),
+                overrides: overrides(3),
+            },
         }],
-        routes: vec![Said {
-            at: said(2),
+        routes: vec![Located {
+            at: at(2),
             value: route,
         }],
-        ..Draft::default()
+        ..LimitsFile::default()
     };
-    let table = Table::new(&Account::default(), &draft);
-    check("table.json", &(json(&table) + "\n"));
+    let limits = LimitSet::new(&Account::default(), &file);
+    check("table.json", &(to_json(&limits) + "\n"));
 }
 
 #[test]
 fn the_names_of_fields_are_those_of_the_export() {
-    let values = effective(Concurrency::Fixed { most: 1 }, Group::All);
+    let values = effective(ConcurrencyLimit::Fixed { max: 1 }, IdempotencyScope::All);
     let exported = serde_json::to_value(&values).unwrap();
     let exported: Vec<&String> = exported.as_object().unwrap().keys().collect();
-    let mut fields = FIELDS;
+    let mut fields = Field::ALL.map(Field::name);
     fields.sort_unstable();
     assert_eq!(exported, fields);
 }
--- a/rigs/simulator/src/storm/boxes.rs
+++ b/rigs/simulator/src/storm/boxes.rs
@@ -35,11 +35,11 @@
         };
         let attempt = open.attempts as u8;
         let mut pause = Some(0);
-        if let (Some((gate, _)), Some((at, resolved))) = (&mut self.gate, &open.limits) {
-            pause = gate
-                .attempt(at, &resolved.values, open.attempts, draw)
-                .map(|ms| ms * 1_000);
-            fetch.time_out = resolved.values.time_out(fetch.time_out);
+        if let (Some((admission, _)), Some((key, resolved))) = (&mut self.admission, &open.limits) {
+            pause = admission
+                .start_attempt(key, &resolved.values, open.attempts, draw)
+                .map(|pause| pause.as_micros() as Time);
+            fetch.time_out = resolved.values.attempt_timeout().within_us(fetch.time_out);
         }
         open.attempts += 1;
         match pause.filter(|pause| self.now + pause < open.deadline) {
@@ -72,7 +72,7 @@
             let window = open
                 .limits
                 .as_ref()
-                .map_or(2_000_000, |(_, r)| r.values.window_ms * 1_000);
+                .map_or(2_000_000, |(_, r)| r.values.idempotency_window_ms * 1_000);
             if now >= ran + window {
                 // Decided within the window, and paused beyond it: looked at once more, and not sent.
                 return self.limited(id, attempt);
@@ -191,8 +191,8 @@
             if !outcome.never_ran() {
                 open.ran.get_or_insert(sent);
             }
-            if let (Some((gate, _)), Some((at, _))) = (&mut self.gate, &open.limits) {
-                gate.heard(at, now - sent, served);
+            if let (Some((admission, _)), Some((key, _))) = (&mut self.admission, &open.limits) {
+                admission.record_attempt(key, now - sent, served);
             }
         }
         if served {
--- a/rigs/simulator/src/storm/mod.rs
+++ b/rigs/simulator/src/storm/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::model::usual;
 use foldmux::interface::*;
-use foldmux_limits::table::{Draft, Table};
+use foldmux_limits::resolve::{LimitSet, LimitsFile};
 use foldmux_limits::Account;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -128,13 +128,13 @@
 fn settings() -> Settings {
     let account = Account::default();
     let class = |n: usize, worth: f64, repeat| Class {
-        aim: account.classes[n].aim_ms * 1_000,
+        aim: account.classes[n].objective_ms * 1_000,
         aim_stretch: 0.0,
         deadline: account.classes[n].deadline_ms * 1_000,
         worth,
         late_worth: 0.15,
         repeat,
-        repeat_window: account.classes[n].window_ms * 1_000,
+        repeat_window: account.classes[n].idempotency_window_ms * 1_000,
         fresh: 0,
         grace: 0,
         pass_on: n == 2,
@@ -155,7 +155,7 @@
         direct: false,
         client_kb_per_s: 4_200.0,
         max_attempts: account.max_attempts as u32,
-        retry_after: account.max_wait_ms.map(|ms| ms * 1_000),
+        retry_after: account.max_retry_after_ms.map(|ms| ms * 1_000),
         answer_slack: account.answer_slack_ms * 1_000,
         purge_slack: account.purge_slack_ms * 1_000,
         ..usual()
@@ -163,26 +163,26 @@
 }
 
 /// A day with the limits of a draft, or without any.
-pub fn play(storm: &Storm, draft: Option<&Draft>) -> Day {
-    let table = draft.map(|draft| Table::new(&Account::default(), draft));
+pub fn play(storm: &Storm, draft: Option<&LimitsFile>) -> Day {
+    let table = draft.map(|draft| LimitSet::new(&Account::default(), draft));
     play::World::new(storm, table).run()
 }
 
 /// The limits that a scenario names, checked as the program checks them.
-pub fn limits(storm: &Storm, beside: &Path) -> Result<Draft, String> {
+pub fn limits(storm: &Storm, beside: &Path) -> Result<LimitsFile, String> {
     let Some(file) = &storm.limits else {
-        return Ok(Draft::default());
+        return Ok(LimitsFile::default());
     };
     let file = beside.parent().unwrap_or(Path::new(".")).join(file);
     let operator = foldmux_operator::load(&file).map_err(|faults| faults.join("; "))?;
     let draft = operator.limits.unwrap_or_default();
-    match foldmux_limits::check::check(&Account::default(), &draft).first() {
-        Some(fault) => Err(fault.to_string()),
+    match foldmux_limits::validation::validate(&Account::default(), &draft).first() {
+        Some(violation) => Err(violation.to_string()),
         None => Ok(draft),
     }
 }
 
-pub fn report(storm: &Storm, draft: &Draft) -> Report {
+pub fn report(storm: &Storm, draft: &LimitsFile) -> Report {
     let (limited, today) = (play(storm, Some(draft)), play(storm, None));
     let Day {
         load_factor,
--- a/rigs/simulator/src/storm/play.rs
+++ b/rigs/simulator/src/storm/play.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use foldmux::Router;
-use foldmux_limits::gate::{Gate, Place};
-use foldmux_limits::table::Resolved;
+use foldmux_limits::admission::{AdmissionControl, LimitKey};
+use foldmux_limits::resolve::ResolvedLimits;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
@@ -45,7 +45,7 @@
     pub(super) key: u64,
     pub(super) tries: u32,
     pub(super) deadline: Time,
-    pub(super) limits: Option<(Place, Arc<Resolved>)>,
+    pub(super) limits: Option<(LimitKey, Arc<ResolvedLimits>)>,
     pub(super) asked: bool,
     pub(super) attempts: u64,
     pub(super) out: u32,
@@ -63,7 +63,7 @@
     pub(super) next: u64,
     pub(super) classes: Vec<Class>,
     pub(super) router: Router,
-    pub(super) gate: Option<(Gate, Table)>,
+    pub(super) admission: Option<(AdmissionControl, LimitSet)>,
     pub(super) open: HashMap<u64, Open>,
     /// By box: when each of its slots is free.
     pub(super) slots: Vec<Vec<f64>>,
@@ -85,7 +85,7 @@
 }
 
 impl<'a> World<'a> {
-    pub(super) fn new(s: &'a Storm, table: Option<Table>) -> World<'a> {
+    pub(super) fn new(s: &'a Storm, limits: Option<LimitSet>) -> World<'a> {
         let (spread, settings): (f64, Settings) = (0.3, settings());
         let seconds = s.seconds as usize + 10;
         World {
@@ -96,7 +96,7 @@
             next: 0,
             classes: settings.classes.clone(),
             router: Router::new(settings, s.seed),
-            gate: table.map(|table| (Gate::new(&table), table)),
+            admission: limits.map(|limits| (AdmissionControl::new(&limits), limits)),
             open: HashMap::new(),
             slots: vec![vec![0.0; s.slots]; s.boxes],
             failing: false,
@@ -162,8 +162,8 @@
                 continue;
             };
             self.handle(event);
-            if let Some((gate, _)) = &mut self.gate {
-                for id in gate.expired(at) {
+            if let Some((admission, _)) = &mut self.admission {
+                for id in admission.expire(at) {
                     self.finish(id, None);
                 }
             }
--- a/rigs/simulator/src/storm/requests.rs
+++ b/rigs/simulator/src/storm/requests.rs
@@ -3,7 +3,7 @@
 use super::play::{Event, Open, World};
 use super::*;
 use foldmux::interface::Report as Told;
-use foldmux_limits::gate::{place, Admitted};
+use foldmux_limits::admission::{Admission, LimitKey};
 use rand::RngExt;
 
 /// A client that is refused does not come back sooner than this (us).
@@ -18,12 +18,12 @@
         self.serial += 1;
         let id = self.serial | 1 << 40;
         let object = self.rng.random_range(0..OBJECTS);
-        let limits = self.gate.as_ref().and_then(|(_, table)| {
+        let limits = self.admission.as_ref().and_then(|(_, table)| {
             let resolved = table
                 .find(class, "edge", "", "msgpack")
                 .filter(|r| !r.at.is_empty())?
                 .clone();
-            Some((place(&resolved), resolved))
+            Some((LimitKey::from(&*resolved), resolved))
         });
         let mut budget = budget;
         if tries == 0 {
@@ -59,18 +59,18 @@
             ask,
             arrived: self.now,
         };
-        let admitted = match (&mut self.gate, &open.limits) {
-            (Some((gate, _)), Some((at, _))) => gate.admit(self.now, at, id),
-            _ => Admitted::Now,
+        let admitted = match (&mut self.admission, &open.limits) {
+            (Some((admission, _)), Some((key, _))) => admission.admit(self.now, key, id),
+            _ => Admission::Admitted,
         };
         self.open.insert(id, open);
         if self.s.patience_ms > 0.0 {
             self.after(self.s.patience_ms * 1e3, Event::Leaves(id));
         }
         match admitted {
-            Admitted::Now => self.ask(id),
-            Admitted::Waits => self.after(budget as f64, Event::Overdue(id)),
-            Admitted::Refused => self.finish(id, None),
+            Admission::Admitted => self.ask(id),
+            Admission::Queued => self.after(budget as f64, Event::Overdue(id)),
+            Admission::Rejected => self.finish(id, None),
         }
     }
 
@@ -145,16 +145,16 @@
             self.broken("answered late");
         }
         let mut next = None;
-        if let (Some((gate, _)), Some((at, _))) = (&mut self.gate, &open.limits) {
+        if let (Some((admission, _)), Some((key, _))) = (&mut self.admission, &open.limits) {
             match open.asked {
-                true => next = gate.ended(self.now, at),
-                false => gate.left(at, id),
+                true => next = admission.release(self.now, key),
+                false => admission.cancel(key, id),
             }
         }
         let advised = open
             .limits
             .as_ref()
-            .map_or(SOONEST, |(_, r)| r.values.wait_ms * 1_000);
+            .map_or(SOONEST, |(_, r)| r.values.max_retry_after_ms * 1_000);
         let back = match wait {
             Some(Time::MAX) => None,
             Some(wait) => Some(wait.max(SOONEST)),
--- a/rigs/simulator/src/storm/tests.rs
+++ b/rigs/simulator/src/storm/tests.rs
@@ -1,8 +1,10 @@
 //! Storms with limits, and files drawn at random.
 
 use super::*;
-use foldmux_limits::table::Said;
-use foldmux_limits::values::{Budget, Concurrency, Layer};
+use foldmux_limits::concurrency::ConcurrencyLimit;
+use foldmux_limits::overrides::LimitOverrides;
+use foldmux_limits::resolve::{ClassOverrides, Located};
+use foldmux_limits::retry_budget::RetryBudget;
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -13,7 +15,7 @@
     Storm::parse("storm.toml", include_str!("../../scenarios/storm.toml")).unwrap()
 }
 
-fn draft() -> Draft {
+fn draft() -> LimitsFile {
     let beside = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios/storm.toml");
     limits(&scenario(), &beside).unwrap()
 }
@@ -53,7 +55,7 @@
     let storm = Storm::parse("kept-alive.toml", &text).unwrap();
     let draft = limits(&storm, &file).unwrap();
     let seeds = [1, 2, 3, 4, 7];
-    let mean = |tries: u32, fails: f64, draft: Option<&Draft>| {
+    let mean = |tries: u32, fails: f64, draft: Option<&LimitsFile>| {
         let days = seeds.map(|seed| {
             let fail_part = storm.fail_part * fails;
             play(
@@ -102,7 +104,7 @@
 }
 
 /// Files made by changing good ones: whatever the checks accept, no drawn day breaks a rule under it.
-fn layers() -> impl Strategy<Value = Layer> {
+fn layers() -> impl Strategy<Value = LimitOverrides> {
     let some = |range: std::ops::Range<u64>| proptest::option::of(range);
     let times = (
         some(1..6_000),
@@ -124,42 +126,42 @@
         0u8..4,
         any::<bool>(),
     );
-    (times, places, rest).prop_map(
-        |(times, places, (factor, jitter, budget, adaptive))| Layer {
+    (times, places, rest).prop_map(|(times, places, (factor, jitter, budget, adaptive))| {
+        LimitOverrides {
             deadline_ms: times.0,
-            attempt_ms: times.1,
-            attempts: times.2,
-            backoff_ms: times.3,
-            backoff_most_ms: times
+            attempt_timeout_ms: times.1,
+            max_attempts: times.2,
+            backoff_base_ms: times.3,
+            backoff_max_ms: times
                 .4
                 .filter(|_| times.3.is_some())
                 .map(|most| most + times.3.unwrap_or(0)),
             backoff_factor: factor,
             jitter_percent: jitter,
-            concurrency: places.0.map(|most| match adaptive {
-                true => Concurrency::Adaptive {
-                    least: most.div_ceil(3),
-                    most,
+            concurrency: places.0.map(|max| match adaptive {
+                true => ConcurrencyLimit::Adaptive {
+                    min: max.div_ceil(3),
+                    max,
                 },
-                false => Concurrency::Fixed { most },
+                false => ConcurrencyLimit::Fixed { max },
             }),
-            queue: places.1.filter(|_| places.0.is_some()),
-            queue_age_ms: places
+            queue_capacity: places.1.filter(|_| places.0.is_some()),
+            queue_timeout_ms: places
                 .2
                 .filter(|_| places.1.is_some_and(|n| n > 0) && places.0.is_some()),
-            wait_ms: places.3,
-            window_ms: places.4,
-            budget: (budget > 0).then(|| ["a", "b", "none"][budget as usize - 1].to_string()),
-            ..Layer::default()
-        },
-    )
+            max_retry_after_ms: places.3,
+            idempotency_window_ms: places.4,
+            retry_budget: (budget > 0).then(|| ["a", "b", "none"][budget as usize - 1].to_string()),
+            ..LimitOverrides::default()
+        }
+    })
 }
 
-fn drafts() -> impl Strategy<Value = Draft> {
+fn drafts() -> impl Strategy<Value = LimitsFile> {
     let budget = |name: &'static str| {
-        (0.0f64..300.0, 1u64..60).prop_map(move |(percent, burst)| Said {
+        (0.0f64..300.0, 1u64..60).prop_map(move |(percent, burst)| Located {
             at: format!("f:{name}"),
-            value: Budget {
+            value: RetryBudget {
                 name: name.to_string(),
                 percent,
                 burst,
@@ -168,21 +170,24 @@
         })
     };
     let class = |n: usize| {
-        proptest::option::weighted(0.6, layers()).prop_map(move |layer| {
-            let mut layer = layer?;
+        proptest::option::weighted(0.6, layers()).prop_map(move |overrides| {
+            let mut overrides = overrides?;
             // Windows are for the keyed class alone; most files know that.
-            layer.window_ms = layer.window_ms.filter(|_| n == 2);
-            Some(Said {
+            overrides.idempotency_window_ms = overrides.idempotency_window_ms.filter(|_| n == 2);
+            Some(Located {
                 at: format!("f:{n}"),
-                value: (CLASSES[n].to_string(), layer),
+                value: ClassOverrides {
+                    class: CLASSES[n].to_string(),
+                    overrides,
+                },
             })
         })
     };
     (class(0), class(1), class(2), budget("a"), budget("b")).prop_map(|(a, b, c, one, other)| {
-        Draft {
+        LimitsFile {
             classes: [a, b, c].into_iter().flatten().collect(),
             budgets: vec![one, other],
-            ..Draft::default()
+            ..LimitsFile::default()
         }
     })
 }
@@ -200,16 +205,19 @@
     let (mut accepted, mut refused, mut queued) = (0u64, 0u64, 0);
     while accepted < 1_000 {
         let draft = drafts().new_tree(&mut runner).unwrap().current();
-        if !foldmux_limits::check::check(&Account::default(), &draft).is_empty() {
+        if !foldmux_limits::validation::validate(&Account::default(), &draft).is_empty() {
             refused += 1;
             assert!(refused < 200_000, "the checks accept nothing: {accepted}");
             continue;
         }
         accepted += 1;
-        queued += draft
-            .classes
-            .iter()
-            .any(|said| said.value.1.queue.is_some_and(|n| n > 0)) as u64;
+        queued += draft.classes.iter().any(|located| {
+            located
+                .value
+                .overrides
+                .queue_capacity
+                .is_some_and(|n| n > 0)
+        }) as u64;
         let how = [How::Refuse, How::Errors, How::Silence][(accepted % 3) as usize];
         let storm = Storm {
             seed: accepted,
--- a/shared/operator/src/script/fleet.rs
+++ b/shared/operator/src/script/fleet.rs
@@ -9,7 +9,7 @@
     Cover, Fleet, Peer, Pool, PoolBy, Slow, Stream, StreamFirst, Unclaimed, Uncovered,
 };
 use anyhow::{anyhow, bail};
-use foldmux_limits::table::Said;
+use foldmux_limits::resolve::Located;
 use starlark::environment::GlobalsBuilder;
 use starlark::eval::Evaluator;
 use starlark::starlark_module;
@@ -20,16 +20,16 @@
 #[derive(Debug, Default)]
 pub(super) struct Parts {
     head: Option<(String, Fleet)>,
-    peers: Vec<Said<Peer>>,
-    seats: Vec<Said<String>>,
-    covers: Vec<Said<Cover>>,
-    streams: Vec<Said<Stream>>,
-    pools: Vec<Said<Pool>>,
-    weights: Vec<Said<(String, f64)>>,
+    peers: Vec<Located<Peer>>,
+    seats: Vec<Located<String>>,
+    covers: Vec<Located<Cover>>,
+    streams: Vec<Located<Stream>>,
+    pools: Vec<Located<Pool>>,
+    weights: Vec<Located<(String, f64)>>,
 }
 
 fn add<T>(
-    list: impl FnOnce(&mut Parts) -> &mut Vec<Said<T>>,
+    list: impl FnOnce(&mut Parts) -> &mut Vec<Located<T>>,
     name: impl Fn(&T) -> &str,
     (what, at): (&str, String),
     value: T,
@@ -42,7 +42,7 @@
         if list.iter().any(|other| name(&other.value) == name(&value)) {
             bail!("{what} {} is there twice", name(&value));
         }
-        list.push(Said { at, value });
+        list.push(Located { at, value });
         Ok(NoneType)
     })
 }
@@ -65,7 +65,7 @@
 impl Parts {
     /// The whole, where `fleet` was called; errors with their places.
     pub fn finish(self, file: &str) -> Result<Option<Fleet>, Vec<String>> {
-        let values = |list: Vec<Said<String>>| list.into_iter().map(|said| said.value).collect();
+        let values = |list: Vec<Located<String>>| list.into_iter().map(|said| said.value).collect();
         let Parts {
             head,
             peers,
@@ -85,7 +85,7 @@
             };
         };
         let strange =
-            |seat: &&Said<String>| !peers.iter().any(|peer| peer.value.name == seat.value);
+            |seat: &&Located<String>| !peers.iter().any(|peer| peer.value.name == seat.value);
         let mut faults: Vec<String> = seats
             .iter()
             .filter(strange)
--- a/shared/operator/src/script/limits.rs
+++ b/shared/operator/src/script/limits.rs
@@ -6,9 +6,12 @@
 use super::sets::{here, whole, SETS};
 use super::CALLS_MOST;
 use anyhow::{anyhow, bail};
-use foldmux_limits::account::Group;
-use foldmux_limits::table::{Draft as Limits, Match, Route, Said};
-use foldmux_limits::values::{Budget, Concurrency, Layer};
+use foldmux_limits::account::IdempotencyScope;
+use foldmux_limits::concurrency::ConcurrencyLimit;
+use foldmux_limits::overrides::LimitOverrides;
+use foldmux_limits::resolve::{ClassOverrides, LimitsFile, Located, RouteOverrides};
+use foldmux_limits::retry_budget::RetryBudget;
+use foldmux_limits::route_match::RouteMatch;
 use starlark::collections::SmallMap;
 use starlark::environment::GlobalsBuilder;
 use starlark::eval::Evaluator;
@@ -19,8 +22,8 @@
 use starlark::values::{UnpackValue, Value};
 
 /// What `limits` and `route` set, by their names.
-fn layer(set: &SmallMap<String, Value>) -> anyhow::Result<Layer> {
-    let mut layer = Layer::default();
+fn parse_overrides(set: &SmallMap<String, Value>) -> anyhow::Result<LimitOverrides> {
+    let mut overrides = LimitOverrides::default();
     for (name, value) in set.iter() {
         let number = || match i64::unpack_value(*value) {
             Ok(Some(number)) => whole(name, number),
@@ -36,34 +39,34 @@
                 .ok_or_else(|| anyhow!("{name}: {value} is no text"))
         };
         match name.as_str() {
-            "deadline_ms" => layer.deadline_ms = Some(number()?),
-            "attempt_ms" => layer.attempt_ms = Some(number()?),
-            "attempts" => layer.attempts = Some(number()?),
-            "backoff_ms" => layer.backoff_ms = Some(number()?),
-            "backoff_factor" => layer.backoff_factor = Some(real()?),
-            "backoff_most_ms" => layer.backoff_most_ms = Some(number()?),
-            "jitter_percent" => layer.jitter_percent = Some(real()?),
-            "budget" => layer.budget = Some(text()?.to_string()),
-            "places" => layer.concurrency = Some(Concurrency::Fixed { most: number()? }),
+            "deadline_ms" => overrides.deadline_ms = Some(number()?),
+            "attempt_ms" => overrides.attempt_timeout_ms = Some(number()?),
+            "attempts" => overrides.max_attempts = Some(number()?),
+            "backoff_ms" => overrides.backoff_base_ms = Some(number()?),
+            "backoff_factor" => overrides.backoff_factor = Some(real()?),
+            "backoff_most_ms" => overrides.backoff_max_ms = Some(number()?),
+            "jitter_percent" => overrides.jitter_percent = Some(real()?),
+            "budget" => overrides.retry_budget = Some(text()?.to_string()),
+            "places" => overrides.concurrency = Some(ConcurrencyLimit::Fixed { max: number()? }),
             "adaptive" => match UnpackList::<i64>::unpack_value(*value) {
                 Ok(Some(list)) if list.items.len() == 2 => {
-                    let [least, most] = [whole(name, list.items[0])?, whole(name, list.items[1])?];
-                    layer.concurrency = Some(Concurrency::Adaptive { least, most });
+                    let [min, max] = [whole(name, list.items[0])?, whole(name, list.items[1])?];
+                    overrides.concurrency = Some(ConcurrencyLimit::Adaptive { min, max });
                 }
                 _ => bail!("adaptive: {value} is no list of the least and the most places"),
             },
-            "queue" => layer.queue = Some(number()?),
-            "queue_age_ms" => layer.queue_age_ms = Some(number()?),
-            "copies" => layer.copies = Some(number()?),
-            "keep" => layer.keep = Some(number()?),
-            "stale_ms" => layer.stale_ms = Some(number()?),
-            "fills" => layer.fills = Some(number()?),
-            "wait_ms" => layer.wait_ms = Some(number()?),
-            "window_ms" => layer.window_ms = Some(number()?),
+            "queue" => overrides.queue_capacity = Some(number()?),
+            "queue_age_ms" => overrides.queue_timeout_ms = Some(number()?),
+            "copies" => overrides.concurrent_attempts = Some(number()?),
+            "keep" => overrides.retention_rank = Some(number()?),
+            "stale_ms" => overrides.max_stale_ms = Some(number()?),
+            "fills" => overrides.max_fills = Some(number()?),
+            "wait_ms" => overrides.max_retry_after_ms = Some(number()?),
+            "window_ms" => overrides.idempotency_window_ms = Some(number()?),
             "group" => {
-                let group = Group::parse(text()?);
-                layer.group = Some(
-                    group.ok_or_else(|| anyhow!("group: {value} is none of cell, zone and all"))?,
+                let scope = IdempotencyScope::parse(text()?);
+                overrides.idempotency_scope = Some(
+                    scope.ok_or_else(|| anyhow!("group: {value} is none of cell, zone and all"))?,
                 );
             }
             other => bail!("{other} is no limit"),
@@ -72,10 +75,10 @@
     if set.get("places").is_some() && set.get("adaptive").is_some() {
         bail!("places and adaptive say the same in two ways");
     }
-    Ok(layer)
+    Ok(overrides)
 }
 
-fn limited(set: impl FnOnce(&mut Limits) -> anyhow::Result<()>) -> anyhow::Result<NoneType> {
+fn limited(set: impl FnOnce(&mut LimitsFile) -> anyhow::Result<()>) -> anyhow::Result<NoneType> {
     SETS.with_borrow_mut(|sets| set(sets.limits.get_or_insert_default()).map(|()| NoneType))
 }
 
@@ -94,17 +97,23 @@
         #[starlark(kwargs)] set: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        let (at, layer) = (here(eval), layer(&set)?);
+        let (at, overrides) = (here(eval), parse_overrides(&set)?);
         limited(|limits| match class.into_option() {
             Some(class) => {
                 bounded(limits.classes.len(), "limits")?;
-                limits.classes.push(Said {
+                limits.classes.push(Located {
                     at,
-                    value: (class.to_string(), layer),
+                    value: ClassOverrides {
+                        class: class.to_string(),
+                        overrides,
+                    },
                 });
                 Ok(())
             }
-            None => match limits.defaults.replace(Said { at, value: layer }) {
+            None => match limits.defaults.replace(Located {
+                at,
+                value: overrides,
+            }) {
                 Some(_) => bail!("the limits of all classes are set twice"),
                 None => Ok(()),
             },
@@ -122,21 +131,21 @@
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
         let own = |text: NoneOr<&str>| text.into_option().map(str::to_string);
-        let matching = Match {
+        let matching = RouteMatch {
             zone: own(zone),
             caller: own(caller),
             front: own(front),
         };
-        let (at, layer) = (here(eval), layer(&set)?);
-        let route = Route {
+        let (at, overrides) = (here(eval), parse_overrides(&set)?);
+        let route = RouteOverrides {
             name: name.to_string(),
             class: of.to_string(),
             matching,
-            layer,
+            overrides,
         };
         limited(|limits| {
             bounded(limits.routes.len(), "routes")?;
-            limits.routes.push(Said { at, value: route });
+            limits.routes.push(Located { at, value: route });
             Ok(())
         })
     }
@@ -150,7 +159,7 @@
         eval: &mut Evaluator,
     ) -> anyhow::Result<NoneType> {
         let parent = parent.into_option().map(str::to_string);
-        let budget = Budget {
+        let budget = RetryBudget {
             name: name.to_string(),
             percent: percent.0,
             burst: whole("burst", burst)?,
@@ -159,7 +168,7 @@
         let at = here(eval);
         limited(|limits| {
             bounded(limits.budgets.len(), "budgets")?;
-            limits.budgets.push(Said { at, value: budget });
+            limits.budgets.push(Located { at, value: budget });
             Ok(())
         })
     }
--- a/shared/operator/src/script/sets.rs
+++ b/shared/operator/src/script/sets.rs
@@ -5,7 +5,7 @@
 use anyhow::{anyhow, bail};
 use foldmux_hierarchy::cold::Rule;
 use foldmux_hierarchy::tree::Proposed;
-use foldmux_limits::table::Draft as Limits;
+use foldmux_limits::resolve::LimitsFile;
 use garde::Validate;
 use starlark::eval::Evaluator;
 use starlark::values::none::{NoneOr, NoneType};
@@ -33,7 +33,7 @@
     pub ledger: Option<LedgerFile>,
     /// Where the external processor is set, and what it is still without its parts.
     pub ext_proc: Option<(String, ExtProc)>,
-    pub limits: Option<Limits>,
+    pub limits: Option<LimitsFile>,
     pub fleet: Parts,
     pub operator: Operator,
 }
--- a/shared/operator/src/values.rs
+++ b/shared/operator/src/values.rs
@@ -12,7 +12,7 @@
 
 use foldmux_hierarchy::cold::Rule;
 use foldmux_hierarchy::tree::{Kind, Tree};
-use foldmux_limits::table::Draft;
+use foldmux_limits::resolve::LimitsFile;
 use garde::Validate;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
     /// What this process shares with others of a fleet.
     pub fleet: Option<Fleet>,
     /// Limits by class and route, as the file says them; the account's rules are checked by whoever knows the account.
-    pub limits: Option<Draft>,
+    pub limits: Option<LimitsFile>,
 }
 
 /// The fill tree, with what a node needs to reach the others.
--- a/shared/operator/src/values/fleet.rs
+++ b/shared/operator/src/values/fleet.rs
@@ -1,6 +1,6 @@
 //! What the processes of a fleet share, as the file sets it. Off unless `fleet(…)` is called.
 
-use foldmux_limits::table::Said;
+use foldmux_limits::resolve::Located;
 use garde::Validate;
 use std::net::SocketAddr;
 
@@ -25,7 +25,7 @@
     pub peers: Vec<Peer>,
     /// Those of the peers that speak for keys, streams and pools: the order does not matter.
     pub seats: Vec<String>,
-    pub covers: Vec<Said<Cover>>,
+    pub covers: Vec<Located<Cover>>,
     pub streams: Vec<Stream>,
     pub pools: Vec<Pool>,
     /// Of tenants whose share the settings do not tell.
@@ -136,7 +136,7 @@
 impl Fleet {
     /// Classes that are covered and are none of these: where the file says so, and why not.
     pub fn unknown<'a>(&'a self, classes: &'a [String]) -> impl Iterator<Item = String> + 'a {
-        let strange = |said: &&Said<Cover>| !classes.contains(&said.value.class);
+        let strange = |said: &&Located<Cover>| !classes.contains(&said.value.class);
         self.covers.iter().filter(strange).map(|said| {
             format!(
                 "{}: cover names the class {}, which the settings do not have",
--- a/shared/operator/tests/faulty.rs
+++ b/shared/operator/tests/faulty.rs
@@ -1,7 +1,8 @@
 //! Faulty files, one fault each: every one is refused with its own reason and line. Those named `together-…` have parts
 //! that are each valid alone.
 
-use foldmux_limits::check::{check, Check};
+use foldmux_limits::resolve::ClassOverrides;
+use foldmux_limits::validation::{validate, Rule};
 use foldmux_limits::Account;
 use foldmux_operator::load;
 use std::collections::BTreeSet;
@@ -23,7 +24,7 @@
         Err(faults) => faults,
         Ok(operator) => {
             let draft = operator.limits.unwrap_or_default();
-            check(&Account::default(), &draft)
+            validate(&Account::default(), &draft)
                 .iter()
                 .map(ToString::to_string)
                 .collect()
@@ -72,64 +73,67 @@
         let operator = load(&file).unwrap();
         let whole = operator.limits.unwrap();
         for said in &whole.classes {
-            let mut one = foldmux_limits::Draft {
+            let mut one = foldmux_limits::LimitsFile {
                 budgets: whole.budgets.clone(),
                 ..Default::default()
             };
-            let layer = said.value.1.clone();
-            let alone = foldmux_limits::Layer {
-                attempts: layer.attempts,
-                deadline_ms: layer.deadline_ms,
+            let overrides = said.value.overrides.clone();
+            let alone = foldmux_limits::LimitOverrides {
+                max_attempts: overrides.max_attempts,
+                deadline_ms: overrides.deadline_ms,
                 ..Default::default()
             };
-            one.classes.push(foldmux_limits::table::Said {
+            one.classes.push(foldmux_limits::resolve::Located {
                 at: said.at.clone(),
-                value: (said.value.0.clone(), alone),
+                value: ClassOverrides {
+                    class: said.value.class.clone(),
+                    overrides: alone,
+                },
             });
-            let faults = check(&Account::default(), &one);
-            let of_the_budgets = |check| matches!(check, Check::BurstsTogether);
+            let faults = validate(&Account::default(), &one);
+            let of_the_budgets = |rule| matches!(rule, Rule::TotalBurstTooLarge);
             assert!(
-                faults.iter().all(|fault| of_the_budgets(fault.check)),
+                faults
+                    .iter()
+                    .all(|violation| of_the_budgets(violation.rule)),
                 "{name}: {faults:#?}"
             );
         }
         let singles = [
-            Check::BurstsTogether,
-            Check::Storm,
-            Check::BudgetStarves,
-            Check::ParentStarves,
+            Rule::TotalBurstTooLarge,
+            Rule::RetryStorm,
+            Rule::BudgetStarved,
+            Rule::ParentStarved,
         ]
         .into_iter()
         .chain([
-            Check::PlacesTogether,
-            Check::WaitStarves,
-            Check::WindowsDiffer,
-            Check::StaleAndWait,
+            Rule::TotalCapacityExceeded,
+            Rule::NoTimeAfterQueue,
+            Rule::WindowsDiffer,
+            Rule::StaleAfterQueue,
         ])
-        .chain([Check::TriesPastAnswer, Check::RunsTwice]);
-        let singles: BTreeSet<Check> = singles.collect();
-        let faults = check(&Account::default(), &whole);
+        .chain([Rule::AttemptsPastDeadline, Rule::DuplicateRun]);
+        let singles: BTreeSet<Rule> = singles.collect();
+        let faults = validate(&Account::default(), &whole);
         assert!(
-            faults.iter().all(|fault| singles.contains(&fault.check)),
+            faults
+                .iter()
+                .all(|violation| singles.contains(&violation.rule)),
             "{name}: {faults:#?}"
         );
     }
 }
 
 #[test]
-fn every_check_is_brought_about_by_some_file() {
+fn every_rule_is_broken_by_some_file() {
     let told: String = files().iter().flat_map(|file| told(file)).collect();
     // These need an account of another kind, or more lines than a file should have here.
-    let elsewhere = [
-        Check::TooManyRoutes,
-        Check::RepeatedOnce,
-        Check::GroupTooWide,
-    ];
-    for check in Check::ALL.iter().filter(|check| !elsewhere.contains(check)) {
+    let elsewhere = [Rule::TooManyRoutes, Rule::NotIdempotent, Rule::ScopeTooWide];
+    for rule in Rule::ALL.iter().filter(|rule| !elsewhere.contains(rule)) {
         assert!(
-            told.contains(&format!("[{}]", check.name())),
+            told.contains(&format!("[{}]", rule.name())),
             "no file for {}",
-            check.name()
+            rule.name()
         );
     }
 }
