--- a/edge/core/src/core.rs
+++ b/edge/core/src/core.rs
@@ -195,7 +195,7 @@
 
     /// Whether a server started so recently that it may be warming up at `now` (router time, µs).
     pub fn is_warming_up(&self, now: Time, server: &Server) -> bool {
-        let boot = server.member.boot;
+        let boot = server.member.started_at;
         boot > 0 && now < boot + self.warm_up_us.load(Ordering::Relaxed)
     }
 
--- a/edge/core/src/delegated.rs
+++ b/edge/core/src/delegated.rs
@@ -114,7 +114,7 @@
     }
 
     fn route(&self, fetch: Fetch, target: AttemptTarget) -> Option<Route> {
-        let in_time = fetch.may_begin(self.core.clock.now());
+        let in_time = fetch.may_send(self.core.clock.now());
         let servers = &self.core.servers;
         let cache = servers.get_accepting(fetch.cache, target.cache);
         let source = match fetch.source == fetch.cache {
@@ -132,7 +132,7 @@
     /// Whether a route that was kept for later may still be used.
     pub fn is_current(&self, route: &Route) -> bool {
         let Route { fetch, target, .. } = route;
-        if !fetch.may_begin(self.core.clock.now()) {
+        if !fetch.may_send(self.core.clock.now()) {
             return false;
         }
         let accepts = |cache, incarnation: Option<_>| {
--- a/edge/core/src/event_loop.rs
+++ b/edge/core/src/event_loop.rs
@@ -149,18 +149,18 @@
             Command::ClientGone(id) => {
                 if let Some(open) = self.open.get(&id) {
                     open.directives.send(Directive::ClientGone);
-                    self.handle(Event::ClientGone { id });
+                    self.handle(Event::ClientDisconnected { id });
                 }
             }
             Command::RequestEnded(id) => {
                 // The router forgets a request by itself only with its final decision; of any other end it must hear.
                 if self.open.remove(&id).is_some() {
-                    self.handle(Event::ClientGone { id });
+                    self.handle(Event::ClientDisconnected { id });
                 }
             }
             Command::ShutDown { deadline } => {
                 self.shutdown_deadline = Some(deadline);
-                self.handle(Event::Closing { by: deadline });
+                self.handle(Event::Shutdown { deadline: deadline });
             }
             Command::Servers { full, servers } => self.update_servers(full, servers),
             Command::LoadReport {
@@ -178,17 +178,22 @@
             } => self.with_load_reports(cache, incarnation, |reports, now| {
                 reports.probed(now, cache, healthy, load)
             }),
-            Command::Topology { hubs, hub_of } => self.handle(Event::Wired { hubs, hub_of }),
+            Command::Topology { hubs, hub_of } => self.handle(Event::TopologyChanged {
+                parent_zones: hubs,
+                hub_by_zone: hub_of,
+            }),
             Command::Settings(settings) => self.router.retune(*settings),
-            Command::Invalidate { object, group, ago } => {
-                self.handle(Event::Purged { object, group, ago })
-            }
+            Command::Invalidate { object, group, ago } => self.handle(Event::Purged {
+                object,
+                group,
+                age: ago,
+            }),
         }
     }
 
     fn open_request(
         &mut self,
-        mut request: Ask,
+        mut request: IncomingRequest,
         cancel: Arc<CancelHandle>,
         directives: Box<dyn DirectiveSink>,
     ) {
@@ -205,7 +210,7 @@
                 attempts: 0,
             },
         );
-        request.budget = request.budget.min(self.time_to_shutdown());
+        request.time_budget = request.time_budget.min(self.time_to_shutdown());
         self.handle(Event::Request(request));
     }
 
@@ -285,7 +290,7 @@
     fn carry_out(&mut self, now: Time, action: Action) {
         match action {
             Action::Fetch(fetch) => self.start_attempt(fetch),
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 let retry_after = Duration::from_micros(retry_after);
                 self.finish(id, Directive::Reject(Rejected { retry_after }))
             }
@@ -295,14 +300,14 @@
                     open.cancel.cancel_through(attempt);
                 }
             }
-            Action::Timer { after, token } => self.timers.push(Reverse((now + after, token))),
-            Action::Probe { cache } => {
+            Action::StartTimer { after, token } => self.timers.push(Reverse((now + after, token))),
+            Action::HealthCheck { cache } => {
                 if let Some(reports) = &self.load_reports {
                     reports.probe(cache, self.servers.incarnation(cache));
                 }
             }
             // This platform's settings allow no peers, and its server list is pushed.
-            Action::TellPeers { .. } | Action::Watch => {}
+            Action::MessagePeers { .. } | Action::SubscribeMembers => {}
         }
     }
 
--- a/edge/core/src/in_flight.rs
+++ b/edge/core/src/in_flight.rs
@@ -53,11 +53,11 @@
     fn report(&self, outcome: Outcome, last: bool) {
         self.metrics.record_attempt(outcome);
         let elapsed = self.target.decided_at.elapsed().as_micros() as Time;
-        self.event_loop.send(Command::Outcome(Report {
+        self.event_loop.send(Command::Outcome(AttemptReport {
             id: self.id,
             attempt: self.target.attempt,
             outcome,
-            note: Note::Untold,
+            cache_status: CacheStatus::Unknown,
             elapsed,
             last,
         }));
--- a/edge/core/src/lifecycle.rs
+++ b/edge/core/src/lifecycle.rs
@@ -344,9 +344,9 @@
         if let Some(record) = self.record {
             record.record_outcome(outcome);
         }
-        self.may_have_executed |= !outcome.never_ran();
+        self.may_have_executed |= !outcome.not_processed();
         if let Some(limits) = &mut self.limits {
-            limits.record_attempt(sent_at, served, outcome.never_ran());
+            limits.record_attempt(sent_at, served, outcome.not_processed());
         }
     }
 
--- a/edge/core/src/limits.rs
+++ b/edge/core/src/limits.rs
@@ -11,7 +11,7 @@
 
 use crate::clock::Clock;
 use crate::retry_after::Rejected;
-use foldmux::interface::Repeat;
+use foldmux::interface::RetrySafety;
 use foldmux_limits::admission::{Admission as PoolAdmission, LimitKey};
 use foldmux_limits::resolve::LimitSet;
 use shared::Shared;
@@ -48,7 +48,12 @@
 
 impl Limiter {
     /// Enforces `table` at a proxy in `zone`; `repeats` says for each class whether it may be repeated.
-    pub fn new(table: LimitSet, clock: Clock, zone: String, repeats: Vec<Repeat>) -> Arc<Limiter> {
+    pub fn new(
+        table: LimitSet,
+        clock: Clock,
+        zone: String,
+        repeats: Vec<RetrySafety>,
+    ) -> Arc<Limiter> {
         Arc::new(Limiter {
             shared: Arc::new(Shared::new(&table, &zone, clock, repeats)),
             zone,
--- a/edge/core/src/limits/request_limits.rs
+++ b/edge/core/src/limits/request_limits.rs
@@ -1,7 +1,7 @@
 //! The limits of one request, and its place among them.
 
 use super::shared::{QueueEnd, Shared};
-use foldmux::interface::{Fetch, Group, Repeat, Time};
+use foldmux::interface::{Fetch, KeyScope, RetrySafety, Time};
 use foldmux_limits::admission::LimitKey;
 use foldmux_limits::effective::{Field, MAX_RETENTION_RANK};
 use foldmux_limits::resolve::ResolvedLimits;
@@ -89,8 +89,10 @@
     /// repeats of a key must not arrive after it.
     pub fn is_within_repeat_window(&self) -> bool {
         match (self.repeat(), self.first_sent_at) {
-            (Some(Repeat::Keyed(_)), Some(sent_at)) => sent_at.elapsed() < self.repeat_window(),
-            (Some(Repeat::SingleShot), Some(_)) => false,
+            (Some(RetrySafety::Keyed(_)), Some(sent_at)) => {
+                sent_at.elapsed() < self.repeat_window()
+            }
+            (Some(RetrySafety::NonIdempotent), Some(_)) => false,
             _ => true,
         }
     }
@@ -98,21 +100,21 @@
     /// Tightens what the router decided to what the limits allow.
     pub fn tighten(&self, fetch: &mut Fetch) {
         let values = &self.resolved.values;
-        fetch.time_out = values.attempt_timeout().within_us(fetch.time_out);
+        fetch.timeout = values.attempt_timeout().within_us(fetch.timeout);
         if let Some(deadline) = self.repeat_deadline() {
-            fetch.begin_by(deadline);
+            fetch.limit_send_before(deadline);
         }
-        fetch.keep = fetch
-            .keep
+        fetch.retention_rank = fetch
+            .retention_rank
             .min(values.retention_rank.min(MAX_RETENTION_RANK) as u8);
         if self.resolved.is_set(Field::MaxStale) {
-            fetch.renew &= values.max_stale_ms > 0;
+            fetch.revalidate &= values.max_stale_ms > 0;
         }
     }
 
     /// Before when a repeat of a request with an idempotency key must be sent (router time).
     fn repeat_deadline(&self) -> Option<Time> {
-        if !matches!(self.repeat(), Some(Repeat::Keyed(_))) {
+        if !matches!(self.repeat(), Some(RetrySafety::Keyed(_))) {
             return None;
         }
         let sent_at = self.first_sent_at?;
@@ -155,7 +157,7 @@
         self.first_sent_at.is_none()
             || matches!(
                 self.repeat(),
-                Some(Repeat::Safe | Repeat::Keyed(Group::All))
+                Some(RetrySafety::Idempotent | RetrySafety::Keyed(KeyScope::All))
             )
     }
 
@@ -169,7 +171,7 @@
         max_retry_after(&self.resolved)
     }
 
-    fn repeat(&self) -> Option<&Repeat> {
+    fn repeat(&self) -> Option<&RetrySafety> {
         self.shared.repeats.get(self.resolved.class)
     }
 
--- a/edge/core/src/limits/shared.rs
+++ b/edge/core/src/limits/shared.rs
@@ -1,7 +1,7 @@
 //! The state that all requests with limits share.
 
 use crate::clock::Clock;
-use foldmux::interface::{Repeat, Time};
+use foldmux::interface::{RetrySafety, Time};
 use foldmux_limits::admission::AdmissionControl;
 use foldmux_limits::lookup::LimitTable;
 use foldmux_limits::resolve::LimitSet;
@@ -24,7 +24,7 @@
     state: Mutex<State>,
     pub(super) clock: Clock,
     /// Whether a request may be repeated, by class.
-    pub(super) repeats: Vec<Repeat>,
+    pub(super) repeats: Vec<RetrySafety>,
 }
 
 pub(super) struct State {
@@ -37,7 +37,12 @@
 }
 
 impl Shared {
-    pub(super) fn new(table: &LimitSet, zone: &str, clock: Clock, repeats: Vec<Repeat>) -> Shared {
+    pub(super) fn new(
+        table: &LimitSet,
+        zone: &str,
+        clock: Clock,
+        repeats: Vec<RetrySafety>,
+    ) -> Shared {
         let state = State {
             table: LimitTable::new(table, zone),
             admission: AdmissionControl::new(table),
--- a/edge/core/src/limits/tests.rs
+++ b/edge/core/src/limits/tests.rs
@@ -37,9 +37,9 @@
 
 fn limiter() -> Arc<Limiter> {
     let repeats = vec![
-        Repeat::Safe,
-        Repeat::Safe,
-        Repeat::Keyed(foldmux::interface::Group::All),
+        RetrySafety::Idempotent,
+        RetrySafety::Idempotent,
+        RetrySafety::Keyed(foldmux::interface::KeyScope::All),
     ];
     Limiter::new(table(1), Clock::default(), "turku".into(), repeats)
 }
@@ -107,18 +107,18 @@
     let mut fetch = Fetch {
         id: foldmux::interface::RequestId(1),
         cache: foldmux::interface::CacheId(1),
-        time_out: 900_000,
-        send_by: 0,
+        timeout: 900_000,
+        send_before: 0,
         source: foldmux::interface::CacheId(2),
-        keep: 3,
+        retention_rank: 3,
         max_age: 0,
-        join: false,
-        hold_only: false,
-        renew: true,
+        collapse: false,
+        only_if_cached: false,
+        revalidate: true,
     };
     old.tighten(&mut fetch);
     assert_eq!(
-        (fetch.time_out, fetch.keep, fetch.renew),
+        (fetch.timeout, fetch.retention_rank, fetch.revalidate),
         (200_000, 1, true)
     );
     assert_eq!(
@@ -137,9 +137,9 @@
 fn a_repeat_begins_within_the_window_of_its_limits_and_of_the_module() {
     const KEYED: usize = 2;
     let repeats = vec![
-        Repeat::Safe,
-        Repeat::Safe,
-        Repeat::Keyed(foldmux::interface::Group::All),
+        RetrySafety::Idempotent,
+        RetrySafety::Idempotent,
+        RetrySafety::Keyed(foldmux::interface::KeyScope::All),
     ];
     let clock = Clock::default();
     let layer = |window_ms| LimitOverrides {
@@ -167,17 +167,17 @@
         let mut fetch = Fetch {
             id: foldmux::interface::RequestId(1),
             cache: foldmux::interface::CacheId(1),
-            time_out: 0,
-            send_by: by,
+            timeout: 0,
+            send_before: by,
             source: foldmux::interface::CacheId(1),
-            keep: 0,
+            retention_rank: 0,
             max_age: 0,
-            join: false,
-            hold_only: false,
-            renew: false,
+            collapse: false,
+            only_if_cached: false,
+            revalidate: false,
         };
         held.tighten(&mut fetch);
-        (fetch.send_by, clock.at(began) + 2_000_000)
+        (fetch.send_before, clock.at(began) + 2_000_000)
     };
     let (by, window) = bound(KEYED, false, 0);
     assert_eq!(by, window);
--- a/edge/core/src/messages.rs
+++ b/edge/core/src/messages.rs
@@ -17,14 +17,14 @@
     /// A new request: the router decides, and `directives` receives what it decides.
     Request {
         /// The request.
-        request: Ask,
+        request: IncomingRequest,
         /// Cancels its attempts.
         cancel: Arc<CancelHandle>,
         /// Receives the router's directives.
         directives: Box<dyn DirectiveSink>,
     },
     /// An attempt has ended.
-    Outcome(Report),
+    Outcome(AttemptReport),
     /// The client closed its connection or withdrew the request.
     ClientGone(RequestId),
     /// The request is finished and takes no more directives.
--- a/edge/core/src/request.rs
+++ b/edge/core/src/request.rs
@@ -48,17 +48,22 @@
     }
 
     /// The request as the router takes it, with what is left of the time until `deadline`.
-    pub(crate) fn to_router(&self, id: RequestId, lease: Time, deadline: Instant) -> Ask {
-        Ask {
+    pub(crate) fn to_router(
+        &self,
+        id: RequestId,
+        lease: Time,
+        deadline: Instant,
+    ) -> IncomingRequest {
+        IncomingRequest {
             id,
             class: *self.class,
             object: ObjectId(self.object),
             part: self.part,
             group: self.group,
             size_kb: self.size_kb,
-            budget: micros_until(deadline),
-            lease,
-            within: self.required_group,
+            time_budget: micros_until(deadline),
+            placement_ttl: lease,
+            required_group: self.required_group,
         }
     }
 }
--- a/edge/core/src/retry_after.rs
+++ b/edge/core/src/retry_after.rs
@@ -37,7 +37,7 @@
         .map(|class| class.deadline)
         .min()
         .unwrap_or(0);
-    let Some(longest_told) = settings.retry_after else {
+    let Some(longest_told) = settings.max_retry_after else {
         return Duration::ZERO;
     };
     Duration::from_micros(shortest_deadline / DEADLINE_DIVISOR)
--- a/edge/core/src/servers.rs
+++ b/edge/core/src/servers.rs
@@ -1,7 +1,7 @@
 //! The servers that attempts may go to (pop caches, parents and the origin), as the journal last listed them: names,
 //! addresses, and what may be sent to. Only the event loop writes the list; everybody else reads it.
 
-use foldmux::interface::{CacheId, Member, State, Time};
+use foldmux::interface::{CacheId, Member, MemberState, Time};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::{Arc, PoisonError, RwLock, RwLockReadGuard};
@@ -31,13 +31,13 @@
     /// The incarnation that is listed.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation {
-            boot: self.member.boot,
+            boot: self.member.started_at,
             address: self.address,
         }
     }
 
     fn is_ready(&self) -> bool {
-        self.member.state == State::Ready
+        self.member.state == MemberState::Ready
     }
 }
 
@@ -121,15 +121,15 @@
         let mut latest_boot: HashMap<SocketAddr, Time> = HashMap::new();
         let present = update
             .iter()
-            .filter(|server| server.member.state != State::Gone);
+            .filter(|server| server.member.state != MemberState::Gone);
         for server in present.chain(servers.values().filter(remains)) {
             let boot = latest_boot.entry(server.address).or_default();
-            *boot = server.member.boot.max(*boot);
+            *boot = server.member.started_at.max(*boot);
         }
         let is_replaced = |server: &Server| {
             latest_boot
                 .get(&server.address)
-                .is_some_and(|boot| *boot > server.member.boot)
+                .is_some_and(|boot| *boot > server.member.started_at)
         };
         let replaced: Vec<Server> = servers
             .values()
@@ -141,7 +141,7 @@
         update
             .iter_mut()
             .filter(|server| is_replaced(server))
-            .for_each(|server| server.member.state = State::Gone);
+            .for_each(|server| server.member.state = MemberState::Gone);
         update.extend(replaced);
         update
     }
@@ -164,11 +164,12 @@
             let (cache, state) = (server.member.cache, server.member.state);
             let incarnation = server.incarnation();
             let former = match state {
-                State::Gone => servers.remove(&cache),
+                MemberState::Gone => servers.remove(&cache),
                 _ => servers.insert(cache, server),
             };
             let has_ended = |former: &Server| {
-                former.is_ready() && (former.incarnation() != incarnation || state != State::Ready)
+                former.is_ready()
+                    && (former.incarnation() != incarnation || state != MemberState::Ready)
             };
             ended.extend(former.filter(has_ended));
         }
@@ -177,7 +178,7 @@
 }
 
 fn mark_gone(mut server: Server) -> Server {
-    server.member.state = State::Gone;
+    server.member.state = MemberState::Gone;
     server
 }
 
--- a/edge/core/src/servers/tests.rs
+++ b/edge/core/src/servers/tests.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-fn server(state: State, boot: Time, port: u16) -> Server {
+fn server(state: MemberState, boot: Time, port: u16) -> Server {
     let member = Member {
         cache: CacheId(1),
         state,
-        boot,
+        started_at: boot,
         ..Member::default()
     };
     Server {
@@ -19,7 +19,7 @@
 #[test]
 fn an_address_has_one_holder_the_one_that_started_last_whichever_is_told_first() {
     let line = |id: u32, boot: Time, port: u16| {
-        let mut line = server(State::Ready, boot, port);
+        let mut line = server(MemberState::Ready, boot, port);
         (line.member.cache, line.name) = (CacheId(id), format!("s-{id:08x}").into());
         line
     };
@@ -27,7 +27,7 @@
         let lines = servers.resolve_address_conflicts(full, lines);
         let gone: Vec<u32> = lines
             .iter()
-            .filter(|l| l.member.state == State::Gone)
+            .filter(|l| l.member.state == MemberState::Gone)
             .map(|l| l.member.cache.0)
             .collect();
         servers.apply(full, lines);
@@ -69,15 +69,15 @@
 #[test]
 fn a_start_is_allowed_until_it_drains_goes_restarts_or_moves() {
     for next in [
-        vec![server(State::Draining, 5, 80)],
-        vec![server(State::Gone, 5, 80)],
-        vec![server(State::Ready, 6, 80)],
-        vec![server(State::Ready, 5, 81)],
+        vec![server(MemberState::Draining, 5, 80)],
+        vec![server(MemberState::Gone, 5, 80)],
+        vec![server(MemberState::Ready, 6, 80)],
+        vec![server(MemberState::Ready, 5, 81)],
         vec![],
     ] {
         let servers = ServerList::default();
         assert!(servers
-            .apply(true, vec![server(State::Ready, 5, 80)])
+            .apply(true, vec![server(MemberState::Ready, 5, 80)])
             .is_empty());
         let start = servers.get(CacheId(1)).unwrap().incarnation();
         assert!(servers.accepts(CacheId(1), start));
--- a/edge/core/tests/common/mod.rs
+++ b/edge/core/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Requests at a core whose attempts the test ends one by one.
 #![allow(dead_code)]
 
-use foldmux::interface::{CacheId, Member, Outcome, State};
+use foldmux::interface::{CacheId, Member, MemberState, Outcome};
 use foldmux::Router;
 use foldmux_core::attempt::{Attempt, Payload, UpstreamClient};
 use foldmux_core::buffers::BufferPool;
@@ -115,7 +115,7 @@
                 cache: CacheId(n),
                 zone,
                 kind,
-                state: State::Ready,
+                state: MemberState::Ready,
                 weight: 1.0,
                 ..Member::default()
             },
@@ -184,7 +184,7 @@
                 ..LimitsFile::default()
             },
         );
-        let repeats = vec![foldmux::interface::Repeat::Safe];
+        let repeats = vec![foldmux::interface::RetrySafety::Idempotent];
         let limiter = Limiter::new(table, self.core.clock.clone(), "edge".into(), repeats);
         assert!(self.core.limiter.set(limiter.clone()).is_ok());
         limiter
--- a/edge/core/tests/limits.rs
+++ b/edge/core/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Limits in the life of real requests: reloaded in the middle of a storm, nothing is lost and nothing is doubled.
 
-use foldmux::interface::{CacheId, Member, Outcome, State};
+use foldmux::interface::{CacheId, Member, MemberState, Outcome};
 use foldmux::Router;
 use foldmux_core::attempt::{Attempt, Payload, UpstreamClient};
 use foldmux_core::buffers::BufferPool;
@@ -127,7 +127,7 @@
         .settings
         .classes
         .iter()
-        .map(|class| class.repeat)
+        .map(|class| class.retry_safety)
         .collect();
     let (clock, servers) = (Clock::default(), Arc::new(ServerList::default()));
     let (event_loop, handle) = EventLoop::new(
@@ -141,9 +141,9 @@
             zone,
             kind,
             cell: 0,
-            state: State::Ready,
+            state: MemberState::Ready,
             weight: 1.0,
-            boot: 0,
+            started_at: 0,
         },
         name: format!("s-{n:08x}").into(),
         address: ([127, 0, 0, 1], 9).into(),
--- a/edge/core/tests/members.rs
+++ b/edge/core/tests/members.rs
@@ -1,6 +1,6 @@
 //! Which incarnation of a server is returned while the list changes at the same moment.
 
-use foldmux::interface::{CacheId, Member, State, Time};
+use foldmux::interface::{CacheId, Member, MemberState, Time};
 use foldmux_core::servers::{Server, ServerList};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,8 +13,8 @@
 fn incarnation(boot: Time) -> Server {
     let member = Member {
         cache: CACHE,
-        state: State::Ready,
-        boot,
+        state: MemberState::Ready,
+        started_at: boot,
         ..Member::default()
     };
     let address = SocketAddr::from(([127, 0, 0, 1], 7_000 + boot as u16 % 2));
--- a/edge/core/tests/reports.rs
+++ b/edge/core/tests/reports.rs
@@ -28,12 +28,12 @@
     }
 }
 
-fn server(cache: u32, kind: usize, state: State, boot: Time) -> Server {
+fn server(cache: u32, kind: usize, state: MemberState, boot: Time) -> Server {
     let member = Member {
         cache: CacheId(cache),
         kind,
         state,
-        boot,
+        started_at: boot,
         weight: 1.0,
         ..Member::default()
     };
@@ -61,9 +61,9 @@
     event_loop.enable_load_reports(beside, Some(Box::new(Prober(sender))));
     std::thread::spawn(move || event_loop.run());
     let mut list: Vec<Server> = (1..4)
-        .map(|cache| server(cache, 0, State::Ready, 0))
+        .map(|cache| server(cache, 0, MemberState::Ready, 0))
         .collect();
-    list.push(server(9, 1, State::Ready, 0));
+    list.push(server(9, 1, MemberState::Ready, 0));
     handle.send(Command::Servers {
         full: true,
         servers: list,
@@ -82,16 +82,16 @@
         let id = RequestId(self.next);
         let (sender, directives) = bounded(8);
         let object = ObjectId(self.next * 7_919);
-        let ask = Ask {
+        let ask = IncomingRequest {
             id,
             class: 0,
             object,
             part: 0,
             group: 0,
             size_kb: 10.0,
-            budget: 3_000_000,
-            lease: 0,
-            within: None,
+            time_budget: 3_000_000,
+            placement_ttl: 0,
+            required_group: None,
         };
         self.event_loop.send(Command::Request {
             request: ask,
@@ -99,12 +99,13 @@
             directives: Box::new(sender),
         });
         if let Ok(Directive::Attempt(_, target)) = directives.recv_timeout(PATIENCE) {
-            let (attempt, outcome, note) = (target.attempt, Outcome::Full, Note::Untold);
-            let report = Report {
+            let (attempt, outcome, note) =
+                (target.attempt, Outcome::Overloaded, CacheStatus::Unknown);
+            let report = AttemptReport {
                 id,
                 attempt,
                 outcome,
-                note,
+                cache_status: note,
                 elapsed: 1_000,
                 last: true,
             };
@@ -135,7 +136,7 @@
     let old = first.1;
     rig.event_loop.send(Command::Servers {
         full: false,
-        servers: vec![server(first.0 .0, 0, State::Draining, 0)],
+        servers: vec![server(first.0 .0, 0, MemberState::Draining, 0)],
     });
     rig.event_loop.send(Command::LoadReport {
         cache: first.0,
--- a/edge/fronts/extproc/src/answers.rs
+++ b/edge/fronts/extproc/src/answers.rs
@@ -198,9 +198,11 @@
             .as_ref()
             .map(|source| (names::FILL_FROM, source.name.to_string())),
     );
-    told.extend((fetch.keep > 0).then(|| (names::KEEP, fetch.keep.to_string())));
+    told.extend(
+        (fetch.retention_rank > 0).then(|| (names::KEEP, fetch.retention_rank.to_string())),
+    );
     told.extend(bound_ms(fetch.max_age).map(|age| (names::MAX_AGE, age.to_string())));
-    told.extend(bound_ms(fetch.time_out).map(|time| (names::TIME_OUT, time.to_string())));
+    told.extend(bound_ms(fetch.timeout).map(|time| (names::TIME_OUT, time.to_string())));
     told.extend(
         Some(fetch.flags())
             .filter(|flags| !flags.is_empty())
--- a/edge/fronts/extproc/src/attempt.rs
+++ b/edge/fronts/extproc/src/attempt.rs
@@ -50,13 +50,16 @@
     pub(crate) fn end(&mut self, ended: Ended, last: bool) {
         self.delegated.finish_attempt(ended.outcome, last);
         self.fill = None;
-        let (served, never_ran) = (ended.outcome == Outcome::Served, ended.outcome.never_ran());
+        let (served, never_ran) = (
+            ended.outcome == Outcome::Served,
+            ended.outcome.not_processed(),
+        );
         self.limits
             .iter_mut()
             .for_each(|limits| limits.record_attempt(self.sent, served, never_ran));
         if let Some(mut grip) = self.grip.take() {
             if ended.over {
-                grip.end(if ended.outcome.never_ran() {
+                grip.end(if ended.outcome.not_processed() {
                     Word::NeverRan
                 } else {
                     Word::MayHaveRun
--- a/edge/fronts/extproc/src/front.rs
+++ b/edge/fronts/extproc/src/front.rs
@@ -5,7 +5,7 @@
 use crate::mapping::Map;
 use crate::parked::Parked;
 use crate::pb::ProcessingResponse;
-use foldmux::interface::{Repeat, Time};
+use foldmux::interface::{RetrySafety, Time};
 use foldmux_core::metrics::Completion;
 use foldmux_core::reason::Reason;
 use foldmux_core::Core;
@@ -20,7 +20,7 @@
     pub name: Arc<str>,
     /// Its place among the module's classes, held as long as this front is.
     pub place: Arc<usize>,
-    pub repeat: Repeat,
+    pub repeat: RetrySafety,
     /// For keyed classes: how long the archive drops a repeat (us).
     pub window: Time,
     /// The longest that a client waits for one (us).
--- a/edge/fronts/extproc/src/next.rs
+++ b/edge/fronts/extproc/src/next.rs
@@ -140,7 +140,7 @@
         if !self.again {
             return Ok(None);
         }
-        let ran = if ended.outcome.never_ran() && attempt.number == 0 {
+        let ran = if ended.outcome.not_processed() && attempt.number == 0 {
             Ran::Nothing
         } else {
             Ran::Maybe
--- a/edge/fronts/extproc/src/outcome.rs
+++ b/edge/fronts/extproc/src/outcome.rs
@@ -32,7 +32,7 @@
         (200..=299, _) => ended(Outcome::Served),
         (304, _) if holds => ended(Outcome::Served),
         (404, _) => ended(Outcome::Miss),
-        (503, true) => ended(Outcome::Full),
+        (503, true) => ended(Outcome::Overloaded),
         (504, true) => ended(Outcome::NeverSent),
         // Without details it may be the caller's own word on an attempt that is running still.
         _ if details.is_none() => lost(Outcome::Error),
@@ -72,7 +72,7 @@
     };
     Some(Ended {
         outcome,
-        over: outcome.never_ran(),
+        over: outcome.not_processed(),
     })
 }
 
--- a/edge/fronts/extproc/src/outcome/tests.rs
+++ b/edge/fronts/extproc/src/outcome/tests.rs
@@ -12,7 +12,7 @@
     assert_eq!(of(200, false, None), ended(Outcome::Served));
     assert_eq!(
         (of(404, false, None), of(503, true, None)),
-        (ended(Outcome::Miss), ended(Outcome::Full))
+        (ended(Outcome::Miss), ended(Outcome::Overloaded))
     );
     assert_eq!(of(504, true, None), ended(Outcome::NeverSent));
     assert_eq!(
@@ -52,5 +52,5 @@
         ended(Outcome::NeverSent)
     );
     // Untouched is a cache's word: a reset with it proves nothing.
-    assert!(!of(503, true, Some(reset)).outcome.never_ran());
+    assert!(!of(503, true, Some(reset)).outcome.not_processed());
 }
--- a/edge/fronts/extproc/src/place.rs
+++ b/edge/fronts/extproc/src/place.rs
@@ -7,7 +7,7 @@
 use crate::keyed::{unix_ms, Grip};
 use crate::mapping::{Asked, Unusable};
 use crate::pb::{HttpHeaders, ProcessingResponse};
-use foldmux::interface::{Outcome, Repeat, Time};
+use foldmux::interface::{Outcome, RetrySafety, Time};
 use foldmux_core::delegated::DelegatedRequest;
 use foldmux_core::messages::DIRECTIVE_CAPACITY;
 use foldmux_core::request::serving_budget;
@@ -86,7 +86,7 @@
         }
         let mut grip = None;
         let mut key = None;
-        if let Repeat::Keyed(_) = class.repeat {
+        if let RetrySafety::Keyed(_) = class.repeat {
             let told = asked
                 .key
                 .clone()
@@ -106,7 +106,7 @@
         let kept = shown
             .as_ref()
             .and_then(|token| self.parked.take(token.request, token.attempt));
-        if class.repeat == Repeat::SingleShot && shown.is_some() && kept.is_none() {
+        if class.repeat == RetrySafety::NonIdempotent && shown.is_some() && kept.is_none() {
             // Only the module, which saw that nothing ran, allows another.
             return Err(Final::given_up(
                 "an attempt may have run, and none may follow",
@@ -188,7 +188,7 @@
                     self.next(&mut attempt, until, ran).await?
                 }
             };
-            let group = class.repeat.group_of(&way.cache.member);
+            let group = class.repeat.key_group(&way.cache.member);
             if within.is_some_and(|within| within != group) {
                 // Chosen before it was known that an attempt may have run elsewhere.
                 return Err(Final::given_up(
--- a/edge/fronts/extproc/src/serve/bound.rs
+++ b/edge/fronts/extproc/src/serve/bound.rs
@@ -6,7 +6,7 @@
 use crate::life::{us, Class, Counts, Front};
 use crate::mapping::Map;
 use crate::parked::Parked;
-use foldmux::interface::Repeat;
+use foldmux::interface::RetrySafety;
 use foldmux_core::Core;
 use foldmux_identity::{Files, Identity};
 use foldmux_operator::{Durable, ExtProc};
@@ -64,7 +64,7 @@
         store: Option<(Opener, Commit)>,
     ) -> Result<Bound, String> {
         let told = |e: String| format!("external processor: {e}");
-        let keyed = |class: &Class| matches!(class.repeat, Repeat::Keyed(_));
+        let keyed = |class: &Class| matches!(class.repeat, RetrySafety::Keyed(_));
         let names: Vec<(&str, bool)> = classes.iter().map(|c| (&*c.name, keyed(c))).collect();
         let map = Map::new(&setup.asks, &names).map_err(told)?;
         let asked =
--- a/edge/fronts/extproc/tests/common/mod.rs
+++ b/edge/fronts/extproc/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod talk;
 
-use foldmux::interface::{CacheId, Class, Member, Outcome, Repeat, State};
+use foldmux::interface::{CacheId, Class, Member, MemberState, Outcome, RetrySafety};
 use foldmux::Router;
 use foldmux_core::attempt::{Attempt, Payload, UpstreamClient};
 use foldmux_core::buffers::BufferPool;
@@ -72,7 +72,13 @@
     waiting: Option<EventLoop>,
 }
 
-pub fn line(number: u32, kind: usize, cell: u16, state: State, address: SocketAddr) -> Server {
+pub fn line(
+    number: u32,
+    kind: usize,
+    cell: u16,
+    state: MemberState,
+    address: SocketAddr,
+) -> Server {
     let zone = (kind == 0) as usize;
     let member = Member {
         cache: CacheId(number),
@@ -81,7 +87,7 @@
         cell,
         state,
         weight: 1.0,
-        boot: 0,
+        started_at: 0,
     };
     Server {
         member,
@@ -141,12 +147,12 @@
         let class = |(place, (name, class)): (usize, (&String, &Class))| life::Class {
             name: name.as_str().into(),
             place: place.into(),
-            repeat: class.repeat,
-            window: class.repeat_window,
+            repeat: class.retry_safety,
+            window: class.idempotency_window,
             longest: class.deadline,
         };
         let classes: Vec<life::Class> = classes.map(class).collect();
-        assert!(matches!(classes[1].repeat, Repeat::Keyed(_)));
+        assert!(matches!(classes[1].repeat, RetrySafety::Keyed(_)));
         let setup = foldmux_operator::script::evaluate("t.star", script.to_string())
             .unwrap()
             .ext_proc
@@ -167,11 +173,17 @@
             max_open: 4_096,
         });
         let mut listed = vec![
-            line(900, 2, 0, State::Ready, origin),
-            line(901, 1, 0, State::Ready, origin),
+            line(900, 2, 0, MemberState::Ready, origin),
+            line(901, 1, 0, MemberState::Ready, origin),
         ];
         for (n, cache) in caches.iter().enumerate() {
-            listed.push(line(n as u32 + 1, 0, n as u16 + 1, State::Ready, *cache));
+            listed.push(line(
+                n as u32 + 1,
+                0,
+                n as u16 + 1,
+                MemberState::Ready,
+                *cache,
+            ));
         }
         handle.send(Command::Servers {
             full: true,
--- a/edge/fronts/extproc/tests/streams_end.rs
+++ b/edge/fronts/extproc/tests/streams_end.rs
@@ -3,7 +3,7 @@
 
 use common::talk::{placed, quick, response, Talk, LENGTH, PATH};
 use common::{line, script, store, until, Instance, PATIENCE};
-use foldmux::interface::State;
+use foldmux::interface::MemberState;
 use foldmux_extproc::pb::external_processor_client::ExternalProcessorClient;
 use foldmux_extproc::pb::{ProcessingRequest, Response};
 use foldmux_extproc::{check, serve::block_on};
@@ -58,9 +58,9 @@
         assert!(matches!(answer.status, 200 | 503 | 504), "{answer:?}");
         // A cache that drains is named by no placement from then on.
         let state = if n % 2 == 0 {
-            State::Draining
+            MemberState::Draining
         } else {
-            State::Ready
+            MemberState::Ready
         };
         instance.tell(line(1, 0, 1, state, caches[0]));
     }
@@ -95,7 +95,7 @@
             drained as u32 + 1,
             0,
             drained as u16 + 1,
-            State::Draining,
+            MemberState::Draining,
             places[drained],
         ));
         let told = unix_ms();
--- a/edge/fronts/src/dns/mod.rs
+++ b/edge/fronts/src/dns/mod.rs
@@ -5,7 +5,7 @@
 pub mod notify;
 pub mod server;
 
-use foldmux::interface::{bound_ms, State, Time};
+use foldmux::interface::{bound_ms, MemberState, Time};
 use foldmux_core::delegated::{route_once, Routing};
 use foldmux_core::{ClientRequest, Core};
 use hickory_proto::op::{Edns, Header, Message, MessageType, OpCode, Query, ResponseCode};
@@ -223,9 +223,9 @@
                 (RecordType::TXT, _) => {
                     let mut words = vec![format!("cache={}", cache.name)];
                     words.extend(source.iter().map(|s| format!("source={}", s.name)));
-                    words.push(format!("keep={}", fetch.keep));
+                    words.push(format!("keep={}", fetch.retention_rank));
                     words.extend(bound_ms(fetch.max_age).map(|age| format!("max-age-ms={age}")));
-                    if fetch.hold_only {
+                    if fetch.only_if_cached {
                         words.push("flags=shallow".to_string());
                     }
                     Reply::answers(vec![record(RData::TXT(TXT::new(words)))])
@@ -253,8 +253,8 @@
     fn node(&self, query: &Query, member: &str) -> Reply {
         let now = self.core.clock.now();
         let listed = self.core.servers.by_name(member);
-        let Some(listed) =
-            listed.filter(|l| l.member.state == State::Ready && !self.core.is_warming_up(now, l))
+        let Some(listed) = listed
+            .filter(|l| l.member.state == MemberState::Ready && !self.core.is_warming_up(now, l))
         else {
             return Reply::no(ResponseCode::NXDomain, None);
         };
--- a/edge/proxy/src/admin/maintenance.rs
+++ b/edge/proxy/src/admin/maintenance.rs
@@ -1,7 +1,7 @@
 //! The pop caches that are out of service by hand, applied to the endpoint list on its way to the event loop.
 
 use super::maintenance_file::MaintenanceFile;
-use foldmux::interface::State;
+use foldmux::interface::MemberState;
 use foldmux_core::event_loop::EventLoopHandle;
 use foldmux_core::messages::Command;
 use foldmux_core::servers::Server;
@@ -68,7 +68,7 @@
         let mut forwarded = Vec::with_capacity(listed.len());
         for entry in listed {
             match entry.member.state {
-                State::Gone => state.listed.remove(&entry.name),
+                MemberState::Gone => state.listed.remove(&entry.name),
                 _ => state.listed.insert(entry.name.clone(), entry.clone()),
             };
             forwarded.push(with_maintenance(&state.out_of_service, entry));
@@ -129,7 +129,7 @@
     pub fn endpoint_counts(&self) -> EndpointCounts {
         let state = self.state();
         let is_unhealthy = |entry: &&Server| {
-            entry.member.state != State::Ready || state.out_of_service.contains(&entry.name)
+            entry.member.state != MemberState::Ready || state.out_of_service.contains(&entry.name)
         };
         EndpointCounts {
             listed: state.listed.len(),
@@ -162,8 +162,8 @@
 }
 
 fn with_maintenance(out_of_service: &MaintenanceSet, mut entry: Server) -> Server {
-    if entry.member.state == State::Ready && out_of_service.contains(&entry.name) {
-        entry.member.state = State::Draining;
+    if entry.member.state == MemberState::Ready && out_of_service.contains(&entry.name) {
+        entry.member.state = MemberState::Draining;
     }
     entry
 }
--- a/edge/proxy/src/cover/hold.rs
+++ b/edge/proxy/src/cover/hold.rs
@@ -84,7 +84,7 @@
     fn record_intent(&self, server: &Member) -> AttemptIntent {
         let (key, term) = (self.key, self.term);
         let number = self.number.fetch_add(1, Ordering::SeqCst) + 1;
-        let group = self.class.repeat.group_of(server);
+        let group = self.class.repeat.key_group(server);
         let told = self.line.ask(self.until, |ticket| Command::Intend {
             ticket,
             key,
@@ -116,7 +116,7 @@
 
     fn record_outcome(&self, outcome: Outcome) {
         let number = self.number.load(Ordering::SeqCst);
-        let end = if outcome.never_ran() {
+        let end = if outcome.not_processed() {
             End::NeverRan
         } else {
             End::MayHaveRun
--- a/edge/proxy/src/cover/rules.rs
+++ b/edge/proxy/src/cover/rules.rs
@@ -1,7 +1,7 @@
 //! What the operator's file and the settings say of covered classes.
 
 use crate::fleet::parts::seats;
-use foldmux::interface::Repeat as Repeats;
+use foldmux::interface::RetrySafety as Repeats;
 use foldmux_operator::{Fleet as Said, Unclaimed as Left, Uncovered as Not};
 use foldmux_replicas::Peer;
 use foldmux_settings::Decoded;
@@ -47,7 +47,7 @@
                 .classes
                 .iter()
                 .position(|class| *class == cover.class)?;
-            let repeat = decoded.settings.classes[at].repeat;
+            let repeat = decoded.settings.classes[at].retry_safety;
             let class = Class {
                 repeat,
                 terms: cover.terms,
@@ -89,7 +89,9 @@
         };
         let class = &decoded.settings.classes[at];
         // A repeat is on its way to the archive for a while, and the archive's clock is its own.
-        let window = drift.shortened(class.repeat_window).saturating_sub(way);
+        let window = drift
+            .shortened(class.idempotency_window)
+            .saturating_sub(way);
         let rule = Rule {
             uncovered: if cover.uncovered == Not::Refuse {
                 Uncovered::Refuse
@@ -102,10 +104,10 @@
                 Unclaimed::LetGo
             },
             keep: cover.keep_ms * 1_000,
-            repeat: match class.repeat {
-                Repeats::Safe => Repeat::Safe,
+            repeat: match class.retry_safety {
+                Repeats::Idempotent => Repeat::Safe,
                 Repeats::Keyed(_) => Repeat::Keyed { window },
-                Repeats::SingleShot => Repeat::SingleShot,
+                Repeats::NonIdempotent => Repeat::SingleShot,
             },
         };
         longest = longest.max(class.deadline);
--- a/edge/proxy/src/hierarchy.rs
+++ b/edge/proxy/src/hierarchy.rs
@@ -54,7 +54,7 @@
         Zones {
             names: decoded.zones.clone(),
             own: decoded.settings.zone,
-            hub_of: decoded.settings.hub_of.clone(),
+            hub_of: decoded.settings.hub_by_zone.clone(),
         }
     }
 
--- a/edge/proxy/src/journal/events.rs
+++ b/edge/proxy/src/journal/events.rs
@@ -2,7 +2,7 @@
 //! it would come the same, and hold up all that follows.
 
 use super::start_times::StartTimes;
-use foldmux::interface::{Member, ObjectId, State};
+use foldmux::interface::{Member, MemberState, ObjectId};
 use foldmux_core::clock::Clock;
 use foldmux_core::messages::Command;
 use foldmux_core::servers::{cache_id, Server};
@@ -100,16 +100,16 @@
 
     fn endpoint(&self, endpoint: &Endpoint) -> Option<Server> {
         let state = match endpoint.status.as_str() {
-            "ready" => State::Ready,
-            "gone" => State::Gone,
+            "ready" => MemberState::Ready,
+            "gone" => MemberState::Gone,
             // A status that is unknown here: what is not said to be ready gets no new requests.
-            _ => State::Draining,
+            _ => MemberState::Draining,
         };
         let index_of = |names: &[String], name: &str| names.iter().position(|known| known == name);
         let zone = index_of(&self.names.zones, &endpoint.zone);
         let kind = index_of(&self.names.kinds, &endpoint.kind);
         // What is gone may come without its zone, kind and address.
-        let gone = state == State::Gone;
+        let gone = state == MemberState::Gone;
         let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
         let (Some(zone), Some(kind), Some(address)) = (
             zone.or(gone.then_some(0)),
@@ -133,7 +133,7 @@
             cell: endpoint.group,
             state,
             weight: endpoint.weight,
-            boot,
+            started_at: boot,
         };
         Some(Server {
             member,
--- a/edge/proxy/src/journal/start_times.rs
+++ b/edge/proxy/src/journal/start_times.rs
@@ -1,6 +1,6 @@
 //! When each member started: the same start must be the same time, however often the journal lists it.
 
-use foldmux::interface::{CacheId, State, Time};
+use foldmux::interface::{CacheId, MemberState, Time};
 use foldmux_core::servers::Server;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -39,14 +39,14 @@
 
     /// Discards members that are no longer listed after `listed`: the whole list (`full`), or what changed in it.
     pub(super) fn retain(&self, full: bool, listed: &[Server]) {
-        let states: HashMap<CacheId, State> = listed
+        let states: HashMap<CacheId, MemberState> = listed
             .iter()
             .map(|entry| (entry.member.cache, entry.member.state))
             .collect();
         self.times().retain(|cache, _| {
             states
                 .get(cache)
-                .map_or(!full, |state| *state != State::Gone)
+                .map_or(!full, |state| *state != MemberState::Gone)
         });
     }
 }
--- a/edge/proxy/src/limits.rs
+++ b/edge/proxy/src/limits.rs
@@ -2,7 +2,9 @@
 //! them in the file nothing here is started.
 
 use crate::config::{self, NEXT_LINE};
-use foldmux::interface::{Class as RouterClass, Group as RouterGroup, Repeat as RouterRepeat};
+use foldmux::interface::{
+    Class as RouterClass, KeyScope as RouterGroup, RetrySafety as RouterRepeat,
+};
 use foldmux_limits::account::{Account, ClassRules, IdempotencyScope, RetrySafety};
 use foldmux_limits::export;
 use foldmux_limits::resolve::{LimitSet, LimitsFile};
@@ -56,9 +58,9 @@
             .map(|(name, class)| account_class(name, class))
             .collect(),
         max_attempts: settings.max_attempts as u64,
-        may_duplicate: settings.may_duplicate,
-        max_retry_after_ms: settings.retry_after.map(milliseconds),
-        answer_slack_ms: milliseconds(settings.answer_slack),
+        may_duplicate: settings.may_hedge,
+        max_retry_after_ms: settings.max_retry_after.map(milliseconds),
+        answer_slack_ms: milliseconds(settings.response_slack),
         purge_slack_ms: milliseconds(settings.purge_slack),
         max_sockets: process.sockets as u64,
         memory_mb: process.memory_mb as u64,
@@ -69,15 +71,15 @@
     ClassRules {
         name: name.to_string(),
         deadline_ms: milliseconds(class.deadline),
-        objective_ms: milliseconds(class.aim),
-        retry_safety: match class.repeat {
-            RouterRepeat::Safe => RetrySafety::Idempotent,
-            RouterRepeat::SingleShot => RetrySafety::NotIdempotent,
+        objective_ms: milliseconds(class.latency_objective),
+        retry_safety: match class.retry_safety {
+            RouterRepeat::Idempotent => RetrySafety::Idempotent,
+            RouterRepeat::NonIdempotent => RetrySafety::NotIdempotent,
             RouterRepeat::Keyed(RouterGroup::All) => RetrySafety::Keyed(IdempotencyScope::All),
             RouterRepeat::Keyed(RouterGroup::Zone) => RetrySafety::Keyed(IdempotencyScope::Zone),
             RouterRepeat::Keyed(RouterGroup::Cell) => RetrySafety::Keyed(IdempotencyScope::Cell),
         },
-        idempotency_window_ms: milliseconds(class.repeat_window),
+        idempotency_window_ms: milliseconds(class.idempotency_window),
     }
 }
 
--- a/edge/proxy/src/reload.rs
+++ b/edge/proxy/src/reload.rs
@@ -109,7 +109,7 @@
         let core = &self.front.core;
         core.update_settings(
             own_retry_after(&settings),
-            Duration::from_micros(settings.longest_cold()),
+            Duration::from_micros(settings.longest_slow_start()),
         );
         // The router knows the new classes before any client can name them.
         core.event_loop.send(Command::Settings(Box::new(settings)));
--- a/edge/proxy/src/reload/classes.rs
+++ b/edge/proxy/src/reload/classes.rs
@@ -1,6 +1,6 @@
 //! The classes in service, in the form that each front takes them.
 
-use foldmux::interface::{Class, Repeat};
+use foldmux::interface::{Class, RetrySafety};
 use foldmux_extproc::life::Class as ProcessorClass;
 use foldmux_fronts::dns::Routed as DnsClass;
 use foldmux_fronts::msgpack::Taken as ClientClass;
@@ -22,7 +22,7 @@
         .map(|entry| ClientClass {
             name: entry.name.as_str().into(),
             place: entry.slot.clone(),
-            keyed: matches!(entry.class.repeat, Repeat::Keyed(_)),
+            keyed: matches!(entry.class.retry_safety, RetrySafety::Keyed(_)),
             longest: entry.class.deadline,
         })
         .collect()
@@ -35,7 +35,7 @@
         .map(|entry| DnsClass {
             name: entry.name.as_str().into(),
             place: entry.slot.clone(),
-            writes: entry.class.pass_on,
+            writes: entry.class.bypass_cache,
         })
         .collect()
 }
@@ -47,8 +47,8 @@
         .map(|entry| ProcessorClass {
             name: entry.name.as_str().into(),
             place: entry.slot.clone(),
-            repeat: entry.class.repeat,
-            window: entry.class.repeat_window,
+            repeat: entry.class.retry_safety,
+            window: entry.class.idempotency_window,
             longest: entry.class.deadline,
         })
         .collect()
--- a/edge/proxy/src/server/decisions.rs
+++ b/edge/proxy/src/server/decisions.rs
@@ -4,7 +4,7 @@
 use super::StartError;
 use crate::load_reports;
 use crate::reload::dns_classes;
-use foldmux::interface::Repeat;
+use foldmux::interface::RetrySafety;
 use foldmux::Router;
 use foldmux_core::buffers::BufferPool;
 use foldmux_core::limits::Limiter;
@@ -61,7 +61,7 @@
             servers: checked.members.clone(),
             upstream,
             retry_after: own_retry_after(settings),
-            warm_up: Duration::from_micros(settings.longest_cold()),
+            warm_up: Duration::from_micros(settings.longest_slow_start()),
             max_open: bounds.open,
         });
         if let Some(table) = checked.limits.take() {
@@ -85,7 +85,11 @@
 
 fn enforce_limits(core: &Core, table: LimitSet, decoded: &Decoded) {
     let settings = &decoded.settings;
-    let idempotency: Vec<Repeat> = settings.classes.iter().map(|class| class.repeat).collect();
+    let idempotency: Vec<RetrySafety> = settings
+        .classes
+        .iter()
+        .map(|class| class.retry_safety)
+        .collect();
     let own_zone = decoded
         .zones
         .get(settings.zone)
--- a/edge/proxy/src/turns.rs
+++ b/edge/proxy/src/turns.rs
@@ -91,7 +91,7 @@
             .unwrap_or(1);
         let slow_over = classes
             .iter()
-            .map(|class| class.aim)
+            .map(|class| class.latency_objective)
             .filter(|aim| *aim > 0)
             .min()
             .unwrap_or(longest);
@@ -120,7 +120,12 @@
             local.retune(0, &weights, Weight::ONE);
             pools.push((
                 kinds,
-                Pool::new(key_of, by, local, decoded.settings.retry_after.unwrap_or(0)),
+                Pool::new(
+                    key_of,
+                    by,
+                    local,
+                    decoded.settings.max_retry_after.unwrap_or(0),
+                ),
             ));
             setups.push(PoolSetup {
                 key: key_of,
--- a/edge/proxy/tests/common/dns.rs
+++ b/edge/proxy/tests/common/dns.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use crate::common;
-use foldmux::interface::{CacheId, Member, State};
+use foldmux::interface::{CacheId, Member, MemberState};
 use foldmux::Router;
 use foldmux_core::buffers::BufferPool;
 use foldmux_core::clock::Clock;
@@ -52,7 +52,7 @@
         .settings
         .classes
         .iter()
-        .map(|class| class.repeat)
+        .map(|class| class.retry_safety)
         .collect();
     let (clock, members, pool) = (
         Clock::default(),
@@ -107,7 +107,8 @@
         at,
         zone: zone.to_string(),
     };
-    let all = [(1, 0), (2, 0), (3, 1), (4, 2)].map(|(n, kind)| rig.line(n, kind, State::Ready, 0));
+    let all =
+        [(1, 0), (2, 0), (3, 1), (4, 2)].map(|(n, kind)| rig.line(n, kind, MemberState::Ready, 0));
     rig.desk.send(Command::Servers {
         full: true,
         servers: all.to_vec(),
@@ -116,7 +117,7 @@
 }
 
 impl Rig {
-    pub fn line(&self, n: u32, kind: usize, state: State, boot: u64) -> Server {
+    pub fn line(&self, n: u32, kind: usize, state: MemberState, boot: u64) -> Server {
         let zone = if kind == 0 { 1 } else { 0 };
         let member = Member {
             cache: CacheId(n),
@@ -124,7 +125,7 @@
             kind,
             state,
             weight: 1.0,
-            boot,
+            started_at: boot,
             ..Member::default()
         };
         let address = SocketAddr::from(([127, 0, 0, n as u8], 7001));
@@ -135,7 +136,7 @@
         }
     }
 
-    pub fn change(&self, n: u32, state: State, boot: u64) {
+    pub fn change(&self, n: u32, state: MemberState, boot: u64) {
         self.desk.send(Command::Servers {
             full: false,
             servers: vec![self.line(n, 0, state, boot)],
--- a/edge/proxy/tests/common/place.rs
+++ b/edge/proxy/tests/common/place.rs
@@ -3,7 +3,7 @@
 
 use crate::common;
 use crate::watch::PATIENCE;
-use foldmux::interface::State;
+use foldmux::interface::MemberState;
 use foldmux::Router;
 use foldmux_core::clock::Clock;
 use foldmux_core::event_loop::EventLoop;
@@ -67,7 +67,7 @@
     }
 
     /// What the list says of a member, or that it has none of this name.
-    pub fn state(&self, id: u32) -> Option<State> {
+    pub fn state(&self, id: u32) -> Option<MemberState> {
         self.members
             .get(cache_id(&format!("s-{id:08x}")))
             .map(|listed| listed.member.state)
--- a/edge/proxy/tests/dns.rs
+++ b/edge/proxy/tests/dns.rs
@@ -1,6 +1,6 @@
 //! The DNS front's answers: placements, refusals, limits, what is too long for UDP.
 
-use foldmux::interface::State;
+use foldmux::interface::MemberState;
 use foldmux_core::limits::Occupancy;
 use foldmux_core::messages::Command;
 use foldmux_core::servers::Server;
@@ -126,7 +126,7 @@
         let name = format!("{}-{n:08x}", "x".repeat(230)).into();
         Server {
             name,
-            ..rig.line(n, kind, State::Ready, 0)
+            ..rig.line(n, kind, MemberState::Ready, 0)
         }
     });
     rig.desk.send(Command::Servers {
--- a/edge/proxy/tests/dns_resolvers.rs
+++ b/edge/proxy/tests/dns_resolvers.rs
@@ -1,7 +1,7 @@
 //! The DNS front against stand-ins written here: resolvers that keep answers, one obeying the time to live and one not, and
 //! callers that prove an identity. Nothing is timed: what is asserted is the order of what happens.
 
-use foldmux::interface::State;
+use foldmux::interface::MemberState;
 use foldmux_fakes::issuer::{Authority, Svid};
 use front::*;
 use hickory_proto::op::{Message, MessageType, OpCode, ResponseCode};
@@ -74,7 +74,7 @@
         .map(|p| (obeying.look_up(&rig, p), keeping.look_up(&rig, p)))
         .collect();
     assert!(before.iter().any(|b| b.0 == Some(1)) && before.iter().all(|b| b.0 == b.1));
-    rig.change(1, State::Draining, 0);
+    rig.change(1, MemberState::Draining, 0);
     // The first query after the notice no longer gives it, to whoever asks.
     assert!(parts.clone().all(|p| obeying.look_up(&rig, p) == Some(2)));
     assert!(parts.clone().any(|p| keeping.look_up(&rig, p) == Some(1)));
@@ -88,7 +88,7 @@
         ResponseCode::NXDomain
     );
     // Back, but cold: how many hold a stale answer is unknown, so it stays out, by all names.
-    rig.change(1, State::Ready, rig.clock.now());
+    rig.change(1, MemberState::Ready, rig.clock.now());
     assert!(parts.clone().all(|p| obeying.look_up(&rig, p) == Some(2)));
     assert_eq!(
         rig.ask("s-00000001.node.route.example.", RecordType::A)
--- a/edge/proxy/tests/lists.rs
+++ b/edge/proxy/tests/lists.rs
@@ -7,7 +7,7 @@
 use foldmux_core::servers::{cache_id, Census, ServerList};
 use foldmux_event_stream::journal::EventBatch;
 use foldmux_proxy::journal::{JournalClient, Names};
-use foldmux_stats::Draws;
+use foldmux_stats::SeededRng;
 use foldmux_upstream::pool::Pool;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -162,10 +162,11 @@
 fn lists_late_repeated_out_of_order_and_cut_end_as_the_list_in_order_does() {
     let (events, then) = replaced();
     for seed in 0..40 {
-        let (mut place, mut draws) = (Place::new(), Draws::new(seed));
+        let (mut place, mut draws) = (Place::new(), SeededRng::new(seed));
         let (mut had, mut refused) = (0, 0);
         while had < events.len() {
-            let below = |draws: &mut Draws, n: usize| (draws.draw() % n.max(1) as u64) as usize;
+            let below =
+                |draws: &mut SeededRng, n: usize| (draws.next_u64() % n.max(1) as u64) as usize;
             // From before what was taken (repeated) to beyond it (something is missing).
             let from = (had + below(&mut draws, 4))
                 .saturating_sub(2)
--- a/edge/proxy/tests/watch_lists.rs
+++ b/edge/proxy/tests/watch_lists.rs
@@ -1,6 +1,6 @@
 //! Whole, old, repeated, torn and renumbered lists, each told over a real socket to a watch with its desk behind it.
 
-use foldmux::interface::State;
+use foldmux::interface::MemberState;
 use place::Place;
 use std::net::SocketAddr;
 use watch::*;
@@ -82,7 +82,12 @@
     let states = [1, 2, 3, 4].map(|id| place.state(id));
     assert_eq!(
         states,
-        [Some(State::Draining), None, None, Some(State::Ready)]
+        [
+            Some(MemberState::Draining),
+            None,
+            None,
+            Some(MemberState::Ready)
+        ]
     );
 }
 
@@ -104,7 +109,7 @@
     );
     assert_eq!(
         [1, 2, 3].map(|id| place.state(id)),
-        [Some(State::Draining), Some(State::Ready), None]
+        [Some(MemberState::Draining), Some(MemberState::Ready), None]
     );
 }
 
@@ -151,10 +156,10 @@
     assert_eq!(
         states,
         [
-            Some(State::Draining),
-            Some(State::Ready),
+            Some(MemberState::Draining),
+            Some(MemberState::Ready),
             None,
-            Some(State::Ready)
+            Some(MemberState::Ready)
         ]
     );
 }
@@ -190,9 +195,9 @@
     assert_eq!(
         states,
         [
-            Some(State::Draining),
-            Some(State::Ready),
-            Some(State::Ready)
+            Some(MemberState::Draining),
+            Some(MemberState::Ready),
+            Some(MemberState::Ready)
         ]
     );
 }
@@ -214,7 +219,15 @@
     tell_last(&place, call, 7);
     assert_eq!(place.ended(), names(&[1, 3, 2]));
     let states = [1, 2, 3, 4].map(|id| place.state(id));
-    assert_eq!(states, [Some(State::Ready), None, None, Some(State::Ready)]);
+    assert_eq!(
+        states,
+        [
+            Some(MemberState::Ready),
+            None,
+            None,
+            Some(MemberState::Ready)
+        ]
+    );
 }
 
 #[test]
@@ -249,7 +262,7 @@
     assert_eq!(place.ended(), names(&[1, 3]));
     assert_eq!(
         [1, 2, 3].map(|id| place.state(id)),
-        [Some(State::Draining), Some(State::Ready), None]
+        [Some(MemberState::Draining), Some(MemberState::Ready), None]
     );
 }
 
@@ -264,5 +277,5 @@
     assert_eq!(next.tail, 5);
     call.closed();
     tell_last(&place, next, 6);
-    assert_eq!(place.state(2), Some(State::Ready));
+    assert_eq!(place.state(2), Some(MemberState::Ready));
 }
--- a/edge/simhost/src/host.rs
+++ b/edge/simhost/src/host.rs
@@ -81,7 +81,7 @@
                 Some(beside) => beside.probed_values(now, cache, ok, &report),
                 None => self.feed(
                     now,
-                    Event::Probed {
+                    Event::HealthChecked {
                         cache,
                         ok,
                         elapsed,
@@ -108,7 +108,11 @@
         if looks {
             let (mut events, mut probes): (Vec<Event>, Vec<CacheId>) = Default::default();
             beside.look(now, &mut events, &mut probes);
-            out.extend(probes.into_iter().map(|cache| Action::Probe { cache }));
+            out.extend(
+                probes
+                    .into_iter()
+                    .map(|cache| Action::HealthCheck { cache }),
+            );
             events
                 .into_iter()
                 .for_each(|event| self.router.handle(now, event, out));
--- a/edge/simhost/src/wire.rs
+++ b/edge/simhost/src/wire.rs
@@ -42,7 +42,7 @@
     Stop,
     Event(Event),
     /// The end of an attempt at a cache, with the load report that came along, if one did.
-    Ended(Report, CacheId, Vec<f32>),
+    Ended(AttemptReport, CacheId, Vec<f32>),
     /// The end of a probe.
     Probed {
         cache: CacheId,
@@ -186,9 +186,9 @@
                 let (zone, kind) = (r.u8()? as usize, r.u8()? as usize);
                 let cell = r.u16()?;
                 let state = match r.u8()? {
-                    0 => State::Ready,
-                    2 => State::Draining,
-                    1 => State::Gone,
+                    0 => MemberState::Ready,
+                    2 => MemberState::Draining,
+                    1 => MemberState::Gone,
                     other => return Err(r.bad(&format!("member condition {other}"))),
                 };
                 let (weight, boot) = (r.f32()? as f64, r.u64()?);
@@ -199,7 +199,7 @@
                     cell,
                     state,
                     weight,
-                    boot,
+                    started_at: boot,
                 });
             }
             match form {
@@ -211,7 +211,7 @@
                     full: true,
                     members,
                 },
-                3 => Event::MembersFailed,
+                3 => Event::MembersUnavailable,
                 other => return Err(r.bad(&format!("list form {other}"))),
             }
         }
@@ -225,16 +225,16 @@
             r.u8()?;
             r.u32()?;
             let group = r.f32()? as u32;
-            Event::Request(Ask {
+            Event::Request(IncomingRequest {
                 id,
                 class,
                 object,
                 part,
                 group,
                 size_kb,
-                budget,
-                lease: 0,
-                within: None,
+                time_budget: budget,
+                placement_ttl: 0,
+                required_group: None,
             })
         }
         1 => {
@@ -254,17 +254,17 @@
             } else {
                 Vec::new()
             };
-            let report = Report {
+            let report = AttemptReport {
                 id,
                 attempt,
                 outcome,
-                note,
+                cache_status: note,
                 elapsed,
                 last,
             };
             return Ok(Some((instance, Incoming::Ended(report, cache, load))));
         }
-        0 => Event::Started {
+        0 => Event::ResponseStarted {
             id: RequestId(r.u64()?),
         },
         9 => Event::Timer { token: r.u32()? },
@@ -286,12 +286,12 @@
         8 => {
             let from = r.u32()?;
             let n = r.u16()? as usize;
-            Event::Peer {
+            Event::PeerMessage {
                 from,
                 message: r.take(n)?.to_vec(),
             }
         }
-        10 => Event::ClientGone {
+        10 => Event::ClientDisconnected {
             id: RequestId(r.u64()?),
         },
         _ => {
@@ -301,7 +301,7 @@
             Event::Purged {
                 object: (object != 0).then_some(ObjectId(object)),
                 group,
-                ago,
+                age: ago,
             }
         }
     };
@@ -312,7 +312,7 @@
     Some(match code {
         0 => Outcome::Served,
         255 => Outcome::Error,
-        254 => Outcome::Full,
+        254 => Outcome::Overloaded,
         253 => Outcome::TimedOut,
         252 => Outcome::ConnectFailed,
         251 => Outcome::Reset,
@@ -323,18 +323,18 @@
     })
 }
 
-fn note(code: u32) -> Note {
+fn note(code: u32) -> CacheStatus {
     match code {
-        1 => Note::Hit,
-        2 => Note::Filled,
-        3 => Note::FilledByOrigin,
-        4 => Note::Joined,
-        5 => Note::Stale,
-        6 => Note::SourceRefused,
-        7 => Note::SourceBroken,
-        8 => Note::SourceLacks,
-        9 => Note::NoFillPlace,
-        10 => Note::OriginFailed,
-        _ => Note::Untold,
+        1 => CacheStatus::Hit,
+        2 => CacheStatus::Filled,
+        3 => CacheStatus::FilledByOrigin,
+        4 => CacheStatus::Collapsed,
+        5 => CacheStatus::Stale,
+        6 => CacheStatus::SourceRejected,
+        7 => CacheStatus::SourceFailed,
+        8 => CacheStatus::SourceMissed,
+        9 => CacheStatus::NoFillSlot,
+        10 => CacheStatus::OriginFailed,
+        _ => CacheStatus::Unknown,
     }
 }
--- a/edge/simhost/src/wire/reply.rs
+++ b/edge/simhost/src/wire/reply.rs
@@ -17,14 +17,16 @@
             Action::Fetch(fetch) => {
                 put(&fetch.id.0.to_le_bytes());
                 put(&fetch.cache.0.to_le_bytes());
-                put(&span(fetch.time_out));
+                put(&span(fetch.timeout));
                 put(&fetch.source.0.to_le_bytes());
-                put(&[fetch.keep]);
+                put(&[fetch.retention_rank]);
                 put(&span(fetch.max_age));
-                put(&[fetch.join as u8 + 2 * fetch.hold_only as u8 + 8 * fetch.renew as u8]);
+                put(&[fetch.collapse as u8
+                    + 2 * fetch.only_if_cached as u8
+                    + 8 * fetch.revalidate as u8]);
                 76
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 put(&id.0.to_le_bytes());
                 put(&span(*retry_after));
                 65
@@ -38,16 +40,16 @@
                 put(&[*attempt]);
                 67
             }
-            Action::Timer { after, token } => {
+            Action::StartTimer { after, token } => {
                 put(&span(*after));
                 put(&token.to_le_bytes());
                 68
             }
-            Action::Probe { cache } => {
+            Action::HealthCheck { cache } => {
                 put(&cache.0.to_le_bytes());
                 69
             }
-            Action::TellPeers { message } => {
+            Action::MessagePeers { message } => {
                 put(&u16::MAX.to_le_bytes());
                 put(&u16::try_from(message.len())
                     .unwrap_or(u16::MAX)
@@ -55,7 +57,7 @@
                 put(&message[..message.len().min(u16::MAX as usize)]);
                 71
             }
-            Action::Watch => {
+            Action::SubscribeMembers => {
                 put(&[1]);
                 74
             }
--- a/edge/upstream/src/attempt.rs
+++ b/edge/upstream/src/attempt.rs
@@ -51,7 +51,7 @@
 
     fn make(&self, attempt: &Attempt, buffer: &mut [u8], hears: Hears) -> Ended {
         let Attempt { fetch, target, .. } = attempt;
-        let until = match fetch.time_out {
+        let until = match fetch.timeout {
             0 => attempt.deadline,
             time => attempt
                 .deadline
@@ -153,7 +153,7 @@
         }
         let dialled = loan.stream_while(time.min(self.dial_time_out), &|dial| held(attempt, dial));
         dialled.map_err(|error| {
-            let late = !attempt.fetch.may_begin(self.clock.now());
+            let late = !attempt.fetch.may_send(self.clock.now());
             if late {
                 Outcome::NeverSent
             } else {
@@ -165,7 +165,7 @@
     /// How long the request's first byte may still take.
     fn time_to_begin(&self, attempt: &Attempt, until: Instant) -> Duration {
         let left = until.saturating_duration_since(Instant::now());
-        match attempt.fetch.send_by {
+        match attempt.fetch.send_before {
             0 => left,
             by => left.min(Duration::from_micros(by.saturating_sub(self.clock.now()))),
         }
@@ -218,7 +218,7 @@
 fn called_off(outcome: Outcome) -> Outcome {
     match outcome {
         Outcome::ConnectFailed => Outcome::NeverSent,
-        outcome if outcome.never_ran() => outcome,
+        outcome if outcome.not_processed() => outcome,
         _ => Outcome::Cancelled,
     }
 }
--- a/edge/upstream/src/head.rs
+++ b/edge/upstream/src/head.rs
@@ -27,7 +27,7 @@
             source = Some(self.members.get(fetch.source)?.name);
         }
         let wait = until.saturating_duration_since(Instant::now()).as_millis();
-        if wait == 0 || !fetch.may_begin(self.clock.now()) {
+        if wait == 0 || !fetch.may_send(self.clock.now()) {
             return None;
         }
         let ClientRequest {
@@ -54,8 +54,8 @@
         source
             .iter()
             .for_each(|source| field("X-Fill-From", source));
-        if fetch.keep > 0 {
-            field("X-Keep", &fetch.keep);
+        if fetch.retention_rank > 0 {
+            field("X-Keep", &fetch.retention_rank);
         }
         bound_ms(fetch.max_age)
             .iter()
--- a/edge/upstream/src/proof.rs
+++ b/edge/upstream/src/proof.rs
@@ -54,7 +54,7 @@
         (200, _) => Ended::served(Payload::Body(response.body)),
         (304, _) if names(tag, got) => Ended::served(Payload::NotModified),
         (404, _) => Ended::without(Outcome::Miss),
-        (503, true) => Ended::without(Outcome::Full),
+        (503, true) => Ended::without(Outcome::Overloaded),
         (504, true) => Ended::without(Outcome::NeverSent),
         _ => Ended::without(Outcome::Error),
     }
--- a/edge/upstream/src/proof/tests.rs
+++ b/edge/upstream/src/proof/tests.rs
@@ -28,13 +28,16 @@
     );
     assert_eq!(
         (end(503, true, none), end(503, false, none)),
-        (Outcome::Full, Outcome::Error)
+        (Outcome::Overloaded, Outcome::Error)
     );
     assert_eq!(
         (end(504, true, none), end(504, false, none)),
         (Outcome::NeverSent, Outcome::Error)
     );
-    assert!(!outcome_of(Broken::Unreadable).never_ran() && !outcome_of(Broken::Reset).never_ran());
+    assert!(
+        !outcome_of(Broken::Unreadable).not_processed()
+            && !outcome_of(Broken::Reset).not_processed()
+    );
     let dial = |code| dial_outcome(std::io::Error::from_raw_os_error(code));
     assert_eq!(
         (dial(111), dial(24)),
--- a/edge/upstream/tests/answers.rs
+++ b/edge/upstream/tests/answers.rs
@@ -27,7 +27,7 @@
 /// How an attempt of little time ends where the cache says `text`, and then nothing.
 fn silent_after(rig: &Rig, text: &str) -> Outcome {
     let mut asked = rig.asked();
-    asked.fetch.time_out = SHORT;
+    asked.fetch.timeout = SHORT;
     let (outcome, brought, _) = rig.during(&asked, || {
         let stream = rig.accept();
         read_head(&stream);
--- a/edge/upstream/tests/attempts.rs
+++ b/edge/upstream/tests/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts at caches that drain, go, start anew or move after the module decided: no connection is opened.
 
-use foldmux::interface::{Member, Outcome, RequestId, State, Time};
+use foldmux::interface::{Member, MemberState, Outcome, RequestId, Time};
 use foldmux_core::attempt::{Attempt, UpstreamClient};
 use foldmux_core::cancellation::CancelHandle;
 use foldmux_core::clock::Clock;
@@ -16,12 +16,12 @@
 
 use common::{fetch, request, CACHE};
 
-fn line(address: SocketAddr, state: State, boot: Time) -> Server {
+fn line(address: SocketAddr, state: MemberState, boot: Time) -> Server {
     Server {
         member: Member {
             cache: CACHE,
             state,
-            boot,
+            started_at: boot,
             ..Member::default()
         },
         name: "s".into(),
@@ -62,14 +62,14 @@
         clock: Clock::default(),
         dial_time_out: Duration::from_secs(5),
     };
-    let ready = |boot| line(at, State::Ready, boot);
+    let ready = |boot| line(at, MemberState::Ready, boot);
     listener.set_nonblocking(true).unwrap();
     let elsewhere = SocketAddr::from(([127, 0, 0, 1], 9));
     for after in [
-        Some(line(at, State::Draining, 3)),
+        Some(line(at, MemberState::Draining, 3)),
         None,
         Some(ready(4)),
-        Some(line(elsewhere, State::Ready, 3)),
+        Some(line(elsewhere, MemberState::Ready, 3)),
     ] {
         assert_eq!(attempt(&upstream, ready(3), after), Outcome::NeverSent);
         // A connection that was opened would be here by now: opening waits for it.
--- a/edge/upstream/tests/common/mod.rs
+++ b/edge/upstream/tests/common/mod.rs
@@ -7,7 +7,7 @@
 pub use requests::*;
 pub use sockets::*;
 
-use foldmux::interface::{CacheId, Fetch, Member, Outcome, RequestId, State};
+use foldmux::interface::{CacheId, Fetch, Member, MemberState, Outcome, RequestId};
 use foldmux_core::attempt::{Attempt, Payload, UpstreamClient};
 use foldmux_core::buffers::BufferPool;
 use foldmux_core::cancellation::CancelHandle;
@@ -38,8 +38,8 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let member = Member {
             cache: CACHE,
-            state: State::Ready,
-            boot: 3,
+            state: MemberState::Ready,
+            started_at: 3,
             ..Member::default()
         };
         let listed = Server {
--- a/edge/upstream/tests/common/requests.rs
+++ b/edge/upstream/tests/common/requests.rs
@@ -11,14 +11,14 @@
     Fetch {
         id: RequestId(1),
         cache: CACHE,
-        time_out: 0,
-        send_by: 0,
+        timeout: 0,
+        send_before: 0,
         source: CACHE,
-        keep: 0,
+        retention_rank: 0,
         max_age: 0,
-        join: false,
-        hold_only: false,
-        renew: false,
+        collapse: false,
+        only_if_cached: false,
+        revalidate: false,
     }
 }
 
--- a/edge/upstream/tests/gone.rs
+++ b/edge/upstream/tests/gone.rs
@@ -83,12 +83,12 @@
     let rig = Rig::new();
     let idle = rig.idle();
     let mut asked = rig.asked();
-    asked.fetch.send_by = rig.upstream.clock.now();
+    asked.fetch.send_before = rig.upstream.clock.now();
     assert_eq!(rig.make(&asked), (Outcome::NeverSent, None));
     assert!(rest(&idle).is_empty(), "not a byte came");
     assert!(rig.nobody_dialled());
     // Within its window it goes.
-    asked.fetch.send_by = rig.upstream.clock.now() + 60_000_000;
+    asked.fetch.send_before = rig.upstream.clock.now() + 60_000_000;
     let (outcome, brought, _) = rig.during(&asked, || {
         let stream = rig.accept();
         read_head(&stream);
@@ -108,7 +108,7 @@
     let mut asked = rig
         .asked()
         .when_connected(move || until("the window ends", || clock.now() >= by));
-    asked.fetch.send_by = by;
+    asked.fetch.send_before = by;
     assert_eq!(rig.make(&asked), (Outcome::NeverSent, None));
     assert!(rest(&idle).is_empty(), "not a byte came");
 }
@@ -119,7 +119,7 @@
     let at = rig.listener().local_addr().unwrap();
     let _filled = Filled::new(rig.listener());
     let mut asked = rig.asked();
-    asked.fetch.send_by = rig.upstream.clock.now() + 300_000;
+    asked.fetch.send_before = rig.upstream.clock.now() + 300_000;
     let (outcome, brought, ()) = rig.during(&asked, || {
         until("the dial is under way", || is_dialled(at));
         // By itself the dial may take longer than the test waits.
--- a/edge/upstream/tests/probes.rs
+++ b/edge/upstream/tests/probes.rs
@@ -1,6 +1,6 @@
 //! Probes on real sockets: what they ask, what ends them, and that none speaks of a member that takes no more work.
 
-use foldmux::interface::{CacheId, Member, State};
+use foldmux::interface::{CacheId, Member, MemberState};
 use foldmux_core::servers::{Server, ServerList};
 use foldmux_load_reports::{Fields, Load};
 use foldmux_upstream::pool::Pool;
@@ -53,7 +53,7 @@
 }
 
 impl Rig {
-    fn list(&self, cache: u32, state: State) {
+    fn list(&self, cache: u32, state: MemberState) {
         let member = Member {
             cache: CacheId(cache),
             state,
@@ -106,7 +106,7 @@
 #[test]
 fn a_probe_reads_the_report_by_the_settings_names_and_its_connection_is_used_again() {
     let rig = rig(&["util", "inflight"], PATIENCE);
-    rig.list(1, State::Ready);
+    rig.list(1, MemberState::Ready);
     assert!(rig.probe(1));
     let mut far = rig.accept();
     for (status, well) in [("200 OK", true), ("503 Full", false)] {
@@ -126,7 +126,7 @@
         );
     }
     let plain = self::rig(&[], PATIENCE);
-    plain.list(1, State::Ready);
+    plain.list(1, MemberState::Ready);
     assert!(plain.probe(1));
     let mut far = plain.accept();
     assert_eq!(
@@ -150,7 +150,7 @@
         &endless,
     ] {
         let rig = rig(&["util"], PATIENCE);
-        rig.list(1, State::Ready);
+        rig.list(1, MemberState::Ready);
         assert!(rig.probe(1));
         let mut far = rig.accept();
         asked(&far);
@@ -171,7 +171,7 @@
 #[test]
 fn a_probe_that_never_ends_ends_by_its_time_and_few_are_under_way_at_once() {
     let rig = rig(&["util"], Duration::from_millis(300));
-    rig.list(1, State::Ready);
+    rig.list(1, MemberState::Ready);
     let taken = (0..40).filter(|_| rig.probe(1)).count();
     assert!(
         (QUEUE..=PLACES + QUEUE).contains(&taken),
@@ -192,19 +192,19 @@
 
 #[test]
 fn an_answer_that_crosses_a_drain_an_end_or_a_restart_is_not_told() {
-    for crossed in [State::Draining, State::Gone, State::Ready] {
+    for crossed in [MemberState::Draining, MemberState::Gone, MemberState::Ready] {
         let rig = rig(&["util"], PATIENCE);
-        rig.list(1, State::Ready);
+        rig.list(1, MemberState::Ready);
         assert!(rig.probe(1));
         let mut far = rig.accept();
         asked(&far);
         match crossed {
-            State::Ready => {
+            MemberState::Ready => {
                 // The same id, started anew.
                 let member = Member {
                     cache: CacheId(1),
                     state: crossed,
-                    boot: 9,
+                    started_at: 9,
                     ..Member::default()
                 };
                 let address = rig.listener.local_addr().unwrap();
@@ -228,10 +228,10 @@
 #[test]
 fn a_member_that_drains_or_is_gone_is_not_even_dialled() {
     let rig = rig(&["util"], PATIENCE);
-    rig.list(1, State::Ready);
+    rig.list(1, MemberState::Ready);
     let start = rig.members.get(CacheId(1)).unwrap().incarnation();
     // Out by hand is listed as draining.
-    for state in [State::Draining, State::Gone] {
+    for state in [MemberState::Draining, MemberState::Gone] {
         rig.list(1, state);
         rig.prober.as_ref().unwrap().order(CacheId(1), start);
     }
--- a/pure/load-reports/src/ear.rs
+++ b/pure/load-reports/src/ear.rs
@@ -4,7 +4,7 @@
 use crate::asking::{Asking, Case};
 use crate::fields::{Fields, Load};
 use crate::heard::Reports;
-use foldmux_stats::{Rate, Time};
+use foldmux_stats::{DecayingRate, Time};
 use std::collections::BTreeMap;
 
 /// A crowding that moved by less than this is not told again.
@@ -73,7 +73,7 @@
 struct Known {
     boot: Time,
     ready: bool,
-    sends: Rate,
+    sends: DecayingRate,
     /// What the router was told last.
     told: f64,
 }
@@ -128,7 +128,7 @@
                 let new = Known {
                     boot: server.boot,
                     ready: false,
-                    sends: Rate::over(over),
+                    sends: DecayingRate::new(over),
                     told: 1.0,
                 };
                 self.servers.entry(server.id).or_insert(new).ready = server.ready;
@@ -209,7 +209,7 @@
                     crowding: crowding as f32,
                 });
             }
-            let uses = known.sends.get(now) * lasts as f64;
+            let uses = known.sends.per_us(now) * lasts as f64;
             let trust = self.reports.trust(now, server);
             let case = Case {
                 server,
--- a/pure/load-reports/src/host.rs
+++ b/pure/load-reports/src/host.rs
@@ -3,7 +3,7 @@
 
 use crate::ear::{Ear, Server, Setup, Tell};
 use crate::fields::Load;
-use foldmux::interface::{Action, CacheId, Event, Outcome, RequestId, Settings, State, Time};
+use foldmux::interface::{Action, CacheId, Event, MemberState, Outcome, RequestId, Settings, Time};
 use std::collections::HashMap;
 
 /// Most requests whose attempt is remembered: far over what one process has open.
@@ -34,13 +34,14 @@
         match event {
             Event::Members { full, members } => {
                 let one = |member: &foldmux::interface::Member| {
-                    let ready = member.state == State::Ready && self.settings.tier(member) == 0;
+                    let ready =
+                        member.state == MemberState::Ready && self.settings.tier(member) == 0;
                     let server = Server {
                         id: member.cache.0,
-                        boot: member.boot,
+                        boot: member.started_at,
                         ready,
                     };
-                    (server, member.state == State::Gone)
+                    (server, member.state == MemberState::Gone)
                 };
                 self.ear.listed(*full, members.iter().map(one));
             }
@@ -49,14 +50,15 @@
                 let Some(cache) = self.out.remove(&report.id) else {
                     return;
                 };
-                let refused = matches!(report.outcome, Outcome::Full | Outcome::ConnectFailed);
+                let refused =
+                    matches!(report.outcome, Outcome::Overloaded | Outcome::ConnectFailed);
                 let lost = matches!(
                     report.outcome,
                     Outcome::Error | Outcome::TimedOut | Outcome::Reset
                 );
                 self.ear.ended(now, cache.0, refused, lost);
             }
-            Event::ClientGone { id } => drop(self.out.remove(id)),
+            Event::ClientDisconnected { id } => drop(self.out.remove(id)),
             _ => {}
         }
     }
@@ -98,7 +100,7 @@
         for tell in self.tells.drain(..) {
             match tell {
                 Tell::Probe { server } => probes.push(CacheId(server)),
-                Tell::Crowding { server, crowding } => events.push(Event::Probed {
+                Tell::Crowding { server, crowding } => events.push(Event::HealthChecked {
                     cache: CacheId(server),
                     ok: true,
                     elapsed: 0,
--- a/pure/stats/src/random.rs
+++ b/pure/stats/src/random.rs
@@ -1,38 +1,42 @@
-//! Seeded draws and the hash of rendezvous hashing: SplitMix64, from the library that rand's own crates come from, as its
-//! numbers are fixed for good. A hash that differs between builds would move every object's home.
+//! Seeded random numbers and the hash of rendezvous hashing.
+//!
+//! Both are SplitMix64, whose numbers are fixed for good: with a hash that differs between builds, instances would
+//! disagree on each object's home.
 
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::SplitMix64;
 
 /// The step of SplitMix64's state.
-const STEP: u64 = 0x9e37_79b9_7f4a_7c15;
+const STATE_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Spreads the bits of a number: the same in every instance. SplitMix64's output for the state `x`.
+/// Mixes the bits of a number: SplitMix64's output for the state `x`.
 pub fn mix(x: u64) -> u64 {
-    SplitMix64::seed_from_u64(x.wrapping_sub(STEP)).next_u64()
+    SplitMix64::seed_from_u64(x.wrapping_sub(STATE_STEP)).next_u64()
 }
 
-/// Rendezvous rank of a server for a key: each instance finds the same one highest.
-pub fn rank(key: u64, server: u64) -> u64 {
-    mix(key ^ mix(server.wrapping_add(STEP)))
+/// The rendezvous rank of a server for a key: every instance finds the same server highest.
+pub fn rendezvous_rank(key: u64, server: u64) -> u64 {
+    mix(key ^ mix(server.wrapping_add(STATE_STEP)))
 }
 
-/// Numbers that look like chance, the same for the same seed.
-pub struct Draws(SplitMix64);
+/// A random number generator: the same seed gives the same numbers.
+pub struct SeededRng(SplitMix64);
 
-impl Draws {
-    pub fn new(seed: u64) -> Draws {
-        Draws(SplitMix64::seed_from_u64(seed))
+impl SeededRng {
+    /// A generator that starts from `seed`.
+    pub fn new(seed: u64) -> SeededRng {
+        SeededRng(SplitMix64::seed_from_u64(seed))
     }
 
-    pub fn draw(&mut self) -> u64 {
+    /// The next number, of all 64 bits.
+    pub fn next_u64(&mut self) -> u64 {
         self.0.next_u64()
     }
 }
 
-impl Default for Draws {
-    fn default() -> Draws {
-        Draws::new(0)
+impl Default for SeededRng {
+    fn default() -> SeededRng {
+        SeededRng::new(0)
     }
 }
 
--- a/pure/stats/src/random/tests.rs
+++ b/pure/stats/src/random/tests.rs
@@ -1,12 +1,12 @@
-//! Fixed values of the seeded draws and the hash.
+//! Fixed values of the generator and the hash.
 
 use super::*;
 
-/// The reference's first numbers for this seed; a table of homes in service rests on them.
+/// The first numbers of the reference implementation for this seed; the homes of objects in service rest on them.
 #[test]
-fn draws_are_splitmix64_s_and_mix_is_its_output_by_state() {
-    let mut draws = Draws::new(1_234_567);
-    let drawn: [u64; 3] = std::array::from_fn(|_| draws.draw());
+fn numbers_are_those_of_splitmix64_and_mix_is_its_output_by_state() {
+    let mut rng = SeededRng::new(1_234_567);
+    let drawn: [u64; 3] = std::array::from_fn(|_| rng.next_u64());
     assert_eq!(
         drawn,
         [
@@ -15,14 +15,14 @@
             9_817_491_932_198_370_423
         ]
     );
-    assert_eq!(mix(1_234_567u64.wrapping_add(STEP)), drawn[0]);
+    assert_eq!(mix(1_234_567u64.wrapping_add(STATE_STEP)), drawn[0]);
     let by_hand = |mut x: u64| {
         x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         x ^ (x >> 31)
     };
     for k in 0..1_000u64 {
-        let x = k.wrapping_mul(STEP) ^ (k << 50);
+        let x = k.wrapping_mul(STATE_STEP) ^ (k << 50);
         assert_eq!(mix(x), by_hand(x));
     }
 }
--- a/pure/stats/src/rates.rs
+++ b/pure/stats/src/rates.rs
@@ -1,86 +1,111 @@
-//! What was done or heard lately: a decaying rate, a window, a smoothed sample that grows old.
+//! Moving averages and windows: a decaying rate, a sliding window, a smoothed sample that expires.
 
 use std::collections::VecDeque;
 
-/// Microseconds, on a clock that only goes forward; its start is arbitrary.
+/// Microseconds, on a monotonic clock whose origin is arbitrary, or a duration in microseconds.
 pub type Time = u64;
 
-/// Work done lately, as transfers at full pace, faded over `over`; unbiased from its first sample on.
+/// Shortest time since the first amount over which a rate is taken (us).
+const MIN_OBSERVED_US: Time = 1_000_000;
+
+/// The rate of what was added, averaged with exponential decay. Corrected for the time before the first amount, so that
+/// it is unbiased from then on.
 #[derive(Clone, Copy, Default)]
-pub struct Rate {
-    over: f64,
+pub struct DecayingRate {
+    time_constant: f64,
     sum: f64,
-    first: Time,
-    at: Time,
+    first_added_at: Time,
+    /// 0 before the first amount.
+    last_added_at: Time,
 }
 
-impl Rate {
-    pub fn over(over: f64) -> Rate {
-        Rate {
-            over,
-            ..Rate::default()
+impl DecayingRate {
+    /// A rate that forgets with this time constant (us).
+    pub fn new(time_constant: f64) -> DecayingRate {
+        DecayingRate {
+            time_constant,
+            ..DecayingRate::default()
         }
     }
 
-    pub fn add(&mut self, now: Time, work: f64) {
-        self.first = if self.at == 0 { now } else { self.first };
-        self.sum = self.decayed(now) + work;
-        self.at = now;
+    /// Adds an amount.
+    pub fn add(&mut self, now: Time, amount: f64) {
+        if self.last_added_at == 0 {
+            self.first_added_at = now;
+        }
+        self.sum = self.decayed_sum(now) + amount;
+        self.last_added_at = now;
     }
 
-    pub fn get(&self, now: Time) -> f64 {
-        let seen = now.saturating_sub(self.first).max(1_000_000) as f64 / self.over;
-        self.decayed(now) / self.over / (1.0 - (-seen).exp())
+    /// The amount per microsecond.
+    pub fn per_us(&self, now: Time) -> f64 {
+        let observed = now.saturating_sub(self.first_added_at).max(MIN_OBSERVED_US);
+        let time_constants = observed as f64 / self.time_constant;
+        self.decayed_sum(now) / self.time_constant / (1.0 - (-time_constants).exp())
     }
 
-    fn decayed(&self, now: Time) -> f64 {
-        self.sum * (-(now.saturating_sub(self.at) as f64) / self.over).exp()
+    fn decayed_sum(&self, now: Time) -> f64 {
+        let elapsed = now.saturating_sub(self.last_added_at) as f64;
+        self.sum * (-elapsed / self.time_constant).exp()
     }
 }
 
-/// Weights with a time each, in the order of their times; those before a time that only goes forward are dropped.
+/// Amounts with a time each, over a window whose start only moves forward.
 #[derive(Clone, Default)]
-pub struct Recent(VecDeque<(Time, f64)>);
+pub struct SlidingWindow(VecDeque<(Time, f64)>);
 
-impl Recent {
-    /// Keeps the latest `most`.
-    pub fn add(&mut self, at: Time, weight: f64, since: Time, most: usize) {
-        self.0.push_back((at, weight));
-        while self.0.len() > most || self.0.front().is_some_and(|w| w.0 < since) {
+impl SlidingWindow {
+    /// Adds an amount at `at`, not before the last one's time, and drops what is older than `window_start`. Only the latest
+    /// `max_len` amounts are kept.
+    pub fn add(&mut self, at: Time, amount: f64, window_start: Time, max_len: usize) {
+        self.0.push_back((at, amount));
+        while self.0.len() > max_len || self.front_is_before(window_start) {
             self.0.pop_front();
         }
     }
 
-    pub fn sum(&self, since: Time) -> f64 {
-        self.0.iter().filter(|w| w.0 >= since).map(|w| w.1).sum()
+    /// The sum of the amounts from `start` on.
+    pub fn sum_since(&self, start: Time) -> f64 {
+        self.0
+            .iter()
+            .filter(|(at, _)| *at >= start)
+            .map(|(_, amount)| *amount)
+            .sum()
+    }
+
+    fn front_is_before(&self, start: Time) -> bool {
+        self.0.front().is_some_and(|(at, _)| *at < start)
     }
 }
 
-/// A smoothed sample that says nothing once it was not heard again for some time.
+/// An exponentially weighted average of samples, which expires when no sample comes any more.
 #[derive(Clone, Copy, Default)]
-pub struct Heard {
+pub struct SmoothedSample {
     value: Option<f64>,
-    at: Time,
+    recorded_at: Time,
 }
 
-impl Heard {
-    pub fn get(&self, now: Time, lasts: Time) -> Option<f64> {
-        self.value.filter(|_| now < self.at + lasts)
+impl SmoothedSample {
+    /// The average, if the last sample is younger than `ttl`.
+    pub fn get(&self, now: Time, ttl: Time) -> Option<f64> {
+        self.value.filter(|_| now < self.recorded_at + ttl)
     }
 
-    /// Moves from `before` by this part of the way to the sample.
-    pub fn add(&mut self, now: Time, before: f64, sample: f64, part: f64) {
-        *self = Heard {
-            value: Some(before + part * (sample - before)),
-            at: now,
+    /// Moves the average from `before` by this part (0 to 1) of the way to the sample.
+    pub fn record(&mut self, now: Time, before: f64, sample: f64, weight: f64) {
+        *self = SmoothedSample {
+            value: Some(before + weight * (sample - before)),
+            recorded_at: now,
         };
     }
 }
 
-/// The mean, of some.
+/// The mean of the samples, if there are any.
 pub fn mean(samples: impl Iterator<Item = f64>) -> Option<f64> {
-    let (sum, n) = samples.fold((0.0, 0.0), |(sum, n), sample| (sum + sample, n + 1.0));
-    (n > 0.0).then(|| sum / n)
+    let (sum, count) = samples.fold((0.0, 0.0), |(sum, count), sample| {
+        (sum + sample, count + 1.0)
+    });
+    (count > 0.0).then(|| sum / count)
 }
 
 #[cfg(test)]
--- a/rigs/simulator/src/model/edge.rs
+++ b/rigs/simulator/src/model/edge.rs
@@ -18,8 +18,14 @@
             .iter()
             .filter_map(|p| hub_of(tree.name(*p)))
             .collect();
-        let hub_of = settings(self.s, edge).hub_of;
-        self.tell(edge, foldmux::interface::Event::Wired { hubs, hub_of });
+        let hub_of = settings(self.s, edge).hub_by_zone;
+        self.tell(
+            edge,
+            foldmux::interface::Event::TopologyChanged {
+                parent_zones: hubs,
+                hub_by_zone: hub_of,
+            },
+        );
     }
 
     pub(super) fn tell(&mut self, edge: usize, event: foldmux::interface::Event) {
@@ -44,13 +50,13 @@
                         },
                     );
                 }
-                Action::Refuse { id, .. } => {
+                Action::Reject { id, .. } => {
                     self.result.refused += self.edges[edge].open.remove(&id).is_some() as u64;
                 }
                 Action::Fail { id } => {
                     self.result.failed += self.edges[edge].open.remove(&id).is_some() as u64;
                 }
-                Action::Timer { after, token } => {
+                Action::StartTimer { after, token } => {
                     self.after(after as f64, Event::Timer { edge, token })
                 }
                 _ => {}
@@ -94,16 +100,16 @@
             hops: 0,
         };
         self.edges[edge].open.insert(id, open);
-        let ask = Ask {
+        let ask = IncomingRequest {
             id,
             class,
             object: ObjectId(object),
             part: 0,
             group: 0,
             size_kb,
-            budget: DEADLINE,
-            lease: 0,
-            within: None,
+            time_budget: DEADLINE,
+            placement_ttl: 0,
+            required_group: None,
         };
         self.tell(edge, foldmux::interface::Event::Request(ask));
     }
@@ -141,7 +147,7 @@
             way,
             past,
             born_after,
-            hold_only: fetch.hold_only,
+            hold_only: fetch.only_if_cached,
             until,
         };
         let source = fetch.source;
@@ -173,9 +179,9 @@
                 open.size_kb / CLIENT_KB_PER_S * SECOND + self.s.near_ms * 1e3,
             ),
             Got::Lacks => (Outcome::Miss, 0, self.s.near_ms * 1e3),
-            Got::Refused => (Outcome::Full, 0, self.s.near_ms * 1e3),
+            Got::Refused => (Outcome::Overloaded, 0, self.s.near_ms * 1e3),
         };
-        let (note, sent) = (Note::Untold, open.asked);
+        let (note, sent) = (CacheStatus::Unknown, open.asked);
         self.after(
             sends,
             Event::Done {
@@ -197,7 +203,7 @@
         request: RequestId,
         attempt: u8,
         outcome: Outcome,
-        note: Note,
+        note: CacheStatus,
         born: Time,
         sent: Time,
     ) {
@@ -212,11 +218,11 @@
         if last {
             self.after(0.0, Event::Served { edge, request });
         }
-        let report = Report {
+        let report = AttemptReport {
             id: request,
             attempt,
             outcome,
-            note,
+            cache_status: note,
             elapsed,
             last,
         };
--- a/rigs/simulator/src/model/events.rs
+++ b/rigs/simulator/src/model/events.rs
@@ -1,7 +1,7 @@
 //! What happens in a day, each at its time.
 
 use super::store::Part;
-use foldmux::interface::{Fetch, Note, Outcome, RequestId, Time};
+use foldmux::interface::{CacheStatus, Fetch, Outcome, RequestId, Time};
 use foldmux_hierarchy::ledger::{Arrival, FetchId};
 
 /// Who is told how a fill ended.
@@ -73,7 +73,7 @@
         request: RequestId,
         attempt: u8,
         outcome: Outcome,
-        note: Note,
+        note: CacheStatus,
         born: Time,
         sent: Time,
     },
--- a/rigs/simulator/src/model/step.rs
+++ b/rigs/simulator/src/model/step.rs
@@ -43,7 +43,7 @@
                     foldmux::interface::Event::Purged {
                         object,
                         group: 0,
-                        ago,
+                        age: ago,
                     },
                 );
             }
--- a/rigs/simulator/src/storm/boxes.rs
+++ b/rigs/simulator/src/storm/boxes.rs
@@ -2,7 +2,7 @@
 
 use super::play::{Event, World};
 use super::*;
-use foldmux::interface::Report as Told;
+use foldmux::interface::AttemptReport as Told;
 use rand::RngExt;
 use rand_distr::Distribution;
 
@@ -18,9 +18,11 @@
         for action in actions {
             match action {
                 Action::Fetch(fetch) => self.fetch(fetch),
-                Action::Refuse { id, retry_after } => self.answer(id.0, false, Some(retry_after)),
+                Action::Reject { id, retry_after } => self.answer(id.0, false, Some(retry_after)),
                 Action::Fail { id } => self.answer(id.0, false, None),
-                Action::Timer { after, token } => self.after(after as f64, Event::Timer { token }),
+                Action::StartTimer { after, token } => {
+                    self.after(after as f64, Event::Timer { token })
+                }
                 _ => {}
             }
         }
@@ -39,7 +41,7 @@
             pause = admission
                 .start_attempt(key, &resolved.values, open.attempts, draw)
                 .map(|pause| pause.as_micros() as Time);
-            fetch.time_out = resolved.values.attempt_timeout().within_us(fetch.time_out);
+            fetch.timeout = resolved.values.attempt_timeout().within_us(fetch.timeout);
         }
         open.attempts += 1;
         match pause.filter(|pause| self.now + pause < open.deadline) {
@@ -54,7 +56,7 @@
             id: RequestId(id),
             attempt,
             outcome: Outcome::NeverSent,
-            note: Note::Untold,
+            cache_status: CacheStatus::Unknown,
             elapsed: 0,
             last: true,
         };
@@ -108,8 +110,8 @@
         }
         let attempt_key = (id, key, class);
         let (us, outcome) = self.serve(attempt_key, number, number < count && fails, &fetch);
-        let limit = if fetch.time_out > 0 {
-            fetch.time_out as f64
+        let limit = if fetch.timeout > 0 {
+            fetch.timeout as f64
         } else {
             f64::INFINITY
         };
@@ -161,7 +163,7 @@
             .expect("a box has slots");
         let begins = free.max(at);
         if begins - at > self.s.full_after_ms * 1e3 {
-            return (2.0 * WAY, Outcome::Full);
+            return (2.0 * WAY, Outcome::Overloaded);
         }
         let object = self.open.get(&id).map_or(0, |open| open.ask.object.0);
         let kept = class == 2 || self.held.contains(&(number, object));
@@ -188,7 +190,7 @@
         let (now, served) = (self.now, outcome == Outcome::Served);
         if let Some(open) = self.open.get_mut(&id) {
             open.out -= 1;
-            if !outcome.never_ran() {
+            if !outcome.not_processed() {
                 open.ran.get_or_insert(sent);
             }
             if let (Some((admission, _)), Some((key, _))) = (&mut self.admission, &open.limits) {
@@ -202,7 +204,7 @@
             id: RequestId(id),
             attempt,
             outcome,
-            note: Note::Untold,
+            cache_status: CacheStatus::Unknown,
             elapsed: now - sent,
             last: served,
         };
--- a/rigs/simulator/src/storm/play.rs
+++ b/rigs/simulator/src/storm/play.rs
@@ -51,7 +51,7 @@
     pub(super) out: u32,
     /// When the first attempt that may have run was sent.
     pub(super) ran: Option<Time>,
-    pub(super) ask: Ask,
+    pub(super) ask: IncomingRequest,
     pub(super) arrived: Time,
 }
 
@@ -136,9 +136,9 @@
             zone,
             kind,
             cell: 0,
-            state: State::Ready,
+            state: MemberState::Ready,
             weight: 1.0,
-            boot: 0,
+            started_at: 0,
         };
         let mut members: Vec<Member> = (0..self.s.boxes).map(|n| member(n, 1, 0)).collect();
         members.extend([member(1_000, 0, 1), member(2_000, 0, 2)]);
--- a/rigs/simulator/src/storm/requests.rs
+++ b/rigs/simulator/src/storm/requests.rs
@@ -2,7 +2,7 @@
 
 use super::play::{Event, Open, World};
 use super::*;
-use foldmux::interface::Report as Told;
+use foldmux::interface::AttemptReport as Told;
 use foldmux_limits::admission::{Admission, LimitKey};
 use rand::RngExt;
 
@@ -29,22 +29,22 @@
         if tries == 0 {
             self.day.requests += 1;
             let second = self.second(self.now);
-            self.wanted[second] += self.classes[class].worth;
+            self.wanted[second] += self.classes[class].priority_weight;
             self.records.0 += (class == 2) as u64;
         }
         limits
             .iter()
             .for_each(|(_, r)| budget = budget.min(r.values.deadline_ms * 1_000));
-        let ask = Ask {
+        let ask = IncomingRequest {
             id: RequestId(id),
             class,
             object: ObjectId(object),
             part: 0,
             group: 0,
             size_kb: 12.0,
-            budget,
-            lease: 0,
-            within: None,
+            time_budget: budget,
+            placement_ttl: 0,
+            required_group: None,
         };
         let open = Open {
             class,
@@ -80,8 +80,8 @@
         };
         open.asked = true;
         let budget = open.deadline.saturating_sub(self.now).max(1);
-        let ask = Ask {
-            budget,
+        let ask = IncomingRequest {
+            time_budget: budget,
             ..open.ask.clone()
         };
         self.tell(foldmux::interface::Event::Request(ask));
@@ -98,10 +98,10 @@
                     .max(START)
                     .min(open.arrived);
                 let took = self.now - began;
-                let worth = if took <= class.aim {
-                    class.worth
+                let worth = if took <= class.latency_objective {
+                    class.priority_weight
                 } else {
-                    class.worth * class.late_worth
+                    class.priority_weight * class.late_value_ratio
                 };
                 let second = self.second(self.now);
                 self.worth[second] += worth;
@@ -120,18 +120,18 @@
         let (request, out, attempts) = (RequestId(id), open.out, open.attempts);
         if out > 0 {
             let attempt = (attempts - 1) as u8;
-            let (outcome, note) = (Outcome::Cancelled, Note::Untold);
+            let (outcome, note) = (Outcome::Cancelled, CacheStatus::Unknown);
             let report = Told {
                 id: request,
                 attempt,
                 outcome,
-                note,
+                cache_status: note,
                 elapsed: self.now - open.arrived,
                 last: true,
             };
             self.tell(foldmux::interface::Event::Outcome(report));
         }
-        self.tell(foldmux::interface::Event::ClientGone { id: request });
+        self.tell(foldmux::interface::Event::ClientDisconnected { id: request });
         self.finish(id, Some(0));
     }
 
--- a/rigs/soak/src/plan.rs
+++ b/rigs/soak/src/plan.rs
@@ -1,23 +1,23 @@
 //! What a seed stands for: the faults of the shim, the limits, the signals.
 
-use foldmux_stats::random::Draws;
+use foldmux_stats::random::SeededRng;
 use std::fmt::Write as _;
 use std::time::Duration;
 
 /// Numbers drawn from a seed.
-pub struct Dice(Draws);
+pub struct Dice(SeededRng);
 
 impl Dice {
     /// Those of one purpose of a seed.
     pub fn new(seed: u64, purpose: u64) -> Dice {
-        Dice(Draws::new(
+        Dice(SeededRng::new(
             seed.wrapping_mul(1_000_003).wrapping_add(purpose),
         ))
     }
 
     /// A number in `from..to`.
     pub fn number(&mut self, from: u64, to: u64) -> u64 {
-        from + self.0.draw() % (to - from)
+        from + self.0.next_u64() % (to - from)
     }
 
     /// Whether something of this chance (percent) happens.
--- a/shared/event-stream/src/backoff.rs
+++ b/shared/event-stream/src/backoff.rs
@@ -3,7 +3,7 @@
 //! Guards against a fleet in step: whatever breaks one proxy's connection breaks all of them at the same moment, and
 //! proxies that wait the same time come back as one wave. Each draws its waits from its own seed.
 
-use foldmux_stats::Draws;
+use foldmux_stats::SeededRng;
 use std::time::Duration;
 
 /// The range of the first wait.
@@ -15,14 +15,14 @@
 
 /// Waits that are drawn evenly from a range which doubles with each failure, up to a bound.
 pub struct Backoff {
-    draws: Draws,
+    draws: SeededRng,
     most: Duration,
 }
 
 impl Backoff {
     pub fn new(seed: u64) -> Backoff {
         Backoff {
-            draws: Draws::new(seed),
+            draws: SeededRng::new(seed),
             most: FIRST.1,
         }
     }
@@ -47,7 +47,7 @@
     }
 
     fn part(&mut self) -> f64 {
-        (self.draws.draw() >> 11) as f64 / (1u64 << 53) as f64
+        (self.draws.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
--- a/shared/settings/src/classes.rs
+++ b/shared/settings/src/classes.rs
@@ -1,7 +1,7 @@
 //! The classes of the settings. Some of what is told by class stands beside the list of classes, at the same place.
 
 use crate::section::Section;
-use foldmux::interface::{Class, Group, Repeat, Time};
+use foldmux::interface::{Class, KeyScope, RetrySafety, Time};
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 
@@ -30,46 +30,46 @@
 
 fn one(class: &Section, place: usize, by_class: &ByClass) -> (String, Class) {
     let rules = Class {
-        aim: class.time("slo"),
-        aim_stretch: class.optional_factor("aimStretch"),
+        latency_objective: class.time("slo"),
+        latency_objective_stretch: class.optional_factor("aimStretch"),
         deadline: class.time_above_0("hardLimit"),
-        worth: class.optional("importance").unwrap_or_default(),
-        late_worth: class.optional("lateValue").unwrap_or_default(),
-        repeat: repeat(class),
-        repeat_window: class.optional_time("repeatWindow"),
-        fresh: by_class.fresh.get(place).copied().unwrap_or_default(),
-        grace: by_class.grace.get(place).copied().unwrap_or_default(),
-        pass_on: by_class.pass_on.get(place).copied().unwrap_or_default(),
+        priority_weight: class.optional("importance").unwrap_or_default(),
+        late_value_ratio: class.optional("lateValue").unwrap_or_default(),
+        retry_safety: repeat(class),
+        idempotency_window: class.optional_time("repeatWindow"),
+        freshness_lifetime: by_class.fresh.get(place).copied().unwrap_or_default(),
+        stale_while_revalidate: by_class.grace.get(place).copied().unwrap_or_default(),
+        bypass_cache: by_class.pass_on.get(place).copied().unwrap_or_default(),
     };
     (class.optional("name").unwrap_or_default(), rules)
 }
 
-fn repeat(class: &Section) -> Repeat {
+fn repeat(class: &Section) -> RetrySafety {
     let group = match class
         .optional::<String>("group")
         .unwrap_or_default()
         .as_str()
     {
-        "zone" => Group::Zone,
-        "cell" => Group::Cell,
-        _ => Group::All,
+        "zone" => KeyScope::Zone,
+        "cell" => KeyScope::Cell,
+        _ => KeyScope::All,
     };
     let Some(effect) = class.optional::<String>("idempotency") else {
         if class.is_there() && class.get("idempotency").is_none() {
             class.fault("idempotency", "missing");
         }
-        return Repeat::SingleShot;
+        return RetrySafety::NonIdempotent;
     };
     match effect.as_str() {
-        "free" => Repeat::Safe,
-        "guarded" => Repeat::Keyed(group),
-        "single_shot" => Repeat::SingleShot,
+        "free" => RetrySafety::Idempotent,
+        "guarded" => RetrySafety::Keyed(group),
+        "single_shot" => RetrySafety::NonIdempotent,
         other => {
             class.fault(
                 "idempotency",
                 format_args!("{other:?} is no effect (free, guarded, single_shot)"),
             );
-            Repeat::SingleShot
+            RetrySafety::NonIdempotent
         }
     }
 }
--- a/shared/settings/src/lib.rs
+++ b/shared/settings/src/lib.rs
@@ -89,46 +89,46 @@
     let max_retry_after = limits.optional_time("maxRetryAfter");
     Settings {
         index: section.required("index"),
-        routers: section.required("balancers"),
+        router_count: section.required("balancers"),
         zone: section.required("locality"),
         classes: classes.iter().map(|(_, class)| class.clone()).collect(),
         routers_by_zone: domain.optional("instancesByZone").unwrap_or_default(),
-        hub_of: domain.zones("hubOf"),
+        hub_by_zone: domain.zones("hubOf"),
         parent_kind: usize::try_from(domain.required::<i64>("midKind")).ok(),
         origin_kind: domain.required("originKind"),
-        siblings: match word(domain, "siblings").as_str() {
-            "any" => Siblings::Any,
-            "location" => Siblings::OwnZone,
-            _ => Siblings::None,
+        sibling_fills: match word(domain, "siblings").as_str() {
+            "any" => SiblingFills::Any,
+            "location" => SiblingFills::OwnZone,
+            _ => SiblingFills::None,
         },
-        notes: match word(domain, "notesGiven").as_str() {
-            "all" => Notes::All,
-            "hit" => Notes::HitOnly,
-            _ => Notes::None,
+        cache_status_detail: match word(domain, "notesGiven").as_str() {
+            "all" => CacheStatusDetail::All,
+            "hit" => CacheStatusDetail::HitOnly,
+            _ => CacheStatusDetail::None,
         },
-        can_join: flag(domain, "canJoin"),
-        direct: flag(domain, "direct"),
+        request_collapsing: flag(domain, "canJoin"),
+        direct_fetch: flag(domain, "direct"),
         client_kb_per_s: optional(domain, "clientKbPerS"),
-        weights_told: word(section, "weights") == "nominal",
-        must_ask: word(section, "membershipMode") == "ask",
-        may_cancel: flag(limits, "cancel"),
-        may_duplicate: flag(limits, "mayDuplicate"),
+        weights_known: word(section, "weights") == "nominal",
+        subscribe_members: word(section, "membershipMode") == "ask",
+        can_cancel: flag(limits, "cancel"),
+        may_hedge: flag(limits, "mayDuplicate"),
         max_attempts: attempts(limits),
-        may_probe: flag(limits, "probes"),
-        may_tell_peers: flag(limits, "peers"),
-        retry_after: flag(limits, "retryAfter").then_some(max_retry_after),
-        answer_slack: rules.time("answerSlack"),
-        drain_grace: rules.time("stopSendingWithin"),
-        cache_cold_from: rules.factor("coldFrom"),
-        cache_cold_for: rules.time("rampTime"),
-        cache_fall_multiple: rules.factor("fallMultiple"),
-        fall_window: rules.time("fall"),
-        parent_cold_from: domain.optional_factor("parentFloor"),
-        parent_cold_for: domain.optional_time("parentCold"),
-        parent_fall_multiple: domain.optional_factor("parentBreaksAt"),
+        may_health_check: flag(limits, "probes"),
+        may_message_peers: flag(limits, "peers"),
+        max_retry_after: flag(limits, "retryAfter").then_some(max_retry_after),
+        response_slack: rules.time("answerSlack"),
+        drain_timeout: rules.time("stopSendingWithin"),
+        cache_slow_start_ratio: rules.factor("coldFrom"),
+        cache_slow_start_time: rules.time("rampTime"),
+        cache_overload_multiple: rules.factor("fallMultiple"),
+        overload_window: rules.time("fall"),
+        parent_slow_start_ratio: domain.optional_factor("parentFloor"),
+        parent_slow_start_time: domain.optional_time("parentCold"),
+        parent_overload_multiple: domain.optional_factor("parentBreaksAt"),
         purge_slack: domain.optional_time("purgeSlack"),
-        purge_done: domain.optional_time("purgeDone"),
-        origin_fall_multiple: domain.optional_factor("rootFallMultiple"),
+        purge_complete: domain.optional_time("purgeDone"),
+        origin_overload_multiple: domain.optional_factor("rootFallMultiple"),
     }
 }
 
@@ -144,7 +144,7 @@
     }
     let least = classes
         .iter()
-        .map(|(_, class)| class.aim.min(class.deadline))
+        .map(|(_, class)| class.latency_objective.min(class.deadline))
         .min();
     least.unwrap_or_default().max(1_000)
 }
--- a/shared/settings/src/reports.rs
+++ b/shared/settings/src/reports.rs
@@ -30,7 +30,7 @@
         patience: dial_time_out,
         least_aim: classes
             .iter()
-            .map(|(_, class)| class.aim)
+            .map(|(_, class)| class.latency_objective)
             .min()
             .unwrap_or(0),
     }
--- a/shared/settings/tests/faults.rs
+++ b/shared/settings/tests/faults.rs
@@ -324,9 +324,9 @@
                 let told = decoded.settings;
                 prop_assert!((1..=ATTEMPTS_MOST).contains(&told.max_attempts) && decoded.dial_time_out > 0);
                 for class in &told.classes {
-                    let times = [class.aim, class.deadline, class.repeat_window, class.fresh, class.grace];
+                    let times = [class.latency_objective, class.deadline, class.idempotency_window, class.freshness_lifetime, class.stale_while_revalidate];
                     prop_assert!(times.iter().all(|time| *time <= TIME_MOST) && class.deadline > 0);
-                    prop_assert!((0.0..=FACTOR_MOST).contains(&class.aim_stretch));
+                    prop_assert!((0.0..=FACTOR_MOST).contains(&class.latency_objective_stretch));
                 }
             }
         }
--- a/shared/settings/tests/settings.rs
+++ b/shared/settings/tests/settings.rs
@@ -17,9 +17,9 @@
     let settings = parse(LEAST).unwrap().settings;
     let of = |k: usize| {
         (
-            settings.classes[k].fresh,
-            settings.classes[k].grace,
-            settings.classes[k].pass_on,
+            settings.classes[k].freshness_lifetime,
+            settings.classes[k].stale_while_revalidate,
+            settings.classes[k].bypass_cache,
         )
     };
     assert_eq!(
@@ -30,7 +30,7 @@
         (
             settings.parent_kind,
             settings.origin_kind,
-            settings.drain_grace
+            settings.drain_timeout
         ),
         (None, 1, 2_000_000)
     );
@@ -38,7 +38,7 @@
         .unwrap()
         .settings;
     assert!(
-        none.classes.iter().all(|c| c.grace == 0),
+        none.classes.iter().all(|c| c.stale_while_revalidate == 0),
         "no grace is told: none is taken"
     );
 }
@@ -49,7 +49,7 @@
         r#""balancers":4"#,
         r#""balancers":4,"moonPhase":{"at":[1,null]},"rack":"b""#,
     );
-    assert_eq!(parse(&more).unwrap().settings.routers, 4);
+    assert_eq!(parse(&more).unwrap().settings.router_count, 4);
 }
 
 #[test]
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,7 @@
-//! The types between a front and its router: settings, events, actions. No decision is made here.
+//! The types between a host and its router: settings, events and actions. No decision is made here.
+//!
+//! A host (the proxy's event loop, a simulator) feeds a [`Router`](crate::Router) one [`Event`] at
+//! a time and carries out the [`Action`]s that come back. All times are in microseconds.
 
 mod actions;
 mod events;
@@ -8,12 +11,17 @@
 pub use events::*;
 pub use settings::*;
 
-/// Microseconds, on a clock that only goes forward; its start is arbitrary.
+/// Microseconds, on a monotonic clock whose origin is arbitrary, or a duration in microseconds.
 pub type Time = u64;
 
+/// Identifies an open request; chosen by the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
+
+/// Identifies a server: an edge cache, a parent or the origin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CacheId(pub u32);
+
+/// Identifies an object, whatever part of it is requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ObjectId(pub u64);
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -1,94 +1,110 @@
-//! What is to be done: the actions that a router gives.
+//! Actions: what a router asks its host to do.
 
 use super::{CacheId, RequestId, Time};
 
+/// What the host is to do, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Ask a cache (or, where direct, a parent or the origin) for an object.
+    /// Send an attempt to a cache (or, where fetches are direct, to a parent or the origin).
     Fetch(Fetch),
-    /// Final answer: turned away, trying again is harmless.
-    Refuse {
+    /// Final result: rejected; the client may retry without harm.
+    Reject {
+        /// The request that ends.
         id: RequestId,
+        /// The wait to advise; 0 advises none.
         retry_after: Time,
     },
-    /// Final answer: failed, nothing promised.
+    /// Final result: failed; an attempt may have been processed.
     Fail {
+        /// The request that ends.
         id: RequestId,
     },
+    /// Cancel an attempt whose result is no longer wanted.
     Cancel {
+        /// The attempt's request.
         id: RequestId,
+        /// The attempt's number within the request.
         attempt: u8,
     },
-    Timer {
+    /// Deliver [`Event::Timer`](super::Event::Timer) with this token after a while.
+    StartTimer {
+        /// How long from now.
         after: Time,
+        /// Comes back with the event.
         token: u32,
     },
-    Probe {
+    /// Check the health of a server.
+    HealthCheck {
+        /// The server to check.
         cache: CacheId,
     },
-    /// A message to every peer.
-    TellPeers {
+    /// Send a message to every peer.
+    MessagePeers {
+        /// The message, opaque to the host.
         message: Vec<u8>,
     },
     /// Subscribe to the member list.
-    Watch,
+    SubscribeMembers,
 }
 
+/// One attempt of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fetch {
+    /// The request that the attempt belongs to.
     pub id: RequestId,
+    /// The server that the attempt goes to.
     pub cache: CacheId,
-    /// 0: until the client gives up.
-    pub time_out: Time,
-    /// Before when its first byte must leave; 0: no bound. Guards against a repeat that was decided while the caches
-    /// remembered the request, and comes to one that has forgotten it.
-    pub send_by: Time,
-    /// Where a miss is filled from; the cache itself: no fill.
+    /// How long to wait for the response; 0 waits until the client gives up.
+    pub timeout: Time,
+    /// The moment before which the first byte must be sent; 0 sets no bound. A retry of a request with an
+    /// idempotency key is safe only while the caches remember the key.
+    pub send_before: Time,
+    /// The server that a miss is filled from; equal to `cache`, nothing is filled.
     pub source: CacheId,
-    /// Rank of the copy, 1 to 3; 0 keeps none.
-    pub keep: u8,
-    /// The oldest copy that will do; 0: the class's fresh time.
+    /// Retention priority of the copy, 1 to 3; 0 stores none.
+    pub retention_rank: u8,
+    /// The greatest age of an acceptable copy; 0 leaves it to the class's freshness lifetime.
     pub max_age: Time,
-    /// Wait for a fill that is under way.
-    pub join: bool,
-    /// The source gives only what it holds.
-    pub hold_only: bool,
-    /// Serve an ageing copy and fetch it anew behind.
-    pub renew: bool,
+    /// Join a fill of the same object that is under way.
+    pub collapse: bool,
+    /// The source responds only from what it has stored.
+    pub only_if_cached: bool,
+    /// Serve a stale copy and revalidate it in the background.
+    pub revalidate: bool,
 }
 
-/// A bound as the caches and callers are told it (ms): rounded down, as a copy must not be older than the module said;
-/// but 0 would mean no bound at all.
+/// A bound in milliseconds, as the wire formats carry it; none where `time` is 0. Rounded down, as a copy must not be
+/// older than the router allowed, but to 1 at least, as 0 means no bound on the wire.
 pub fn bound_ms(time: Time) -> Option<Time> {
     (time > 0).then(|| (time / 1000).max(1))
 }
 
 impl Fetch {
-    /// Whether its first byte may leave now.
-    pub fn may_begin(&self, now: Time) -> bool {
-        self.send_by == 0 || now < self.send_by
+    /// Whether the first byte may be sent at `now`.
+    pub fn may_send(&self, now: Time) -> bool {
+        self.send_before == 0 || now < self.send_before
     }
 
-    /// Bounds its first byte by another moment; the earlier one holds.
-    pub fn begin_by(&mut self, by: Time) {
-        self.send_by = if self.send_by == 0 {
-            by
+    /// Bounds the first byte by `deadline` too; the earlier bound holds.
+    pub fn limit_send_before(&mut self, deadline: Time) {
+        self.send_before = if self.send_before == 0 {
+            deadline
         } else {
-            by.min(self.send_by)
+            deadline.min(self.send_before)
         };
     }
 
-    /// What the caches are told beside the source, the rank and the age, in their words; none: an empty text.
+    /// The wire names of the flags that are set, joined by `+`; empty where none is.
     pub fn flags(&self) -> String {
         let flags = [
-            (self.join, "coalesce"),
-            (self.hold_only, "shallow"),
-            (self.renew, "freshen"),
+            (self.collapse, "coalesce"),
+            (self.only_if_cached, "shallow"),
+            (self.revalidate, "freshen"),
         ];
         flags
             .iter()
-            .filter(|f| f.0)
-            .map(|f| f.1)
+            .filter(|(set, _)| *set)
+            .map(|(_, name)| *name)
             .collect::<Vec<_>>()
             .join("+")
     }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,161 +1,229 @@
-//! What happens: the events that a router is fed.
+//! Events: what a host tells its router.
 
 use super::{CacheId, ObjectId, RequestId, Time};
 
+/// What the member list says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum State {
+pub enum MemberState {
+    /// Takes requests.
     Ready,
+    /// Shuts down gracefully: takes no new requests.
     Draining,
+    /// Is listed no more.
     #[default]
     Gone,
 }
 
+/// An entry of the member list.
 #[derive(Clone, Debug, Default)]
 pub struct Member {
+    /// The server.
     pub cache: CacheId,
+    /// Index of its zone.
     pub zone: usize,
+    /// Index of its kind; see [`Settings::tier`](super::Settings::tier).
     pub kind: usize,
+    /// Its cell, a failure domain within the zone.
     pub cell: u16,
-    pub state: State,
+    /// Whether it takes requests.
+    pub state: MemberState,
+    /// Its relative capacity.
     pub weight: f64,
-    /// When it last started; 0: long ago.
-    pub boot: Time,
+    /// When its process started; 0 means long ago.
+    pub started_at: Time,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// A complete response.
     Served,
+    /// The server responded with an error.
     Error,
-    Full,
+    /// The server rejected the attempt, as it is overloaded.
+    Overloaded,
+    /// No response within the timeout.
     TimedOut,
+    /// No connection could be established.
     ConnectFailed,
+    /// The connection was lost after the attempt was sent.
     Reset,
+    /// Cancelled on the router's request.
     Cancelled,
+    /// Nothing was sent.
     NeverSent,
+    /// The server was asked for a stored copy and has none.
     Miss,
 }
 
 impl Outcome {
-    /// Proof that the attempt had no effect.
-    pub fn never_ran(self) -> bool {
+    /// Whether the outcome proves that the attempt was not processed.
+    pub fn not_processed(self) -> bool {
         matches!(
             self,
-            Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent | Outcome::Miss
+            Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NeverSent | Outcome::Miss
         )
     }
 
-    /// The server said something, if only that its process ended: it is not hung.
-    pub fn is_word(self) -> bool {
-        use Outcome::*;
-        !matches!(self, TimedOut | ConnectFailed | NeverSent | Cancelled)
+    /// Whether the server was heard of, if only by the end of its process: it does not hang.
+    pub fn is_responsive(self) -> bool {
+        !matches!(
+            self,
+            Outcome::TimedOut | Outcome::ConnectFailed | Outcome::NeverSent | Outcome::Cancelled
+        )
     }
 }
 
-/// What an answer told, where notes are given.
+/// How a response came about, where the deployment's caches say so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
-    Untold,
+pub enum CacheStatus {
+    /// Not stated.
+    Unknown,
+    /// From a stored copy.
     Hit,
+    /// Filled from the source's stored copy.
     Filled,
+    /// Filled by the source from the origin.
     FilledByOrigin,
-    Joined,
+    /// Joined a fill that was under way.
+    Collapsed,
+    /// From a stale copy.
     Stale,
-    SourceRefused,
-    SourceBroken,
-    SourceLacks,
-    NoFillPlace,
+    /// The source rejected the fill.
+    SourceRejected,
+    /// The source failed during the fill.
+    SourceFailed,
+    /// The source was asked for a stored copy and has none.
+    SourceMissed,
+    /// The cache had no slot for a fill.
+    NoFillSlot,
+    /// The origin failed.
     OriginFailed,
 }
 
-impl Note {
-    /// The cache was well; its source was not, or lacked the object.
-    pub fn source_fault(self) -> bool {
+impl CacheStatus {
+    /// Whether the cache was healthy, but its source was not, or lacked the object.
+    pub fn is_source_fault(self) -> bool {
         matches!(
             self,
-            Note::SourceRefused | Note::SourceBroken | Note::SourceLacks | Note::OriginFailed
+            CacheStatus::SourceRejected
+                | CacheStatus::SourceFailed
+                | CacheStatus::SourceMissed
+                | CacheStatus::OriginFailed
         )
     }
 }
 
 /// A client's request for one part of an object.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct IncomingRequest {
+    /// Chosen by the host; must not be that of an open request.
     pub id: RequestId,
+    /// Index into [`Settings::classes`](super::Settings::classes).
     pub class: usize,
+    /// The requested object.
     pub object: ObjectId,
+    /// The requested part of the object.
     pub part: u32,
+    /// The cache tag (surrogate key) of the object, by which it may be purged.
     pub group: u32,
-    /// 0 where it is not told.
+    /// Size of the response in KB; 0 where it is not known.
     pub size_kb: f64,
-    /// How long until the client gives this try up.
-    pub budget: Time,
-    /// How long the client may use the placement by itself, unseen from here; 0: the front makes the attempt.
-    pub lease: Time,
-    /// An attempt that was seen elsewhere may have run: only caches of this group may be asked ([`Repeat::group_of`]).
-    pub within: Option<u32>,
+    /// How long until the client gives up.
+    pub time_budget: Time,
+    /// How long the client may use the selected cache on its own, unseen by the router; 0 where the host makes the
+    /// attempts.
+    pub placement_ttl: Time,
+    /// The only key group that may be asked ([`RetrySafety::key_group`](super::RetrySafety::key_group)), where an
+    /// attempt that this router did not make may have been processed.
+    pub required_group: Option<u32>,
 }
 
 /// How one attempt ended.
 #[derive(Clone, Debug)]
-pub struct Report {
+pub struct AttemptReport {
+    /// The attempt's request.
     pub id: RequestId,
     /// The attempt's number: a request's fetches count from 0.
     pub attempt: u8,
+    /// How it ended.
     pub outcome: Outcome,
-    pub note: Note,
+    /// How the response came about.
+    pub cache_status: CacheStatus,
+    /// Time from the action to the outcome.
     pub elapsed: Time,
-    /// The request is ended, by this outcome or before.
+    /// Whether the request has ended, by this outcome or before.
     pub last: bool,
 }
 
+/// What happened.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The whole list (`full`: those not named are gone), or the members that changed.
+    /// The member list, or changes of it.
     Members {
+        /// The list is complete: who is not named is gone.
         full: bool,
+        /// All members, or those that changed.
         members: Vec<Member>,
     },
-    /// The wiring of the hierarchy: the zones whose parents fills of this zone may name as sources, and by zone the
-    /// zone of its hub. What is out ends as it began.
-    Wired {
-        hubs: Vec<usize>,
-        hub_of: Vec<usize>,
+    /// The topology of the hierarchy changed; attempts in flight end as they began.
+    TopologyChanged {
+        /// Zones whose parents may be the source of this zone's fills.
+        parent_zones: Vec<usize>,
+        /// By zone: the zone of its hub.
+        hub_by_zone: Vec<usize>,
     },
-    /// Asking for the list failed, or the subscription ended.
-    MembersFailed,
-    Request(Ask),
-    Outcome(Report),
-    /// A streamed answer has begun.
-    Started {
+    /// Fetching the member list failed, or the subscription ended.
+    MembersUnavailable,
+    /// A request came in.
+    Request(IncomingRequest),
+    /// An attempt ended.
+    Outcome(AttemptReport),
+    /// A streamed response has begun.
+    ResponseStarted {
+        /// The request that is being answered.
         id: RequestId,
     },
+    /// A timer expired.
     Timer {
+        /// As given with [`Action::StartTimer`](super::Action::StartTimer).
         token: u32,
     },
-    /// What a probe found: a load report, or none where it failed.
-    Probed {
+    /// A health check ended.
+    HealthChecked {
+        /// The server that was checked.
         cache: CacheId,
+        /// Whether it responded.
         ok: bool,
+        /// How long the check took.
         elapsed: Time,
+        /// The server's load report; empty where the check failed.
         report: Vec<f32>,
     },
-    Peer {
+    /// A message from another router.
+    PeerMessage {
+        /// Index of the router that sent it.
         from: u32,
+        /// The message, opaque to the host.
         message: Vec<u8>,
     },
-    /// The client left; no answer is owed any more.
-    ClientGone {
+    /// The client is gone; no response is owed any more.
+    ClientDisconnected {
+        /// The client's request.
         id: RequestId,
     },
-    /// This process ends: every open request has its final answer by then.
-    Closing {
-        by: Time,
+    /// The process shuts down gracefully: every open request has its final result by then.
+    Shutdown {
+        /// When the process ends.
+        deadline: Time,
     },
-    /// Copies older than `ago` are out of date: of one object, or of a whole group.
+    /// Copies older than `age` were invalidated.
     Purged {
+        /// The invalidated object; all of the group where none is named.
         object: Option<ObjectId>,
+        /// The cache tag of the invalidated objects.
         group: u32,
-        ago: Time,
+        /// How long ago the valid copies' content left the origin at the earliest.
+        age: Time,
     },
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,150 +1,189 @@
-//! What a router is told of its deployment.
+//! What a router knows of its deployment.
 
 use super::{Member, Time};
 
-/// How far an attempt of a class may be repeated.
+/// How far the attempts of a class may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetrySafety {
     /// Any number of times.
-    Safe,
-    /// Within the group of caches that drops its repeats, while they remember it.
-    Keyed(Group),
-    /// Only when every earlier attempt is known not to have run.
-    SingleShot,
+    Idempotent,
+    /// By an idempotency key: within the group of caches that share the memory of keys, while it lasts.
+    Keyed(KeyScope),
+    /// Only when every earlier attempt is known not to have been processed.
+    NonIdempotent,
 }
 
+/// Which caches share their memory of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum KeyScope {
+    /// All caches.
     All,
+    /// The caches of a zone.
     Zone,
+    /// The caches of a cell.
     Cell,
 }
 
-impl Class {
-    /// Before when a repeat must begin of what was sent first at `sent`; 0: at any time.
-    pub fn repeat_by(&self, sent: Time) -> Time {
-        match self.repeat {
-            Repeat::Keyed(_) => sent.saturating_add(self.repeat_window),
-            Repeat::Safe | Repeat::SingleShot => 0,
-        }
-    }
-}
-
-impl Repeat {
-    /// The number of a cache's group: within it, repeats of a keyed request are dropped.
-    pub fn group_of(self, member: &Member) -> u32 {
+impl RetrySafety {
+    /// The number of a server's key group: within it, duplicates of a keyed request are dropped.
+    pub fn key_group(self, member: &Member) -> u32 {
         match self {
-            Repeat::Keyed(Group::Zone) => 1 + member.zone as u32,
-            Repeat::Keyed(Group::Cell) => 1 + member.cell as u32,
+            RetrySafety::Keyed(KeyScope::Zone) => 1 + member.zone as u32,
+            RetrySafety::Keyed(KeyScope::Cell) => 1 + member.cell as u32,
             _ => 0,
         }
     }
 
-    /// Repeats at one of them are dropped as those at the other are.
-    pub fn same_group(self, one: &Member, other: &Member) -> bool {
-        self.group_of(one) == self.group_of(other)
+    /// Whether duplicates are dropped at one server as at the other.
+    pub fn same_key_group(self, one: &Member, other: &Member) -> bool {
+        self.key_group(one) == self.key_group(other)
     }
 }
 
+/// The rules for a class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time, plus `aim_stretch` times the sending time, has its full worth.
-    pub aim: Time,
-    pub aim_stretch: f64,
-    /// How long a client waits, all its tries together.
+    /// Latency objective: a response within this time, plus `latency_objective_stretch` times the transfer time, has
+    /// its full value.
+    pub latency_objective: Time,
+    /// Factor on the transfer time that the latency objective is extended by.
+    pub latency_objective_stretch: f64,
+    /// How long a client waits, all its attempts together.
     pub deadline: Time,
-    pub worth: f64,
-    /// The part of the worth that an answer after the aim still has.
-    pub late_worth: f64,
-    pub repeat: Repeat,
-    /// For keyed classes: how long the caches remember a request.
-    pub repeat_window: Time,
-    /// Fresh time of a copy; 0 means no limit.
-    pub fresh: Time,
-    /// How much longer a copy may be served, at less worth.
-    pub grace: Time,
-    /// Never kept: it runs at the origin.
-    pub pass_on: bool,
+    /// Value of a response in time, relative to the other classes.
+    pub priority_weight: f64,
+    /// The part of the value that a response after the latency objective still has.
+    pub late_value_ratio: f64,
+    /// How far attempts may be retried.
+    pub retry_safety: RetrySafety,
+    /// For keyed classes: how long the caches remember an idempotency key.
+    pub idempotency_window: Time,
+    /// How long a copy is fresh; 0 sets no limit.
+    pub freshness_lifetime: Time,
+    /// How much longer a copy may be served while it is revalidated, at a lower value.
+    pub stale_while_revalidate: Time,
+    /// Responses are never stored: the requests are for the origin.
+    pub bypass_cache: bool,
+}
+
+impl Class {
+    /// The moment before which a retry must be sent, where the first attempt was sent at `sent`; 0 sets no bound.
+    pub fn retry_before(&self, sent: Time) -> Time {
+        match self.retry_safety {
+            RetrySafety::Keyed(_) => sent.saturating_add(self.idempotency_window),
+            RetrySafety::Idempotent | RetrySafety::NonIdempotent => 0,
+        }
+    }
 }
 
-/// Which caches may supply a fill.
+/// Which sibling caches may be the source of a fill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Siblings {
+pub enum SiblingFills {
+    /// None.
     None,
+    /// Caches of the own zone.
     OwnZone,
+    /// Caches of any zone.
     Any,
 }
 
-/// What an answer tells of how it came about.
+/// How much responses say of how they came about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Notes {
+pub enum CacheStatusDetail {
+    /// Nothing.
     None,
+    /// Whether they are a hit.
     HitOnly,
+    /// Everything that [`CacheStatus`](super::CacheStatus) has.
     All,
 }
 
+/// The deployment's settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This router's number among `routers`.
+    /// This router's index among all routers.
     pub index: u32,
-    pub routers: u32,
+    /// Number of routers.
+    pub router_count: u32,
+    /// Index of this router's zone.
     pub zone: usize,
+    /// The classes of requests.
     pub classes: Vec<Class>,
-    /// By zone.
+    /// Number of routers by zone.
     pub routers_by_zone: Vec<u32>,
-    /// By zone: the zone of its hub; hubs form a ring.
-    pub hub_of: Vec<usize>,
-    /// The kind of the parents, if there are any, and of the origin.
+    /// By zone: the zone of its hub. The hubs form a ring.
+    pub hub_by_zone: Vec<usize>,
+    /// The kind of the parents, where there are any.
     pub parent_kind: Option<usize>,
+    /// The kind of the origin.
     pub origin_kind: usize,
-    pub siblings: Siblings,
-    pub notes: Notes,
-    pub can_join: bool,
+    /// Which siblings may be the source of a fill.
+    pub sibling_fills: SiblingFills,
+    /// What responses say of how they came about.
+    pub cache_status_detail: CacheStatusDetail,
+    /// A cache can join a request to a fill under way.
+    pub request_collapsing: bool,
     /// Parents and the origin take attempts too.
-    pub direct: bool,
-    /// Top pace of one answer, KB a second; 0 if it is not told.
+    pub direct_fetch: bool,
+    /// Greatest rate of one response in KB per second; 0 where it is not known.
     pub client_kb_per_s: f64,
-    /// Members' weights are their links, in transfers at the top pace.
-    pub weights_told: bool,
-    /// The member list must be asked for.
-    pub must_ask: bool,
-    pub may_cancel: bool,
-    pub may_duplicate: bool,
+    /// Members' weights are their links' capacities, in transfers at the greatest rate.
+    pub weights_known: bool,
+    /// The member list must be subscribed to.
+    pub subscribe_members: bool,
+    /// Attempts can be cancelled.
+    pub can_cancel: bool,
+    /// Hedged requests are allowed.
+    pub may_hedge: bool,
+    /// Most attempts of one request.
     pub max_attempts: u32,
-    pub may_probe: bool,
-    pub may_tell_peers: bool,
-    /// Refusals may carry a wait; the longest that clients follow.
-    pub retry_after: Option<Time>,
-    pub answer_slack: Time,
-    pub drain_grace: Time,
-    pub cache_cold_from: f64,
-    pub cache_cold_for: Time,
-    pub cache_fall_multiple: f64,
-    pub fall_window: Time,
-    pub parent_cold_from: f64,
-    pub parent_cold_for: Time,
-    pub parent_fall_multiple: f64,
+    /// Health checks are allowed.
+    pub may_health_check: bool,
+    /// Messages to peers are allowed.
+    pub may_message_peers: bool,
+    /// Longest Retry-After that clients obey; none where rejections carry none.
+    pub max_retry_after: Option<Time>,
+    /// How long after its deadline a response still counts as in time.
+    pub response_slack: Time,
+    /// How long a draining server still takes requests.
+    pub drain_timeout: Time,
+    /// Slow start of caches: the part of the full capacity at the start.
+    pub cache_slow_start_ratio: f64,
+    /// Slow start of caches: how long until the full capacity.
+    pub cache_slow_start_time: Time,
+    /// The multiple of its present capacity over `overload_window` at which a cache fails.
+    pub cache_overload_multiple: f64,
+    /// The time over which overload is counted.
+    pub overload_window: Time,
+    /// Slow start of parents: the part of the full capacity at the start.
+    pub parent_slow_start_ratio: f64,
+    /// Slow start of parents: how long until the full capacity.
+    pub parent_slow_start_time: Time,
+    /// The multiple of its present capacity over `overload_window` at which a parent fails.
+    pub parent_overload_multiple: f64,
+    /// How long after a purge invalid copies may still be served without a penalty.
     pub purge_slack: Time,
-    pub purge_done: Time,
-    /// Overload at which the origin stops for a while; 0 for none.
-    pub origin_fall_multiple: f64,
+    /// How long after a purge the last invalid copies are gone.
+    pub purge_complete: Time,
+    /// The multiple of its capacity at which the origin stops for a while; 0 if it does not.
+    pub origin_overload_multiple: f64,
 }
 
 impl Settings {
-    /// The least and the longest aim of the classes that are kept (us).
-    pub fn aims(&self) -> [f64; 2] {
-        let kept = || {
+    /// The shortest and the longest latency objective of the classes that are cached (us).
+    pub fn latency_objectives(&self) -> [f64; 2] {
+        let cached = || {
             self.classes
                 .iter()
-                .filter(|c| !c.pass_on)
-                .map(|c| c.aim as f64)
+                .filter(|class| !class.bypass_cache)
+                .map(|class| class.latency_objective as f64)
         };
-        [kept().fold(1e9, f64::min), kept().fold(0.0, f64::max)]
+        [cached().fold(1e9, f64::min), cached().fold(0.0, f64::max)]
     }
 
-    /// How long a cache or parent that started is cold at most.
-    pub fn longest_cold(&self) -> Time {
-        self.cache_cold_for.max(self.parent_cold_for)
+    /// How long the slow start of a cache or parent lasts at most.
+    pub fn longest_slow_start(&self) -> Time {
+        self.cache_slow_start_time.max(self.parent_slow_start_time)
     }
 
     /// Own caches, siblings, parents, the origin: 0 to 3.
@@ -157,10 +196,10 @@
     }
 
     /// Steps on the ring of hubs between this zone's hub and another's.
-    pub fn hubs_apart(&self, zone: usize) -> usize {
-        let hub = |zone: usize| self.hub_of.get(zone).copied().unwrap_or(0);
+    pub fn hub_distance(&self, zone: usize) -> usize {
+        let hub = |zone: usize| self.hub_by_zone.get(zone).copied().unwrap_or(0);
         let apart = hub(zone).abs_diff(hub(self.zone));
-        apart.min(self.hub_of.iter().copied().max().unwrap_or(0) + 1 - apart)
+        apart.min(self.hub_by_zone.iter().copied().max().unwrap_or(0) + 1 - apart)
     }
 
     /// Of parents or caches: the part of its capacity that one starts with, for how long it is cold, and the multiple of
@@ -168,14 +207,14 @@
     pub fn cold_budget(&self, parent: bool) -> (f64, Time, f64) {
         match parent {
             true => (
-                self.parent_cold_from,
-                self.parent_cold_for,
-                self.parent_fall_multiple,
+                self.parent_slow_start_ratio,
+                self.parent_slow_start_time,
+                self.parent_overload_multiple,
             ),
             false => (
-                self.cache_cold_from,
-                self.cache_cold_for,
-                self.cache_fall_multiple,
+                self.cache_slow_start_ratio,
+                self.cache_slow_start_time,
+                self.cache_overload_multiple,
             ),
         }
     }
--- a/src/router.rs
+++ b/src/router.rs
@@ -16,7 +16,9 @@
 mod summary;
 
 use crate::interface::*;
-use foldmux_stats::{mean, mix, rank, Draws, Heard, Rate, Recent};
+use foldmux_stats::{
+    mean, mix, rendezvous_rank, DecayingRate, SeededRng, SlidingWindow, SmoothedSample,
+};
 use routes::{Limit, Route, LIMIT_STEPS};
 use std::collections::BTreeMap;
 use summary::{Entry, Table};
@@ -51,16 +53,16 @@
     /// When the first of what was sent to it since its last word should have been answered.
     due: Option<Time>,
     /// Smoothed fill latency beyond the sending time (us).
-    latency: Heard,
+    latency: SmoothedSample,
     /// Transfers that it carries at full pace, as far as this front can tell.
     capacity: Option<f64>,
     /// What was sent within the fall window (us of sending).
-    window: Recent,
+    window: SlidingWindow,
 }
 
 impl Server {
     fn ready(&self) -> bool {
-        self.member.state == State::Ready
+        self.member.state == MemberState::Ready
     }
 }
 
@@ -123,7 +125,7 @@
 
 pub struct Router {
     settings: Settings,
-    random: Draws,
+    random: SeededRng,
     running: bool,
     servers: BTreeMap<CacheId, Server>,
     /// Listed servers by tier: own caches, siblings of the nearest locations, parents, the origin.
@@ -135,13 +137,13 @@
     local: Table,
     /// Placements that clients may still use by themselves: until when, and what each weighs. Kept over a
     /// server's restart, as their holders don't hear of it.
-    leases: BTreeMap<CacheId, Recent>,
+    leases: BTreeMap<CacheId, SlidingWindow>,
     purges: BTreeMap<(u64, u32), (Time, Time)>,
     /// By class: mean sending time (us), the weight of an attempt.
     class_work: Vec<f64>,
     /// Work asked for, that the zone's caches served, that parents filled; how many of each are usual.
-    asked: Rate,
-    served: [Rate; 2],
+    asked: DecayingRate,
+    served: [DecayingRate; 2],
     usual: [f64; 2],
     /// The query's record: time that a try saves over the parent, success and failure together (us).
     query_gain: f64,
@@ -160,12 +162,12 @@
 
 impl Router {
     pub fn new(settings: Settings, seed: u64) -> Router {
-        let over = settings.longest_cold().max(OVER_LEAST) as f64;
+        let over = settings.longest_slow_start().max(OVER_LEAST) as f64;
         Router {
-            query_gain: START / 4.0 * settings.aims()[0],
+            query_gain: START / 4.0 * settings.latency_objectives()[0],
             class_work: vec![0.0; settings.classes.len()],
             settings,
-            random: Draws::new(seed),
+            random: SeededRng::new(seed),
             running: false,
             servers: BTreeMap::new(),
             tiers: Default::default(),
@@ -175,8 +177,8 @@
             local: Table::default(),
             leases: BTreeMap::new(),
             purges: BTreeMap::new(),
-            asked: Rate::over(over),
-            served: [Rate::over(over); 2],
+            asked: DecayingRate::new(over),
+            served: [DecayingRate::new(over); 2],
             usual: [0.0; 2],
             near: Limit {
                 most: f64::MAX,
@@ -211,43 +213,52 @@
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         if !self.running {
             self.running = true;
-            out.push(Action::Timer {
+            out.push(Action::StartTimer {
                 after: TICK,
                 token: TICK_TOKEN,
             });
-            if self.settings.must_ask {
-                out.push(Action::Watch);
+            if self.settings.subscribe_members {
+                out.push(Action::SubscribeMembers);
             }
         }
         match event {
             Event::Members { full, members } => self.on_members(full, members),
-            Event::Wired { hubs, hub_of } => {
-                (self.wired, self.settings.hub_of) = (Some(hubs), hub_of);
+            Event::TopologyChanged {
+                parent_zones: hubs,
+                hub_by_zone: hub_of,
+            } => {
+                (self.wired, self.settings.hub_by_zone) = (Some(hubs), hub_of);
                 self.on_members(false, Vec::new());
             }
-            Event::MembersFailed if self.settings.must_ask => out.push(Action::Watch),
+            Event::MembersUnavailable if self.settings.subscribe_members => {
+                out.push(Action::SubscribeMembers)
+            }
             Event::Request(ask) => self.on_request(now, ask, out),
             Event::Outcome(report) => self.on_outcome(now, report, out),
-            Event::Started { id } => self
+            Event::ResponseStarted { id } => self
                 .requests
                 .get_mut(&id)
                 .into_iter()
                 .for_each(|r| r.started = true),
             Event::Timer { token: TICK_TOKEN } => self.on_tick(now, out),
             Event::Timer { .. }
-            | Event::Probed { .. }
-            | Event::Peer { .. }
-            | Event::MembersFailed => {}
-            Event::ClientGone { id } => self.close(id, out),
-            Event::Closing { by } => self
+            | Event::HealthChecked { .. }
+            | Event::PeerMessage { .. }
+            | Event::MembersUnavailable => {}
+            Event::ClientDisconnected { id } => self.close(id, out),
+            Event::Shutdown { deadline: by } => self
                 .requests
                 .values_mut()
                 .for_each(|r| r.deadline = r.deadline.min(by)),
-            Event::Purged { object, group, ago } => self.on_purge(now, object, group, ago),
+            Event::Purged {
+                object,
+                group,
+                age: ago,
+            } => self.on_purge(now, object, group, ago),
         }
     }
 
     fn draw(&mut self, below: u64) -> u64 {
-        self.random.draw() % below.max(1)
+        self.random.next_u64() % below.max(1)
     }
 }
--- a/src/router/learn.rs
+++ b/src/router/learn.rs
@@ -9,21 +9,21 @@
 
 impl Router {
     /// Health, latency, capacity, the query's record and the summary, all from one outcome.
-    pub(super) fn learn(&mut self, now: Time, attempt: &Attempt, report: &Report) {
-        let &Report {
+    pub(super) fn learn(&mut self, now: Time, attempt: &Attempt, report: &AttemptReport) {
+        let &AttemptReport {
             outcome,
-            note,
+            cache_status: note,
             elapsed,
             ..
         } = report;
-        let [least, longest] = self.settings.aims();
+        let [least, longest] = self.settings.latency_objectives();
         let extra = (elapsed as f64 - attempt.work).max(0.0);
-        let untold = note == Note::Untold;
+        let untold = note == CacheStatus::Unknown;
         let served = outcome == Outcome::Served;
         let from_source = served
-            && (matches!(note, Note::Filled | Note::FilledByOrigin)
+            && (matches!(note, CacheStatus::Filled | CacheStatus::FilledByOrigin)
                 || (untold && !attempt.plan.listed));
-        let hit = note == Note::Hit || (untold && attempt.plan.listed);
+        let hit = note == CacheStatus::Hit || (untold && attempt.plan.listed);
         let (own, above) = (
             self.tier_of(attempt.plan.cache),
             self.tier_of(attempt.plan.source),
@@ -31,7 +31,7 @@
         if let Some(server) = self.servers.get_mut(&attempt.plan.cache) {
             let like = &mut self.like[own];
             server.out = server.out.saturating_sub(1);
-            server.due = server.due.filter(|_| !outcome.is_word());
+            server.due = server.due.filter(|_| !outcome.is_responsive());
             match outcome {
                 Outcome::Served => {
                     server.note(now, false, false, like);
@@ -78,18 +78,21 @@
             // What is held comes late too: the links are crowded, and fills would crowd them more.
             self.routes[0].cut();
         }
-        let lost =
-            matches!(outcome, Outcome::Full | Outcome::TimedOut) || note == Note::OriginFailed;
+        let lost = matches!(outcome, Outcome::Overloaded | Outcome::TimedOut)
+            || note == CacheStatus::OriginFailed;
         if above == 2 && asked && !attempt.plan.hold_only {
             self.lost += SMOOTH * ((lost || outcome == Outcome::Error) as u8 as f64 - self.lost);
         }
         if ((late && from_source) || lost) && filling && !attempt.plan.query {
             // A parent's own copy that comes late, or no fill place, speaks of the link; else of the source.
-            let filled = note == Note::Filled && self.settings.notes == Notes::All;
-            let link =
-                !attempt.above || attempt.plan.hold_only || filled || note == Note::NoFillPlace;
+            let filled = note == CacheStatus::Filled
+                && self.settings.cache_status_detail == CacheStatusDetail::All;
+            let link = !attempt.above
+                || attempt.plan.hold_only
+                || filled
+                || note == CacheStatus::NoFillSlot;
             self.routes[if link { 0 } else { above.max(2) - 1 }].cut();
-            if note == Note::OriginFailed {
+            if note == CacheStatus::OriginFailed {
                 self.routes[2].cut();
             }
         }
@@ -97,9 +100,10 @@
         let blamed = if untold {
             asked && failed
         } else {
-            note.source_fault()
+            note.is_source_fault()
         };
-        let blamed = blamed && !matches!(note, Note::SourceLacks | Note::OriginFailed);
+        let blamed =
+            blamed && !matches!(note, CacheStatus::SourceMissed | CacheStatus::OriginFailed);
         let source = self
             .servers
             .get_mut(&attempt.plan.source)
@@ -107,10 +111,10 @@
         if let Some(server) = source {
             server.filling = server.filling.saturating_sub(asked as u32);
             // Where nothing is told, a refusal may be the cache's own: then it falls to all sources alike.
-            let refused = asked && untold && outcome == Outcome::Full;
+            let refused = asked && untold && outcome == Outcome::Overloaded;
             if from_source || refused {
                 let latency = server.latency.get(now, HEARD).unwrap_or(extra);
-                server.latency.add(
+                server.latency.record(
                     now,
                     latency,
                     if refused { REFUSED_AS * longest } else { extra },
@@ -125,7 +129,7 @@
             }
         }
         if attempt.plan.query
-            && (from_source || failed || matches!(outcome, Outcome::Full | Outcome::Miss))
+            && (from_source || failed || matches!(outcome, Outcome::Overloaded | Outcome::Miss))
         {
             let gain = if from_source {
                 self.parent_latency(now) - extra
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -15,17 +15,17 @@
             let same = self
                 .servers
                 .get(&cache)
-                .is_some_and(|s| s.member.boot == member.boot);
-            if member.state == State::Gone || !same {
+                .is_some_and(|s| s.member.started_at == member.started_at);
+            if member.state == MemberState::Gone || !same {
                 // What was known of the former process is void, and the new one came back empty.
                 self.forget(cache);
             }
-            if member.state != State::Gone {
+            if member.state != MemberState::Gone {
                 self.servers.entry(cache).or_default().member = member;
             }
         }
         // Kept by tier on list changes, so that a request's work does not grow with the fleet.
-        let apart = |s: &Server| self.settings.hubs_apart(s.member.zone);
+        let apart = |s: &Server| self.settings.hub_distance(s.member.zone);
         let siblings = || {
             self.servers
                 .values()
@@ -75,7 +75,10 @@
 
     pub(super) fn on_purge(&mut self, now: Time, object: Option<ObjectId>, group: u32, ago: Time) {
         // Held for twice the time in which older copies vanish, for a front's own delays.
-        let (at, until) = (now.saturating_sub(ago), now + 2 * self.settings.purge_done);
+        let (at, until) = (
+            now.saturating_sub(ago),
+            now + 2 * self.settings.purge_complete,
+        );
         let key = object.map_or(u64::MAX, |o| o.0 & OBJECT_BITS);
         self.purges.retain(|_, p| p.1 > now);
         if self.purges.len() >= PURGES_MAX {
--- a/src/router/place.rs
+++ b/src/router/place.rs
@@ -6,17 +6,17 @@
 const SPILL_AT: f64 = 1.3;
 
 impl Router {
-    pub(super) fn on_request(&mut self, now: Time, ask: Ask, out: &mut Vec<Action>) {
-        let Ask {
+    pub(super) fn on_request(&mut self, now: Time, ask: IncomingRequest, out: &mut Vec<Action>) {
+        let IncomingRequest {
             id,
             class,
             object,
             part,
             group,
             size_kb,
-            budget,
-            lease,
-            within,
+            time_budget: budget,
+            placement_ttl: lease,
+            required_group: within,
         } = ask;
         if class >= self.settings.classes.len() || self.requests.contains_key(&id) {
             return;
@@ -41,7 +41,9 @@
             key,
             group,
             work,
-            aim_at: now + (rules.aim + (rules.aim_stretch * work) as Time).min(rules.deadline),
+            aim_at: now
+                + (rules.latency_objective + (rules.latency_objective_stretch * work) as Time)
+                    .min(rules.deadline),
             deadline: now + budget,
             lease,
             within,
@@ -66,10 +68,16 @@
             server.ready() && room && self.may_repeat_at(now, request, **c)
         };
         let mut order: Vec<CacheId> = self.tiers[0].iter().filter(takes).copied().collect();
-        order.sort_by_key(|&c| (Some(c) != listed, !rank(request.key, c.0 as u64), c));
+        order.sort_by_key(|&c| {
+            (
+                Some(c) != listed,
+                !rendezvous_rank(request.key, c.0 as u64),
+                c,
+            )
+        });
         let well = |c: &CacheId| self.healthy(now, &self.servers[c]);
         let fresh = |c: &CacheId| !request.tried.contains(c);
-        if self.settings.classes[request.class].pass_on {
+        if self.settings.classes[request.class].bypass_cache {
             // What is never kept has no home: the calmest healthy cache passes it on.
             let calm = |c: &CacheId| (!well(c), !fresh(c), self.servers[c].out, *c);
             return order.into_iter().min_by_key(calm);
--- a/src/router/retry.rs
+++ b/src/router/retry.rs
@@ -8,11 +8,11 @@
 const RETRY_AFTER: Time = 200_000;
 
 impl Router {
-    pub(super) fn on_outcome(&mut self, now: Time, report: Report, out: &mut Vec<Action>) {
-        let Report {
+    pub(super) fn on_outcome(&mut self, now: Time, report: AttemptReport, out: &mut Vec<Action>) {
+        let AttemptReport {
             id,
             outcome,
-            note,
+            cache_status: note,
             last,
             ..
         } = report;
@@ -36,17 +36,17 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        if outcome == Outcome::Error && !note.source_fault() {
+        if outcome == Outcome::Error && !note.is_source_fault() {
             request.erred.push(attempt.plan.cache);
         }
         let hopeless = request.erred.len() >= ERRORS_MOST;
-        if !outcome.never_ran() && request.may_have_run.is_none() {
+        if !outcome.not_processed() && request.may_have_run.is_none() {
             request.may_have_run = Some((attempt.sent, attempt.plan.cache));
         }
         let source_slow = attempt.plan.query && outcome == Outcome::TimedOut;
         // After a reset the object may well be where it was asked for: the work ran, its answer was lost.
         if !matches!(outcome, Outcome::Miss | Outcome::Reset)
-            && !note.source_fault()
+            && !note.is_source_fault()
             && !source_slow
         {
             request.tried.push(attempt.plan.cache);
@@ -54,7 +54,7 @@
         request
             .tried
             .extend((attempt.plan.source != attempt.plan.cache).then_some(attempt.plan.source));
-        let safe = self.settings.classes[request.class].repeat == Repeat::Safe;
+        let safe = self.settings.classes[request.class].retry_safety == RetrySafety::Idempotent;
         let above_lacks = attempt.plan.hold_only && attempt.above && outcome == Outcome::Miss;
         if self
             .attempts
@@ -64,14 +64,15 @@
         {
             return;
         }
-        if above_lacks || hopeless || (note == Note::OriginFailed && safe) {
+        if above_lacks || hopeless || (note == CacheStatus::OriginFailed && safe) {
             return self.give_up(id, out);
         }
         if outcome != Outcome::Miss {
             // Guards against retries that keep an overload or an outage going; full is an overload's sign.
             // Where notes are not given, full may be the source's word: another source is tried once.
-            let told = self.settings.notes == Notes::All || request.attempts > 1;
-            if self.retries < 1.0 || (outcome == Outcome::Full && safe && told) {
+            let told =
+                self.settings.cache_status_detail == CacheStatusDetail::All || request.attempts > 1;
+            if self.retries < 1.0 || (outcome == Outcome::Overloaded && safe && told) {
                 return self.give_up(id, out);
             }
             self.retries -= 1.0;
@@ -85,7 +86,7 @@
         let elsewhere = |g| {
             self.servers
                 .get(&cache)
-                .is_none_or(|s| rules.repeat.group_of(&s.member) != g)
+                .is_none_or(|s| rules.retry_safety.key_group(&s.member) != g)
         };
         if request.within.is_some_and(elsewhere) {
             return false;
@@ -94,12 +95,14 @@
             return true;
         };
         let (Some(a), Some(b)) = (self.servers.get(&first), self.servers.get(&cache)) else {
-            return rules.repeat == Repeat::Safe;
+            return rules.retry_safety == RetrySafety::Idempotent;
         };
-        match rules.repeat {
-            Repeat::Safe => true,
-            Repeat::SingleShot => false,
-            keyed => keyed.same_group(&a.member, &b.member) && now < sent + rules.repeat_window,
+        match rules.retry_safety {
+            RetrySafety::Idempotent => true,
+            RetrySafety::NonIdempotent => false,
+            keyed => {
+                keyed.same_key_group(&a.member, &b.member) && now < sent + rules.idempotency_window
+            }
         }
     }
 
@@ -109,7 +112,7 @@
         let left = self
             .attempts
             .range((id, 0)..=(id, u8::MAX))
-            .filter(|_| self.settings.may_cancel);
+            .filter(|_| self.settings.can_cancel);
         out.extend(left.map(|(&(id, attempt), _)| Action::Cancel { id, attempt }));
     }
 
@@ -122,17 +125,23 @@
         let ran =
             request.may_have_run.is_some() || request.within.is_some() || left.next().is_some();
         let Class {
-            repeat, deadline, ..
+            retry_safety: repeat,
+            deadline,
+            ..
         } = self.settings.classes[request.class];
-        let refuse = !ran || matches!(repeat, Repeat::Safe | Repeat::Keyed(Group::All));
+        let refuse = !ran
+            || matches!(
+                repeat,
+                RetrySafety::Idempotent | RetrySafety::Keyed(KeyScope::All)
+            );
         let least = RETRY_AFTER.min(deadline / 10);
         let wait = least + self.draw(least);
         let retry_after = self
             .settings
-            .retry_after
+            .max_retry_after
             .map_or(0, |longest| wait.min(longest));
         out.push(if refuse {
-            Action::Refuse { id, retry_after }
+            Action::Reject { id, retry_after }
         } else {
             Action::Fail { id }
         });
@@ -140,12 +149,12 @@
     }
 
     pub(super) fn on_tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        out.push(Action::Timer {
+        out.push(Action::StartTimer {
             after: TICK,
             token: TICK_TOKEN,
         });
         // A time-out at the deadline that never came: the answer is still owed in time.
-        let slack = self.settings.answer_slack / 2;
+        let slack = self.settings.response_slack / 2;
         let overdue = |r: &Request| !r.started && now >= r.deadline + slack;
         let late: Vec<_> = self
             .requests
@@ -156,7 +165,7 @@
         late.into_iter().for_each(|id| self.give_up(id, out));
         let (ready, over) = (
             self.ready(),
-            self.settings.longest_cold().max(OVER_LEAST) as f64,
+            self.settings.longest_slow_start().max(OVER_LEAST) as f64,
         );
         for (usual, ready) in self.usual.iter_mut().zip(ready) {
             *usual = ready.max(*usual + (ready - *usual) * TICK as f64 / over);
--- a/src/router/send.rs
+++ b/src/router/send.rs
@@ -15,7 +15,7 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let kept = !self.settings.classes[request.class].pass_on;
+        let kept = !self.settings.classes[request.class].bypass_cache;
         let first = request.attempts == 0;
         let spent = request.attempts >= self.settings.max_attempts || now >= request.deadline;
         let plan = if spent { None } else { self.plan(now, id) };
@@ -67,7 +67,8 @@
         let max_age = purged.map_or(0, |at| now.saturating_sub(at + PURGE_MARGIN).max(1));
         // With a quarter of the fills out that may be, or few allowed at all, an older copy beats a fill.
         let ageing = plan.ageing || self.deep.out * 4.0 + 2.0 > self.deep.most;
-        let oldest = class.fresh + class.grace * (ageing && class.fresh > 0) as Time;
+        let oldest = class.freshness_lifetime
+            + class.stale_while_revalidate * (ageing && class.freshness_lifetime > 0) as Time;
         let max_age = [max_age, oldest]
             .into_iter()
             .filter(|&age| age > 0)
@@ -75,12 +76,12 @@
             .unwrap_or(0);
         // Guards against servers that take work and answer nothing: seen when the answer is far from in time.
         let overdue = OVERDUE * request.aim_at.saturating_sub(now);
-        let time_out = if plan.query || class.repeat != Repeat::Safe {
+        let time_out = if plan.query || class.retry_safety != RetrySafety::Idempotent {
             plan.time_out
         } else {
             overdue
         };
-        let keep = if class.pass_on {
+        let keep = if class.bypass_cache {
             0
         } else {
             1 + self.local.get(request.key, now).is_some() as u8
@@ -103,16 +104,16 @@
         out.push(Action::Fetch(Fetch {
             id,
             cache: plan.cache,
-            time_out,
-            send_by: request
+            timeout: time_out,
+            send_before: request
                 .may_have_run
-                .map_or(0, |(sent, _)| class.repeat_by(sent)),
+                .map_or(0, |(sent, _)| class.retry_before(sent)),
             source: plan.source,
-            keep,
+            retention_rank: keep,
             max_age,
-            join: self.settings.can_join && !class.pass_on,
-            hold_only: plan.hold_only,
-            renew: class.fresh > 0 && purged.is_none(),
+            collapse: self.settings.request_collapsing && !class.bypass_cache,
+            only_if_cached: plan.hold_only,
+            revalidate: class.freshness_lifetime > 0 && purged.is_none(),
         }));
         let filled = !plan.listed && plan.source != plan.cache;
         let lease = request.lease;
@@ -122,7 +123,7 @@
                 server.window.add(
                     now,
                     weight,
-                    now.saturating_sub(self.settings.fall_window),
+                    now.saturating_sub(self.settings.overload_window),
                     SENT_MAX,
                 );
                 *(if n == 0 {
@@ -156,7 +157,7 @@
     /// Mean sending time over the classes that are kept and were seen (us).
     pub(super) fn mean_work(&self) -> f64 {
         let both = self.class_work.iter().zip(&self.settings.classes);
-        let kept = both.filter(|(&work, class)| !class.pass_on && work > 0.0);
+        let kept = both.filter(|(&work, class)| !class.bypass_cache && work > 0.0);
         mean(kept.map(|(&work, _)| work)).unwrap_or(0.0)
     }
 }
--- a/src/router/source.rs
+++ b/src/router/source.rs
@@ -13,12 +13,12 @@
     pub(super) fn plan(&mut self, now: Time, id: RequestId) -> Option<Plan> {
         let draw = self.draw(u64::MAX);
         let request = &self.requests[&id];
-        let pass_on = self.settings.classes[request.class].pass_on;
+        let pass_on = self.settings.classes[request.class].bypass_cache;
         let Some(cache) = self.place(now, request) else {
             // No cache of the own zone may take it: straight to a parent or the origin where that is allowed.
             let source = self
                 .parent(now, request, false)
-                .filter(|_| self.settings.direct)?;
+                .filter(|_| self.settings.direct_fetch)?;
             let direct = Plan {
                 cache: source,
                 source,
@@ -36,7 +36,7 @@
         let elsewhere = listed.filter(|c| !plan.listed && !request.tried.contains(c));
         let gives = |c: &CacheId| self.servers.get(c).is_some_and(|s| self.gives(now, s));
         if let Some(source) = elsewhere
-            .filter(|_| self.settings.siblings != Siblings::None)
+            .filter(|_| self.settings.sibling_fills != SiblingFills::None)
             .filter(gives)
         {
             // The listed holder fills it, from what it holds.
@@ -82,7 +82,7 @@
             .filter(fit)
             .copied()
             .collect();
-        parents.sort_by_key(|&c| (rank(request.key, c.0 as u64), c));
+        parents.sort_by_key(|&c| (rendezvous_rank(request.key, c.0 as u64), c));
         // Guards against one slow spell leaving a parent out for good: one not heard of lately is average.
         let average = self.parent_latency(now);
         let latency = |c: &CacheId| self.servers[c].latency.get(now, HEARD).unwrap_or(average);
@@ -92,7 +92,7 @@
             .min_by(|a, b| latency(a).total_cmp(&latency(b)));
         // Guards against a parent that refuses, or is crowded, being asked for all as it is the one left.
         // From the longest aim on, no class has its answer in time.
-        let [_, slow] = self.settings.aims();
+        let [_, slow] = self.settings.latency_objectives();
         let quick = |c: &&CacheId| {
             self.servers[c]
                 .latency
@@ -109,12 +109,12 @@
     pub(super) fn parent_latency(&self, now: Time) -> f64 {
         let above = self.tiers[2].iter().chain(&self.tiers[3]);
         mean(above.filter_map(|c| self.servers[c].latency.get(now, HEARD)))
-            .unwrap_or_else(|| START * self.settings.aims()[0])
+            .unwrap_or_else(|| START * self.settings.latency_objectives()[0])
     }
 
     /// The origin, for what the parents' way turns away: where they lose fills and it is not known to lag.
     pub(super) fn round_parents(&self, now: Time, request: &Request) -> Option<CacheId> {
-        let slow = SLOW * self.settings.aims()[0];
+        let slow = SLOW * self.settings.latency_objectives()[0];
         let quick = |s: &Server| s.latency.get(now, HEARD).is_none_or(|l| l < slow);
         let well = |c: &&CacheId| self.servers[c].ready() && quick(&self.servers[c]);
         let fit = |c: &&CacheId| !request.tried.contains(c) && well(c);
@@ -128,13 +128,13 @@
     /// The sibling asked: the object's home cache in a neighbouring zone, same hub first. Cold siblings are
     /// left alone: a look counts as load too.
     pub(super) fn sibling(&self, now: Time, request: &Request) -> Option<CacheId> {
-        if self.settings.siblings != Siblings::Any {
+        if self.settings.sibling_fills != SiblingFills::Any {
             return None;
         }
         let key = request.key;
         let fit = |c: &&CacheId| self.gives(now, &self.servers[c]);
         let zone = |c: &CacheId| mix(key ^ self.servers[c].member.zone as u64);
-        let order = |c: &&CacheId| (zone(c), rank(key, c.0 as u64), **c);
+        let order = |c: &&CacheId| (zone(c), rendezvous_rank(key, c.0 as u64), **c);
         let home = self.tiers[1].iter().filter(fit).max_by_key(order);
         home.filter(|c| !request.tried.contains(c)).copied()
     }
--- a/tests/any_events.rs
+++ b/tests/any_events.rs
@@ -22,14 +22,19 @@
         x ^= x << 17;
         x % n
     };
-    let told = [Notes::None, Notes::HitOnly, Notes::All][(seed % 3) as usize];
+    let told = [
+        CacheStatusDetail::None,
+        CacheStatusDetail::HitOnly,
+        CacheStatusDetail::All,
+    ][(seed % 3) as usize];
     let choice = Settings {
-        notes: told,
-        may_duplicate: seed.is_multiple_of(2),
+        cache_status_detail: told,
+        may_hedge: seed.is_multiple_of(2),
         ..settings()
     };
     let mut front = Front::new(choice, members());
-    let mut state: BTreeMap<u32, State> = members().iter().map(|m| (m.cache.0, m.state)).collect();
+    let mut state: BTreeMap<u32, MemberState> =
+        members().iter().map(|m| (m.cache.0, m.state)).collect();
     let mut open: BTreeMap<RequestId, (Time, u8)> = BTreeMap::new();
     let mut out: Vec<(Fetch, u8, Time)> = Vec::new();
     let mut ended: BTreeMap<RequestId, u32> = BTreeMap::new();
@@ -48,11 +53,15 @@
             }
             (None, 4) => {
                 let cache = [10, 11, 12, 13, 20, 21, 22, 30, 31][draw(9) as usize];
-                let new =
-                    [State::Ready, State::Ready, State::Draining, State::Gone][draw(4) as usize];
+                let new = [
+                    MemberState::Ready,
+                    MemberState::Ready,
+                    MemberState::Draining,
+                    MemberState::Gone,
+                ][draw(4) as usize];
                 state.insert(cache, new);
                 let boot = front.now;
-                front.change(cache, |m| (m.state, m.boot) = (new, boot))
+                front.change(cache, |m| (m.state, m.started_at) = (new, boot))
             }
             (None, 5) => front.event(Event::Timer { token: 1 }),
             (None, 6) => {
@@ -60,7 +69,7 @@
                 front.event(Event::Purged {
                     object,
                     group: draw(8) as u32,
-                    ago: draw(300) * MS,
+                    age: draw(300) * MS,
                 })
             }
             (at, _) => {
@@ -73,7 +82,7 @@
                 let outcome = match draw(8) {
                     _ if due => Outcome::TimedOut,
                     0 => Outcome::Error,
-                    1 => Outcome::Full,
+                    1 => Outcome::Overloaded,
                     2 => Outcome::Miss,
                     3 => Outcome::ConnectFailed,
                     4 => Outcome::Reset,
@@ -82,7 +91,7 @@
                 if outcome == Outcome::Served && open.contains_key(&fetch.id) {
                     closing = Some(fetch.id);
                 }
-                front.outcome(&fetch, attempt, outcome, Note::Untold)
+                front.outcome(&fetch, attempt, outcome, CacheStatus::Unknown)
             }
         };
         if let Some(id) = closing {
@@ -94,12 +103,12 @@
                 Action::Fetch(fetch) => {
                     assert_eq!(
                         state[&fetch.cache.0],
-                        State::Ready,
+                        MemberState::Ready,
                         "sent to a cache that is not ready"
                     );
                     assert_eq!(
                         state[&fetch.source.0],
-                        State::Ready,
+                        MemberState::Ready,
                         "a source that is not ready"
                     );
                     let entry = open
@@ -108,7 +117,7 @@
                     out.push((fetch.clone(), entry.1, front.now));
                     entry.1 += 1;
                 }
-                Action::Refuse { id, .. } | Action::Fail { id } => {
+                Action::Reject { id, .. } | Action::Fail { id } => {
                     open.remove(id).expect("one final answer");
                     *ended.entry(*id).or_default() += 1;
                 }
@@ -125,7 +134,7 @@
     }
     front.now += 10 * SECOND;
     for action in front.event(Event::Timer { token: 1 }) {
-        if let Action::Refuse { id, .. } | Action::Fail { id } = action {
+        if let Action::Reject { id, .. } | Action::Fail { id } = action {
             open.remove(&id).expect("one final answer");
         }
     }
--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -11,7 +11,7 @@
 
 /// Beyond a deadline the router waits this long before it calls a request overdue.
 fn answer_slack() -> Time {
-    settings().answer_slack
+    settings().response_slack
 }
 
 #[test]
@@ -27,7 +27,7 @@
         "both have more time than the process"
     );
     assert!(
-        front.event(Event::Closing { by }).is_empty(),
+        front.event(Event::Shutdown { deadline: by }).is_empty(),
         "nothing is given up before its time"
     );
     front.now = by - 100 * MS;
@@ -36,7 +36,7 @@
     let refused = |id| {
         answers
             .iter()
-            .any(|a| matches!(a, Action::Refuse { id: other, .. } if *other == id))
+            .any(|a| matches!(a, Action::Reject { id: other, .. } if *other == id))
     };
     let failed = |id| {
         answers
@@ -59,7 +59,7 @@
     assert_eq!(finals(&answers), 2, "one answer each");
     // What the attempt still gives changes nothing.
     assert!(front
-        .outcome(&read_attempt, 0, Outcome::Cancelled, Note::Untold)
+        .outcome(&read_attempt, 0, Outcome::Cancelled, CacheStatus::Unknown)
         .is_empty());
 }
 
@@ -69,9 +69,9 @@
     let (_, sent) = front.request(0, 77);
     let attempt = only_fetch(&sent);
     let by = front.now + 500 * MS;
-    front.event(Event::Closing { by });
+    front.event(Event::Shutdown { deadline: by });
     front.now = by;
-    let next = front.outcome(&attempt, 0, Outcome::ConnectFailed, Note::Untold);
+    let next = front.outcome(&attempt, 0, Outcome::ConnectFailed, CacheStatus::Unknown);
     assert_eq!((fetches(&next).len(), finals(&next)), (0, 1), "{next:?}");
 }
 
@@ -81,12 +81,12 @@
     let (id, sent) = front.request_for(0, 77, 500.0, 200 * MS);
     only_fetch(&sent);
     let by = front.now + 500 * MS;
-    front.event(Event::Closing { by });
+    front.event(Event::Shutdown { deadline: by });
     let answers = look_after(&mut front, START + 200 * MS);
     assert!(
         answers
             .iter()
-            .any(|a| matches!(a, Action::Refuse { id: other, .. } if *other == id)),
+            .any(|a| matches!(a, Action::Reject { id: other, .. } if *other == id)),
         "{answers:?}"
     );
 }
--- a/tests/cold_fleet/fleet.rs
+++ b/tests/cold_fleet/fleet.rs
@@ -123,16 +123,16 @@
         ..
     } = play.draw;
     let base = Settings {
-        routers: play.told,
+        router_count: play.told,
         routers_by_zone: vec![0, 0, play.told],
-        hub_of: vec![0, 1, 0],
-        notes: Notes::None,
+        hub_by_zone: vec![0, 1, 0],
+        cache_status_detail: CacheStatusDetail::None,
         max_attempts: 4,
-        cache_cold_from: cold_from,
-        cache_fall_multiple: multiple,
-        parent_cold_from: cold_from,
-        parent_fall_multiple: multiple,
-        fall_window: window,
+        cache_slow_start_ratio: cold_from,
+        cache_overload_multiple: multiple,
+        parent_slow_start_ratio: cold_from,
+        parent_overload_multiple: multiple,
+        overload_window: window,
         ..settings()
     };
     (0..routers)
@@ -199,7 +199,7 @@
     let boot = world.now;
     let cold: Vec<u32> = (first..first + draw.cold).collect();
     let anew = |member: &Member| Member {
-        boot,
+        started_at: boot,
         ..member.clone()
     };
     let started: Vec<Member> = list()
@@ -244,8 +244,8 @@
     let (from, lasts, multiple) = settings.cold_budget(target == Target::Parent);
     let window = |(n, at): (usize, &Time)| {
         let ramp = from + (1.0 - from) * (at - boot) as f64 / lasts as f64;
-        let allowed = multiple * ramp * capacity * settings.fall_window as f64;
-        let recent = |before: &&Time| **before + settings.fall_window > *at;
+        let allowed = multiple * ramp * capacity * settings.overload_window as f64;
+        let recent = |before: &&Time| **before + settings.overload_window > *at;
         let sent = times[..=n].iter().rev().take_while(recent).count();
         Window {
             sent,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -13,57 +13,57 @@
 /// Zones 0 and 1 are hubs, 2 and 3 hold caches. Class 0 is kept, class 1 is a single-shot write.
 pub fn settings() -> Settings {
     let kept = Class {
-        aim: 400 * MS,
-        aim_stretch: 2.0,
+        latency_objective: 400 * MS,
+        latency_objective_stretch: 2.0,
         deadline: 3 * SECOND,
-        worth: 1.0,
-        late_worth: 0.2,
-        repeat: Repeat::Safe,
-        repeat_window: 5 * SECOND,
-        fresh: 0,
-        grace: 0,
-        pass_on: false,
+        priority_weight: 1.0,
+        late_value_ratio: 0.2,
+        retry_safety: RetrySafety::Idempotent,
+        idempotency_window: 5 * SECOND,
+        freshness_lifetime: 0,
+        stale_while_revalidate: 0,
+        bypass_cache: false,
     };
     let write = Class {
-        aim_stretch: 0.0,
-        repeat: Repeat::SingleShot,
-        pass_on: true,
+        latency_objective_stretch: 0.0,
+        retry_safety: RetrySafety::NonIdempotent,
+        bypass_cache: true,
         ..kept.clone()
     };
     Settings {
         index: 0,
-        routers: 2,
+        router_count: 2,
         zone: 2,
         classes: vec![kept, write],
         routers_by_zone: vec![0, 0, 1, 1],
-        hub_of: vec![0, 1, 0, 0],
+        hub_by_zone: vec![0, 1, 0, 0],
         parent_kind: Some(PARENT),
         origin_kind: ORIGIN,
-        siblings: Siblings::Any,
-        notes: Notes::All,
-        can_join: true,
-        direct: false,
+        sibling_fills: SiblingFills::Any,
+        cache_status_detail: CacheStatusDetail::All,
+        request_collapsing: true,
+        direct_fetch: false,
         client_kb_per_s: 10_000.0,
-        weights_told: false,
-        must_ask: false,
-        may_cancel: true,
-        may_duplicate: true,
+        weights_known: false,
+        subscribe_members: false,
+        can_cancel: true,
+        may_hedge: true,
         max_attempts: 8,
-        may_probe: false,
-        may_tell_peers: true,
-        retry_after: Some(SECOND),
-        answer_slack: 8 * MS,
-        drain_grace: SECOND,
-        cache_cold_from: 0.2,
-        cache_cold_for: 16 * SECOND,
-        cache_fall_multiple: 2.5,
-        fall_window: SECOND,
-        parent_cold_from: 0.07,
-        parent_cold_for: 20 * SECOND,
-        parent_fall_multiple: 2.0,
+        may_health_check: false,
+        may_message_peers: true,
+        max_retry_after: Some(SECOND),
+        response_slack: 8 * MS,
+        drain_timeout: SECOND,
+        cache_slow_start_ratio: 0.2,
+        cache_slow_start_time: 16 * SECOND,
+        cache_overload_multiple: 2.5,
+        overload_window: SECOND,
+        parent_slow_start_ratio: 0.07,
+        parent_slow_start_time: 20 * SECOND,
+        parent_overload_multiple: 2.0,
         purge_slack: 300 * MS,
-        purge_done: 6 * SECOND,
-        origin_fall_multiple: 2.5,
+        purge_complete: 6 * SECOND,
+        origin_overload_multiple: 2.5,
     }
 }
 
@@ -74,9 +74,9 @@
         zone,
         kind,
         cell: 0,
-        state: State::Ready,
+        state: MemberState::Ready,
         weight: 1.0,
-        boot: 0,
+        started_at: 0,
     }
 }
 
@@ -107,9 +107,9 @@
     let hub_of = (0..zones + 2).map(|z| (z % 2) as usize).collect();
     (
         Settings {
-            routers: zones * 5,
+            router_count: zones * 5,
             routers_by_zone: by_zone,
-            hub_of,
+            hub_by_zone: hub_of,
             ..settings()
         },
         list,
@@ -119,15 +119,15 @@
 /// Settings in which nothing stands above but the origin, and pages are fresh for 12 s and good for 30 s more.
 pub fn stale_pages() -> Settings {
     let mut choice = Settings {
-        notes: Notes::None,
+        cache_status_detail: CacheStatusDetail::None,
         parent_kind: None,
         max_attempts: 6,
         ..settings()
     };
-    choice.classes[0].fresh = 12 * SECOND;
-    choice.classes[0].grace = 30 * SECOND;
-    choice.drain_grace = 2 * SECOND;
-    (choice.cache_fall_multiple, choice.fall_window) = (2.0, 1_500 * MS);
+    choice.classes[0].freshness_lifetime = 12 * SECOND;
+    choice.classes[0].stale_while_revalidate = 30 * SECOND;
+    choice.drain_timeout = 2 * SECOND;
+    (choice.cache_overload_multiple, choice.overload_window) = (2.0, 1_500 * MS);
     choice
 }
 
@@ -154,7 +154,7 @@
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.router.handle(self.now, event, &mut out);
-        out.retain(|a| !matches!(a, Action::Timer { .. }));
+        out.retain(|a| !matches!(a, Action::StartTimer { .. }));
         out
     }
 
@@ -181,16 +181,16 @@
         self.next += 1;
         let id = RequestId(self.next);
         let object = ObjectId(object);
-        let event = Event::Request(Ask {
+        let event = Event::Request(IncomingRequest {
             id,
             class,
             object,
             part: 0,
             group: 5,
             size_kb,
-            budget,
-            lease: 0,
-            within: None,
+            time_budget: budget,
+            placement_ttl: 0,
+            required_group: None,
         });
         (id, self.event(event))
     }
@@ -200,7 +200,7 @@
         fetch: &Fetch,
         attempt: u8,
         outcome: Outcome,
-        note: Note,
+        note: CacheStatus,
     ) -> Vec<Action> {
         self.outcome_after(fetch, attempt, outcome, note, 60 * MS)
     }
@@ -210,23 +210,23 @@
         fetch: &Fetch,
         attempt: u8,
         outcome: Outcome,
-        note: Note,
+        note: CacheStatus,
         elapsed: Time,
     ) -> Vec<Action> {
         let last = outcome == Outcome::Served;
         let id = fetch.id;
-        self.event(Event::Outcome(Report {
+        self.event(Event::Outcome(AttemptReport {
             id,
             attempt,
             outcome,
-            note,
+            cache_status: note,
             elapsed,
             last,
         }))
     }
 
     /// One request, served at once as `note` says; gives the fetch that was made.
-    pub fn serve(&mut self, object: u64, note: Note) -> Fetch {
+    pub fn serve(&mut self, object: u64, note: CacheStatus) -> Fetch {
         let (_, actions) = self.request(0, object);
         let fetch = only_fetch(&actions);
         self.now += 60 * MS;
@@ -269,6 +269,6 @@
 pub fn finals(actions: &[Action]) -> usize {
     actions
         .iter()
-        .filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }))
+        .filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. }))
         .count()
 }
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -1,7 +1,7 @@
 //! Many routers in virtual time: arrivals drawn by seed, each answer when it is due, all that is sent kept.
 
 use super::*;
-use foldmux_stats::Draws;
+use foldmux_stats::SeededRng;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
@@ -44,7 +44,7 @@
     queue: BinaryHeap<Reverse<(Time, u64, usize, Next)>>,
     out: HashMap<(usize, RequestId, u8), (Sent, Outcome, Time)>,
     open: HashMap<(usize, RequestId), Open>,
-    draws: Draws,
+    draws: SeededRng,
     order: u64,
     ids: u64,
 }
@@ -66,7 +66,7 @@
             queue: BinaryHeap::new(),
             out: HashMap::new(),
             open: HashMap::new(),
-            draws: Draws::new(11),
+            draws: SeededRng::new(11),
             order: 0,
             ids: 0,
         };
@@ -85,7 +85,7 @@
     }
 
     fn arrive(&mut self, front: usize) {
-        let part = (self.draws.draw() >> 11) as f64 / (1u64 << 53) as f64;
+        let part = (self.draws.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
         let rate = self.rates.get(front).copied().unwrap_or(self.rate);
         let gap = (2.0 * part / rate * SECOND as f64) as Time;
         self.push(self.now + gap, front, Next::Arrival);
@@ -107,10 +107,10 @@
         self.routers[front].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Timer { after, token } => {
+                Action::StartTimer { after, token } => {
                     self.push(self.now + after, front, Next::Timer(token))
                 }
-                Action::Refuse { id, retry_after } => {
+                Action::Reject { id, retry_after } => {
                     self.refused.push((self.now, retry_after));
                     self.end(front, id);
                 }
@@ -133,8 +133,8 @@
                     };
                     open.attempts += 1;
                     let (mut outcome, mut elapsed) = fate(&sent);
-                    if sent.fetch.time_out > 0 && elapsed > sent.fetch.time_out {
-                        (outcome, elapsed) = (Outcome::TimedOut, sent.fetch.time_out);
+                    if sent.fetch.timeout > 0 && elapsed > sent.fetch.timeout {
+                        (outcome, elapsed) = (Outcome::TimedOut, sent.fetch.timeout);
                     }
                     self.push(
                         self.now + elapsed,
@@ -179,7 +179,7 @@
                     let id = RequestId(self.ids);
                     let object = match self.objects {
                         0 => 1 << 40 | self.ids,
-                        n => 1 + self.draws.draw() % n,
+                        n => 1 + self.draws.next_u64() % n,
                     };
                     self.open.insert(
                         (front, id),
@@ -189,16 +189,16 @@
                             ..Open::default()
                         },
                     );
-                    let ask = Ask {
+                    let ask = IncomingRequest {
                         id,
                         class: 0,
                         object: ObjectId(object),
                         part: 0,
                         group: 5,
                         size_kb: 500.0,
-                        budget: 3 * SECOND,
-                        lease: 0,
-                        within: None,
+                        time_budget: 3 * SECOND,
+                        placement_ttl: 0,
+                        required_group: None,
                     };
                     self.tell(front, Event::Request(ask), fate);
                 }
@@ -210,11 +210,11 @@
                         let open = self.open.get_mut(&(front, id)).expect("open");
                         open.ends += 1;
                     }
-                    let report = Report {
+                    let report = AttemptReport {
                         id,
                         attempt,
                         outcome,
-                        note: Note::Untold,
+                        cache_status: CacheStatus::Unknown,
                         elapsed,
                         last,
                     };
@@ -248,9 +248,9 @@
     let of_zone = |z: u32| count / zones + (z < count % zones) as u32;
     let by_zone: Vec<u32> = [0, 0].into_iter().chain((0..zones).map(of_zone)).collect();
     let base = Settings {
-        routers: count,
+        router_count: count,
         routers_by_zone: by_zone,
-        notes: Notes::None,
+        cache_status_detail: CacheStatusDetail::None,
         max_attempts: 4,
         ..base.clone()
     };
