--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -14,7 +14,7 @@
     ] {
         let mut front = Front::new(stale_pages(), list.clone());
         let first = only_fetch(&front.request(1, 7).1);
-        let next = front.outcome(&first, 0, end, Note::Untold);
+        let next = front.outcome(&first, 0, end, CacheStatus::Unknown);
         assert_eq!(fetches(&next).len(), again as usize, "{end:?}: {next:?}");
         assert_eq!(
             matches!(next[..], [Action::Fail { .. }]),
@@ -28,13 +28,13 @@
 fn a_purge_of_most_groups_at_once_with_grace_left_binds_every_request() {
     let mut front = Front::new(stale_pages(), members_of(4, 3, 0));
     for k in 0..60 {
-        front.serve(k, Note::Untold);
+        front.serve(k, CacheStatus::Unknown);
     }
     for group in 0..32 {
         front.event(Event::Purged {
             object: None,
             group,
-            ago: 100 * MS,
+            age: 100 * MS,
         });
     }
     for k in 0..60 {
@@ -45,7 +45,7 @@
                 "{k}: {}",
                 fetch.max_age
             );
-            front.outcome(&fetch, 0, Outcome::Served, Note::Untold);
+            front.outcome(&fetch, 0, Outcome::Served, CacheStatus::Unknown);
         }
     }
 }
@@ -54,10 +54,10 @@
 fn a_location_of_one_cache_goes_on_while_it_is_replaced() {
     let mut front = Front::new(stale_pages(), members_of(1, 3, 0));
     for k in 0..40 {
-        assert_eq!(front.serve(k, Note::Untold).cache.0, 10);
+        assert_eq!(front.serve(k, CacheStatus::Unknown).cache.0, 10);
     }
     let gone = Member {
-        state: State::Gone,
+        state: MemberState::Gone,
         ..member(10, 2, 0)
     };
     front.event(Event::Members {
@@ -73,7 +73,7 @@
     front.event(Event::Members {
         full: false,
         members: vec![Member {
-            boot,
+            started_at: boot,
             ..member(11, 2, 0)
         }],
     });
@@ -83,7 +83,7 @@
         for fetch in fetches(&front.request_of(0, k, 500.0).1) {
             assert_eq!(fetch.cache.0, 11);
             sent += 1;
-            front.outcome(&fetch, 0, Outcome::Served, Note::Untold);
+            front.outcome(&fetch, 0, Outcome::Served, CacheStatus::Unknown);
         }
     }
     assert!(sent > 30, "the cold cache has its share: {sent}");
@@ -99,11 +99,11 @@
         if k % 100 == 50 {
             let (old, new, boot) = (listed.remove(0), 50 + k as u32 / 100, front.now);
             let drained = Member {
-                state: State::Draining,
+                state: MemberState::Draining,
                 ..member(old, 2, 0)
             };
             let started = Member {
-                boot,
+                started_at: boot,
                 ..member(new, 2, 0)
             };
             front.event(Event::Members {
@@ -116,7 +116,7 @@
         for fetch in fetches(&front.request(0, k % 80).1) {
             assert!(listed.contains(&fetch.cache.0), "{} went", fetch.cache.0);
             served += 1;
-            front.outcome(&fetch, 0, Outcome::Served, Note::Untold);
+            front.outcome(&fetch, 0, Outcome::Served, CacheStatus::Unknown);
         }
     }
     assert!(served * 10 > asked * 8, "{served} of {asked}");
@@ -134,7 +134,13 @@
         for fetch in fetches(&actions) {
             // The link carries each at its pace: a huge one takes 21 times as long, and is in time.
             let work = if huge { 21 * 50 * MS } else { 50 * MS };
-            front.outcome_after(&fetch, 0, Outcome::Served, Note::Untold, work + 60 * MS);
+            front.outcome_after(
+                &fetch,
+                0,
+                Outcome::Served,
+                CacheStatus::Unknown,
+                work + 60 * MS,
+            );
         }
     }
     assert_eq!(
@@ -147,7 +153,7 @@
 fn a_copy_at_the_edge_of_fresh_plus_grace_is_asked_for_and_its_miss_is_no_end() {
     let mut front = Front::new(stale_pages(), members_of(4, 3, 0));
     for k in 0..20 {
-        front.serve(k, Note::Untold);
+        front.serve(k, CacheStatus::Unknown);
     }
     // Fills are late, so that few may be out: older copies will do, to the very edge and not beyond.
     for first in (100..160)
@@ -157,13 +163,19 @@
         let fills = match first.source.0 {
             40 => vec![(first, 0)],
             // The sibling that was asked first has none.
-            _ => fetches(&front.outcome(&first, 0, Outcome::Miss, Note::Untold))
+            _ => fetches(&front.outcome(&first, 0, Outcome::Miss, CacheStatus::Unknown))
                 .into_iter()
                 .map(|f| (f, 1))
                 .collect(),
         };
         for (fill, attempt) in fills {
-            front.outcome_after(&fill, attempt, Outcome::TimedOut, Note::Untold, 800 * MS);
+            front.outcome_after(
+                &fill,
+                attempt,
+                Outcome::TimedOut,
+                CacheStatus::Unknown,
+                800 * MS,
+            );
         }
     }
     front.now += 2 * SECOND;
@@ -174,8 +186,8 @@
             assert!(fetch.max_age <= edge, "{} us", fetch.max_age);
             asked += (fetch.max_age == edge) as u32;
             // By the cache's clock it is 1 ms too old: a miss never ran, and the request goes on or is refused.
-            let next = front.outcome(&fetch, 0, Outcome::Miss, Note::Untold);
-            let refused = matches!(next[..], [Action::Refuse { .. }]);
+            let next = front.outcome(&fetch, 0, Outcome::Miss, CacheStatus::Unknown);
+            let refused = matches!(next[..], [Action::Reject { .. }]);
             assert!(refused || fetches(&next).len() == 1, "{next:?}");
             assert!(fetches(&next).iter().all(|f| f.max_age <= edge));
         }
@@ -185,7 +197,7 @@
     front.event(Event::Purged {
         object: None,
         group: 5,
-        ago: 100 * MS,
+        age: 100 * MS,
     });
     front.now += 10 * MS;
     for fetch in (0..20).flat_map(|k| fetches(&front.request(0, k).1)) {
@@ -225,9 +237,9 @@
             } else {
                 60 * MS
             };
-            let next = self
-                .front
-                .outcome_after(&fetch, attempt, outcome, Note::Untold, took);
+            let next =
+                self.front
+                    .outcome_after(&fetch, attempt, outcome, CacheStatus::Unknown, took);
             match outcome {
                 Outcome::Served => {
                     self.held.insert((fetch.cache.0, object));
@@ -259,13 +271,13 @@
                         (_, 40) => (origin, Outcome::Served),
                         _ => (10 * MS, Outcome::Miss),
                     };
-                    let out_of_time = fetch.time_out > 0 && took > fetch.time_out;
+                    let out_of_time = fetch.timeout > 0 && took > fetch.timeout;
                     let how = if out_of_time { Outcome::TimedOut } else { how };
-                    let took = if out_of_time { fetch.time_out } else { took };
+                    let took = if out_of_time { fetch.timeout } else { took };
                     self.out
                         .push((self.front.now + took, fetch.clone(), attempt, how));
                 }
-                Action::Refuse { id, .. } | Action::Fail { id } => {
+                Action::Reject { id, .. } | Action::Fail { id } => {
                     ended.push((self.objects[id], false))
                 }
                 _ => {}
--- a/tests/fetches.rs
+++ b/tests/fetches.rs
@@ -22,26 +22,24 @@
     let mut front = Front::new(settings(), members());
     let (_, actions) = front.request(0, 1);
     let mut fetch = only_fetch(&actions);
-    assert_eq!(fetch.send_by, 0);
-    assert!([0, START, Time::MAX]
-        .iter()
-        .all(|now| fetch.may_begin(*now)));
-    fetch.begin_by(500);
-    fetch.begin_by(900);
+    assert_eq!(fetch.send_before, 0);
+    assert!([0, START, Time::MAX].iter().all(|now| fetch.may_send(*now)));
+    fetch.limit_send_before(500);
+    fetch.limit_send_before(900);
     assert_eq!(
-        [499, 500, 501].map(|now| fetch.may_begin(now)),
+        [499, 500, 501].map(|now| fetch.may_send(now)),
         [true, false, false]
     );
-    fetch.begin_by(400);
-    assert_eq!([399, 400].map(|now| fetch.may_begin(now)), [true, false]);
+    fetch.limit_send_before(400);
+    assert_eq!([399, 400].map(|now| fetch.may_send(now)), [true, false]);
 }
 
 /// The bounds on the first bytes of a request's attempts, where `repeat` says what may follow and the first ended so.
-fn bounds(repeat: Repeat, first_end: Outcome) -> (Time, Option<Time>) {
+fn bounds(repeat: RetrySafety, first_end: Outcome) -> (Time, Option<Time>) {
     let mut choice = settings();
     choice.classes[1] = Class {
-        repeat,
-        repeat_window: WINDOW,
+        retry_safety: repeat,
+        idempotency_window: WINDOW,
         ..choice.classes[1].clone()
     };
     let mut front = Front::new(choice, members());
@@ -49,17 +47,17 @@
     let (_, actions) = front.request(1, 5);
     let first = only_fetch(&actions);
     front.now += 300 * MS;
-    let then = front.outcome(&first, 0, first_end, Note::Untold);
+    let then = front.outcome(&first, 0, first_end, CacheStatus::Unknown);
     assert_eq!(sent, START);
     (
-        first.send_by,
-        fetches(&then).first().map(|fetch| fetch.send_by),
+        first.send_before,
+        fetches(&then).first().map(|fetch| fetch.send_before),
     )
 }
 
 #[test]
 fn a_keyed_repeat_must_begin_while_the_caches_remember_what_may_have_run() {
-    let keyed = Repeat::Keyed(Group::All);
+    let keyed = RetrySafety::Keyed(KeyScope::All);
     for may_have_run in [Outcome::Reset, Outcome::TimedOut, Outcome::Cancelled] {
         assert_eq!(
             bounds(keyed, may_have_run),
@@ -70,8 +68,17 @@
     for never_ran in [Outcome::ConnectFailed, Outcome::NeverSent] {
         assert_eq!(bounds(keyed, never_ran), (0, Some(0)), "{never_ran:?}");
     }
-    assert_eq!(bounds(Repeat::Safe, Outcome::Reset), (0, Some(0)));
+    assert_eq!(
+        bounds(RetrySafety::Idempotent, Outcome::Reset),
+        (0, Some(0))
+    );
     // One that may not be repeated gets one attempt.
-    assert_eq!(bounds(Repeat::SingleShot, Outcome::Reset), (0, None));
-    assert_eq!(bounds(Repeat::SingleShot, Outcome::NeverSent), (0, Some(0)));
+    assert_eq!(
+        bounds(RetrySafety::NonIdempotent, Outcome::Reset),
+        (0, None)
+    );
+    assert_eq!(
+        bounds(RetrySafety::NonIdempotent, Outcome::NeverSent),
+        (0, Some(0))
+    );
 }
--- a/tests/fleets.rs
+++ b/tests/fleets.rs
@@ -34,7 +34,7 @@
             ];
             let outcome = outcomes[((k + attempt as u64) % 5) as usize];
             served = outcome == Outcome::Served;
-            actions = front.outcome(&fetch, attempt, outcome, Note::Untold);
+            actions = front.outcome(&fetch, attempt, outcome, CacheStatus::Unknown);
             attempt += 1;
         }
         front.event(Event::Timer { token: 1 });
@@ -56,9 +56,9 @@
     let (choice, mut list) = fleet(3, 4, 2);
     list.extend((0..5).map(|k| member(5_000 + k, 77, 0)));
     let alone = Settings {
-        routers: 1,
+        router_count: 1,
         routers_by_zone: vec![0, 0, 1],
-        hub_of: vec![0, 1],
+        hub_by_zone: vec![0, 1],
         ..choice
     };
     assert!(play(alone, list) > 500);
@@ -76,13 +76,13 @@
     );
     let mut front = Front::new(
         Settings {
-            siblings: Siblings::None,
+            sibling_fills: SiblingFills::None,
             ..choice
         },
         list.clone(),
     );
     let gone = list.iter().filter(|m| m.kind == PARENT).map(|m| Member {
-        state: State::Gone,
+        state: MemberState::Gone,
         ..m.clone()
     });
     front.event(Event::Members {
@@ -103,42 +103,42 @@
     let mut front = Front::new(choice, list);
     let id = RequestId(1 << 50);
     for size_kb in [f64::NAN, f64::INFINITY, -4.0, 0.0, 1e30] {
-        let ask = Ask {
+        let ask = IncomingRequest {
             id,
             class: 0,
             object: ObjectId(u64::MAX),
             part: u32::MAX,
             group: u32::MAX,
             size_kb,
-            budget: 0,
-            lease: 0,
-            within: None,
+            time_budget: 0,
+            placement_ttl: 0,
+            required_group: None,
         };
         front.event(Event::Request(ask));
     }
-    front.event(Event::Request(Ask {
+    front.event(Event::Request(IncomingRequest {
         id: RequestId(2),
         class: 99,
         object: ObjectId(1),
         part: 0,
         group: 0,
         size_kb: 1.0,
-        budget: SECOND,
-        lease: 0,
-        within: None,
+        time_budget: SECOND,
+        placement_ttl: 0,
+        required_group: None,
     }));
     front.event(Event::Purged {
         object: None,
         group: u32::MAX,
-        ago: Time::MAX,
+        age: Time::MAX,
     });
-    front.event(Event::ClientGone { id: RequestId(77) });
-    front.event(Event::Started { id: RequestId(78) });
-    let lost = Report {
+    front.event(Event::ClientDisconnected { id: RequestId(77) });
+    front.event(Event::ResponseStarted { id: RequestId(78) });
+    let lost = AttemptReport {
         id: RequestId(79),
         attempt: 255,
         outcome: Outcome::Served,
-        note: Note::Hit,
+        cache_status: CacheStatus::Hit,
         elapsed: Time::MAX,
         last: true,
     };
@@ -150,9 +150,9 @@
 #[test]
 fn a_parent_that_starts_cold_as_all_are_rewired_to_it_is_not_pushed_over() {
     let lone = Settings {
-        siblings: Siblings::None,
-        routers: 4,
-        notes: Notes::None,
+        sibling_fills: SiblingFills::None,
+        router_count: 4,
+        cache_status_detail: CacheStatusDetail::None,
         ..settings()
     };
     let front = |index| {
@@ -182,8 +182,13 @@
                 if fetch.source == CacheId(31) {
                     sent.push(front.now);
                 }
-                actions =
-                    front.outcome_after(&fetch, attempt, Outcome::Served, Note::Untold, 110 * MS);
+                actions = front.outcome_after(
+                    &fetch,
+                    attempt,
+                    Outcome::Served,
+                    CacheStatus::Unknown,
+                    110 * MS,
+                );
             }
         }
     };
@@ -198,24 +203,24 @@
     for (at, front) in fronts.iter_mut().enumerate() {
         // Each hears of the start and of the wiring at a moment of its own.
         front.now += at as Time * 2 * MS;
-        front.change(31, |m| m.boot = boot);
-        front.event(Event::Wired {
-            hubs: vec![1],
-            hub_of: settings().hub_of,
+        front.change(31, |m| m.started_at = boot);
+        front.event(Event::TopologyChanged {
+            parent_zones: vec![1],
+            hub_by_zone: settings().hub_by_zone,
         });
     }
     (0..2_400).for_each(|_| step(&mut fronts, &mut sent));
     sent.sort();
-    let (window, s) = (settings().fall_window, settings());
+    let (window, s) = (settings().overload_window, settings());
     let worst = sent.iter().enumerate().map(|(n, at)| {
-        let ramp = (*at - boot) as f64 / s.parent_cold_for as f64;
-        let part = s.parent_cold_from + (1.0 - s.parent_cold_from) * ramp.min(1.0);
+        let ramp = (*at - boot) as f64 / s.parent_slow_start_time as f64;
+        let part = s.parent_slow_start_ratio + (1.0 - s.parent_slow_start_ratio) * ramp.min(1.0);
         let within = sent[..=n]
             .iter()
             .rev()
             .take_while(|b| **b + window > *at)
             .count();
-        within as f64 * work / (s.parent_fall_multiple * part * carried * window as f64 / 1e6)
+        within as f64 * work / (s.parent_overload_multiple * part * carried * window as f64 / 1e6)
     });
     let worst = worst.fold(0.0, f64::max);
     assert!(worst < 1.0, "{worst} of what it bears");
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -6,11 +6,11 @@
 #[test]
 fn full_is_not_retried_and_shuns_nobody() {
     let mut front = Front::new(settings(), members());
-    let held = front.serve(77, Note::Filled);
+    let held = front.serve(77, CacheStatus::Filled);
     for object in 100..130 {
         let (_, actions) = front.request(0, object);
         let fetch = only_fetch(&actions);
-        let end = front.outcome(&fetch, 0, Outcome::Full, Note::Untold);
+        let end = front.outcome(&fetch, 0, Outcome::Overloaded, CacheStatus::Unknown);
         assert!(
             fetches(&end).is_empty() && finals(&end) == 1,
             "a full answer ends the try"
@@ -25,16 +25,16 @@
 }
 
 /// Takes part in a fault: `n` new objects whose fills from above end as told; gives the parents' hold-only share.
-fn fault(front: &mut Front, from: u64, n: u64, outcome: Outcome, note: Note) -> (u64, u64) {
+fn fault(front: &mut Front, from: u64, n: u64, outcome: Outcome, note: CacheStatus) -> (u64, u64) {
     let (mut deep, mut shallow) = (0, 0);
     for object in from..from + n {
         front.now += 300 * MS;
         let (_, actions) = front.request(0, object);
         for fetch in fetches(&actions).iter().filter(|f| f.source != f.cache) {
-            deep += !fetch.hold_only as u64;
-            shallow += fetch.hold_only as u64;
-            let (outcome, note) = if fetch.hold_only {
-                (Outcome::Served, Note::Filled)
+            deep += !fetch.only_if_cached as u64;
+            shallow += fetch.only_if_cached as u64;
+            let (outcome, note) = if fetch.only_if_cached {
+                (Outcome::Served, CacheStatus::Filled)
             } else {
                 (outcome, note)
             };
@@ -48,13 +48,25 @@
 #[test]
 fn a_failing_origin_is_spared_while_parents_give_what_they_hold_and_recovers() {
     let lone = Settings {
-        siblings: Siblings::None,
+        sibling_fills: SiblingFills::None,
         ..settings()
     };
     let mut front = Front::new(lone, members());
-    front.serve(77, Note::Filled);
-    fault(&mut front, 1_000, 60, Outcome::Full, Note::OriginFailed);
-    let (deep, shallow) = fault(&mut front, 2_000, 100, Outcome::Full, Note::OriginFailed);
+    front.serve(77, CacheStatus::Filled);
+    fault(
+        &mut front,
+        1_000,
+        60,
+        Outcome::Overloaded,
+        CacheStatus::OriginFailed,
+    );
+    let (deep, shallow) = fault(
+        &mut front,
+        2_000,
+        100,
+        Outcome::Overloaded,
+        CacheStatus::OriginFailed,
+    );
     assert!(
         deep < 40 && shallow > 60,
         "{deep} went on to the origin, {shallow} took what parents hold"
@@ -64,11 +76,14 @@
         source.0 == 30 || source.0 == 31,
         "no parent is left for the origin's fault: {source:?}"
     );
-    front.serve(77, Note::Hit);
+    front.serve(77, CacheStatus::Hit);
     let held = only_fetch(&front.request(0, 77).1);
-    assert_eq!(held.keep, 2, "a listed object is asked for as before");
-    fault(&mut front, 3_000, 100, Outcome::Served, Note::Filled);
-    let (deep, shallow) = fault(&mut front, 4_000, 100, Outcome::Served, Note::Filled);
+    assert_eq!(
+        held.retention_rank, 2,
+        "a listed object is asked for as before"
+    );
+    fault(&mut front, 3_000, 100, Outcome::Served, CacheStatus::Filled);
+    let (deep, shallow) = fault(&mut front, 4_000, 100, Outcome::Served, CacheStatus::Filled);
     assert!(
         deep > 90 && shallow < 10,
         "open again: {deep} and {shallow}"
@@ -78,8 +93,8 @@
 #[test]
 fn fills_that_come_late_bring_down_how_many_are_out() {
     let lone = Settings {
-        siblings: Siblings::None,
-        notes: Notes::None,
+        sibling_fills: SiblingFills::None,
+        cache_status_detail: CacheStatusDetail::None,
         ..settings()
     };
     let mut front = Front::new(lone, members());
@@ -87,12 +102,12 @@
         .map(|k| only_fetch(&front.request(0, k).1))
         .collect();
     assert!(
-        out.iter().all(|f| !f.hold_only),
+        out.iter().all(|f| !f.only_if_cached),
         "nothing is known to be slow"
     );
     front.now += 2 * SECOND;
     for fetch in &out {
-        front.outcome_after(fetch, 0, Outcome::Served, Note::Untold, 2 * SECOND);
+        front.outcome_after(fetch, 0, Outcome::Served, CacheStatus::Unknown, 2 * SECOND);
     }
     front.now += 10 * SECOND;
     let sent: Vec<Fetch> = (2_000..2_060)
@@ -100,7 +115,7 @@
         .collect();
     let deep = sent
         .iter()
-        .filter(|f| f.source != f.cache && !f.hold_only)
+        .filter(|f| f.source != f.cache && !f.only_if_cached)
         .count();
     assert!(deep < 30, "{deep} at once after all of 40 were late");
 }
@@ -108,19 +123,19 @@
 #[test]
 fn fills_that_need_most_of_the_wanted_time_leave_the_way_open() {
     let lone = Settings {
-        siblings: Siblings::None,
-        notes: Notes::None,
+        sibling_fills: SiblingFills::None,
+        cache_status_detail: CacheStatusDetail::None,
         ..settings()
     };
     let mut front = Front::new(lone, members());
-    front.serve(77, Note::Untold);
+    front.serve(77, CacheStatus::Unknown);
     for object in 1_000..1_200 {
         front.now += 25 * MS;
-        front.serve(77, Note::Untold);
+        front.serve(77, CacheStatus::Unknown);
         // All in time, within 450 ms beyond the sending time of 50 ms; one in five far beyond half of that.
         let elapsed = if object % 5 == 0 { 350 * MS } else { 150 * MS };
         for fetch in fetches(&front.request(0, object).1) {
-            front.outcome_after(&fetch, 0, Outcome::Served, Note::Untold, elapsed);
+            front.outcome_after(&fetch, 0, Outcome::Served, CacheStatus::Unknown, elapsed);
         }
     }
     let sent: Vec<Fetch> = (2_000..2_020)
@@ -128,7 +143,7 @@
         .collect();
     let deep = sent
         .iter()
-        .filter(|f| f.source != f.cache && !f.hold_only)
+        .filter(|f| f.source != f.cache && !f.only_if_cached)
         .count();
     assert!(deep >= 15, "{deep} of 20 at once after 200 in time");
 }
@@ -136,11 +151,11 @@
 #[test]
 fn late_hits_close_the_zones_fills_and_limit_what_is_out_until_links_are_calm() {
     let mut front = Front::new(settings(), members());
-    front.serve(77, Note::Filled);
+    front.serve(77, CacheStatus::Filled);
     for _ in 0..60 {
         front.now += 400 * MS;
         for fetch in fetches(&front.request(0, 77).1) {
-            front.outcome_after(&fetch, 0, Outcome::Served, Note::Hit, SECOND);
+            front.outcome_after(&fetch, 0, Outcome::Served, CacheStatus::Hit, SECOND);
         }
     }
     let sent: Vec<Fetch> = (5_000..5_050)
@@ -162,7 +177,7 @@
     let sent = [sent, burst].concat();
     front.now += 5 * SECOND;
     for fetch in &sent {
-        front.outcome_after(fetch, 0, Outcome::Served, Note::Hit, 60 * MS);
+        front.outcome_after(fetch, 0, Outcome::Served, CacheStatus::Hit, 60 * MS);
     }
     assert_eq!(
         fetches(&front.request(0, 77).1).len(),
@@ -186,7 +201,7 @@
                 (40, false) => (Outcome::Served, 90 * MS),
                 _ => (Outcome::Miss, 10 * MS),
             };
-            actions = front.outcome_after(&fetch, attempt, outcome, Note::Untold, elapsed);
+            actions = front.outcome_after(&fetch, attempt, outcome, CacheStatus::Unknown, elapsed);
         }
     }
     front
@@ -215,7 +230,7 @@
     short.event(Event::Purged {
         object: None,
         group: 5,
-        ago: 2 * SECOND,
+        age: 2 * SECOND,
     });
     let ages: Vec<Time> = (6_000..6_040)
         .flat_map(|k| fetches(&short.request(0, k).1))
@@ -230,12 +245,18 @@
 #[test]
 fn a_class_without_a_fresh_time_takes_no_age_from_its_grace() {
     let mut choice = Settings {
-        siblings: Siblings::None,
+        sibling_fills: SiblingFills::None,
         ..settings()
     };
-    choice.classes[0].grace = 30 * SECOND;
+    choice.classes[0].stale_while_revalidate = 30 * SECOND;
     let mut front = Front::new(choice, members());
-    fault(&mut front, 1_000, 100, Outcome::Full, Note::OriginFailed);
+    fault(
+        &mut front,
+        1_000,
+        100,
+        Outcome::Overloaded,
+        CacheStatus::OriginFailed,
+    );
     let ages: Vec<Time> = (5_000..5_040)
         .flat_map(|k| fetches(&front.request(0, k).1))
         .map(|f| f.max_age)
@@ -254,11 +275,11 @@
         .collect();
     let held = sent
         .iter()
-        .filter(|f| f.hold_only && (20..23).contains(&f.source.0))
+        .filter(|f| f.only_if_cached && (20..23).contains(&f.source.0))
         .count();
     assert!(held > 20, "{held} of {} ask the neighbours", sent.len());
     assert!(
-        sent.iter().all(|f| f.source.0 == 40 || f.hold_only),
+        sent.iter().all(|f| f.source.0 == 40 || f.only_if_cached),
         "nobody else is told to fill"
     );
 }
@@ -266,8 +287,8 @@
 #[test]
 fn with_little_room_small_fills_go_before_large_ones_which_still_go_when_nothing_is_out() {
     let lone = Settings {
-        siblings: Siblings::None,
-        notes: Notes::None,
+        sibling_fills: SiblingFills::None,
+        cache_status_detail: CacheStatusDetail::None,
         parent_kind: None,
         ..settings()
     };
@@ -282,7 +303,7 @@
                     .1,
             ) {
                 let elapsed = if late { 2_500 * MS } else { 120 * MS };
-                front.outcome_after(&fetch, 0, Outcome::Served, Note::Untold, elapsed);
+                front.outcome_after(&fetch, 0, Outcome::Served, CacheStatus::Unknown, elapsed);
             }
         }
         front.now += 5 * SECOND;
@@ -314,8 +335,8 @@
 #[test]
 fn a_front_that_is_new_and_told_no_sizes_fills_its_first_misses() {
     let mut choice = Settings {
-        siblings: Siblings::None,
-        notes: Notes::None,
+        sibling_fills: SiblingFills::None,
+        cache_status_detail: CacheStatusDetail::None,
         client_kb_per_s: 0.0,
         ..settings()
     };
@@ -324,7 +345,7 @@
     for (k, class) in [0, 2, 0, 2, 2].into_iter().enumerate() {
         let fetch = only_fetch(&front.request_of(class, 50 + k as u64, 0.0).1);
         assert!(
-            (30..41).contains(&fetch.source.0) && !fetch.hold_only,
+            (30..41).contains(&fetch.source.0) && !fetch.only_if_cached,
             "{k}: {fetch:?}"
         );
     }
@@ -342,7 +363,7 @@
         let mut front = Front::new(told, Vec::new());
         for object in 0..50 {
             let (id, actions) = front.request(0, object);
-            let [Action::Refuse {
+            let [Action::Reject {
                 id: refused,
                 retry_after,
             }] = actions[..]
--- a/tests/guards_caches.rs
+++ b/tests/guards_caches.rs
@@ -12,12 +12,12 @@
         let fetch = only_fetch(&front.request(0, object).1);
         used.insert(fetch.cache);
         if object % 4 == 0 {
-            let again = front.outcome(&fetch, 0, Outcome::Reset, Note::Untold);
+            let again = front.outcome(&fetch, 0, Outcome::Reset, CacheStatus::Unknown);
             let again = only_fetch(&again);
             assert_eq!(again.cache, fetch.cache, "the work ran there");
-            front.outcome(&again, 1, Outcome::Served, Note::Hit);
+            front.outcome(&again, 1, Outcome::Served, CacheStatus::Hit);
         } else {
-            front.outcome(&fetch, 0, Outcome::Served, Note::Hit);
+            front.outcome(&fetch, 0, Outcome::Served, CacheStatus::Hit);
         }
     }
     assert_eq!(used.len(), 4);
@@ -30,7 +30,7 @@
 #[test]
 fn a_crowded_holder_spills_and_fills_the_next_cache_from_what_it_holds() {
     let mut front = Front::new(settings(), members());
-    let held = front.serve(77, Note::Filled);
+    let held = front.serve(77, CacheStatus::Filled);
     // Four at once take twice their sending time: it carries about two.
     for _ in 0..40 {
         let all: Vec<Fetch> = (0..4)
@@ -39,11 +39,11 @@
         front.now += 400 * MS;
         for fetch in &all {
             if fetch.cache == held.cache {
-                front.outcome_after(fetch, 0, Outcome::Served, Note::Hit, 400 * MS);
+                front.outcome_after(fetch, 0, Outcome::Served, CacheStatus::Hit, 400 * MS);
             } else {
                 // What went elsewhere is wanted no more.
-                front.event(Event::ClientGone { id: fetch.id });
-                front.outcome_after(fetch, 0, Outcome::Cancelled, Note::Untold, 400 * MS);
+                front.event(Event::ClientDisconnected { id: fetch.id });
+                front.outcome_after(fetch, 0, Outcome::Cancelled, CacheStatus::Unknown, 400 * MS);
             }
         }
     }
@@ -54,15 +54,15 @@
         .iter()
         .find(|f| f.cache != held.cache)
         .expect("some go elsewhere");
-    assert!(spilled.source == held.cache && spilled.hold_only);
+    assert!(spilled.source == held.cache && spilled.only_if_cached);
 }
 
 #[test]
 fn a_cache_that_refuses_connections_is_left_alone_for_a_while() {
     let mut front = Front::new(settings(), members());
-    let dead = front.serve(77, Note::Filled).cache;
+    let dead = front.serve(77, CacheStatus::Filled).cache;
     let fetch = only_fetch(&front.request(0, 77).1);
-    let then = only_fetch(&front.outcome(&fetch, 0, Outcome::ConnectFailed, Note::Untold));
+    let then = only_fetch(&front.outcome(&fetch, 0, Outcome::ConnectFailed, CacheStatus::Unknown));
     assert!(then.cache != dead);
     let next = only_fetch(&front.request(0, 77).1);
     assert!(next.cache != dead && next.source != dead);
@@ -71,11 +71,16 @@
 #[test]
 fn a_cache_whose_attempts_time_out_is_left_for_a_while() {
     let mut front = Front::new(settings(), members());
-    let hung = front.serve(77, Note::Filled).cache;
+    let hung = front.serve(77, CacheStatus::Filled).cache;
     for _ in 0..5 {
         let (_, actions) = front.request(0, 77);
         front.now += 3 * SECOND;
-        front.outcome(&only_fetch(&actions), 0, Outcome::TimedOut, Note::Untold);
+        front.outcome(
+            &only_fetch(&actions),
+            0,
+            Outcome::TimedOut,
+            CacheStatus::Unknown,
+        );
     }
     let next: Vec<Fetch> = (0..4)
         .map(|_| only_fetch(&front.request(0, 77).1))
@@ -90,26 +95,26 @@
 fn safe_attempts_end_long_before_the_client_and_single_shot_ones_do_not() {
     let mut front = Front::new(
         Settings {
-            siblings: Siblings::None,
+            sibling_fills: SiblingFills::None,
             ..settings()
         },
         members(),
     );
     let safe = only_fetch(&front.request(0, 77).1);
     // The aim is 400 ms and twice a sending time of 50 ms.
-    assert_eq!(safe.time_out, 2 * 500 * MS);
-    assert_eq!(only_fetch(&front.request(1, 77).1).time_out, 0);
+    assert_eq!(safe.timeout, 2 * 500 * MS);
+    assert_eq!(only_fetch(&front.request(1, 77).1).timeout, 0);
 }
 
 #[test]
 fn answers_lost_at_caches_are_not_taken_for_a_slow_origin() {
     let lone = Settings {
-        siblings: Siblings::None,
-        notes: Notes::None,
+        sibling_fills: SiblingFills::None,
+        cache_status_detail: CacheStatusDetail::None,
         ..settings()
     };
     let mut front = Front::new(lone, members());
-    front.serve(77, Note::Untold);
+    front.serve(77, CacheStatus::Unknown);
     for k in 0..400 {
         front.now += 50 * MS;
         let object = if k % 2 == 0 { 77 } else { 1_000 + k };
@@ -120,12 +125,18 @@
             } else {
                 Outcome::Served
             };
-            let mut next = front.outcome_after(&fetch, 0, outcome, Note::Untold, 60 * MS);
+            let mut next = front.outcome_after(&fetch, 0, outcome, CacheStatus::Unknown, 60 * MS);
             for attempt in 1..8 {
                 let Some(again) = fetches(&next).first().cloned() else {
                     break;
                 };
-                next = front.outcome_after(&again, attempt, Outcome::Served, Note::Untold, 60 * MS);
+                next = front.outcome_after(
+                    &again,
+                    attempt,
+                    Outcome::Served,
+                    CacheStatus::Unknown,
+                    60 * MS,
+                );
             }
         }
     }
@@ -135,7 +146,7 @@
         .collect();
     let deep = sent
         .iter()
-        .filter(|f| f.source != f.cache && !f.hold_only)
+        .filter(|f| f.source != f.cache && !f.only_if_cached)
         .count();
     assert!(deep >= 5, "{deep} of 20 may fetch from above");
 }
@@ -144,7 +155,7 @@
 fn the_parent_that_passes_an_origins_failure_on_is_not_blamed() {
     let mut front = Front::new(
         Settings {
-            siblings: Siblings::None,
+            sibling_fills: SiblingFills::None,
             ..settings()
         },
         members(),
@@ -153,8 +164,8 @@
         front.now += 300 * MS;
         for fetch in fetches(&front.request(0, object).1) {
             match fetch.source.0 {
-                30 => front.outcome(&fetch, 0, Outcome::Full, Note::OriginFailed),
-                _ => front.outcome(&fetch, 0, Outcome::Served, Note::Filled),
+                30 => front.outcome(&fetch, 0, Outcome::Overloaded, CacheStatus::OriginFailed),
+                _ => front.outcome(&fetch, 0, Outcome::Served, CacheStatus::Filled),
             };
         }
     }
@@ -168,7 +179,7 @@
 #[test]
 fn what_no_cache_can_serve_ends_after_two_errors_and_has_no_cache_shunned() {
     let untold = Settings {
-        notes: Notes::None,
+        cache_status_detail: CacheStatusDetail::None,
         ..settings()
     };
     let mut front = Front::new(untold.clone(), members());
@@ -177,17 +188,17 @@
         front.now += 20 * MS;
         let (id, mut actions) = front.request(0, object);
         if only_fetch(&actions).cache != home {
-            front.event(Event::ClientGone { id });
+            front.event(Event::ClientDisconnected { id });
             continue;
         }
         // A bad client's object: an error, whoever is asked.
         let mut attempts = 0;
         while let Some(fetch) = fetches(&actions).first() {
-            actions = front.outcome(fetch, attempts, Outcome::Error, Note::Untold);
+            actions = front.outcome(fetch, attempts, Outcome::Error, CacheStatus::Unknown);
             attempts += 1;
         }
         assert!(
-            attempts == 2 && matches!(actions[..], [Action::Refuse { .. }]),
+            attempts == 2 && matches!(actions[..], [Action::Reject { .. }]),
             "{attempts}: {actions:?}"
         );
     }
@@ -210,8 +221,8 @@
         } else {
             Outcome::Served
         };
-        for again in fetches(&front.outcome(&fetch, 0, own, Note::Untold)) {
-            front.outcome(&again, 1, Outcome::Served, Note::Untold);
+        for again in fetches(&front.outcome(&fetch, 0, own, CacheStatus::Unknown)) {
+            front.outcome(&again, 1, Outcome::Served, CacheStatus::Unknown);
         }
     }
     let used = (5_000..5_050)
@@ -224,16 +235,16 @@
 fn a_full_answer_without_notes_has_one_other_source_tried() {
     let mut front = Front::new(
         Settings {
-            notes: Notes::None,
+            cache_status_detail: CacheStatusDetail::None,
             ..settings()
         },
         members(),
     );
     let (_, actions) = front.request(0, 100);
     let first = only_fetch(&actions);
-    let second = only_fetch(&front.outcome(&first, 0, Outcome::Full, Note::Untold));
+    let second = only_fetch(&front.outcome(&first, 0, Outcome::Overloaded, CacheStatus::Unknown));
     assert_ne!(second.source, first.source);
-    let end = front.outcome(&second, 1, Outcome::Full, Note::Untold);
+    let end = front.outcome(&second, 1, Outcome::Overloaded, CacheStatus::Unknown);
     assert!(
         fetches(&end).is_empty() && finals(&end) == 1,
         "the second full answer ends the try"
--- a/tests/guards_sources.rs
+++ b/tests/guards_sources.rs
@@ -6,8 +6,8 @@
 #[test]
 fn a_parent_that_refuses_is_left_for_the_other_then_for_the_origin_and_asked_again_later() {
     let lone = Settings {
-        siblings: Siblings::None,
-        notes: Notes::None,
+        sibling_fills: SiblingFills::None,
+        cache_status_detail: CacheStatusDetail::None,
         ..settings()
     };
     let mut front = Front::new(lone, members());
@@ -24,12 +24,13 @@
                 };
                 let refused = refusing.contains(&fetch.source.0);
                 let outcome = if refused {
-                    Outcome::Full
+                    Outcome::Overloaded
                 } else {
                     Outcome::Served
                 };
                 let elapsed = if refused { 5 * MS } else { 110 * MS };
-                actions = front.outcome_after(&fetch, attempt, outcome, Note::Untold, elapsed);
+                actions =
+                    front.outcome_after(&fetch, attempt, outcome, CacheStatus::Unknown, elapsed);
             }
         }
         asked
@@ -53,8 +54,8 @@
 #[test]
 fn what_the_parents_fail_is_asked_of_an_origin_that_serves_and_not_refused() {
     let lone = Settings {
-        siblings: Siblings::None,
-        notes: Notes::None,
+        sibling_fills: SiblingFills::None,
+        cache_status_detail: CacheStatusDetail::None,
         ..settings()
     };
     let mut front = Front::new(lone, members());
@@ -73,7 +74,7 @@
                 Outcome::TimedOut
             };
             served += (origin && object >= 1_200) as u32;
-            actions = front.outcome_after(&fetch, attempt, outcome, Note::Untold, 90 * MS);
+            actions = front.outcome_after(&fetch, attempt, outcome, CacheStatus::Unknown, 90 * MS);
         }
         refused += (finals(&actions) == 1 && object >= 1_200) as u32;
     }
@@ -86,13 +87,13 @@
 #[test]
 fn a_fill_that_ends_badly_after_its_parent_left_harms_nothing() {
     for (parent, note) in [
-        (30, Note::Untold),
-        (31, Note::OriginFailed),
-        (30, Note::NoFillPlace),
+        (30, CacheStatus::Unknown),
+        (31, CacheStatus::OriginFailed),
+        (30, CacheStatus::NoFillSlot),
     ] {
         let mut front = Front::new(
             Settings {
-                siblings: Siblings::None,
+                sibling_fills: SiblingFills::None,
                 ..settings()
             },
             members(),
@@ -101,7 +102,7 @@
             let fetch = only_fetch(&front.request(0, k).1);
             (fetch.source.0 == parent).then_some(fetch)
         });
-        front.change(parent, |m| m.state = State::Gone);
+        front.change(parent, |m| m.state = MemberState::Gone);
         let next = front.outcome(&fetch.expect("both are drawn"), 0, Outcome::TimedOut, note);
         assert_eq!(
             finals(&next) + fetches(&next).len(),
@@ -115,7 +116,7 @@
 fn fills_follow_the_wiring_and_go_to_the_origin_where_it_names_no_parent() {
     let mut front = Front::new(
         Settings {
-            siblings: Siblings::None,
+            sibling_fills: SiblingFills::None,
             ..settings()
         },
         members(),
@@ -126,7 +127,7 @@
             let actions = front.request(0, object).1;
             let fetch = only_fetch(&actions);
             named.insert(fetch.source.0);
-            front.outcome(&fetch, 0, Outcome::Served, Note::Untold);
+            front.outcome(&fetch, 0, Outcome::Served, CacheStatus::Unknown);
         }
         named.into_iter().collect::<Vec<_>>()
     };
@@ -136,13 +137,16 @@
         .map(|m| m.zone)
         .collect();
     assert_eq!(sources(&mut front, 0..60), [30, 31]);
-    let hub_of = settings().hub_of;
-    front.event(Event::Wired {
-        hubs: vec![],
-        hub_of: hub_of.clone(),
+    let hub_of = settings().hub_by_zone;
+    front.event(Event::TopologyChanged {
+        parent_zones: vec![],
+        hub_by_zone: hub_of.clone(),
     });
     assert_eq!(sources(&mut front, 100..160), [40], "no parent is wired");
-    front.event(Event::Wired { hubs, hub_of });
+    front.event(Event::TopologyChanged {
+        parent_zones: hubs,
+        hub_by_zone: hub_of,
+    });
     assert_eq!(sources(&mut front, 200..260), [30, 31]);
 }
 
@@ -151,23 +155,23 @@
     let sent_to_cold = |retune: bool| {
         let mut front = Front::new(settings(), members());
         for k in 0..400 {
-            front.serve(k, Note::Hit);
+            front.serve(k, CacheStatus::Hit);
         }
         // The class that had the place: requests a hundred times the size.
         for k in 0..300 {
             let (id, _) = front.request_of(1, k, 50_000.0);
-            front.event(Event::ClientGone { id });
+            front.event(Event::ClientDisconnected { id });
         }
         if retune {
             let mut other = settings();
             other.classes[1] = Class {
-                aim: 300 * MS,
+                latency_objective: 300 * MS,
                 ..other.classes[0].clone()
             };
             front.router.retune(other);
         }
         let boot = front.now;
-        front.change(10, |m| m.boot = boot);
+        front.change(10, |m| m.started_at = boot);
         let of = |f: &Fetch| f.cache.0 == 10;
         (1000..1100)
             .map(|k| {
@@ -188,8 +192,8 @@
 #[test]
 fn what_is_late_by_way_of_parents_that_lose_nothing_is_not_added_to_the_origin() {
     let lone = Settings {
-        siblings: Siblings::None,
-        notes: Notes::None,
+        sibling_fills: SiblingFills::None,
+        cache_status_detail: CacheStatusDetail::None,
         ..settings()
     };
     let mut front = Front::new(lone, members());
@@ -199,7 +203,7 @@
         for fetch in fetches(&front.request(0, object).1) {
             straight += (fetch.source.0 == 40) as u32;
             // Served, each of them late: the links are what is short.
-            front.outcome_after(&fetch, 0, Outcome::Served, Note::Untold, 390 * MS);
+            front.outcome_after(&fetch, 0, Outcome::Served, CacheStatus::Unknown, 390 * MS);
         }
     }
     assert_eq!(
--- a/tests/hundred.rs
+++ b/tests/hundred.rs
@@ -25,9 +25,9 @@
     let of_zone = |z: u32| FRONTS / ZONES + (z < FRONTS % ZONES) as u32;
     let routers_by_zone: Vec<u32> = [0, 0].into_iter().chain((0..ZONES).map(of_zone)).collect();
     let base = Settings {
-        routers: FRONTS,
+        router_count: FRONTS,
         routers_by_zone,
-        notes: Notes::None,
+        cache_status_detail: CacheStatusDetail::None,
         max_attempts: 4,
         ..choice
     };
@@ -67,7 +67,7 @@
             sum.asked += 1;
             for attempt in 0..8 {
                 for action in &actions {
-                    if let Action::Refuse { retry_after, .. } = action {
+                    if let Action::Reject { retry_after, .. } = action {
                         sum.refused += 1;
                         *sum.advice.entry(retry_after / (50 * MS)).or_default() += 1;
                     }
@@ -78,7 +78,8 @@
                 *sum.by_cache.entry(fetch.cache.0).or_default() += 1;
                 *sum.by_source.entry(fetch.source.0).or_default() += 1;
                 let (outcome, elapsed) = fate(&fetch, front.now);
-                actions = front.outcome_after(&fetch, attempt, outcome, Note::Untold, elapsed);
+                actions =
+                    front.outcome_after(&fetch, attempt, outcome, CacheStatus::Unknown, elapsed);
             }
             front.event(Event::Timer { token: 1 });
         }
@@ -94,7 +95,7 @@
 fn calm(fetch: &Fetch, _: Time) -> (Outcome, Time) {
     match fetch.source.0 {
         9 => (Outcome::Served, 140 * MS),
-        _ if above(fetch) && !fetch.hold_only => (Outcome::Served, 150 * MS),
+        _ if above(fetch) && !fetch.only_if_cached => (Outcome::Served, 150 * MS),
         _ => (Outcome::Miss, 5 * MS),
     }
 }
@@ -141,7 +142,7 @@
     for front in fleet.iter_mut() {
         let boot = front.now;
         let cold = Member {
-            boot,
+            started_at: boot,
             ..member(1_000, 2, 0)
         };
         front.event(Event::Members {
@@ -177,7 +178,7 @@
 #[test]
 fn what_a_hundred_fronts_turn_away_at_once_is_told_to_come_back_at_different_times() {
     let (mut fleet, mut key) = (fronts(), 1);
-    let nothing = |_: &Fetch, _: Time| (Outcome::Full, 5 * MS);
+    let nothing = |_: &Fetch, _: Time| (Outcome::Overloaded, 5 * MS);
     let mut advice: BTreeMap<u64, usize> = BTreeMap::new();
     for _ in 0..3 {
         for (wait, n) in second(&mut fleet, &mut key, nothing).advice {
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -15,8 +15,8 @@
     let mut front = Front::new(settings(), members());
     let (_, actions) = front.request(0, 77);
     let fetch = only_fetch(&actions);
-    assert!((10..14).contains(&fetch.cache.0) && is_sibling(fetch.source) && fetch.hold_only);
-    assert!(fetch.time_out > 0, "the query has its own time-out");
+    assert!((10..14).contains(&fetch.cache.0) && is_sibling(fetch.source) && fetch.only_if_cached);
+    assert!(fetch.timeout > 0, "the query has its own time-out");
     let (_, again) = front.request(0, 77);
     assert_eq!(
         only_fetch(&again).cache,
@@ -32,9 +32,9 @@
         let (_, actions) = front.request(0, 77);
         let query = only_fetch(&actions);
         front.now += 100 * MS;
-        let then = only_fetch(&front.outcome(&query, 0, outcome, Note::Untold));
+        let then = only_fetch(&front.outcome(&query, 0, outcome, CacheStatus::Unknown));
         assert!(
-            then.cache == query.cache && is_above(then.source) && !then.hold_only,
+            then.cache == query.cache && is_above(then.source) && !then.only_if_cached,
             "{outcome:?}"
         );
     }
@@ -43,8 +43,8 @@
 #[test]
 fn what_was_served_is_listed_and_a_listed_holder_needs_no_query() {
     let mut front = Front::new(settings(), members());
-    let first = front.serve(77, Note::Filled);
-    let second = front.serve(77, Note::Hit);
+    let first = front.serve(77, CacheStatus::Filled);
+    let second = front.serve(77, CacheStatus::Hit);
     assert_eq!(second.cache, first.cache);
     assert!(is_above(second.source));
 }
@@ -54,9 +54,9 @@
     let mut front = Front::new(settings(), members());
     for object in [77, 78].into_iter().chain(1_000..1_000 + 16_383) {
         let fetch = only_fetch(&front.request(0, object).1);
-        front.outcome(&fetch, 0, Outcome::Served, Note::Filled);
+        front.outcome(&fetch, 0, Outcome::Served, CacheStatus::Filled);
     }
-    let ranks = [77, 78].map(|object| only_fetch(&front.request(0, object).1).keep);
+    let ranks = [77, 78].map(|object| only_fetch(&front.request(0, object).1).retention_rank);
     assert_eq!(ranks, [1, 2], "only what is listed ranks higher");
 }
 
@@ -64,39 +64,39 @@
 fn an_entry_expires_and_a_purge_a_new_boot_or_leaving_makes_it_void() {
     let void = |act: &dyn Fn(&mut Front, CacheId)| {
         let mut front = Front::new(settings(), members());
-        let first = front.serve(77, Note::Filled);
+        let first = front.serve(77, CacheStatus::Filled);
         act(&mut front, first.cache);
         let (_, actions) = front.request(0, 77);
         only_fetch(&actions)
     };
     let kept = void(&|_, _| {});
-    assert_eq!(kept.keep, 2, "a listed object ranks higher");
+    assert_eq!(kept.retention_rank, 2, "a listed object ranks higher");
     let expired = void(&|f, _| f.now += 120 * SECOND);
-    assert_eq!(expired.keep, 1);
+    assert_eq!(expired.retention_rank, 1);
     let purged = void(&|f, _| {
         f.event(Event::Purged {
             object: Some(ObjectId(77)),
             group: 5,
-            ago: 100 * MS,
+            age: 100 * MS,
         });
     });
-    assert_eq!(purged.keep, 1);
+    assert_eq!(purged.retention_rank, 1);
     let group = void(&|f, _| {
         f.event(Event::Purged {
             object: None,
             group: 5,
-            ago: 100 * MS,
+            age: 100 * MS,
         });
     });
-    assert_eq!(group.keep, 1);
+    assert_eq!(group.retention_rank, 1);
     let restarted = void(&|f, c| {
-        f.change(c.0, |m| m.boot = START - SECOND);
+        f.change(c.0, |m| m.started_at = START - SECOND);
     });
-    assert_eq!(restarted.keep, 1);
+    assert_eq!(restarted.retention_rank, 1);
     let left = void(&|f, c| {
-        f.change(c.0, |m| m.state = State::Gone);
+        f.change(c.0, |m| m.state = MemberState::Gone);
     });
-    assert_eq!(left.keep, 1);
+    assert_eq!(left.retention_rank, 1);
 }
 
 #[test]
@@ -113,9 +113,10 @@
             queries += is_sibling(fetch.source) as u32;
             front.now += 20 * MS;
             if is_sibling(fetch.source) && !found {
-                let then = only_fetch(&front.outcome(&fetch, 0, Outcome::Miss, Note::Untold));
+                let then =
+                    only_fetch(&front.outcome(&fetch, 0, Outcome::Miss, CacheStatus::Unknown));
                 front.now += 40 * MS;
-                front.outcome(&then, 1, Outcome::Served, Note::Filled);
+                front.outcome(&then, 1, Outcome::Served, CacheStatus::Filled);
             } else {
                 let elapsed = if is_sibling(fetch.source) {
                     55 * MS
@@ -123,12 +124,12 @@
                     200 * MS
                 };
                 let id = fetch.id;
-                let (outcome, note) = (Outcome::Served, Note::Filled);
-                front.event(Event::Outcome(Report {
+                let (outcome, note) = (Outcome::Served, CacheStatus::Filled);
+                front.event(Event::Outcome(AttemptReport {
                     id,
                     attempt: 0,
                     outcome,
-                    note,
+                    cache_status: note,
                     elapsed,
                     last: true,
                 }));
@@ -150,7 +151,7 @@
         let list = members().into_iter().filter(|m| keep(m)).collect();
         let mut front = Front::new(
             Settings {
-                direct,
+                direct_fetch: direct,
                 ..settings()
             },
             list,
@@ -174,13 +175,13 @@
 #[test]
 fn nothing_is_told_to_peers_and_what_they_say_changes_nothing() {
     let mut front = Front::new(settings(), members());
-    let first = front.serve(77, Note::Filled);
+    let first = front.serve(77, CacheStatus::Filled);
     front.now += SECOND;
     let told = front.event(Event::Timer { token: 1 });
     assert!(told.is_empty(), "{told:?}");
     for length in [0, 1, 13, 14, 252] {
         assert!(front
-            .event(Event::Peer {
+            .event(Event::PeerMessage {
                 from: 9,
                 message: vec![7; length]
             })
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -19,7 +19,7 @@
     Ended {
         which: usize,
         outcome: Outcome,
-        note: Note,
+        note: CacheStatus,
     },
     /// Word of one that ended before, or never was.
     Stray {
@@ -32,7 +32,7 @@
     Pass(Time),
     Member {
         which: usize,
-        state: State,
+        state: MemberState,
     },
     Purged(u64),
     Restart,
@@ -45,7 +45,7 @@
         Served,
         Served,
         Error,
-        Full,
+        Overloaded,
         TimedOut,
         ConnectFailed,
         Reset,
@@ -55,21 +55,25 @@
     ])
 }
 
-fn note() -> impl Strategy<Value = Note> {
-    use Note::*;
+fn note() -> impl Strategy<Value = CacheStatus> {
+    use CacheStatus::*;
     prop::sample::select(vec![
-        Untold,
+        Unknown,
         Hit,
         Filled,
-        SourceRefused,
-        SourceBroken,
-        SourceLacks,
+        SourceRejected,
+        SourceFailed,
+        SourceMissed,
         OriginFailed,
     ])
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let state = prop::sample::select(vec![State::Ready, State::Draining, State::Gone]);
+    let state = prop::sample::select(vec![
+        MemberState::Ready,
+        MemberState::Draining,
+        MemberState::Gone,
+    ]);
     prop_oneof![
         8 => (0..2usize, 0..6u64, 1..4_000 * MS)
             .prop_map(|(class, object, budget)| Step::Ask { class, object, budget }),
@@ -127,7 +131,8 @@
                         .open
                         .get_mut(&fetch.id)
                         .expect("an attempt for one that is not open");
-                    let single = settings().classes[request.class].repeat == Repeat::SingleShot;
+                    let single = settings().classes[request.class].retry_safety
+                        == RetrySafety::NonIdempotent;
                     assert!(
                         !single || !out && !request.may_have_run,
                         "an effect is risked twice"
@@ -135,7 +140,7 @@
                     let listed = |cache| {
                         self.members
                             .iter()
-                            .any(|m| m.cache == cache && m.state != State::Gone)
+                            .any(|m| m.cache == cache && m.state != MemberState::Gone)
                     };
                     assert!(
                         listed(fetch.cache) && listed(fetch.source),
@@ -145,10 +150,11 @@
                     request.attempts += 1;
                     assert!(u32::from(request.attempts) <= settings().max_attempts);
                 }
-                Action::Refuse { id, .. } => {
+                Action::Reject { id, .. } => {
                     let out = self.has_out(id);
                     let request = self.open.remove(&id).expect("refused, and not open");
-                    let single = settings().classes[request.class].repeat == Repeat::SingleShot;
+                    let single = settings().classes[request.class].retry_safety
+                        == RetrySafety::NonIdempotent;
                     assert!(
                         !single || !out && !request.may_have_run,
                         "refused, and it may have run"
@@ -162,10 +168,10 @@
                 Action::Cancel { id, attempt } => {
                     assert!(self.out.contains(&(id, attempt)) && !self.open.contains_key(&id));
                 }
-                Action::Timer { .. }
-                | Action::Probe { .. }
-                | Action::TellPeers { .. }
-                | Action::Watch => {}
+                Action::StartTimer { .. }
+                | Action::HealthCheck { .. }
+                | Action::MessagePeers { .. }
+                | Action::SubscribeMembers => {}
             }
         }
     }
@@ -209,17 +215,17 @@
                 self.out.remove(&(id, attempt));
                 let last = outcome == Outcome::Served;
                 if let Some(request) = self.open.get_mut(&id) {
-                    request.may_have_run |= !outcome.never_ran();
+                    request.may_have_run |= !outcome.not_processed();
                 }
                 // What is served answers its client, if it was not answered before.
                 if last && self.open.remove(&id).is_some() {
                     assert!(self.ended.insert(id), "two answers");
                 }
-                let report = Report {
+                let report = AttemptReport {
                     id,
                     attempt,
                     outcome,
-                    note,
+                    cache_status: note,
                     elapsed: 60 * MS,
                     last,
                 };
@@ -231,12 +237,12 @@
                 attempt,
                 outcome,
             } if !self.out.contains(&(RequestId(id), attempt)) => {
-                let (id, note) = (RequestId(id), Note::Untold);
-                let report = Report {
+                let (id, note) = (RequestId(id), CacheStatus::Unknown);
+                let report = AttemptReport {
                     id,
                     attempt,
                     outcome,
-                    note,
+                    cache_status: note,
                     elapsed: MS,
                     last: false,
                 };
@@ -254,13 +260,13 @@
                 let event = match step {
                     Step::Gone(_) => {
                         self.open.remove(&id);
-                        Event::ClientGone { id }
+                        Event::ClientDisconnected { id }
                     }
                     _ => {
                         self.open
                             .iter_mut()
                             .for_each(|(own, open)| open.started |= *own == id);
-                        Event::Started { id }
+                        Event::ResponseStarted { id }
                     }
                 };
                 let actions = self.front.event(event);
@@ -270,7 +276,7 @@
                 self.front.now += time;
                 let actions = self.front.event(Event::Timer { token: 1 });
                 self.acts(actions);
-                let (now, slack) = (self.front.now, settings().answer_slack);
+                let (now, slack) = (self.front.now, settings().response_slack);
                 let late = self
                     .open
                     .values()
@@ -292,7 +298,7 @@
                 let actions = self.front.event(Event::Purged {
                     object,
                     group: 5,
-                    ago: 0,
+                    age: 0,
                 });
                 self.acts(actions);
             }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -9,16 +9,16 @@
     let (id, actions) = front.request(0, 77);
     let fetch = only_fetch(&actions);
     front.now += 3 * SECOND;
-    let end = front.outcome(&fetch, 0, Outcome::TimedOut, Note::Untold);
+    let end = front.outcome(&fetch, 0, Outcome::TimedOut, CacheStatus::Unknown);
     assert!(finals(&end) == 1 && fetches(&end).is_empty());
     assert!(
         front
-            .outcome(&fetch, 0, Outcome::TimedOut, Note::Untold)
+            .outcome(&fetch, 0, Outcome::TimedOut, CacheStatus::Unknown)
             .is_empty(),
         "a late outcome"
     );
     assert!(
-        front.event(Event::ClientGone { id }).is_empty(),
+        front.event(Event::ClientDisconnected { id }).is_empty(),
         "a client gone after the end"
     );
     front.now += SECOND;
@@ -36,7 +36,7 @@
 #[test]
 fn a_write_is_repeated_only_after_proof_that_it_did_not_run() {
     for (outcome, again) in [
-        (Outcome::Full, true),
+        (Outcome::Overloaded, true),
         (Outcome::ConnectFailed, true),
         (Outcome::Miss, true),
         (Outcome::Error, false),
@@ -46,9 +46,9 @@
         let mut front = Front::new(settings(), members());
         let (id, actions) = front.request(1, 77);
         let fetch = only_fetch(&actions);
-        assert!(fetch.keep == 0 && !fetch.hold_only && fetch.source.0 >= 30);
+        assert!(fetch.retention_rank == 0 && !fetch.only_if_cached && fetch.source.0 >= 30);
         front.now += 10 * MS;
-        let then = front.outcome(&fetch, 0, outcome, Note::Untold);
+        let then = front.outcome(&fetch, 0, outcome, CacheStatus::Unknown);
         if again {
             assert_eq!(fetches(&then).len(), 1, "{outcome:?}");
         } else {
@@ -61,7 +61,7 @@
 fn one_attempt_at_a_time_where_a_second_copy_is_not_allowed() {
     let mut front = Front::new(
         Settings {
-            may_duplicate: false,
+            may_hedge: false,
             ..settings()
         },
         members(),
@@ -78,10 +78,10 @@
     let mut front = Front::new(settings(), members());
     let (_, actions) = front.request(0, 77);
     let fetch = only_fetch(&actions);
-    front.change(fetch.cache.0, |m| m.state = State::Draining);
-    front.change(30, |m| m.state = State::Draining);
-    front.change(31, |m| m.state = State::Draining);
-    let then = only_fetch(&front.outcome(&fetch, 0, Outcome::Error, Note::Untold));
+    front.change(fetch.cache.0, |m| m.state = MemberState::Draining);
+    front.change(30, |m| m.state = MemberState::Draining);
+    front.change(31, |m| m.state = MemberState::Draining);
+    let then = only_fetch(&front.outcome(&fetch, 0, Outcome::Error, CacheStatus::Unknown));
     assert!(then.cache != fetch.cache && then.source != CacheId(30) && then.source != CacheId(31));
 }
 
@@ -90,10 +90,10 @@
     let mut front = Front::new(settings(), members());
     // Warm traffic first, so that there is something to infer a capacity from.
     for k in 0..400 {
-        front.serve(k, Note::Hit);
+        front.serve(k, CacheStatus::Hit);
     }
     let boot = front.now;
-    front.change(10, |m| m.boot = boot);
+    front.change(10, |m| m.started_at = boot);
     let mut sent = 0;
     for k in 1000..1200 {
         let (_, actions) = front.request(0, k);
@@ -111,7 +111,7 @@
             Front::new(
                 Settings {
                     index,
-                    routers: fronts + 1,
+                    router_count: fronts + 1,
                     routers_by_zone: by_zone,
                     ..settings()
                 },
@@ -127,7 +127,7 @@
                 let (_, actions) = front.request_of(0, key + k * 7, 2_000.0);
                 for fetch in fetches(&actions) {
                     to_cold += (fetch.cache.0 == cold) as usize;
-                    front.outcome_after(&fetch, 0, Outcome::Served, Note::Hit, 200 * MS);
+                    front.outcome_after(&fetch, 0, Outcome::Served, CacheStatus::Hit, 200 * MS);
                 }
             }
         }
@@ -139,7 +139,7 @@
     for front in zone.iter_mut() {
         let boot = front.now;
         for cache in 10..14 {
-            front.change(cache, |m| m.boot = boot);
+            front.change(cache, |m| m.started_at = boot);
         }
     }
     let cold: Vec<usize> = (0..8)
@@ -195,21 +195,21 @@
 fn sent_to_one_cold(draining: u32, size_kb: f64) -> usize {
     let mut all = members();
     all.extend((50..50 + draining).map(|c| Member {
-        state: State::Draining,
+        state: MemberState::Draining,
         ..member(c, 2, 0)
     }));
     let mut front = Front::new(settings(), all);
     let send = |front: &mut Front, object: u64| {
         front.now += 50 * MS;
         let fetch = only_fetch(&front.request_of(0, object, size_kb).1);
-        front.outcome_after(&fetch, 0, Outcome::Served, Note::Hit, 100 * MS);
+        front.outcome_after(&fetch, 0, Outcome::Served, CacheStatus::Hit, 100 * MS);
         (fetch.cache.0 == 10) as usize
     };
     for k in 0..400 {
         send(&mut front, k);
     }
     let boot = front.now;
-    front.change(10, |m| m.boot = boot);
+    front.change(10, |m| m.started_at = boot);
     (1_000..1_160).map(|k| send(&mut front, k)).sum()
 }
 
@@ -246,9 +246,9 @@
     front.event(Event::Purged {
         object: None,
         group: 5,
-        ago: 0,
+        age: 0,
     });
-    let retry = only_fetch(&front.outcome(&first, 0, Outcome::Error, Note::Untold));
+    let retry = only_fetch(&front.outcome(&first, 0, Outcome::Error, CacheStatus::Unknown));
     assert_eq!(retry.max_age, 1, "0 would mean any age");
     front.now += 500 * MS;
     let (_, later) = front.request(0, 77);
--- a/tests/settings/extreme.rs
+++ b/tests/settings/extreme.rs
@@ -89,7 +89,10 @@
     let list = |boot| -> Vec<Member> {
         members()
             .into_iter()
-            .map(|member| Member { boot, ..member })
+            .map(|member| Member {
+                started_at: boot,
+                ..member
+            })
             .collect()
     };
     router.handle(
@@ -103,16 +106,16 @@
     for (id, &(wait, what)) in steps.iter().enumerate() {
         now += wait;
         let event = match what % 8 {
-            0..=2 => Event::Request(Ask {
+            0..=2 => Event::Request(IncomingRequest {
                 id: RequestId(id as u64),
                 class: what as usize % classes,
                 object: ObjectId(id as u64 % 9),
                 part: 0,
                 group: 5,
                 size_kb: [0.0, 1.0, 1e9][id % 3],
-                budget: 600 * SECOND,
-                lease: 0,
-                within: None,
+                time_budget: 600 * SECOND,
+                placement_ttl: 0,
+                required_group: None,
             }),
             3..=4 if !open.is_empty() => {
                 let fetch = open.remove(id % open.len());
@@ -122,12 +125,12 @@
                     Outcome::Reset,
                     Outcome::Miss,
                 ][id % 4];
-                let (note, last) = (Note::Untold, outcome == Outcome::Served);
-                Event::Outcome(Report {
+                let (note, last) = (CacheStatus::Unknown, outcome == Outcome::Served);
+                Event::Outcome(AttemptReport {
                     id: fetch.id,
                     attempt: 0,
                     outcome,
-                    note,
+                    cache_status: note,
                     elapsed: wait,
                     last,
                 })
@@ -135,7 +138,7 @@
             5 => Event::Purged {
                 object: None,
                 group: 5,
-                ago: wait,
+                age: wait,
             },
             6 => Event::Members {
                 full: true,
--- a/tests/settings/rules.rs
+++ b/tests/settings/rules.rs
@@ -45,7 +45,7 @@
         Served,
         Served,
         Error,
-        Full,
+        Overloaded,
         TimedOut,
         ConnectFailed,
         Reset,
@@ -108,22 +108,28 @@
                 let seen = self.open.get_mut(&id)?;
                 let fetch = seen.out.take()?;
                 let end = outcome(how);
-                if !end.never_ran() && end != Outcome::Served {
+                if !end.not_processed() && end != Outcome::Served {
                     seen.ran.get_or_insert((fetch.cache, seen.sent_at));
                 }
                 let attempt = seen.sent as u8 - 1;
                 if end == Outcome::Served {
                     self.open.remove(&id);
                 }
-                self.front.outcome(&fetch, attempt, end, Note::Untold)
+                self.front
+                    .outcome(&fetch, attempt, end, CacheStatus::Unknown)
             }
             Step::Change(at, how) => {
                 let before = self.list.get(at % self.list.len())?;
-                let new = [State::Ready, State::Draining, State::Gone, State::Ready][how as usize];
-                let boot = if how == 3 { now } else { before.boot };
+                let new = [
+                    MemberState::Ready,
+                    MemberState::Draining,
+                    MemberState::Gone,
+                    MemberState::Ready,
+                ][how as usize];
+                let boot = if how == 3 { now } else { before.started_at };
                 let changed = Member {
                     state: new,
-                    boot,
+                    started_at: boot,
                     ..before.clone()
                 };
                 self.state.insert(before.cache.0, changed.clone());
@@ -138,13 +144,13 @@
                 self.front.event(Event::Purged {
                     object,
                     group: 5,
-                    ago: ago * MS,
+                    age: ago * MS,
                 })
             }
             Step::Leave(at) => {
                 let &id = self.open.keys().nth(at % self.open.len().max(1))?;
                 self.open.remove(&id);
-                self.front.event(Event::ClientGone { id })
+                self.front.event(Event::ClientDisconnected { id })
             }
             Step::Tick => self.front.event(Event::Timer { token: 1 }),
         })
@@ -154,10 +160,13 @@
         for action in actions {
             match action {
                 Action::Fetch(fetch) => self.fetch(fetch)?,
-                Action::Refuse { id, .. } => {
+                Action::Reject { id, .. } => {
                     let seen = self.open.remove(id).expect("one final answer");
-                    let repeat = self.choice.classes[seen.class].repeat;
-                    let safe = matches!(repeat, Repeat::Safe | Repeat::Keyed(Group::All));
+                    let repeat = self.choice.classes[seen.class].retry_safety;
+                    let safe = matches!(
+                        repeat,
+                        RetrySafety::Idempotent | RetrySafety::Keyed(KeyScope::All)
+                    );
                     prop_assert!(
                         safe || seen.ran.is_none(),
                         "a refusal says that trying again is harmless"
@@ -188,7 +197,7 @@
         );
         let (cache, source) = (&state[&fetch.cache.0], &state[&fetch.source.0]);
         prop_assert!(
-            cache.state == State::Ready && source.state == State::Ready,
+            cache.state == MemberState::Ready && source.state == MemberState::Ready,
             "drains and goings bind"
         );
         prop_assert!(
@@ -196,54 +205,64 @@
             "own location only"
         );
         prop_assert!(
-            cache.kind == 0 || choice.direct,
+            cache.kind == 0 || choice.direct_fetch,
             "not straight to parents or the origin"
         );
         if source.kind == 0 && fetch.source != fetch.cache {
-            let allowed = match choice.siblings {
-                Siblings::None => false,
-                Siblings::OwnZone => source.zone == choice.zone,
-                Siblings::Any => true,
+            let allowed = match choice.sibling_fills {
+                SiblingFills::None => false,
+                SiblingFills::OwnZone => source.zone == choice.zone,
+                SiblingFills::Any => true,
             };
             prop_assert!(
                 allowed,
                 "{:?} names {:?} as a source",
-                choice.siblings,
+                choice.sibling_fills,
                 fetch.source
             );
         }
         if let Some((first, at)) = seen.ran {
-            let window = |keyed: Repeat| keyed == Repeat::Safe || now < at + rules.repeat_window;
+            let window = |keyed: RetrySafety| {
+                keyed == RetrySafety::Idempotent || now < at + rules.idempotency_window
+            };
             prop_assert!(
-                window(rules.repeat),
+                window(rules.retry_safety),
                 "a keyed request is repeated only while that is remembered"
             );
-            match rules.repeat {
-                Repeat::Safe | Repeat::Keyed(Group::All) => {}
-                Repeat::SingleShot => {
+            match rules.retry_safety {
+                RetrySafety::Idempotent | RetrySafety::Keyed(KeyScope::All) => {}
+                RetrySafety::NonIdempotent => {
                     prop_assert!(false, "a single shot that may have run is sent again")
                 }
-                Repeat::Keyed(Group::Zone) => prop_assert_eq!(state[&first.0].zone, cache.zone),
-                Repeat::Keyed(Group::Cell) => prop_assert_eq!(state[&first.0].cell, cache.cell),
+                RetrySafety::Keyed(KeyScope::Zone) => {
+                    prop_assert_eq!(state[&first.0].zone, cache.zone)
+                }
+                RetrySafety::Keyed(KeyScope::Cell) => {
+                    prop_assert_eq!(state[&first.0].cell, cache.cell)
+                }
             }
         }
-        if rules.fresh > 0 {
+        if rules.freshness_lifetime > 0 {
             prop_assert!(
-                fetch.max_age <= rules.fresh + rules.grace,
+                fetch.max_age <= rules.freshness_lifetime + rules.stale_while_revalidate,
                 "older than fresh time and grace"
             );
         }
         for &(object, stamp, told) in &self.purges {
-            if object.is_none_or(|o| o == seen.object) && now < told + choice.purge_done {
+            if object.is_none_or(|o| o == seen.object) && now < told + choice.purge_complete {
                 prop_assert!(
                     (1..=(now - stamp).max(1)).contains(&fetch.max_age),
                     "a purge binds"
                 );
             }
         }
-        prop_assert_eq!(fetch.keep == 0, rules.pass_on, "a write is never kept");
+        prop_assert_eq!(
+            fetch.retention_rank == 0,
+            rules.bypass_cache,
+            "a write is never kept"
+        );
         prop_assert!(
-            fetch.time_out <= 2 * rules.deadline,
+            fetch.timeout <= 2 * rules.deadline,
             "a time-out follows the class's own times"
         );
         (seen.sent, seen.sent_at) = (seen.sent + 1, now);
@@ -260,7 +279,7 @@
             .map(|c| c.deadline)
             .max()
             .unwrap_or(0);
-        self.front.now += longest + self.choice.answer_slack;
+        self.front.now += longest + self.choice.response_slack;
         let actions = self.front.event(Event::Timer { token: 1 });
         self.check(&actions)?;
         prop_assert!(
--- a/tests/silent.rs
+++ b/tests/silent.rs
@@ -6,7 +6,7 @@
 #[test]
 fn a_cache_that_is_silent_when_an_answer_is_due_is_passed_over_until_it_speaks() {
     let mut front = Front::new(settings(), members());
-    let hung = front.serve(77, Note::Filled).cache;
+    let hung = front.serve(77, CacheStatus::Filled).cache;
     let out = only_fetch(&front.request(0, 77).1);
     assert_eq!(out.cache, hung);
     // Sent 50 ms of work that is wanted within 500: no answer is owed yet.
@@ -23,6 +23,6 @@
         "nothing has timed out yet, and it is silent"
     );
     // Any word will do, also a refusal.
-    front.outcome(&out, 0, Outcome::Full, Note::Untold);
+    front.outcome(&out, 0, Outcome::Overloaded, CacheStatus::Unknown);
     assert_eq!(only_fetch(&front.request(0, 77).1).cache, hung, "it speaks");
 }
--- a/tests/vast/judging.rs
+++ b/tests/vast/judging.rs
@@ -42,21 +42,21 @@
         Outcome::TimedOut,
         Outcome::Reset,
         Outcome::Error,
-        Outcome::Full,
+        Outcome::Overloaded,
     ] {
         let mut front = Front::new(
             Settings {
-                notes: Notes::None,
+                cache_status_detail: CacheStatusDetail::None,
                 ..settings()
             },
             members_of(1, 0, 2),
         );
         for object in 0..20 {
-            front.serve(object, Note::Untold);
+            front.serve(object, CacheStatus::Unknown);
         }
         front.now += 60 * SECOND;
         let (_, actions) = front.request(0, 77);
-        front.outcome(&only_fetch(&actions), 0, outcome, Note::Untold);
+        front.outcome(&only_fetch(&actions), 0, outcome, CacheStatus::Unknown);
         front.now += 100 * MS;
         let (_, actions) = front.request(0, 78);
         assert_eq!(
@@ -71,7 +71,7 @@
 fn one_success_of_a_cache_that_failed_often_does_not_bring_all_traffic_back() {
     let mut front = Front::new(
         Settings {
-            notes: Notes::None,
+            cache_status_detail: CacheStatusDetail::None,
             ..settings()
         },
         members_of(2, 0, 2),
@@ -86,7 +86,7 @@
                 &fetch,
                 attempt,
                 if here { outcome } else { Outcome::Served },
-                Note::Untold,
+                CacheStatus::Unknown,
             );
             attempt += 1;
         }
--- a/tests/vast/lists.rs
+++ b/tests/vast/lists.rs
@@ -27,14 +27,14 @@
         news.push((
             at,
             Member {
-                state: State::Draining,
+                state: MemberState::Draining,
                 ..old.clone()
             },
         ));
         news.push((
             at + SECOND,
             Member {
-                state: State::Gone,
+                state: MemberState::Gone,
                 ..old.clone()
             },
         ));
@@ -42,7 +42,7 @@
         news.push((
             boot,
             Member {
-                boot,
+                started_at: boot,
                 ..member(id, old.zone, 0)
             },
         ));
@@ -74,11 +74,11 @@
         let check = &knows;
         world.run(wait, &mut |s: &Sent| {
             let known = |id: u32| check[s.front].get(&id);
-            let ready = |id: u32| known(id).is_none_or(|m| m.state == State::Ready);
+            let ready = |id: u32| known(id).is_none_or(|m| m.state == MemberState::Ready);
             wrong += (!ready(s.fetch.cache.0) || !ready(s.fetch.source.0)) as u32;
             placed.extend(
                 known(s.fetch.cache.0)
-                    .filter(|m| m.boot > 0)
+                    .filter(|m| m.started_at > 0)
                     .map(|m| (s.at, m.cache.0)),
             );
             calm(s)
@@ -119,15 +119,15 @@
             .collect();
         for at in times
             .iter()
-            .filter(|at| **at < boot + choice.cache_cold_for)
+            .filter(|at| **at < boot + choice.cache_slow_start_time)
         {
-            let age = (at - boot) as f64 / choice.cache_cold_for as f64;
-            let bears = choice.cache_fall_multiple
-                * (choice.cache_cold_from + (1.0 - choice.cache_cold_from) * age)
+            let age = (at - boot) as f64 / choice.cache_slow_start_time as f64;
+            let bears = choice.cache_overload_multiple
+                * (choice.cache_slow_start_ratio + (1.0 - choice.cache_slow_start_ratio) * age)
                 * share;
             let sent = times
                 .iter()
-                .filter(|t| *t <= at && **t + choice.fall_window > *at)
+                .filter(|t| *t <= at && **t + choice.overload_window > *at)
                 .count();
             worst = worst.max(sent as f64 / bears);
         }
--- a/tests/vast/main.rs
+++ b/tests/vast/main.rs
@@ -18,7 +18,7 @@
 fn calm(sent: &Sent) -> (Outcome, Time) {
     match sent.fetch.source.0 {
         9 => (Outcome::Served, 140 * MS),
-        10..14 if !sent.fetch.hold_only => (Outcome::Served, 150 * MS),
+        10..14 if !sent.fetch.only_if_cached => (Outcome::Served, 150 * MS),
         _ if sent.fetch.source == sent.fetch.cache => (Outcome::Served, 60 * MS),
         _ => (Outcome::Miss, 5 * MS),
     }
--- a/tests/vast/odd.rs
+++ b/tests/vast/odd.rs
@@ -9,40 +9,45 @@
     ("no pace", |s| s.client_kb_per_s = 0.0),
     ("a pace below 0", |s| s.client_kb_per_s = -5.0),
     ("a pace that is no number", |s| s.client_kb_per_s = f64::NAN),
-    ("no fall window", |s| s.fall_window = 0),
+    ("no fall window", |s| s.overload_window = 0),
     ("no time to warm", |s| {
-        (s.cache_cold_for, s.parent_cold_for) = (0, 0)
+        (s.cache_slow_start_time, s.parent_slow_start_time) = (0, 0)
     }),
     ("nothing borne while cold", |s| {
-        (s.cache_cold_from, s.parent_cold_from) = (0.0, 0.0)
+        (s.cache_slow_start_ratio, s.parent_slow_start_ratio) = (0.0, 0.0)
     }),
     ("multiples of 0", |s| {
-        (s.cache_fall_multiple, s.parent_fall_multiple) = (0.0, 0.0)
+        (s.cache_overload_multiple, s.parent_overload_multiple) = (0.0, 0.0)
     }),
     ("multiples below 0", |s| {
-        (s.cache_fall_multiple, s.parent_fall_multiple) = (-1.0, -1.0)
+        (s.cache_overload_multiple, s.parent_overload_multiple) = (-1.0, -1.0)
     }),
     ("multiples that are no number", |s| {
-        (s.cache_fall_multiple, s.parent_fall_multiple) = (f64::NAN, f64::NAN)
+        (s.cache_overload_multiple, s.parent_overload_multiple) = (f64::NAN, f64::NAN)
     }),
     ("aims of 0", |s| {
         s.classes
             .iter_mut()
-            .for_each(|c| (c.aim, c.aim_stretch) = (0, 0.0))
+            .for_each(|c| (c.latency_objective, c.latency_objective_stretch) = (0, 0.0))
     }),
     ("worth below 0", |s| {
         s.classes
             .iter_mut()
-            .for_each(|c| (c.worth, c.late_worth) = (-1.0, f64::NAN))
+            .for_each(|c| (c.priority_weight, c.late_value_ratio) = (-1.0, f64::NAN))
     }),
     ("no routers told", |s| {
-        (s.routers, s.routers_by_zone, s.index) = (0, Vec::new(), 0)
+        (s.router_count, s.routers_by_zone, s.index) = (0, Vec::new(), 0)
     }),
     ("an index beyond them", |s| s.index = u32::MAX),
-    ("no hubs told", |s| s.hub_of = Vec::new()),
-    ("no wait after a refusal", |s| s.retry_after = Some(0)),
+    ("no hubs told", |s| s.hub_by_zone = Vec::new()),
+    ("no wait after a refusal", |s| s.max_retry_after = Some(0)),
     ("no slack", |s| {
-        (s.answer_slack, s.drain_grace, s.purge_slack, s.purge_done) = (0, 0, 0, 0)
+        (
+            s.response_slack,
+            s.drain_timeout,
+            s.purge_slack,
+            s.purge_complete,
+        ) = (0, 0, 0, 0)
     }),
 ];
 
@@ -67,7 +72,7 @@
         world.objects = 50;
         let mut fails = |s: &Sent| match s.fetch.id.0 % 7 {
             0 => (Outcome::TimedOut, 400 * MS),
-            1 => (Outcome::Full, MS),
+            1 => (Outcome::Overloaded, MS),
             _ => calm(s),
         };
         world.run(2 * SECOND, &mut fails);
@@ -75,7 +80,7 @@
         for front in 0..12 {
             let boot = world.now;
             let cold = Member {
-                boot,
+                started_at: boot,
                 weight: -1.0,
                 ..member(1_050, 2, 0)
             };
@@ -92,12 +97,12 @@
                 Event::Purged {
                     object: None,
                     group: 5,
-                    ago: Time::MAX,
+                    age: Time::MAX,
                 },
                 &mut fails,
             );
             let gone = Member {
-                state: State::Gone,
+                state: MemberState::Gone,
                 ..member(1_000, 2, 0)
             };
             world.tell(
--- a/tests/vast/shares.rs
+++ b/tests/vast/shares.rs
@@ -8,7 +8,7 @@
     let (choice, list) = fleet(8, 6, 4);
     let mut all = fronts(&choice, 100, 8);
     all.iter_mut().for_each(|s| {
-        s.routers = told;
+        s.router_count = told;
         s.routers_by_zone = s.routers_by_zone.iter().map(|n| n * told / 100).collect();
         s.index %= told;
     });
@@ -18,7 +18,7 @@
     let boot = world.now;
     for front in 0..100 {
         let cold = Member {
-            boot,
+            started_at: boot,
             ..member(1_000, 2, 0)
         };
         world.tell(
@@ -38,15 +38,19 @@
         .map(|s| s.at)
         .collect();
     // 13 routers of the zone, 8 requests a second each, over six caches.
-    let (share, window) = (13.0 * 8.0 / 6.0, choice.fall_window as f64 / SECOND as f64);
+    let (share, window) = (
+        13.0 * 8.0 / 6.0,
+        choice.overload_window as f64 / SECOND as f64,
+    );
     let part = |at: Time| {
-        let ramp = choice.cache_cold_from
-            + (1.0 - choice.cache_cold_from) * (at - boot) as f64 / choice.cache_cold_for as f64;
+        let ramp = choice.cache_slow_start_ratio
+            + (1.0 - choice.cache_slow_start_ratio) * (at - boot) as f64
+                / choice.cache_slow_start_time as f64;
         let sent = times
             .iter()
-            .filter(|t| **t <= at && **t + choice.fall_window > at)
+            .filter(|t| **t <= at && **t + choice.overload_window > at)
             .count();
-        sent as f64 / (choice.cache_fall_multiple * ramp * share * window)
+        sent as f64 / (choice.cache_overload_multiple * ramp * share * window)
     };
     (
         times.iter().map(|at| part(*at)).fold(0.0, f64::max),
@@ -93,7 +97,7 @@
         let purged = Event::Purged {
             object: None,
             group: 5,
-            ago: 0,
+            age: 0,
         };
         world.tell(front, purged, &mut |_| {
             unreachable!("a purge sends nothing by itself")
