--- a/edge/proxy/src/admin.rs
+++ b/edge/proxy/src/admin.rs
@@ -9,6 +9,7 @@
 use foldmux_http1::io::write_all;
 use foldmux_operations::command::CommandReader;
 use foldmux_sockets::stream::{self, Stop};
+use maintenance::SYNC_INTERVAL;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -30,8 +31,6 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// A response that is not read for this long ends the connection.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often the maintenance file is read, for what a process beside this one changed.
-const MAINTENANCE_SYNC_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Listens at `address` and answers there until the process ends, at most `max_connections` at once. Returns the address
 /// that was bound.
@@ -50,7 +49,7 @@
     if admin.maintenance.is_shared() {
         let registry = admin.maintenance.clone();
         named("maintenance", STACK, move || loop {
-            thread::sleep(MAINTENANCE_SYNC_INTERVAL);
+            thread::sleep(SYNC_INTERVAL);
             registry.sync();
         })?;
     }
--- a/edge/proxy/src/admin/commands.rs
+++ b/edge/proxy/src/admin/commands.rs
@@ -1,6 +1,6 @@
 //! What each command of the admin interface does, and its response.
 
-use super::{MaintenanceRegistry, MAINTENANCE_SYNC_INTERVAL};
+use super::maintenance::{MaintenanceRegistry, SYNC_INTERVAL};
 use foldmux_core::Core;
 use foldmux_operations::command::Command;
 use foldmux_operations::maintenance::MaintenanceError;
@@ -76,7 +76,7 @@
         let changed = self.maintenance.set(id, out_of_service);
         if matches!(changed, Ok(true)) && self.maintenance.is_shared() {
             // A process beside this one, where there is one, has applied the change when the response is sent.
-            thread::sleep(MAINTENANCE_SYNC_INTERVAL * SYNC_INTERVALS_TO_APPLY);
+            thread::sleep(SYNC_INTERVAL * SYNC_INTERVALS_TO_APPLY);
         }
         match changed {
             Ok(_) if out_of_service => format!("done {id} is out\n"),
--- a/edge/proxy/src/admin/maintenance.rs
+++ b/edge/proxy/src/admin/maintenance.rs
@@ -9,6 +9,10 @@
 use std::collections::HashMap;
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+/// How often the stored set is read, for what a process beside this one changed.
+pub(super) const SYNC_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The pop caches that are out of service by hand, and the last entry of each as the journal service listed it.
 ///
--- a/edge/proxy/src/drain.rs
+++ b/edge/proxy/src/drain.rs
@@ -1,6 +1,5 @@
 //! The graceful shutdown of the client listener: which waits follow SIGTERM, and when the process may exit.
 
-use foldmux::interface::Time;
 use foldmux_core::Core;
 use foldmux_fronts::listen::{accept_until, named, READER_STACK};
 use foldmux_fronts::msgpack::Front;
@@ -31,9 +30,9 @@
 /// The time that the log names is rounded up to a multiple of this (ms).
 const LOGGED_STEP_MS: u128 = 10;
 
-/// From SIGTERM until every request must have been answered. `longest_deadline` (us): of the classes in service.
-pub fn time_until_kill(longest_deadline: Time) -> Duration {
-    Duration::from_micros(longest_deadline).min(MAX_KILL_DELAY) + KILL_GRACE - KILL_MARGIN
+/// From SIGTERM until every request must have been answered. `longest_deadline`: of the classes in service.
+pub fn time_until_kill(longest_deadline: Duration) -> Duration {
+    longest_deadline.min(MAX_KILL_DELAY) + KILL_GRACE - KILL_MARGIN
 }
 
 /// The client listener, its thread and its connections.
--- a/edge/proxy/src/journal.rs
+++ b/edge/proxy/src/journal.rs
@@ -9,7 +9,7 @@
 use foldmux_core::event_loop::EventLoopHandle;
 use foldmux_core::messages::Command;
 use foldmux_core::servers::Server;
-use foldmux_event_stream::StreamReaders as EventStream;
+use foldmux_event_stream::StreamReaders;
 use foldmux_upstream::pool::Pool;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -43,7 +43,7 @@
 
 #[derive(Clone)]
 struct SharedStream {
-    stream: Arc<EventStream>,
+    readers: Arc<StreamReaders>,
     /// The greatest index of an endpoint list that was applied: what comes from another process may be older.
     newest_index: Arc<Mutex<u64>>,
 }
@@ -102,13 +102,13 @@
     /// Applies events that this process read at the service.
     fn apply_from_source(&self, entries: &[&Entry]) {
         let Some(SharedStream {
-            stream,
+            readers,
             newest_index,
         }) = &self.shared
         else {
             return self.apply_entries(entries, None);
         };
-        entries.iter().for_each(|entry| stream.count(entry));
+        entries.iter().for_each(|entry| readers.count(entry));
         let mut newest_index = newest_index.lock().unwrap_or_else(PoisonError::into_inner);
         self.apply_entries(entries, Some(&mut newest_index));
     }
@@ -151,11 +151,11 @@
         }
     }
 
-    /// From now on `stream` shares what this process reads at the service. What others read is applied by
+    /// From now on `readers` share what this process reads at the service. What others read is applied by
     /// [`JournalClient::apply_relayed`] of a clone.
-    pub fn share(&mut self, stream: Arc<EventStream>) {
+    pub fn share(&mut self, readers: Arc<StreamReaders>) {
         self.shared = Some(SharedStream {
-            stream,
+            readers,
             newest_index: Arc::default(),
         });
     }
--- a/edge/proxy/src/journal/poll.rs
+++ b/edge/proxy/src/journal/poll.rs
@@ -4,7 +4,7 @@
 use super::service::{JournalService, Location};
 use super::{EventBatch, JournalClient};
 use crate::backoff::{Backoff, LONGEST as MAX_BACKOFF};
-use foldmux_event_stream::StreamReaders as EventStream;
+use foldmux_event_stream::StreamReaders;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -35,7 +35,7 @@
     client: JournalClient,
     service: &'a JournalService,
     /// The stream that shares the events with other processes, where there is one.
-    shared: Option<Arc<EventStream>>,
+    shared: Option<Arc<StreamReaders>>,
     buffer: Vec<u8>,
     /// A response ended before an event that was applied: it was an old one, or the service numbers its events anew. The
     /// next poll requests, on another connection, all events from 1.
@@ -45,7 +45,7 @@
 impl JournalClient {
     /// Polls for as long as the process runs, wherever the service is. `backoff` spaces the retries.
     pub fn follow(self, service: &JournalService, backoff: Backoff) {
-        let shared = self.shared.as_ref().map(|shared| shared.stream.clone());
+        let shared = self.shared.as_ref().map(|shared| shared.readers.clone());
         let mut poll_loop = PollLoop {
             client: self,
             service,
@@ -95,8 +95,8 @@
                 let pause = backoff.failed();
                 tracing::warn!("journal service: {error}; asking again in {pause:?}");
                 self.service.close_connection();
-                if let Some(stream) = &self.shared {
-                    stream.unfed();
+                if let Some(readers) = &self.shared {
+                    readers.unfed();
                 }
                 self.service.sleep_unless_moved(location.moves, pause);
             }
@@ -106,7 +106,7 @@
     /// After a while without polls, what there is now is requested at once.
     fn next_wait(&self, backoff: &mut Backoff) -> Duration {
         let shared = self.shared.as_ref();
-        match shared.is_some_and(|stream| stream.gate.pass()) {
+        match shared.is_some_and(|readers| readers.gate.pass()) {
             true => Duration::ZERO,
             false => backoff.hold(MAX_WAIT),
         }
@@ -115,12 +115,12 @@
     /// Whether another process of the site reads the service now.
     fn is_gate_shut(&self) -> bool {
         let shared = self.shared.as_ref();
-        shared.is_some_and(|stream| stream.gate.shut())
+        shared.is_some_and(|readers| readers.gate.shut())
     }
 
     fn report_fed(&self) {
-        if let Some(stream) = &self.shared {
-            stream.fed();
+        if let Some(readers) = &self.shared {
+            readers.fed();
         }
     }
 
--- a/edge/proxy/src/journal/request.rs
+++ b/edge/proxy/src/journal/request.rs
@@ -1,6 +1,6 @@
 //! One request to the journal service, and its response within one deadline.
 
-use super::EventBatch;
+use foldmux_event_stream::journal::EventBatch;
 use foldmux_http1::io::write_all;
 use foldmux_http1::{read_response, Broken};
 use std::fmt;
--- a/edge/proxy/src/server/checked.rs
+++ b/edge/proxy/src/server/checked.rs
@@ -1,6 +1,6 @@
 //! Phase 1: the configuration is checked, and the sockets that the operator's file asks for are bound.
 
-use super::StartError;
+use super::error::StartError;
 use crate::config::Config;
 use crate::fleet::{parts::Own, Fleet};
 use crate::limits;
--- a/edge/proxy/src/server/decisions.rs
+++ b/edge/proxy/src/server/decisions.rs
@@ -1,7 +1,7 @@
 //! Phase 2: the core and the event loop that decides for every request.
 
 use super::checked::Checked;
-use super::StartError;
+use super::error::StartError;
 use crate::load_reports;
 use crate::reload::dns_classes;
 use foldmux::interface::RetrySafety;
@@ -32,38 +32,10 @@
 impl Decisions {
     /// Builds the core, starts the DNS front where it is configured, and the event loop's thread.
     pub(super) fn start(checked: &mut Checked) -> Result<Decisions, StartError> {
-        let (config, clock) = (&checked.config, &checked.clock);
-        let (decoded, bounds) = (&config.decoded, config.bounds);
-        let settings = &decoded.settings;
-        let pool = Pool::new(bounds.upstream, Duration::from_micros(decoded.keep_alive));
-        let router = Router::new(settings.clone(), config.seed);
-        let (mut event_loop, handle) =
-            EventLoop::new(router, clock.clone(), checked.members.clone());
-        let connections = pool.clone();
-        event_loop.on_incarnation_ended(move |former| connections.discard(former.member.cache));
-        let upstream = Upstream {
-            members: checked.members.clone(),
-            pool: pool.clone(),
-            clock: clock.clone(),
-            dial_time_out: Duration::from_micros(decoded.dial_time_out),
-        };
-        let upstream = load_reports::start(
-            decoded.reports.clone(),
-            settings,
-            &mut event_loop,
-            &handle,
-            upstream,
-        )?;
-        let core = Core::new(CoreSetup {
-            event_loop: handle,
-            clock: clock.clone(),
-            buffers: BufferPool::new(bounds.buffers),
-            servers: checked.members.clone(),
-            upstream,
-            retry_after: own_retry_after(settings),
-            warm_up: Duration::from_micros(settings.longest_slow_start()),
-            max_open: bounds.open,
-        });
+        let decoded = &checked.config.decoded;
+        let idle_time_out = Duration::from_micros(decoded.keep_alive);
+        let pool = Pool::new(checked.config.bounds.upstream, idle_time_out);
+        let (mut event_loop, core) = build_core(checked, &pool)?;
         if let Some(table) = checked.limits.take() {
             enforce_limits(&core, table, decoded);
         }
@@ -73,7 +45,7 @@
                 core.clone(),
                 dns_classes(&checked.classes),
                 serial,
-                bounds.dns,
+                checked.config.bounds.dns,
             )?;
         }
         named("event-loop", EVENT_LOOP_STACK, move || {
@@ -83,6 +55,35 @@
     }
 }
 
+/// The event loop, which is yet to run, and the core that all requests share.
+fn build_core(checked: &Checked, pool: &Arc<Pool>) -> Result<(EventLoop, Arc<Core>), StartError> {
+    let (config, clock, servers) = (&checked.config, &checked.clock, &checked.members);
+    let (decoded, settings) = (&config.decoded, &config.decoded.settings);
+    let router = Router::new(settings.clone(), config.seed);
+    let (mut event_loop, handle) = EventLoop::new(router, clock.clone(), servers.clone());
+    let connections = pool.clone();
+    event_loop.on_incarnation_ended(move |former| connections.discard(former.member.cache));
+    let upstream = Upstream {
+        members: servers.clone(),
+        pool: pool.clone(),
+        clock: clock.clone(),
+        dial_time_out: Duration::from_micros(decoded.dial_time_out),
+    };
+    let reports = decoded.reports.clone();
+    let upstream = load_reports::start(reports, settings, &mut event_loop, &handle, upstream)?;
+    let core = Core::new(CoreSetup {
+        event_loop: handle,
+        clock: clock.clone(),
+        buffers: BufferPool::new(config.bounds.buffers),
+        servers: servers.clone(),
+        upstream,
+        retry_after: own_retry_after(settings),
+        warm_up: Duration::from_micros(settings.longest_slow_start()),
+        max_open: config.bounds.open,
+    });
+    Ok((event_loop, core))
+}
+
 fn enforce_limits(core: &Core, table: LimitSet, decoded: &Decoded) {
     let settings = &decoded.settings;
     let idempotency: Vec<RetrySafety> = settings
--- a/edge/proxy/src/server/endpoints.rs
+++ b/edge/proxy/src/server/endpoints.rs
@@ -2,7 +2,7 @@
 
 use super::checked::Checked;
 use super::decisions::Decisions;
-use super::StartError;
+use super::error::StartError;
 use crate::admin::MaintenanceRegistry;
 use crate::backoff::Backoff;
 use crate::hierarchy::{ActiveHierarchy, Zones};
--- a/edge/proxy/src/server/serving.rs
+++ b/edge/proxy/src/server/serving.rs
@@ -3,9 +3,10 @@
 use super::checked::Checked;
 use super::decisions::Decisions;
 use super::endpoints::Endpoints;
-use super::{outcome_log, StartError};
+use super::error::StartError;
+use super::outcome_log;
 use crate::admin::{self, Admin};
-use crate::config::ConfigFiles;
+use crate::config::{Config, ConfigFiles};
 use crate::drain::{time_until_kill, ClientListener, Drain, ANSWER_MARGIN, MAX_DRAIN};
 use crate::fleet;
 use crate::reload::{client_classes, Reloader};
@@ -18,7 +19,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64};
 use std::sync::{Arc, OnceLock, RwLock};
 use std::thread::JoinHandle;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 /// Stack of the thread that waits for the external processor's streams to end (bytes).
 const PROCESSOR_DRAIN_STACK: usize = 512 * 1024;
@@ -69,10 +70,7 @@
             conf_loaded: AtomicU64::new(0),
             conf_invalid: AtomicU64::new(0),
         });
-        if let Some(address) = checked.config.operator {
-            let bound = admin::serve(address, admin.clone(), checked.config.bounds.operator)?;
-            tracing::info!("admin interface on {bound}");
-        }
+        serve_admin(&checked.config, &admin)?;
         outcome_log::start(core.clone(), decisions.pool)?;
         let limited_classes = has_limits.then(|| client_classes(&checked.classes));
         let reloader = Reloader {
@@ -127,10 +125,11 @@
         }
     }
 
-    /// By the classes now in service: a reload may have brought other deadlines (us).
-    fn longest_deadline(&self) -> u64 {
+    /// By the classes now in service: a reload may have brought other deadlines.
+    fn longest_deadline(&self) -> Duration {
         let classes = self.front.classes();
-        classes.iter().map(|class| class.longest).max().unwrap_or(0)
+        let longest_us = classes.iter().map(|class| class.longest).max();
+        Duration::from_micros(longest_us.unwrap_or(0))
     }
 }
 
@@ -148,6 +147,16 @@
     Ok(processor)
 }
 
+/// Listens for operators, where the configuration says so.
+fn serve_admin(config: &Config, admin: &Arc<Admin>) -> Result<(), StartError> {
+    let Some(address) = config.operator else {
+        return Ok(());
+    };
+    let bound = admin::serve(address, admin.clone(), config.bounds.operator)?;
+    tracing::info!("admin interface on {bound}");
+    Ok(())
+}
+
 fn new_front(checked: &Checked, core: &Arc<Core>, endpoints: &Endpoints) -> Arc<Front> {
     Arc::new(Front {
         leave_by: Arc::new(OnceLock::new()),
--- a/edge/proxy/tests/common/running.rs
+++ b/edge/proxy/tests/common/admin_process.rs
@@ -1,4 +1,4 @@
-//! The program with its operator line, as the operators' days start and ask it.
+//! The program with its admin interface.
 #![allow(dead_code)]
 
 use crate::common;
@@ -10,21 +10,21 @@
 
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
-pub struct Running {
+pub struct AdminProcess {
     pub child: Child,
     pub log: Receiver<String>,
     pub serves: SocketAddr,
     pub operator: SocketAddr,
 }
 
-impl Drop for Running {
+impl Drop for AdminProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-impl Running {
+impl AdminProcess {
     /// What the log says of a reload of `file` with this text.
     pub fn reload(&self, file: &std::path::Path, text: &str) -> String {
         std::fs::write(file, text).unwrap();
@@ -40,7 +40,7 @@
 }
 
 /// Starts the program on `config`, its client address overridden by `listen` where given.
-pub fn start(config: &std::path::Path, listen: Option<SocketAddr>) -> Result<Running, String> {
+pub fn start(config: &std::path::Path, listen: Option<SocketAddr>) -> Result<AdminProcess, String> {
     start_in(config, listen, None)
 }
 
@@ -49,7 +49,7 @@
     config: &std::path::Path,
     listen: Option<SocketAddr>,
     tmp: Option<&std::path::Path>,
-) -> Result<Running, String> {
+) -> Result<AdminProcess, String> {
     let mut command = common::command(&["serve"]);
     command
         .env("GW_CONFIG", config)
@@ -65,7 +65,7 @@
 }
 
 /// Starts the program by this command; once it serves and its operator line does.
-pub fn spawned(mut command: Command) -> Result<Running, String> {
+pub fn spawned(mut command: Command) -> Result<AdminProcess, String> {
     let mut child = command.stderr(Stdio::piped()).spawn().expect("the program");
     let mut lines = BufReader::new(child.stderr.take().unwrap())
         .lines()
@@ -86,7 +86,7 @@
     }
     let (told, log) = channel();
     std::thread::spawn(move || lines.for_each(|line| drop(told.send(line))));
-    Ok(Running {
+    Ok(AdminProcess {
         child,
         log,
         serves: serves.unwrap(),
--- a/edge/proxy/tests/common/dns.rs
+++ b/edge/proxy/tests/common/dns_front.rs
@@ -1,4 +1,4 @@
-//! A DNS front on a desk of its own, and a client of it.
+//! A DNS front on an event loop of its own, and a client of it.
 #![allow(dead_code)]
 
 use crate::common;
@@ -33,7 +33,7 @@
     pub zone: String,
 }
 
-/// A desk with two caches, a parent and the origin, and the DNS front that `setup` describes.
+/// An event loop with two caches, a parent and the origin, and the DNS front that `setup` describes.
 pub fn rig(zone: &str, more: &str, most: usize) -> Rig {
     limited(zone, more, most, "")
 }
--- a/edge/proxy/tests/common/cache.rs
+++ b/edge/proxy/tests/common/fake_cache.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use crate::common;
-use crate::watch::{accept, PATIENCE};
+use crate::fake_journal::{accept, PATIENCE};
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
--- a/edge/proxy/tests/common/watch.rs
+++ b/edge/proxy/tests/common/fake_journal.rs
@@ -9,7 +9,7 @@
 /// Longer than anything takes; it ends a test that waits for what never comes.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
-pub struct Service {
+pub struct FakeJournal {
     listener: TcpListener,
 }
 
@@ -124,13 +124,13 @@
     stream
 }
 
-impl Service {
-    pub fn start() -> Service {
-        Service::at(SocketAddr::from(([127, 0, 0, 1], 0)))
+impl FakeJournal {
+    pub fn start() -> FakeJournal {
+        FakeJournal::at(SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
-    pub fn at(address: SocketAddr) -> Service {
-        Service {
+    pub fn at(address: SocketAddr) -> FakeJournal {
+        FakeJournal {
             listener: TcpListener::bind(address).unwrap(),
         }
     }
--- a/edge/proxy/tests/common/faults.rs
+++ b/edge/proxy/tests/common/fault_injection.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use crate::common::command;
-use crate::steps::{Attempt, Client, Rig};
+use crate::test_proxy::{Attempt, Client, TestProxy};
 use std::io::Write;
 use std::ops::{Deref, DerefMut};
 use std::path::PathBuf;
@@ -23,20 +23,20 @@
 
 /// A program under faults, and the trace of those that were injected.
 pub struct Faulty {
-    rig: Rig,
+    proxy: TestProxy,
     trace: tempfile::NamedTempFile,
 }
 
 impl Deref for Faulty {
-    type Target = Rig;
-    fn deref(&self) -> &Rig {
-        &self.rig
+    type Target = TestProxy;
+    fn deref(&self) -> &TestProxy {
+        &self.proxy
     }
 }
 
 impl DerefMut for Faulty {
-    fn deref_mut(&mut self) -> &mut Rig {
-        &mut self.rig
+    fn deref_mut(&mut self) -> &mut TestProxy {
+        &mut self.proxy
     }
 }
 
@@ -104,7 +104,7 @@
         .env("FOLDMUX_FAULT_TRACE", trace.path());
     // The program has read the file once it serves.
     Faulty {
-        rig: Rig::start_by(program, change),
+        proxy: TestProxy::start_by(program, change),
         trace,
     }
 }
--- a/edge/proxy/tests/common/holding.rs
+++ b/edge/proxy/tests/common/held_attempts.rs
@@ -16,9 +16,9 @@
 pub const BODY: &[u8] = b"ok";
 
 /// One request as a client waits for it.
-pub struct Asked(Receiver<std::io::Result<Said>>);
+pub struct PendingResponse(Receiver<std::io::Result<Said>>);
 
-impl Asked {
+impl PendingResponse {
     /// The answer; `None` where the connection ended without one.
     pub fn said(self) -> Option<Said> {
         self.0.recv_timeout(PATIENCE).expect("an end").ok()
@@ -26,14 +26,14 @@
 }
 
 /// Asks for an object on a connection of its own; the client would wait for 20 s.
-pub fn ask(serves: SocketAddr, class: &str, object: u64) -> Asked {
+pub fn ask(serves: SocketAddr, class: &str, object: u64) -> PendingResponse {
     let (told, heard) = channel();
     let class = class.to_string();
     std::thread::spawn(move || {
         let mut terminal = Terminal::connect(serves, PATIENCE).unwrap();
         let _ = told.send(terminal.ask(&class, &fields(object), &[]));
     });
-    Asked(heard)
+    PendingResponse(heard)
 }
 
 fn fields(object: u64) -> BTreeMap<&'static str, String> {
--- a/edge/proxy/tests/common/place.rs
+++ b/edge/proxy/tests/common/journal_follower.rs
@@ -1,8 +1,8 @@
-//! The watch with its desk in this process: a real journal service's socket at one end, the members at the other.
+//! The journal client and its event loop in this process: a real journal service's socket at one end, the members at the other.
 #![allow(dead_code)]
 
 use crate::common;
-use crate::watch::PATIENCE;
+use crate::fake_journal::PATIENCE;
 use foldmux::interface::MemberState;
 use foldmux::Router;
 use foldmux_core::clock::Clock;
@@ -16,7 +16,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-pub struct Place {
+pub struct JournalFollower {
     pub members: Arc<ServerList>,
     pub service: Arc<JournalService>,
     /// A whole list is in.
@@ -25,9 +25,9 @@
     ended: Arc<Mutex<Vec<String>>>,
 }
 
-impl Place {
-    /// With these events known, it watches the journal service at this address.
-    pub fn start(address: SocketAddr, known: &str) -> Place {
+impl JournalFollower {
+    /// With these events known, it follows the journal service at this address.
+    pub fn start(address: SocketAddr, known: &str) -> JournalFollower {
         let decoded = foldmux_settings::parse(common::SETTINGS).unwrap();
         let (clock, members) = (Clock::default(), Arc::new(ServerList::default()));
         let (mut desk, handle) = EventLoop::new(
@@ -54,7 +54,7 @@
         let service = Arc::new(JournalService::new(Some(address)));
         let followed = service.clone();
         std::thread::spawn(move || journal.follow(&followed, Backoff::new(1)));
-        Place {
+        JournalFollower {
             members,
             service,
             listed,
@@ -73,7 +73,7 @@
             .map(|listed| listed.member.state)
     }
 
-    /// Returns once the desk has taken a list with this member, and so all that was told before it.
+    /// Returns once the event loop has applied a list with this member, and so all that was told before it.
     pub fn knows(&self, id: u32) {
         let until = Instant::now() + PATIENCE;
         while self.state(id).is_none() {
--- a/edge/proxy/tests/common/mod.rs
+++ b/edge/proxy/tests/common/mod.rs
@@ -15,9 +15,9 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-pub use bytes::*;
+pub use transcript::*;
 
-mod bytes;
+mod transcript;
 
 /// Longer than anything takes; it ends a test that waits for what never comes.
 const PATIENCE: Duration = Duration::from_secs(30);
--- a/edge/proxy/tests/common/steps.rs
+++ b/edge/proxy/tests/common/test_proxy.rs
@@ -9,17 +9,17 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-pub use calls::*;
+pub use rpc_calls::*;
 
-#[path = "calls.rs"]
-mod calls;
+#[path = "rpc_calls.rs"]
+mod rpc_calls;
 
 /// Longer than anything takes; it ends a test that waits for what never comes.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 /// The class's deadline (us): far beyond `PATIENCE`.
 const DEADLINE: &str = "\"hardLimit\":300000000";
 
-pub struct Rig {
+pub struct TestProxy {
     pub program: Program,
     pub serves: SocketAddr,
     pub config: String,
@@ -28,23 +28,23 @@
     _journal: TcpListener,
 }
 
-impl Rig {
-    pub fn start() -> Rig {
-        Rig::start_with(|config| config)
+impl TestProxy {
+    pub fn start() -> TestProxy {
+        TestProxy::start_with(|config| config)
     }
 
     /// With another configuration, made from the usual one.
-    pub fn start_with(change: impl FnOnce(String) -> String) -> Rig {
-        Rig::start_by(common::command(&["serve"]), change)
+    pub fn start_with(change: impl FnOnce(String) -> String) -> TestProxy {
+        TestProxy::start_by(common::command(&["serve"]), change)
     }
 
     /// With another configuration, by this command.
-    pub fn start_by(command: Command, change: impl FnOnce(String) -> String) -> Rig {
+    pub fn start_by(command: Command, change: impl FnOnce(String) -> String) -> TestProxy {
         let (caches, journal) = (common::listener(), common::listener());
         let config = common::config(caches.local_addr().unwrap(), journal.local_addr().unwrap());
         let config = change(config.replace("\"hardLimit\":30000000", DEADLINE));
         let (program, [serves, _]) = common::start_by(command, &config);
-        Rig {
+        TestProxy {
             program,
             serves: serves.expect("an address"),
             config,
--- a/edge/proxy/tests/descriptors.rs
+++ b/edge/proxy/tests/descriptors.rs
@@ -1,26 +1,26 @@
 //! Idle clients, open requests and idle operators together ask for more descriptors than the process has, while discovery
-//! is down: what is kept back for discovery, caches and the operator line remains, and all goes on without a restart.
+//! is down: what is kept back for discovery, caches and the admin interface remains, and all goes on without a restart.
 
+use admin_process::{call, spawned, AdminProcess, PATIENCE};
 use foldmux_fakes::rpc::{Said, Terminal};
-use holding::{ask, Attempt, BODY};
-use running::{call, spawned, Running, PATIENCE};
+use held_attempts::{ask, Attempt, BODY};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
 use std::process::Command;
 
+#[path = "common/admin_process.rs"]
+mod admin_process;
 mod common;
-#[path = "common/holding.rs"]
-mod holding;
-#[path = "common/running.rs"]
-mod running;
+#[path = "common/held_attempts.rs"]
+mod held_attempts;
 
 /// The process's limit on descriptors, also as its configuration says.
 const DESCRIPTORS: usize = 128;
-/// More connections than any part may have: idle clients, idle callers of the operator line.
+/// More connections than any part may have: idle clients, idle callers of the admin interface.
 const MANY: usize = 150;
 /// Numbers that the system gives out ahead, to a thread that waits in `accept`, and that no list of descriptors shows: that of
-/// the operator line, which waits there without a limit.
+/// the admin interface, which waits there without a limit.
 const GIVEN_AHEAD: usize = 1;
 /// The system's name for a listening socket.
 const LISTEN: &str = "0A";
@@ -28,7 +28,7 @@
 const OPEN: u64 = 40;
 
 /// The program under the limit.
-fn start(config: &Path) -> Running {
+fn start(config: &Path) -> AdminProcess {
     let mut command = Command::new("sh");
     let script = format!("ulimit -n {DESCRIPTORS} && exec \"$0\" serve");
     command.args(["-c", &script, env!("CARGO_BIN_EXE_foldmux")]);
@@ -47,7 +47,7 @@
     spawned(command).expect("it serves")
 }
 
-fn descriptors(running: &Running) -> usize {
+fn descriptors(running: &AdminProcess) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", running.child.id()))
         .unwrap()
         .count()
@@ -66,7 +66,7 @@
 }
 
 /// Whether the thread that takes connections is asleep at this moment.
-fn accepts_asleep(running: &Running) -> bool {
+fn accepts_asleep(running: &AdminProcess) -> bool {
     let tasks = std::fs::read_dir(format!("/proc/{}/task", running.child.id())).unwrap();
     let stats =
         tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("stat")).ok());
@@ -116,7 +116,7 @@
         asked.push(ask(running.serves, "sheet", object));
         attempts.push(Attempt::next(&caches));
     }
-    // Idle ones, at the front and at the operator line: far more than there are places for.
+    // Idle ones, at the front and at the admin interface: far more than there are places for.
     let idle: Vec<TcpStream> = (0..MANY).filter_map(|_| dial(running.serves)).collect();
     let operators: Vec<TcpStream> = (0..MANY).filter_map(|_| dial(running.operator)).collect();
     // One without a place is told so: the line still takes connections.
--- a/edge/proxy/tests/dns.rs
+++ b/edge/proxy/tests/dns.rs
@@ -1,17 +1,17 @@
 //! The DNS front's answers: placements, refusals, limits, what is too long for UDP.
 
+use dns_front::*;
 use foldmux::interface::MemberState;
 use foldmux_core::limits::Occupancy;
 use foldmux_core::messages::Command;
 use foldmux_core::servers::Server;
-use front::*;
 use hickory_proto::op::{Message, Query, ResponseCode};
 use hickory_proto::rr::{Name, RData, RecordType};
 use std::net::TcpStream;
 
 mod common;
-#[path = "common/dns.rs"]
-mod front;
+#[path = "common/dns_front.rs"]
+mod dns_front;
 
 #[test]
 fn a_name_is_answered_with_a_placement_over_udp_and_tcp() {
--- a/edge/proxy/tests/dns_resolvers.rs
+++ b/edge/proxy/tests/dns_resolvers.rs
@@ -1,9 +1,9 @@
 //! The DNS front against stand-ins written here: resolvers that keep answers, one obeying the time to live and one not, and
 //! callers that prove an identity. Nothing is timed: what is asserted is the order of what happens.
 
+use dns_front::*;
 use foldmux::interface::MemberState;
 use foldmux_fakes::issuer::{Authority, Svid};
-use front::*;
 use hickory_proto::op::{Message, MessageType, OpCode, ResponseCode};
 use hickory_proto::rr::RecordType;
 use rustls::pki_types::ServerName;
@@ -11,8 +11,8 @@
 use std::net::{TcpStream, UdpSocket};
 
 mod common;
-#[path = "common/dns.rs"]
-mod front;
+#[path = "common/dns_front.rs"]
+mod dns_front;
 
 /// A resolver that keeps answers, and lets go of all of them when it is notified.
 struct Resolver {
--- a/edge/proxy/tests/lists.rs
+++ b/edge/proxy/tests/endpoint_lists.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// What the desk has once it took all: the members, and how many starts ended.
+    /// What the event loop has once it applied all: the members, and how many starts ended.
     fn end(self) -> (Arc<ServerList>, usize) {
         drop(self.journal);
         self.desk.join().unwrap();
--- a/edge/proxy/tests/floods.rs
+++ b/edge/proxy/tests/floods.rs
@@ -3,11 +3,11 @@
 
 use std::io::Read;
 use std::time::{Duration, Instant};
-use steps::{binary, call_of, Rig, PATIENCE, WAIT_MS};
+use test_proxy::{binary, call_of, TestProxy, PATIENCE, WAIT_MS};
 
 mod common;
-#[path = "common/steps.rs"]
-mod steps;
+#[path = "common/test_proxy.rs"]
+mod test_proxy;
 
 const ONE: u64 = 0x1111_0000_0000_0001;
 const TWO: u64 = 0x2222_0000_0000_0002;
@@ -19,23 +19,23 @@
 /// What clients wait for the short ones (ms): time for all attempts to arrive and be answered.
 const SHORT_MS: u32 = 5_000;
 
-fn served(rig: &Rig, object: u64) {
-    let mut client = rig.client();
+fn served(proxy: &TestProxy, object: u64) {
+    let mut client = proxy.client();
     client.ask(object);
-    rig.attempt().give(b"ok");
+    proxy.attempt().give(b"ok");
     let answer = client.answer();
     assert!(answer.contains("\\xc4\\x02ok"), "{answer}");
 }
 
 #[test]
 fn calls_beyond_the_open_ones_are_refused_and_all_end_with_their_client() {
-    let rig = Rig::start();
-    let mut client = rig.client();
+    let proxy = TestProxy::start();
+    let mut client = proxy.client();
     let calls: Vec<u8> = (0..OPEN + 8)
-        .flat_map(|n| steps::call(n as u32 + 1, ONE + n))
+        .flat_map(|n| test_proxy::call(n as u32 + 1, ONE + n))
         .collect();
     client.send(&calls);
-    let mut attempts: Vec<_> = (0..OPEN).map(|_| rig.attempt()).collect();
+    let mut attempts: Vec<_> = (0..OPEN).map(|_| proxy.attempt()).collect();
     for _ in 0..8 {
         let answer = client.answer();
         assert!(answer.contains("Shed"), "{answer}");
@@ -44,30 +44,31 @@
     attempts
         .iter_mut()
         .for_each(|attempt| attempt.is_given_up());
-    served(&rig, TWO);
-    assert_eq!(rig.waiting_attempts(), 0);
+    served(&proxy, TWO);
+    assert_eq!(proxy.waiting_attempts(), 0);
 }
 
 #[test]
 fn a_call_that_comes_byte_by_byte_is_served() {
-    let rig = Rig::start();
-    let mut client = rig.client();
+    let proxy = TestProxy::start();
+    let mut client = proxy.client();
     client.stream.get_ref().set_nodelay(true).unwrap();
-    steps::call(1, ONE)
+    test_proxy::call(1, ONE)
         .iter()
         .for_each(|byte| client.send(&[*byte]));
-    rig.attempt().give(b"ok");
+    proxy.attempt().give(b"ok");
     assert!(client.answer().contains("\\xc4\\x02ok"));
 }
 
 #[test]
 fn large_bodies_half_sent_and_gone_leave_their_buffers() {
     // 16 MB: 44 buffers, of which bodies may have 11.
-    let rig = Rig::start_with(|config| config.replace("\"memory_mb\":192", "\"memory_mb\":16"));
+    let proxy =
+        TestProxy::start_with(|config| config.replace("\"memory_mb\":192", "\"memory_mb\":16"));
     let key = [("k", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211")];
     let call = |object| call_of("record", 1, object, WAIT_MS, &key, &binary(BODY));
     for n in 0..4 {
-        let mut halves: Vec<_> = (0..11).map(|_| rig.client()).collect();
+        let mut halves: Vec<_> = (0..11).map(|_| proxy.client()).collect();
         for (m, client) in halves.iter_mut().enumerate() {
             client.send(&call(ONE + 16 * n + m as u64));
             client.send(&[1; BODY as usize / 2]);
@@ -80,10 +81,10 @@
     }
     // Their readers have heard of their ends once all buffers are back; until then a body is refused.
     until("a buffer comes back", || {
-        let mut client = rig.client();
+        let mut client = proxy.client();
         client.send(&[&call(TWO)[..], &vec![1; BODY as usize]].concat());
         loop {
-            if let Some(mut attempt) = rig.attempt_now() {
+            if let Some(mut attempt) = proxy.attempt_now() {
                 assert_eq!(attempt.field("Content-Length"), BODY.to_string());
                 attempt
                     .stream
@@ -112,30 +113,30 @@
 
 #[test]
 fn a_client_that_reads_nothing_holds_no_answer_beyond_its_own_time_and_delays_no_other() {
-    let rig = Rig::start();
-    let mut deaf = rig.client();
+    let proxy = TestProxy::start();
+    let mut deaf = proxy.client();
     // Answers that wait long, more than the sockets' buffers hold, and behind them some that wait for seconds.
     let long = OPEN - 8;
     for n in 0..OPEN {
         let wait = if n < long { WAIT_MS } else { SHORT_MS };
         deaf.send(&call_of("sheet", n as u32 + 1, ONE + n, wait, &[], &[0xc0]));
     }
-    let mut attempts: Vec<_> = (0..OPEN).map(|_| rig.attempt()).collect();
+    let mut attempts: Vec<_> = (0..OPEN).map(|_| proxy.attempt()).collect();
     attempts.sort_by_key(|attempt| attempt.field("Via-Wait").parse::<u32>().unwrap() < SHORT_MS);
     // Each connection to the cache closes behind its answer: none is used again.
     attempts
         .into_iter()
         .for_each(|mut attempt| attempt.give(&vec![7; LARGE]));
-    served(&rig, TWO);
+    served(&proxy, TWO);
     for n in long..OPEN {
-        until("a short one ends", || rig.is_over(ONE + n));
+        until("a short one ends", || proxy.is_over(ONE + n));
     }
     assert!(
-        (0..long).any(|n| !rig.is_over(ONE + n)),
+        (0..long).any(|n| !proxy.is_over(ONE + n)),
         "the sockets' buffers took all: nothing was forced"
     );
     drop(deaf);
     for n in 0..long {
-        until("all end with their client", || rig.is_over(ONE + n));
+        until("all end with their client", || proxy.is_over(ONE + n));
     }
 }
--- a/edge/proxy/tests/watch_drains.rs
+++ b/edge/proxy/tests/journal_drains.rs
@@ -1,18 +1,18 @@
 //! A drain, an end or another holder of the address that is told between the choice of a cache and the first byte.
 
-use cache::Cache;
-use client::Client;
+use fake_cache::Cache;
+use fake_journal::*;
 use std::net::{SocketAddr, TcpStream};
 use std::time::Instant;
-use watch::*;
+use test_client::Client;
 
-#[path = "common/cache.rs"]
-mod cache;
-#[path = "common/client.rs"]
-mod client;
 mod common;
-#[path = "common/watch.rs"]
-mod watch;
+#[path = "common/fake_cache.rs"]
+mod fake_cache;
+#[path = "common/fake_journal.rs"]
+mod fake_journal;
+#[path = "common/test_client.rs"]
+mod test_client;
 
 /// The dial may hang for this long (us) in place of the settings' time: far beyond what the test needs to release it.
 const DIAL_TIME_OUT: [&str; 2] = [r#""dialTimeout":400000"#, r#""dialTimeout":20000000"#];
@@ -39,7 +39,7 @@
 
 /// One pop cache, its parent and the origin; a request has been decided, and its dial hangs.
 fn held_in_the_dial() -> Scene {
-    let (cache, hubs, service) = (Cache::start(), Cache::start(), Service::start());
+    let (cache, hubs, service) = (Cache::start(), Cache::start(), FakeJournal::start());
     let lines = [
         Line::pop_cache(1, cache.address()),
         Line::hub(2, "parent", hubs.address()),
@@ -119,7 +119,7 @@
 
 /// A connection that rests at a cache is closed, and not used again, once another start holds the address.
 fn rests_until_taken_over(taker: impl Fn(Line) -> Line) {
-    let (cache, hub, service) = (Cache::start(), Cache::start(), Service::start());
+    let (cache, hub, service) = (Cache::start(), Cache::start(), FakeJournal::start());
     let lines = [
         Line::pop_cache(1, cache.address()),
         Line::hub(3, "origin", hub.address()),
--- a/edge/proxy/tests/watch_lists.rs
+++ b/edge/proxy/tests/journal_lists.rs
@@ -1,17 +1,17 @@
-//! Whole, old, repeated, torn and renumbered lists, each told over a real socket to a watch with its desk behind it.
+//! Whole, old, repeated, torn and renumbered lists, each told over a real socket to a journal client with its event loop behind it.
 
+use fake_journal::*;
 use foldmux::interface::MemberState;
-use place::Place;
+use journal_follower::JournalFollower;
 use std::net::SocketAddr;
-use watch::*;
 
 mod common;
-#[path = "common/place.rs"]
-mod place;
-#[path = "common/watch.rs"]
-mod watch;
+#[path = "common/fake_journal.rs"]
+mod fake_journal;
+#[path = "common/journal_follower.rs"]
+mod journal_follower;
 
-/// A member that no event but the last of a test tells of: once it is listed, the desk has taken all before it.
+/// A member that no event but the last of a test tells of: once it is listed, the event loop has applied all before it.
 const LAST: u32 = 99;
 
 fn member(id: u32) -> Line {
@@ -32,9 +32,9 @@
     ids.iter().map(|id| member(*id).name()).collect()
 }
 
-/// A watch that has taken the history, and its next call.
-fn watched(service: &Service) -> (Place, Call) {
-    let place = Place::start(service.address(), &feed(1, &history()[..1]));
+/// A journal client that has applied the history, and its next call.
+fn watched(service: &FakeJournal) -> (JournalFollower, Call) {
+    let follower = JournalFollower::start(service.address(), &feed(1, &history()[..1]));
     let first = service.call();
     assert_eq!(first.tail, 1);
     let mut call = first;
@@ -42,20 +42,20 @@
         call = call.answer(event, &history()[event as usize - 1..event as usize]);
         assert_eq!(call.tail, event);
     }
-    (place, call)
+    (follower, call)
 }
 
-/// Tells the last member, and returns once the desk has it.
-fn tell_last(place: &Place, call: Call, pos: u64) {
+/// Tells the last member, and returns once the event loop has it.
+fn tell_last(follower: &JournalFollower, call: Call, pos: u64) {
     let next = call.answer(pos, &[hosts(pos, false, &[member(LAST)])]);
     assert_eq!(next.tail, pos);
-    place.knows(LAST);
+    follower.knows(LAST);
 }
 
 #[test]
 fn a_service_that_numbers_anew_is_asked_from_the_first_and_told_as_one_list() {
-    let service = Service::start();
-    let (place, mut call) = watched(&service);
+    let service = FakeJournal::start();
+    let (follower, mut call) = watched(&service);
     // Its numbers have begun again: this alone changes nothing, and the next call asks for all on another connection.
     call.write(&answer(&feed(2, &[])));
     let recount = service.call();
@@ -73,13 +73,13 @@
     ];
     let call = recount.answer(3, &anew);
     assert_eq!(call.tail, 3);
-    tell_last(&place, call, 4);
+    tell_last(&follower, call, 4);
     assert_eq!(
-        place.ended(),
+        follower.ended(),
         names(&[1, 3, 2]),
         "neither the first nor the third was ready again"
     );
-    let states = [1, 2, 3, 4].map(|id| place.state(id));
+    let states = [1, 2, 3, 4].map(|id| follower.state(id));
     assert_eq!(
         states,
         [
@@ -93,30 +93,30 @@
 
 #[test]
 fn an_old_answer_told_again_is_no_new_numbering() {
-    let service = Service::start();
-    let (place, mut call) = watched(&service);
+    let service = FakeJournal::start();
+    let (follower, mut call) = watched(&service);
     call.write(&answer(&feed(1, &history()[..1])));
     let recount = service.call();
     assert_eq!(recount.tail, 0);
     call.closed();
     let call = recount.answer(4, &history());
     assert_eq!(call.tail, 4, "it goes on from where it was");
-    tell_last(&place, call, 5);
+    tell_last(&follower, call, 5);
     assert_eq!(
-        place.ended(),
+        follower.ended(),
         names(&[1, 3]),
         "nothing came up or ended for it"
     );
     assert_eq!(
-        [1, 2, 3].map(|id| place.state(id)),
+        [1, 2, 3].map(|id| follower.state(id)),
         [Some(MemberState::Draining), Some(MemberState::Ready), None]
     );
 }
 
 #[test]
 fn a_new_numbering_is_taken_from_a_whole_telling_alone() {
-    let service = Service::start();
-    let (place, mut call) = watched(&service);
+    let service = FakeJournal::start();
+    let (follower, mut call) = watched(&service);
     let whole = hosts(1, true, &[member(2)]);
     let torn = [
         // Its first event, one within, or its last is missing; it has no whole list; it is out of order.
@@ -150,9 +150,9 @@
         )],
     );
     assert_eq!(call.tail, 1);
-    tell_last(&place, call, 2);
-    assert_eq!(place.ended(), names(&[1, 3]));
-    let states = [1, 2, 3, 4].map(|id| place.state(id));
+    tell_last(&follower, call, 2);
+    assert_eq!(follower.ended(), names(&[1, 3]));
+    let states = [1, 2, 3, 4].map(|id| follower.state(id));
     assert_eq!(
         states,
         [
@@ -166,8 +166,8 @@
 
 #[test]
 fn events_told_in_one_answer_are_one_list() {
-    let service = Service::start();
-    let (place, call) = watched(&service);
+    let service = FakeJournal::start();
+    let (follower, call) = watched(&service);
     // The first comes back and drains once more, the second restarts, the third returns; all is told late, in one answer.
     let again = Line {
         since_ms: 1_764_576_000_000,
@@ -185,13 +185,13 @@
     ];
     let call = call.answer(8, &events);
     assert_eq!(call.tail, 8);
-    tell_last(&place, call, 9);
+    tell_last(&follower, call, 9);
     assert_eq!(
-        place.ended(),
+        follower.ended(),
         names(&[1, 3, 2]),
         "the first was not ready in between, the second ended once"
     );
-    let states = [1, 2, 3].map(|id| place.state(id));
+    let states = [1, 2, 3].map(|id| follower.state(id));
     assert_eq!(
         states,
         [
@@ -204,8 +204,8 @@
 
 #[test]
 fn a_whole_list_leaves_none_that_it_does_not_name() {
-    let service = Service::start();
-    let (place, call) = watched(&service);
+    let service = FakeJournal::start();
+    let (follower, call) = watched(&service);
     let call = call.answer(5, &[hosts(5, true, &[member(1), member(4)])]);
     assert_eq!(call.tail, 5);
     // An older list told again under its own number, alone or before what follows, changes nothing.
@@ -216,9 +216,9 @@
         &[&history()[..], &[hosts(5, true, &[member(2)]), purge(6, 1)]].concat(),
     );
     assert_eq!(call.tail, 6);
-    tell_last(&place, call, 7);
-    assert_eq!(place.ended(), names(&[1, 3, 2]));
-    let states = [1, 2, 3, 4].map(|id| place.state(id));
+    tell_last(&follower, call, 7);
+    assert_eq!(follower.ended(), names(&[1, 3, 2]));
+    let states = [1, 2, 3, 4].map(|id| follower.state(id));
     assert_eq!(
         states,
         [
@@ -232,8 +232,8 @@
 
 #[test]
 fn a_torn_answer_changes_nothing_and_is_asked_for_again() {
-    let service = Service::start();
-    let (place, mut call) = watched(&service);
+    let service = FakeJournal::start();
+    let (follower, mut call) = watched(&service);
     let gone = |pos| hosts(pos, false, &[member(2).now("gone")]);
     let empty = hosts(5, true, &[]);
     let whole = answer(&feed(5, &[gone(5)]));
@@ -258,24 +258,24 @@
         call = service.call();
         assert_eq!(call.tail, 4, "{text}");
     }
-    tell_last(&place, call, 5);
-    assert_eq!(place.ended(), names(&[1, 3]));
+    tell_last(&follower, call, 5);
+    assert_eq!(follower.ended(), names(&[1, 3]));
     assert_eq!(
-        [1, 2, 3].map(|id| place.state(id)),
+        [1, 2, 3].map(|id| follower.state(id)),
         [Some(MemberState::Draining), Some(MemberState::Ready), None]
     );
 }
 
 #[test]
 fn an_answer_that_nobody_asked_for_is_none_to_the_next_call() {
-    let service = Service::start();
-    let (place, mut call) = watched(&service);
+    let service = FakeJournal::start();
+    let (follower, mut call) = watched(&service);
     // Two answers to one call: the second is what a later call would read first. The connection is given up.
     let taken = answer(&feed(5, &[purge(5, 1)]));
     call.write(&(taken + &answer(&feed(6, &[hosts(6, false, &[member(2).now("gone")])]))));
     let next = service.call();
     assert_eq!(next.tail, 5);
     call.closed();
-    tell_last(&place, next, 6);
-    assert_eq!(place.state(2), Some(MemberState::Ready));
+    tell_last(&follower, next, 6);
+    assert_eq!(follower.state(2), Some(MemberState::Ready));
 }
--- a/edge/proxy/tests/watch_moves.rs
+++ b/edge/proxy/tests/journal_moves.rs
@@ -1,14 +1,14 @@
 //! The journal service moves to another address while an answer of the old one is on its way.
 
-use place::Place;
+use fake_journal::*;
+use journal_follower::JournalFollower;
 use std::net::SocketAddr;
-use watch::*;
 
 mod common;
-#[path = "common/place.rs"]
-mod place;
-#[path = "common/watch.rs"]
-mod watch;
+#[path = "common/fake_journal.rs"]
+mod fake_journal;
+#[path = "common/journal_follower.rs"]
+mod journal_follower;
 
 /// Members of an answer that takes some milliseconds to be decoded, close under the longest answer.
 const MANY: u32 = 6_000;
@@ -30,13 +30,13 @@
         old_answer.len()
     );
     for round in 0..ROUNDS {
-        let (old, new) = (Service::start(), Service::start());
-        let place = Place::start(old.address(), &feed(0, &[]));
+        let (old, new) = (FakeJournal::start(), FakeJournal::start());
+        let follower = JournalFollower::start(old.address(), &feed(0, &[]));
         let mut call = old.call();
         assert_eq!(call.tail, 0);
         call.write(&old_answer);
-        place.service.move_to(Some(new.address()));
-        let taken = place.is_listed() as u64;
+        follower.service.move_to(Some(new.address()));
+        let taken = follower.is_listed() as u64;
         let moved = new.call();
         assert_eq!(
             moved.tail, taken,
@@ -45,15 +45,15 @@
         // What is told at the new address follows on what was taken.
         let list = hosts(taken + 1, true, &[member(MANY + 1)]);
         assert_eq!(moved.answer(taken + 1, &[list]).tail, taken + 1);
-        place.knows(MANY + 1);
-        assert_eq!(place.state(1), None);
+        follower.knows(MANY + 1);
+        assert_eq!(follower.state(1), None);
     }
 }
 
 /// The same with the program and SIGHUP: the old address holds half an answer back until the move is logged.
 #[test]
 fn an_answer_of_the_old_address_that_ends_after_sighup_is_not_taken() {
-    let (old, new) = (Service::start(), Service::start());
+    let (old, new) = (FakeJournal::start(), FakeJournal::start());
     let known = feed(1, &[hosts(1, true, &[member(1)])]);
     let (program, _) = common::start(&config(old.address(), common::SETTINGS, &known));
     let mut call = old.call();
--- a/edge/proxy/tests/watch_silence.rs
+++ b/edge/proxy/tests/journal_silence.rs
@@ -1,19 +1,19 @@
 //! The journal service falls silent, or writes a byte now and then: one bounded wait, then another connection.
 
-use cache::Cache;
-use client::Client;
+use fake_cache::Cache;
+use fake_journal::*;
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr};
 use std::time::Duration;
-use watch::*;
+use test_client::Client;
 
-#[path = "common/cache.rs"]
-mod cache;
-#[path = "common/client.rs"]
-mod client;
 mod common;
-#[path = "common/watch.rs"]
-mod watch;
+#[path = "common/fake_cache.rs"]
+mod fake_cache;
+#[path = "common/fake_journal.rs"]
+mod fake_journal;
+#[path = "common/test_client.rs"]
+mod test_client;
 
 /// Between two bytes of an answer that never ends.
 const DRIP: Duration = Duration::from_millis(100);
@@ -23,12 +23,12 @@
     feed(1, &[hosts(1, true, &[Line::pop_cache(1, nowhere)])])
 }
 
-fn program(service: &Service) -> common::Program {
+fn program(service: &FakeJournal) -> common::Program {
     common::start(&config(service.address(), common::SETTINGS, &known())).0
 }
 
 /// The program gives the silent call up, closes its connection and asks the same on another.
-fn is_asked_again(service: &Service, silent: Call) -> Call {
+fn is_asked_again(service: &FakeJournal, silent: Call) -> Call {
     let tail = silent.tail;
     let again = service.call();
     assert_eq!(again.tail, tail);
@@ -38,7 +38,7 @@
 
 #[test]
 fn a_watch_that_is_silent_from_any_byte_of_its_answer_on_is_given_up_for_another() {
-    let service = Service::start();
+    let service = FakeJournal::start();
     let _program = program(&service);
     let whole = answer(&feed(2, &[hosts(2, true, &[])]));
     let body = whole.find("\r\n\r\n").unwrap() + 4;
@@ -79,7 +79,7 @@
     std::thread::scope(|scope| {
         for (head, text) in drips {
             scope.spawn(move || {
-                let service = Service::start();
+                let service = FakeJournal::start();
                 let _program = program(&service);
                 let mut call = service.call();
                 drip(&mut call, head, text);
@@ -92,7 +92,7 @@
 
 #[test]
 fn a_watch_that_falls_silent_after_many_answers_is_given_up_for_another() {
-    let service = Service::start();
+    let service = FakeJournal::start();
     let _program = program(&service);
     let mut call = service.call();
     for pos in 2..=14 {
@@ -105,7 +105,7 @@
 
 #[test]
 fn watches_that_all_fall_silent_at_once_are_all_given_up_for_others() {
-    let service = Service::start();
+    let service = FakeJournal::start();
     let _programs: Vec<_> = (0..4).map(|_| program(&service)).collect();
     let silent: Vec<Call> = (0..4).map(|_| service.call()).collect();
     for _ in 0..4 {
@@ -115,10 +115,10 @@
     silent.into_iter().for_each(Call::closed);
 }
 
-/// Drains that are told while the watch is silent count from the next connection's first answer on.
+/// Drains that are told while the service is silent count from the next connection's first answer on.
 #[test]
 fn a_drain_told_in_the_silence_is_known_before_the_next_request() {
-    let service = Service::start();
+    let service = FakeJournal::start();
     let (drains, stays) = (Cache::start(), Cache::start());
     let first = Line::pop_cache(1, drains.address());
     let lines = [
@@ -144,7 +144,7 @@
 /// A close behind a whole answer costs nothing of it.
 #[test]
 fn a_service_that_ends_its_connections_is_asked_again_at_once() {
-    let service = Service::start();
+    let service = FakeJournal::start();
     let _program = program(&service);
     let mut call = service.call();
     for pos in 2..=5 {
@@ -162,7 +162,7 @@
 
 #[test]
 fn a_service_that_does_not_hold_its_calls_is_asked_with_pauses() {
-    let (silent, hasty) = (Service::start(), Service::start());
+    let (silent, hasty) = (FakeJournal::start(), FakeJournal::start());
     let _waits = program(&silent);
     let held = silent.call();
     let _asks = program(&hasty);
--- a/edge/proxy/tests/watch_start.rs
+++ b/edge/proxy/tests/journal_start.rs
@@ -1,23 +1,23 @@
 //! The start without a list, and the service's return: refused until a list is known, served from then on.
 
-use cache::Cache;
-use client::Client;
+use fake_cache::Cache;
+use fake_journal::*;
 use std::net::SocketAddr;
-use watch::*;
+use test_client::Client;
 
-#[path = "common/cache.rs"]
-mod cache;
-#[path = "common/client.rs"]
-mod client;
 mod common;
-#[path = "common/watch.rs"]
-mod watch;
+#[path = "common/fake_cache.rs"]
+mod fake_cache;
+#[path = "common/fake_journal.rs"]
+mod fake_journal;
+#[path = "common/test_client.rs"]
+mod test_client;
 
 /// An address of this test's own on loopback: no other takes its port while nobody listens there.
 fn own_address(last: u8) -> SocketAddr {
     let process = std::process::id();
     let ip = [127, 224 + (process >> 8 & 15) as u8, process as u8, last];
-    Service::at(SocketAddr::from((ip, 0))).address()
+    FakeJournal::at(SocketAddr::from((ip, 0))).address()
 }
 
 fn lines(caches: SocketAddr) -> [Line; 2] {
@@ -49,7 +49,7 @@
     let (_program, address) = common::start(&config(at, common::SETTINGS, &feed(0, &[])));
     let mut client = Client::connect(address);
     refuses(&mut client);
-    let service = Service::at(at);
+    let service = FakeJournal::at(at);
     let call = service.call();
     refuses(&mut client);
     recovers(call, address);
@@ -57,7 +57,7 @@
 
 #[test]
 fn a_service_that_is_silent_or_slow_at_the_start_holds_nothing_up() {
-    let service = Service::start();
+    let service = FakeJournal::start();
     let (_program, address) =
         common::start(&config(service.address(), common::SETTINGS, &feed(0, &[])));
     let silent = service.call();
@@ -102,7 +102,7 @@
     let (program, address) = common::start(&config(at, common::SETTINGS, &known));
     // It has been refused often enough for the longest pause.
     (0..6).for_each(|_| drop(program.line("journal service: no connection")));
-    let service = Service::at(at);
+    let service = FakeJournal::at(at);
     let call = service.call();
     assert_eq!(call.tail, 1);
     assert_eq!(
--- a/edge/proxy/tests/days.rs
+++ b/edge/proxy/tests/operations.rs
@@ -1,12 +1,12 @@
-//! The operators' days by the program itself: the operator line, and a new version beside the old one.
+//! The operators' days by the program itself: the admin interface, and a new version beside the old one.
 
-use running::*;
+use admin_process::*;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 
+#[path = "common/admin_process.rs"]
+mod admin_process;
 mod common;
-#[path = "common/running.rs"]
-mod running;
 
 #[test]
 fn the_operator_line_answers_each_call_and_a_bad_line_costs_only_itself() {
--- a/edge/proxy/tests/retuned_classes.rs
+++ b/edge/proxy/tests/reload_classes.rs
@@ -1,20 +1,20 @@
 //! SIGHUP changes classes while requests are open under the old ones: each open request ends by the rules that it came
 //! with, each new one by the new, and no place of an old class is ever another's.
 
+use admin_process::{call, configured, start, AdminProcess};
 use foldmux_fakes::rpc::Said;
-use holding::{ask, Attempt, BODY};
-use running::{call, configured, start, Running};
+use held_attempts::{ask, Attempt, BODY};
 use std::net::TcpListener;
 use std::path::PathBuf;
 
+#[path = "common/admin_process.rs"]
+mod admin_process;
 mod common;
-#[path = "common/holding.rs"]
-mod holding;
-#[path = "common/running.rs"]
-mod running;
+#[path = "common/held_attempts.rs"]
+mod held_attempts;
 
 struct Place {
-    running: Running,
+    running: AdminProcess,
     file: PathBuf,
     good: String,
     caches: TcpListener,
@@ -54,7 +54,7 @@
         Attempt::next(&self.caches)
     }
 
-    fn asks(&self, class: &str, object: u64) -> holding::Asked {
+    fn asks(&self, class: &str, object: u64) -> held_attempts::PendingResponse {
         ask(self.running.serves, class, object)
     }
 
@@ -231,7 +231,8 @@
         .status()
         .unwrap()
         .success());
-    let mut lines = std::iter::from_fn(|| place.running.log.recv_timeout(running::PATIENCE).ok());
+    let mut lines =
+        std::iter::from_fn(|| place.running.log.recv_timeout(admin_process::PATIENCE).ok());
     assert!(lines.any(|line| line.contains("reload: classes sheet, receipt")));
     place.is_not_repeated("sheet", 1);
     assert!(
--- a/edge/proxy/tests/wired_reload.rs
+++ b/edge/proxy/tests/reload_hierarchy.rs
@@ -1,15 +1,15 @@
 //! An operator's tree stays in service over a reload of the settings, whatever those say of hubs.
 
+use admin_process::{spawned, AdminProcess};
 use foldmux_fakes::rpc::Said;
-use holding::{ask, Attempt, BODY};
-use running::{spawned, Running};
+use held_attempts::{ask, Attempt, BODY};
 use std::net::{SocketAddr, TcpListener};
 
+#[path = "common/admin_process.rs"]
+mod admin_process;
 mod common;
-#[path = "common/holding.rs"]
-mod holding;
-#[path = "common/running.rs"]
-mod running;
+#[path = "common/held_attempts.rs"]
+mod held_attempts;
 
 /// The tree has this proxy's zone and `south` at one hub; the settings, this proxy's zone and `north`.
 const TREE: &str = r#"
@@ -45,7 +45,7 @@
 }
 
 /// Of which neighbour a miss is filled.
-fn is_filled_from(running: &Running, caches: &TcpListener, object: u64, sibling: &str) {
+fn is_filled_from(running: &AdminProcess, caches: &TcpListener, object: u64, sibling: &str) {
     let asked = ask(running.serves, "sheet", object);
     let attempt = Attempt::next(caches);
     assert!(attempt.head.contains(sibling), "{}", attempt.head);
@@ -72,17 +72,18 @@
         std::fs::write(&operator, tree).unwrap();
         assert!(running.reload(&file, &text).contains("reload: classes"));
         // The file of the operator is read after the settings: its line says that both are over.
-        let mut lines = std::iter::from_fn(|| running.log.recv_timeout(running::PATIENCE).ok());
+        let mut lines =
+            std::iter::from_fn(|| running.log.recv_timeout(admin_process::PATIENCE).ok());
         assert!(lines.any(|line| line.contains("rewire: ")));
         is_filled_from(&running, &caches, object, SOUTH);
     }
     drop(running);
     // Without the tree the settings hold: the test tells the two apart.
-    let running = running::start(&file, None).unwrap();
+    let running = admin_process::start(&file, None).unwrap();
     is_filled_from(&running, &caches, 4, NORTH);
 }
 
-fn spawned_with(mut command: std::process::Command, operator: &std::path::Path) -> Running {
+fn spawned_with(mut command: std::process::Command, operator: &std::path::Path) -> AdminProcess {
     command.env("FOLDMUX_OPERATOR", operator);
     spawned(command).expect("it serves")
 }
--- a/edge/proxy/tests/server_faults.rs
+++ b/edge/proxy/tests/server_faults.rs
@@ -1,13 +1,13 @@
 //! System calls towards the caches that fail for the moment: the request is served in one attempt, and the cache is not blamed
 //! for what this machine lacked.
 
-use faults::{start_under, PASSING};
+use fault_injection::{start_under, PASSING};
 
 mod common;
-#[path = "common/faults.rs"]
-mod faults;
-#[path = "common/steps.rs"]
-mod steps;
+#[path = "common/fault_injection.rs"]
+mod fault_injection;
+#[path = "common/test_proxy.rs"]
+mod test_proxy;
 
 const ONE: u64 = 0x1111_0000_0000_0001;
 /// Errors of a dial that say nothing of the cache.
@@ -28,10 +28,10 @@
         .iter()
         .flat_map(|error| [("connect", error), ("socket", error)])
     {
-        let rig = start_under(&format!("{call} error={error} every=2"));
-        let mut client = rig.client();
-        (0..3).for_each(|n| rig.answers_two(&mut client, ONE + 2 * n));
-        assert!(rig.injected() >= 3, "{call} {error}");
+        let proxy = start_under(&format!("{call} error={error} every=2"));
+        let mut client = proxy.client();
+        (0..3).for_each(|n| proxy.answers_two(&mut client, ONE + 2 * n));
+        assert!(proxy.injected() >= 3, "{call} {error}");
     }
 }
 
@@ -41,12 +41,12 @@
         .iter()
         .flat_map(|error| [("recv", error), ("send", error)])
     {
-        let rig = start_under(&format!("{call} role=server error={error} every=2"));
-        let mut client = rig.client();
-        (0..3).for_each(|n| rig.answers_two(&mut client, ONE + 2 * n));
-        assert!(rig.injected() >= 3, "{call} {error}");
+        let proxy = start_under(&format!("{call} role=server error={error} every=2"));
+        let mut client = proxy.client();
+        (0..3).for_each(|n| proxy.answers_two(&mut client, ONE + 2 * n));
+        assert!(proxy.injected() >= 3, "{call} {error}");
         assert_eq!(
-            rig.waiting_attempts(),
+            proxy.waiting_attempts(),
             0,
             "{call} {error}: a second attempt"
         );
@@ -55,14 +55,14 @@
 
 #[test]
 fn dials_that_fail_for_ever_end_in_an_answer_and_are_few() {
-    let rig = start_under("connect error=EADDRNOTAVAIL");
-    let mut client = rig.client();
+    let proxy = start_under("connect error=EADDRNOTAVAIL");
+    let mut client = proxy.client();
     client.ask(ONE);
     let answer = client.answer();
     assert!(
         answer.contains("Shed") || answer.contains("Fault"),
         "{answer}"
     );
-    // Four attempts of 0.1 s, with pauses that grow to 10 ms, and what the journal service's watch dials meanwhile.
-    assert!(rig.injected() <= 100, "{} dials", rig.injected());
+    // Four attempts of 0.1 s, with pauses that grow to 10 ms, and what the journal client dials meanwhile.
+    assert!(proxy.injected() <= 100, "{} dials", proxy.injected());
 }
--- a/edge/proxy/tests/shutdown.rs
+++ b/edge/proxy/tests/shutdown.rs
@@ -4,11 +4,11 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Instant;
-use steps::{Client, Rig, PATIENCE};
+use test_proxy::{Client, TestProxy, PATIENCE};
 
 mod common;
-#[path = "common/steps.rs"]
-mod steps;
+#[path = "common/test_proxy.rs"]
+mod test_proxy;
 
 const ONE: u64 = 0x1111_0000_0000_0001;
 const TWO: u64 = 0x2222_0000_0000_0002;
@@ -17,73 +17,73 @@
 
 #[test]
 fn before_it_is_ready_it_ends_in_order() {
-    let mut rig = Rig::start_with(|config| {
+    let mut proxy = TestProxy::start_with(|config| {
         let known = config.split_once("\"known\":").unwrap().1;
         let known = known.split_once("\"settings\"").unwrap().0;
         config.replace(&format!("\"known\":{known}"), "")
     });
-    let mut client = rig.client();
+    let mut client = proxy.client();
     assert!(!client.is_well(), "no list is in");
-    rig.leave();
+    proxy.leave();
     client.ends();
     drop(client);
-    rig.ends_well();
+    proxy.ends_well();
 }
 
 #[test]
 fn a_connection_in_the_accept_queue_is_taken_and_served() {
-    let mut rig = Rig::start();
-    rig.stop();
-    let mut queued = rig.client();
+    let mut proxy = TestProxy::start();
+    proxy.stop();
+    let mut queued = proxy.client();
     queued.ask(ONE);
-    rig.signal("-TERM");
-    rig.go_on();
-    rig.attempt().give(b"ok");
+    proxy.signal("-TERM");
+    proxy.go_on();
+    proxy.attempt().give(b"ok");
     assert!(queued.answer().contains("\\xc4\\x02ok"));
     queued.ends();
     drop(queued);
-    rig.ends_well();
+    proxy.ends_well();
 }
 
 #[test]
 fn a_request_half_read_when_the_serving_time_ends_is_served() {
-    let mut rig = Rig::start();
-    let (mut client, mut silent) = (rig.client(), rig.client());
-    let whole = steps::call(1, ONE);
+    let mut proxy = TestProxy::start();
+    let (mut client, mut silent) = (proxy.client(), proxy.client());
+    let whole = test_proxy::call(1, ONE);
     let (first, rest) = whole.split_at(whole.len() / 2);
     client.send(first);
-    rig.leave();
+    proxy.leave();
     // One that never asked is ended once the serving time is over.
     silent.ends();
     client.send(rest);
-    rig.attempt().give(b"ok");
+    proxy.attempt().give(b"ok");
     assert!(client.answer().contains("\\xc4\\x02ok"));
     client.ends();
     drop((client, silent));
-    rig.ends_well();
+    proxy.ends_well();
 }
 
 #[test]
 fn a_request_that_has_arrived_on_a_resting_connection_is_served() {
-    let mut rig = Rig::start();
-    let mut client = rig.rested(ONE);
-    rig.stop();
+    let mut proxy = TestProxy::start();
+    let mut client = proxy.rested(ONE);
+    proxy.stop();
     client.ask(TWO);
-    rig.signal("-TERM");
-    rig.go_on();
-    rig.program.line("draining: ");
-    rig.attempt().give(b"new");
+    proxy.signal("-TERM");
+    proxy.go_on();
+    proxy.program.line("draining: ");
+    proxy.attempt().give(b"new");
     assert!(client.answer().contains("\\xc4\\x03new"));
     client.ends();
     drop(client);
-    rig.ends_well();
+    proxy.ends_well();
 }
 
 #[test]
 fn a_request_that_crosses_the_end_is_not_sent_on_and_the_end_is_no_reset() {
-    let mut rig = Rig::start();
-    let mut client = rig.rested(ONE);
-    rig.leave();
+    let mut proxy = TestProxy::start();
+    let mut client = proxy.rested(ONE);
+    proxy.leave();
     client.ends();
     // It was on its way when the connection ended, and more comes after.
     client.ask(TWO);
@@ -92,16 +92,16 @@
     client.send(&vec![0; 100_000]);
     client.ends();
     drop(client);
-    rig.ends_well();
-    assert_eq!(rig.waiting_attempts(), 0, "it was sent on");
+    proxy.ends_well();
+    assert_eq!(proxy.waiting_attempts(), 0, "it was sent on");
 }
 
 #[test]
 fn a_call_behind_a_closing_answer_takes_no_byte_of_it_away() {
-    let mut rig = Rig::start();
-    let mut client = rig.client();
+    let mut proxy = TestProxy::start();
+    let mut client = proxy.client();
     client.ask(ONE);
-    let mut attempt = rig.attempt();
+    let mut attempt = proxy.attempt();
     // No call after this one can be read: the connection ends with the answer.
     client.send(b"\xc1");
     client.ask(TWO);
@@ -114,22 +114,22 @@
         .read_to_end(&mut answer)
         .expect("the answer and an end, no reset");
     assert!(answer.len() > LARGE, "{} bytes", answer.len());
-    assert_eq!(rig.waiting_attempts(), 0);
+    assert_eq!(proxy.waiting_attempts(), 0);
     drop(client);
-    rig.leave();
-    rig.ends_well();
+    proxy.leave();
+    proxy.ends_well();
 }
 
 #[test]
 fn a_large_answer_that_is_read_only_once_the_process_has_ended_arrives_whole() {
-    let mut rig = Rig::start();
-    let mut client = rig.client();
+    let mut proxy = TestProxy::start();
+    let mut client = proxy.client();
     client.ask(ONE);
-    let mut attempt = rig.attempt();
-    rig.leave();
+    let mut attempt = proxy.attempt();
+    proxy.leave();
     attempt.give(&vec![7; LARGE]);
     client.stream.read_exact(&mut [0; 1]).unwrap();
-    rig.ends_well();
+    proxy.ends_well();
     let mut rest = Vec::new();
     client
         .stream
@@ -140,77 +140,78 @@
 
 #[test]
 fn a_client_that_never_closes_does_not_keep_the_process() {
-    let mut rig = Rig::start();
-    let (mut rests, mut silent) = (rig.rested(ONE), rig.client());
-    rig.leave();
+    let mut proxy = TestProxy::start();
+    let (mut rests, mut silent) = (proxy.rested(ONE), proxy.client());
+    proxy.leave();
     rests.ends();
     silent.ends();
-    rig.ends_well();
+    proxy.ends_well();
     drop((rests, silent));
 }
 
 #[test]
 fn sighup_and_a_second_sigterm_while_it_leaves_change_nothing() {
-    let mut rig = Rig::start();
-    let mut client = rig.client();
+    let mut proxy = TestProxy::start();
+    let mut client = proxy.client();
     client.ask(ONE);
-    let mut attempt = rig.attempt();
-    rig.leave();
+    let mut attempt = proxy.attempt();
+    proxy.leave();
     for signal in ["-TERM", "-HUP", "-INT", "-TERM"] {
-        rig.signal(signal);
+        proxy.signal(signal);
     }
     // New connections are taken still, and answered.
-    assert!(!rig.client().is_well(), "it leaves");
+    assert!(!proxy.client().is_well(), "it leaves");
     attempt.give(b"ok");
     assert!(client.answer().contains("\\xc4\\x02ok"));
     client.ends();
     drop(client);
-    rig.ends_well();
+    proxy.ends_well();
 }
 
 #[test]
 fn the_end_comes_before_sigkill_by_the_deadlines_of_the_last_reload() {
-    let mut rig = Rig::start();
-    let mut client = rig.client();
+    let mut proxy = TestProxy::start();
+    let mut client = proxy.client();
     client.ask(ONE);
-    let mut first = rig.attempt();
-    let shorter = rig
+    let mut first = proxy.attempt();
+    let shorter = proxy
         .config
         .replace("\"hardLimit\":300000000", "\"hardLimit\":400000");
     let shorter = shorter.replace("\"slo\":20000000", "\"slo\":300000");
-    assert!(rig.program.reload(&shorter).contains("classes"));
+    assert!(proxy.program.reload(&shorter).contains("classes"));
     // SIGKILL comes 400 ms and 700 ms after SIGTERM, and 250 ms are kept back from that.
-    let said = rig.leave();
+    let said = proxy.leave();
     assert!(said.ends_with(" within 850 ms"), "{said}");
     first.give(b"ok");
     assert!(client.answer().contains("\\xc4\\x02ok"));
     client.ends();
     drop(client);
-    rig.ends_well();
+    proxy.ends_well();
 }
 
 #[test]
 fn a_connection_without_a_place_is_ended_without_a_reset() {
     // 64 descriptors: 21 places for clients.
-    let rig = Rig::start_with(|config| config.replace("\"sockets\":1024", "\"sockets\":64"));
+    let proxy =
+        TestProxy::start_with(|config| config.replace("\"sockets\":1024", "\"sockets\":64"));
     let (mut busy, mut attempts) = (Vec::new(), Vec::new());
     for n in 0..21 {
-        let mut client = rig.client();
+        let mut client = proxy.client();
         client.ask(ONE + n);
-        attempts.push(rig.attempt());
+        attempts.push(proxy.attempt());
         busy.push(client);
     }
-    rig.stop();
-    let mut beyond = TcpStream::connect(rig.serves).unwrap();
-    beyond.write_all(&steps::call(1, TWO)).unwrap();
-    rig.go_on();
+    proxy.stop();
+    let mut beyond = TcpStream::connect(proxy.serves).unwrap();
+    beyond.write_all(&test_proxy::call(1, TWO)).unwrap();
+    proxy.go_on();
     Client::over(beyond).ends();
-    assert_eq!(rig.waiting_attempts(), 0);
+    assert_eq!(proxy.waiting_attempts(), 0);
     // Once one has gone there is a place again; whoever comes before that is ended as well.
     drop(busy.pop());
     attempts.pop().unwrap().is_given_up();
     let end = Instant::now() + PATIENCE;
-    while !rig.client().finds_a_place() {
+    while !proxy.client().finds_a_place() {
         assert!(Instant::now() < end, "no place came back");
     }
 }
--- a/edge/proxy/tests/dials.rs
+++ b/edge/proxy/tests/shutdown_during_dial.rs
@@ -4,22 +4,24 @@
 use foldmux_fakes::backlog::{is_dialled, Filled};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use steps::{Client, Rig, PATIENCE};
+use test_proxy::{Client, TestProxy, PATIENCE};
 
 mod common;
-#[path = "common/steps.rs"]
-mod steps;
+#[path = "common/test_proxy.rs"]
+mod test_proxy;
 
 const ONE: u64 = 0x1111_0000_0000_0001;
 
 /// The program whose dials may take longer than any test.
-fn rig() -> Rig {
-    Rig::start_with(|config| config.replace("\"dialTimeout\":400000", "\"dialTimeout\":60000000"))
+fn proxy() -> TestProxy {
+    TestProxy::start_with(|config| {
+        config.replace("\"dialTimeout\":400000", "\"dialTimeout\":60000000")
+    })
 }
 
 /// A client whose request waits for its connection to the cache.
-fn dialling(rig: &Rig, cache: SocketAddr) -> Client {
-    let mut client = rig.client();
+fn dialling(proxy: &TestProxy, cache: SocketAddr) -> Client {
+    let mut client = proxy.client();
     client.ask(ONE);
     let end = Instant::now() + PATIENCE;
     while !is_dialled(cache) {
@@ -31,31 +33,31 @@
 
 #[test]
 fn a_dial_that_comes_up_after_sigterm_serves_its_request() {
-    let mut rig = rig();
-    let filled = Filled::new(rig.caches());
-    let mut client = dialling(&rig, rig.caches().local_addr().unwrap());
-    rig.leave();
-    filled.make_room(rig.caches());
-    rig.attempt().give(b"ok");
+    let mut proxy = proxy();
+    let filled = Filled::new(proxy.caches());
+    let mut client = dialling(&proxy, proxy.caches().local_addr().unwrap());
+    proxy.leave();
+    filled.make_room(proxy.caches());
+    proxy.attempt().give(b"ok");
     assert!(client.answer().contains("\\xc4\\x02ok"));
     client.ends();
     drop(client);
-    rig.ends_well();
+    proxy.ends_well();
 }
 
 #[test]
 fn a_request_whose_dial_does_not_come_up_is_answered_before_the_process_ends() {
-    let mut rig = rig();
-    let filled = Filled::new(rig.caches());
-    let mut client = dialling(&rig, rig.caches().local_addr().unwrap());
-    rig.leave();
+    let mut proxy = proxy();
+    let filled = Filled::new(proxy.caches());
+    let mut client = dialling(&proxy, proxy.caches().local_addr().unwrap());
+    proxy.leave();
     assert!(
         client.answer().contains("Shed"),
         "nothing was sent: trying again is harmless"
     );
     client.ends();
     drop(client);
-    rig.ends_well();
-    filled.make_room(rig.caches());
-    assert_eq!(rig.waiting_attempts(), 0);
+    proxy.ends_well();
+    filled.make_room(proxy.caches());
+    assert_eq!(proxy.waiting_attempts(), 0);
 }
--- a/edge/proxy/tests/processor_end.rs
+++ b/edge/proxy/tests/shutdown_processor.rs
@@ -4,12 +4,12 @@
 use common::{config, start_with, Program};
 use foldmux_fakes::caller::{hold, Held};
 use foldmux_fakes::rpc::Said;
-use holding::{ask, Asked, Attempt, BODY};
+use held_attempts::{ask, Attempt, PendingResponse, BODY};
 use std::net::TcpListener;
 
 mod common;
-#[path = "common/holding.rs"]
-mod holding;
+#[path = "common/held_attempts.rs"]
+mod held_attempts;
 
 const OBJECT: u64 = 0x1111_0000_0000_0001;
 const SCRIPT: &str = r#"
@@ -21,7 +21,7 @@
 struct Leaving {
     program: Program,
     stream: Held,
-    request: Asked,
+    request: PendingResponse,
     attempt: Attempt,
 }
 
--- a/edge/proxy/tests/socket_faults.rs
+++ b/edge/proxy/tests/socket_faults.rs
@@ -1,14 +1,14 @@
 //! System calls on a client's connection that fail while the connection lives: no request that was taken loses its answer.
 //! Incident 234f1f: such a failure was taken for the end of the connection.
 
-use faults::{start_under, start_with, PASSING};
-use steps::{binary, call, call_of, Client, Rig, WAIT_MS};
+use fault_injection::{start_under, start_with, PASSING};
+use test_proxy::{binary, call, call_of, Client, TestProxy, WAIT_MS};
 
 mod common;
-#[path = "common/faults.rs"]
-mod faults;
-#[path = "common/steps.rs"]
-mod steps;
+#[path = "common/fault_injection.rs"]
+mod fault_injection;
+#[path = "common/test_proxy.rs"]
+mod test_proxy;
 
 const ONE: u64 = 0x1111_0000_0000_0001;
 const TWO: u64 = 0x2222_0000_0000_0002;
@@ -18,67 +18,67 @@
 #[test]
 fn a_read_that_fails_under_open_requests_ends_no_connection() {
     for error in PASSING {
-        let rig = start_under(&format!("recv role=client error={error} every=3"));
-        let mut client = rig.client();
-        (0..4).for_each(|n| rig.answers_two(&mut client, ONE + 2 * n));
-        assert!(rig.injected() >= 4, "{error}");
+        let proxy = start_under(&format!("recv role=client error={error} every=3"));
+        let mut client = proxy.client();
+        (0..4).for_each(|n| proxy.answers_two(&mut client, ONE + 2 * n));
+        assert!(proxy.injected() >= 4, "{error}");
     }
 }
 
 #[test]
 fn a_time_out_that_can_t_be_set_ends_no_connection() {
     for error in ["EINTR", "ENOBUFS", "ENOMEM"] {
-        let rig = start_under(&format!(
+        let proxy = start_under(&format!(
             "setsockopt role=client error={error} every=3 skip=1"
         ));
-        let mut client = rig.client();
-        (0..4).for_each(|n| rig.answers_two(&mut client, ONE + 2 * n));
-        assert!(rig.injected() >= 4, "{error}");
+        let mut client = proxy.client();
+        (0..4).for_each(|n| proxy.answers_two(&mut client, ONE + 2 * n));
+        assert!(proxy.injected() >= 4, "{error}");
     }
 }
 
 #[test]
 fn where_no_time_out_can_be_set_at_all_clients_are_served_and_heard() {
-    let rig = start_under("setsockopt role=client error=ENOBUFS");
-    let mut client = rig.client();
-    rig.answers_two(&mut client, ONE);
+    let proxy = start_under("setsockopt role=client error=ENOBUFS");
+    let mut client = proxy.client();
+    proxy.answers_two(&mut client, ONE);
     // Also heard: that it gives up.
     let number = client.ask(TWO);
-    let mut attempt = rig.attempt_of(&mut client);
+    let mut attempt = proxy.attempt_of(&mut client);
     client.forget(number);
     attempt.is_given_up();
-    assert!(rig.injected() >= 4);
+    assert!(proxy.injected() >= 4);
 }
 
 #[test]
 fn an_answer_whose_write_fails_is_written_again_and_the_others_follow() {
     for error in PASSING {
-        let rig = start_under(&format!("send role=client error={error} every=2"));
-        let mut client = rig.client();
-        (0..4).for_each(|n| rig.answers_two(&mut client, ONE + 2 * n));
-        assert!(rig.injected() >= 4, "{error}");
+        let proxy = start_under(&format!("send role=client error={error} every=2"));
+        let mut client = proxy.client();
+        (0..4).for_each(|n| proxy.answers_two(&mut client, ONE + 2 * n));
+        assert!(proxy.injected() >= 4, "{error}");
     }
 }
 
 #[test]
 fn requests_and_answers_in_single_bytes_are_whole() {
-    let rig = start_under("recv role=client effect=short\nsend role=client effect=short");
-    let mut client = rig.client();
-    rig.answers_two(&mut client, ONE);
-    assert!(rig.injected() > 200);
+    let proxy = start_under("recv role=client effect=short\nsend role=client effect=short");
+    let mut client = proxy.client();
+    proxy.answers_two(&mut client, ONE);
+    assert!(proxy.injected() > 200);
 }
 
 #[test]
 fn a_shut_down_that_fails_is_made_again() {
     for error in ["EINTR", "ENOBUFS"] {
-        let rig = start_under(&format!(
+        let proxy = start_under(&format!(
             "shutdown role=client error={error} every=2 skip=1 count=4"
         ));
         // Neither a number twice nor what can't be read is taken; what was asked before is answered, then the end comes.
         for n in 0..4 {
-            let mut client = rig.client();
+            let mut client = proxy.client();
             client.ask(ONE + n);
-            let mut attempt = rig.attempt();
+            let mut attempt = proxy.attempt();
             client.send(b"\xc1");
             attempt.give(b"ok");
             assert!(client.answer().contains("\\xc4\\x02ok"));
@@ -89,30 +89,30 @@
 
 #[test]
 fn a_connection_that_can_t_be_shut_down_serves_on() {
-    let mut rig = start_under("shutdown role=client error=ENOBUFS");
-    let mut client = rig.rested(ONE);
-    rig.leave();
+    let mut proxy = start_under("shutdown role=client error=ENOBUFS");
+    let mut client = proxy.rested(ONE);
+    proxy.leave();
     // The end that was due could not be made: what comes now was not sent across it.
     client.ask(TWO);
-    rig.attempt_of(&mut client).give(b"ok");
+    proxy.attempt_of(&mut client).give(b"ok");
     assert!(client.answer().contains("\\xc4\\x02ok"));
-    assert!(rig.injected() >= 1);
+    assert!(proxy.injected() >= 1);
     drop(client);
-    rig.ends_well();
+    proxy.ends_well();
 }
 
 #[test]
 fn a_refusal_whose_write_fails_for_a_second_costs_no_other_request() {
     // 32 are open; the next is refused by the front itself. A hundred tries take a second of pauses.
-    let rig = start_under("send role=client error=ENOBUFS count=100");
-    let mut client = rig.client();
+    let proxy = start_under("send role=client error=ENOBUFS count=100");
+    let mut client = proxy.client();
     let calls: Vec<u8> = (0..33)
         .flat_map(|n| call(n + 1, ONE + u64::from(n)))
         .collect();
     client.send(&calls);
-    let mut attempts: Vec<_> = (0..32).map(|_| rig.attempt()).collect();
+    let mut attempts: Vec<_> = (0..32).map(|_| proxy.attempt()).collect();
     assert!(client.answer().contains("Shed"));
-    assert_eq!(rig.injected(), 100);
+    assert_eq!(proxy.injected(), 100);
     attempts.iter_mut().for_each(|attempt| attempt.give(b"ok"));
     (0..32).for_each(|_| assert!(client.answer().contains("\\xc4\\x02ok")));
 }
@@ -120,7 +120,8 @@
 #[test]
 fn a_body_that_finds_no_buffer_costs_its_own_request_alone() {
     // 16 MB: 44 buffers, of which bodies may have 11.
-    let rig = Rig::start_with(|config| config.replace("\"memory_mb\":192", "\"memory_mb\":16"));
+    let proxy =
+        TestProxy::start_with(|config| config.replace("\"memory_mb\":192", "\"memory_mb\":16"));
     let half = call_of(
         "record",
         1,
@@ -141,21 +142,21 @@
     };
     let halves: Vec<Client> = (0..11)
         .map(|_| {
-            let mut client = rig.client();
+            let mut client = proxy.client();
             client.send(&half);
             client
         })
         .collect();
-    let mut client = rig.client();
+    let mut client = proxy.client();
     let mut number = 1;
     // Until all halves have been read: then there is no buffer for a body, and the request behind it is served.
     loop {
         client.send(&[whole(number), call(number + 1, ONE + u64::from(number))].concat());
         number += 2;
-        let mut attempts = vec![rig.attempt()];
+        let mut attempts = vec![proxy.attempt()];
         let shed = client.has_answer();
         if !shed {
-            attempts.push(rig.attempt());
+            attempts.push(proxy.attempt());
         }
         attempts.iter_mut().for_each(|attempt| attempt.give(b"ok"));
         let answers = [client.answer(), client.answer()];
@@ -173,18 +174,18 @@
 #[test]
 fn a_look_that_fails_does_not_end_a_connection_over_a_request() {
     // 64 descriptors: 21 places for clients, of which one is kept free ahead.
-    let rig = start_with("recv role=client error=EINTR every=2", |config| {
+    let proxy = start_with("recv role=client error=EINTR every=2", |config| {
         config.replace("\"sockets\":1024", "\"sockets\":64")
     });
-    let mut resting: Vec<Client> = (0..20).map(|n| rig.rested(ONE + n)).collect();
-    rig.stop();
+    let mut resting: Vec<Client> = (0..20).map(|n| proxy.rested(ONE + n)).collect();
+    proxy.stop();
     // All that rest have asked: none may make way.
     resting.iter_mut().zip(0..).for_each(|(client, n)| {
         client.ask(TWO + n);
     });
-    let _newcomers: Vec<Client> = (0..4).map(|_| rig.client()).collect();
-    rig.go_on();
-    let mut attempts: Vec<_> = resting.iter().map(|_| rig.attempt()).collect();
+    let _newcomers: Vec<Client> = (0..4).map(|_| proxy.client()).collect();
+    proxy.go_on();
+    let mut attempts: Vec<_> = resting.iter().map(|_| proxy.attempt()).collect();
     attempts.iter_mut().for_each(|attempt| attempt.give(b"ok"));
     for client in &mut resting {
         assert!(client.answer().contains("\\xc4\\x02ok"));
@@ -194,11 +195,11 @@
 #[test]
 fn without_threads_for_longer_a_connection_that_was_taken_is_served_when_there_are_some() {
     // The first spawns are those of the start; then none succeeds for some two seconds of tries.
-    let rig = start_under("thread error=EAGAIN skip=5 count=200");
-    let mut client = rig.client();
+    let proxy = start_under("thread error=EAGAIN skip=5 count=200");
+    let mut client = proxy.client();
     // Refused for want of a thread, or served: told in any case.
     assert!(client.is_well());
-    assert!(rig.injected() >= 150);
+    assert!(proxy.injected() >= 150);
 }
 
 #[test]
@@ -213,9 +214,9 @@
         "ENOMEM",
         "EAGAIN",
     ] {
-        let rig = start_under(&format!("accept error={error} every=2"));
-        let mut client = rig.client();
-        rig.answers_two(&mut client, ONE);
-        assert!(rig.injected() >= 1, "{error}");
+        let proxy = start_under(&format!("accept error={error} every=2"));
+        let mut client = proxy.client();
+        proxy.answers_two(&mut client, ONE);
+        assert!(proxy.injected() >= 1, "{error}");
     }
 }
--- a/edge/proxy/tests/hand_over.rs
+++ b/edge/proxy/tests/upgrade.rs
@@ -1,15 +1,15 @@
 //! A new process beside the old one on the same address; the old one is told to leave with requests open. None is lost, what
 //! comes later is taken by the new one, and pop caches that are out by hand stay out.
 
+use admin_process::{call, configured, start_in};
 use foldmux_fakes::rpc::Said;
-use holding::{ask, Attempt, BODY};
-use running::{call, configured, start_in};
+use held_attempts::{ask, Attempt, BODY};
 
+#[path = "common/admin_process.rs"]
+mod admin_process;
 mod common;
-#[path = "common/holding.rs"]
-mod holding;
-#[path = "common/running.rs"]
-mod running;
+#[path = "common/held_attempts.rs"]
+mod held_attempts;
 
 /// Requests open at the old process.
 const OPEN: u64 = 12;
@@ -43,7 +43,7 @@
         .status()
         .unwrap()
         .success());
-    let mut lines = std::iter::from_fn(|| old.log.recv_timeout(running::PATIENCE).ok());
+    let mut lines = std::iter::from_fn(|| old.log.recv_timeout(admin_process::PATIENCE).ok());
     assert!(lines.any(|line| line.contains("draining: ")));
     assert_eq!(call(old.operator, b"status\n"), "done no\n");
     for (place, (asked, attempt)) in open.into_iter().enumerate() {
--- a/edge/proxy/tests/twins.rs
+++ b/edge/proxy/tests/upgrade_maintenance.rs
@@ -1,12 +1,12 @@
 //! Two processes of one place, as in an upgrade, and calls at both at one moment.
 
-use running::*;
+use admin_process::*;
 use std::net::SocketAddr;
 use std::sync::Barrier;
 
+#[path = "common/admin_process.rs"]
+mod admin_process;
 mod common;
-#[path = "common/running.rs"]
-mod running;
 
 const CACHES: u32 = 40;
 
