--- a/edge/proxy/src/cover/hold.rs
+++ b/edge/proxy/src/cover/hold.rs
@@ -4,7 +4,7 @@
 use super::rules::Class;
 use foldmux::interface::{Member, Outcome};
 use foldmux_core::records::{AttemptIntent, OwnedRecord, StoredResponse};
-use foldmux_takeover::{Answer, Command, End, Event, Key, Lease, Proof, Record};
+use foldmux_takeover::{Answer, AttemptOutcome, Command, Event, Key, Lease, Proof, Record};
 use std::sync::atomic::{AtomicBool, AtomicU8, Ordering};
 use std::sync::Arc;
 use std::time::Instant;
@@ -35,8 +35,10 @@
     ) -> Held {
         let term = record.ballot.term;
         let within = match proof {
-            Proof::Again { within, .. } => within,
-            Proof::NeverRan | Proof::Over => None,
+            Proof::Repeatable {
+                only_group: within, ..
+            } => within,
+            Proof::NeverRan | Proof::NotRepeatable => None,
         };
         // Numbers go on from those of this term, if another client here had it first.
         let number = record
@@ -67,10 +69,10 @@
 
     fn let_go(&self, over: bool) {
         if !self.closed.swap(true, Ordering::SeqCst) {
-            self.line.say(Command::LetGo {
+            self.line.say(Command::Release {
                 key: self.key,
                 term: self.term,
-                over,
+                abandoned: over,
             });
         }
     }
@@ -85,7 +87,7 @@
         let (key, term) = (self.key, self.term);
         let number = self.number.fetch_add(1, Ordering::SeqCst) + 1;
         let group = self.class.repeat.key_group(server);
-        let told = self.line.ask(self.until, |ticket| Command::Intend {
+        let told = self.line.ask(self.until, |ticket| Command::BeginAttempt {
             ticket,
             key,
             term,
@@ -93,8 +95,8 @@
             group,
         });
         match told {
-            Some(Event::Written { .. }) => AttemptIntent::Recorded,
-            Some(Event::Refused { .. }) => AttemptIntent::Declined,
+            Some(Event::Committed { .. }) => AttemptIntent::Recorded,
+            Some(Event::Rejected { .. }) => AttemptIntent::Declined,
             Some(_) => {
                 self.lost();
                 AttemptIntent::OwnershipLost
@@ -117,18 +119,18 @@
     fn record_outcome(&self, outcome: Outcome) {
         let number = self.number.load(Ordering::SeqCst);
         let end = if outcome.not_processed() {
-            End::NeverRan
+            AttemptOutcome::NeverRan
         } else {
-            End::MayHaveRun
+            AttemptOutcome::MayHaveRun
         };
-        if end == End::MayHaveRun {
+        if end == AttemptOutcome::MayHaveRun {
             self.may_have_run.store(true, Ordering::SeqCst);
         }
-        self.line.say(Command::Ended {
+        self.line.say(Command::EndAttempt {
             key: self.key,
             term: self.term,
             number,
-            end,
+            outcome: end,
         });
     }
 
@@ -140,18 +142,18 @@
         let (key, term) = (self.key, self.term);
         let answer = match response {
             StoredResponse::Served(bytes) => Answer::Served(bytes),
-            StoredResponse::NotModified => Answer::Same,
+            StoredResponse::NotModified => Answer::NotModified,
             StoredResponse::Failed => Answer::Failed,
         };
-        let told = self.line.ask(self.until, |ticket| Command::Done {
+        let told = self.line.ask(self.until, |ticket| Command::Complete {
             ticket,
             key,
             term,
             answer,
         });
-        let kept = matches!(told, Some(Event::Written { .. }));
+        let kept = matches!(told, Some(Event::Committed { .. }));
         match told {
-            Some(Event::Written { .. }) => self.closed.store(true, Ordering::SeqCst),
+            Some(Event::Committed { .. }) => self.closed.store(true, Ordering::SeqCst),
             Some(_) => self.lost(),
             None => {}
         }
--- a/edge/proxy/src/cover/keep.rs
+++ b/edge/proxy/src/cover/keep.rs
@@ -38,7 +38,7 @@
 impl Keeping {
     /// Without a folder, or with one that can't be used, the seat is silent for a window after each start.
     pub fn new(setup: Setup, folder: Option<&Path>) -> Keeping {
-        let window = setup.drift.stretched(setup.window());
+        let window = setup.drift.stretched(setup.recovery_window());
         let mark = format!("{:?} {} {window}", setup.replicas.members(), setup.lease);
         let mut keeping = Keeping {
             part: Takeover::new(0, setup),
@@ -81,7 +81,7 @@
         let (ms, count) = (found.speaks_in / 1_000, found.kept.len());
         tracing::info!("cover: this seat speaks in {ms} ms, {count} records read back");
         self.part
-            .remember(now, found.speaks_in, found.kept.into_iter());
+            .recover(now, found.speaks_in, found.kept.into_iter());
         self.own = Own::Held(log);
     }
 
@@ -91,7 +91,7 @@
         if look {
             self.looked = now;
         }
-        let changed = self.part.changed(now);
+        let changed = self.part.take_changed(now);
         let log = match &mut self.own {
             Own::Held(log) => log,
             Own::Waits { until } if look && now >= *until => {
@@ -113,7 +113,7 @@
         let kept = match (look && log.passed(), changed.is_empty()) {
             (true, _) => Err(io::Error::other("another process is this seat")),
             (false, true) => Ok(()),
-            (false, false) if log.long() => log.anew(&self.part.all(now)),
+            (false, false) if log.long() => log.anew(&self.part.persisted(now)),
             (false, false) => log.add(&changed),
         };
         match kept {
@@ -129,7 +129,7 @@
                     !matches!(
                         act,
                         Effect::Send {
-                            message: Message::Claimed { .. } | Message::Noted { .. },
+                            message: Message::AcquireReply { .. } | Message::WriteReply { .. },
                             ..
                         }
                     )
@@ -152,7 +152,7 @@
     }
 
     fn on_command(&mut self, now: Time, ask: Command, out: &mut Effects<Self>) {
-        self.leaving |= matches!(ask, Command::LetGoAll);
+        self.leaving |= matches!(ask, Command::ReleaseAll);
         self.part.on_command(now, ask, out);
         self.keep(now, out);
     }
--- a/edge/proxy/src/cover/line.rs
+++ b/edge/proxy/src/cover/line.rs
@@ -119,8 +119,8 @@
                 line.counts.joined.fetch_add(1, Ordering::Relaxed);
                 return;
             }
-            Event::TakeOver { .. } => {
-                let Event::TakeOver {
+            Event::TakenOver { .. } => {
+                let Event::TakenOver {
                     key,
                     record,
                     proof,
@@ -142,29 +142,29 @@
                 {
                     // No room to finish it here: the next in line does.
                     line.counts.passed_on.fetch_add(1, Ordering::Relaxed);
-                    line.say(Command::LetGo {
+                    line.say(Command::Release {
                         key,
                         term,
-                        over: false,
+                        abandoned: false,
                     });
                 }
                 return;
             }
-            Event::Mine { ticket, .. }
-            | Event::Kept { ticket, .. }
-            | Event::Uncovered { ticket } => *ticket,
-            Event::Refused { ticket } | Event::Failed { ticket } => *ticket,
-            Event::Written { ticket } | Event::Lost { ticket } => *ticket,
+            Event::Acquired { ticket, .. }
+            | Event::Answered { ticket, .. }
+            | Event::Unreplicated { ticket } => *ticket,
+            Event::Rejected { ticket } | Event::Failed { ticket } => *ticket,
+            Event::Committed { ticket } | Event::OwnershipLost { ticket } => *ticket,
         };
         let wait = line.waits().remove(&ticket);
         match (wait, told) {
             (Some(wait), told) => drop(wait.try_send(told)),
             // Nobody waits for it any more.
-            (None, Event::Mine { key, record, .. }) => {
-                line.say(Command::LetGo {
+            (None, Event::Acquired { key, record, .. }) => {
+                line.say(Command::Release {
                     key,
                     term: record.ballot.term,
-                    over: false,
+                    abandoned: false,
                 });
             }
             (None, _) => {}
--- a/edge/proxy/src/cover/log.rs
+++ b/edge/proxy/src/cover/log.rs
@@ -3,7 +3,7 @@
 //! by its boot's id, and nothing is read back then. The file of the greatest number counts, and the process
 //! that holds it locked is the seat: one beside it waits.
 
-use foldmux_takeover::{Kept, Key};
+use foldmux_takeover::{Key, PersistedEntry};
 use nix::time::{clock_gettime, ClockId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -51,7 +51,7 @@
 /// What a start finds: from when it speaks (us from now), and what was kept.
 pub struct Found {
     pub speaks_in: u64,
-    pub kept: BTreeMap<Key, Kept>,
+    pub kept: BTreeMap<Key, PersistedEntry>,
 }
 
 /// The machine's time since its start, asleep too (us): the same for all its processes.
@@ -177,13 +177,13 @@
             return Ok(Past::Nothing);
         };
         let mut kept = BTreeMap::new();
-        while let Some((stamp, key, one)) = next::<(u64, Key, Kept)>(&mut from) {
+        while let Some((stamp, key, one)) = next::<(u64, Key, PersistedEntry)>(&mut from) {
             kept.insert(key, (stamp, one));
         }
         // Behind what was torn off nothing could be read.
         let length = (bytes.len() - from.len()) as u64;
         file.set_len(length)?;
-        let aged = |(key, (stamp, one)): (Key, (u64, Kept))| {
+        let aged = |(key, (stamp, one)): (Key, (u64, PersistedEntry))| {
             Some((key, one.aged(now.saturating_sub(stamp))?))
         };
         let found = Found {
@@ -209,7 +209,7 @@
         folder: &Path,
         number: u64,
         first: First,
-        all: &[(Key, Kept)],
+        all: &[(Key, PersistedEntry)],
     ) -> io::Result<Option<Log>> {
         let own = folder.join(format!("{number}.{}", std::process::id()));
         let mut file = OpenOptions::new().create(true).append(true).open(&own)?;
@@ -255,7 +255,7 @@
         self.length > self.longest
     }
 
-    pub fn add(&mut self, changed: &[(Key, Kept)]) -> io::Result<()> {
+    pub fn add(&mut self, changed: &[(Key, PersistedEntry)]) -> io::Result<()> {
         let (stamp, mut bytes) = (machine(), Vec::new());
         changed
             .iter()
@@ -265,7 +265,7 @@
     }
 
     /// Anew, with all that holds. Fails where another process has gone on.
-    pub fn anew(&mut self, all: &[(Key, Kept)]) -> io::Result<()> {
+    pub fn anew(&mut self, all: &[(Key, PersistedEntry)]) -> io::Result<()> {
         if self.passed() {
             return Err(io::Error::other("another process goes on"));
         }
--- a/edge/proxy/src/cover/log_format_tests.rs
+++ b/edge/proxy/src/cover/log_format_tests.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 use foldmux_replicas::Peer;
-use foldmux_takeover::{Answer, Attempt, Ballot, End, Record, Work};
+use foldmux_takeover::{Answer, Attempt, AttemptOutcome, Ballot, Record, Request};
 
 fn path(file: &str) -> String {
     format!(
@@ -35,7 +35,7 @@
 }
 
 fn record() -> Record {
-    let work = Work {
+    let work = Request {
         class: "mix-video".into(),
         object: 302,
         part: 303,
@@ -49,26 +49,26 @@
         term: 306,
         number: 2,
         group: 307,
-        ended: Some(End::MayHaveRun),
+        outcome: Some(AttemptOutcome::MayHaveRun),
         age: 308,
     };
     Record {
         ballot: ballot(309),
         version: 310,
-        work: work.into(),
-        left: 311,
+        request: work.into(),
+        time_left: 311,
         attempts: vec![attempt],
         answer: Some(Answer::Served([4, 5][..].into())),
     }
 }
 
-fn kept(let_go: bool, record: Option<Record>) -> Kept {
-    Kept {
+fn kept(let_go: bool, record: Option<Record>) -> PersistedEntry {
+    PersistedEntry {
         promised: ballot(312),
-        let_go,
-        over: true,
+        released: let_go,
+        abandoned: true,
         record,
-        left: 313,
+        time_left: 313,
     }
 }
 
@@ -117,7 +117,7 @@
     let bytes = fs::read(folder.path().join("1.seat")).unwrap();
     let mut rest = &bytes[..];
     let first = next::<First>(&mut rest).unwrap();
-    let (stamp, key, one) = read::<(u64, Key, Kept)>(rest);
+    let (stamp, key, one) = read::<(u64, Key, PersistedEntry)>(rest);
     assert!(first.mark == "mark" && first.speaks <= stamp && stamp <= machine());
     assert_eq!((key, &one), (Key(1), &kept(false, Some(record()))));
     let again = [written(&first), written(&(stamp, key, one))].concat();
--- a/edge/proxy/src/cover/log_tests.rs
+++ b/edge/proxy/src/cover/log_tests.rs
@@ -1,19 +1,19 @@
 //! The seat's file through starts, tears and a process beside another.
 
 use super::*;
-use foldmux_takeover::{Ballot, Kept};
+use foldmux_takeover::{Ballot, PersistedEntry};
 
-fn kept(term: u64) -> Kept {
+fn kept(term: u64) -> PersistedEntry {
     let promised = Ballot {
         term,
         ..Ballot::none()
     };
-    Kept {
+    PersistedEntry {
         promised,
-        let_go: false,
-        over: false,
+        released: false,
+        abandoned: false,
         record: None,
-        left: 60_000_000,
+        time_left: 60_000_000,
     }
 }
 
@@ -38,7 +38,7 @@
     let (_log, found) = open(folder.path(), "a");
     assert_eq!(terms(&found), [3, 2]);
     assert!(found.speaks_in > 0 && found.speaks_in <= 5_000_000);
-    assert!(found.kept[&Key(1)].left <= 60_000_000);
+    assert!(found.kept[&Key(1)].time_left <= 60_000_000);
 }
 
 #[test]
--- a/edge/proxy/src/cover/mod.rs
+++ b/edge/proxy/src/cover/mod.rs
@@ -12,7 +12,7 @@
 use foldmux_core::records::{Acquired, RequestRecords, StoredResponse};
 use foldmux_core::retry_after::Rejected;
 use foldmux_core::ClientRequest;
-use foldmux_takeover::{Answer, Command, Event, Key, Work};
+use foldmux_takeover::{Answer, Command, Event, Key, Request};
 use hold::Held;
 use line::Line;
 use rules::Classes;
@@ -56,19 +56,19 @@
             &request.class_name,
             &request.token.clone().unwrap_or_else(own),
         );
-        let work = Arc::new(work(request));
+        let work = Arc::new(request_of(request));
         let left = deadline
             .saturating_duration_since(Instant::now())
             .as_micros() as u64;
-        let told = self.line.ask(deadline, |ticket| Command::Claim {
+        let told = self.line.ask(deadline, |ticket| Command::Acquire {
             ticket,
             key,
-            work,
-            left,
-            again,
+            request: work,
+            time_left: left,
+            ownership_lost: again,
         });
         match told {
-            Some(Event::Mine {
+            Some(Event::Acquired {
                 key,
                 record,
                 proof,
@@ -80,26 +80,26 @@
                     &self.line, *class, key, &record, proof, lease, deadline,
                 )))
             }
-            Some(Event::Kept { answer, .. }) => {
+            Some(Event::Answered { answer, .. }) => {
                 self.line.counts.kept.fetch_add(1, Ordering::Relaxed);
                 Acquired::Stored(match answer {
                     Answer::Served(bytes) => StoredResponse::Served(bytes),
-                    Answer::Same => StoredResponse::NotModified,
+                    Answer::NotModified => StoredResponse::NotModified,
                     Answer::Failed => StoredResponse::Failed,
                 })
             }
             // Once it was covered, a request that is lost is not run with no record of it.
-            Some(Event::Uncovered { .. }) => self.uncovered(again),
-            Some(Event::Refused { .. }) => self.uncovered(true),
+            Some(Event::Unreplicated { .. }) => self.uncovered(again),
+            Some(Event::Rejected { .. }) => self.uncovered(true),
             None if self.line.gone() => self.uncovered(class.refuse || again),
             _ => Acquired::Failed,
         }
     }
 }
 
-fn work(request: &ClientRequest) -> Work {
+fn request_of(request: &ClientRequest) -> Request {
     let text = |text: &Option<String>| text.as_deref().map(Arc::from);
-    Work {
+    Request {
         class: request.class_name.clone(),
         object: request.object,
         part: request.part,
--- a/edge/proxy/src/cover/rules.rs
+++ b/edge/proxy/src/cover/rules.rs
@@ -5,7 +5,9 @@
 use foldmux_operator::{Fleet as Said, Unclaimed as Left, Uncovered as Not};
 use foldmux_replicas::Peer;
 use foldmux_settings::Decoded;
-use foldmux_takeover::{Repeat, Rule, Rules, Setup, Unclaimed, Uncovered};
+use foldmux_takeover::{
+    ClassPolicies, ClassPolicy, Repeatability, Setup, UnclaimedPolicy, UnreplicatedPolicy,
+};
 use std::collections::HashMap;
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::sync::Arc;
@@ -78,7 +80,7 @@
 ) -> Result<Setup, String> {
     let (seats, drift) = seats(said)?;
     let way = said.round_trip_ms * 1_000;
-    let (mut rules, mut longest) = (Rules::new(), 0);
+    let (mut rules, mut longest) = (ClassPolicies::new(), 0);
     for cover in said.covers.iter().map(|said| &said.value) {
         let Some(at) = decoded
             .classes
@@ -89,25 +91,40 @@
         };
         let class = &decoded.settings.classes[at];
         // A repeat is on its way to the archive for a while, and the archive's clock is its own.
+<<<<<<< HEAD
         let window = drift
             .shortened(class.idempotency_window)
             .saturating_sub(way);
         let rule = Rule {
             uncovered: if cover.uncovered == Not::Refuse {
                 Uncovered::Refuse
+=======
+        let window = drift.shortened(class.repeat_window).saturating_sub(way);
+        let rule = ClassPolicy {
+            unreplicated: if cover.uncovered == Not::Refuse {
+                UnreplicatedPolicy::Reject
+>>>>>>> 83ce38a (Restructure the takeover state machine: replica, owner and acquisition without import circles)
             } else {
-                Uncovered::Run
+                UnreplicatedPolicy::Run
             },
             unclaimed: if cover.unclaimed == Left::Finish {
-                Unclaimed::Finish
+                UnclaimedPolicy::Finish
             } else {
-                Unclaimed::LetGo
+                UnclaimedPolicy::Release
             },
+<<<<<<< HEAD
             keep: cover.keep_ms * 1_000,
             repeat: match class.retry_safety {
                 Repeats::Idempotent => Repeat::Safe,
                 Repeats::Keyed(_) => Repeat::Keyed { window },
                 Repeats::NonIdempotent => Repeat::SingleShot,
+=======
+            retention: cover.keep_ms * 1_000,
+            repeatability: match class.repeat {
+                Repeats::Safe => Repeatability::Safe,
+                Repeats::Keyed(_) => Repeatability::Keyed { window },
+                Repeats::SingleShot => Repeatability::SingleShot,
+>>>>>>> 83ce38a (Restructure the takeover state machine: replica, owner and acquisition without import circles)
             },
         };
         longest = longest.max(class.deadline);
@@ -119,16 +136,16 @@
         name: Peer::new(name),
         session: RandomState::new().build_hasher().finish(),
         replicas: seats,
-        rules,
+        policies: rules,
         lease: said.lease_ms * 1_000,
         drift,
-        longest,
+        max_deadline: longest,
         // Nothing of a seat's promises is on a disk: it is silent for a window after each start.
-        memory: false,
-        records: bytes / 1024,
-        bytes,
-        works: 2 * open,
-        waiters: open,
+        state_recovered: false,
+        max_records: bytes / 1024,
+        max_record_bytes: bytes,
+        max_requests: 2 * open,
+        max_waiters: open,
         seed,
     })
 }
--- a/edge/proxy/src/cover/start.rs
+++ b/edge/proxy/src/cover/start.rs
@@ -109,7 +109,7 @@
 impl Covered {
     /// This process leaves: what another can go on with is handed over at once.
     pub fn leave(&self) {
-        self.line.say(Command::LetGoAll);
+        self.line.say(Command::ReleaseAll);
     }
 
     pub fn report(&self) -> String {
--- a/edge/proxy/src/cover/taken.rs
+++ b/edge/proxy/src/cover/taken.rs
@@ -24,10 +24,10 @@
         proof,
         lease,
     } = taken;
-    let Some(class) = classes.get(&record.work.class) else {
+    let Some(class) = classes.get(&record.request.class) else {
         return false;
     };
-    let (arrived, work) = (Instant::now(), &record.work);
+    let (arrived, work) = (Instant::now(), &record.request);
     let hold = Held::new(
         line,
         *class,
@@ -35,7 +35,7 @@
         &record,
         proof,
         lease,
-        arrived + Duration::from_micros(record.left),
+        arrived + Duration::from_micros(record.time_left),
     );
     let body = match &work.body {
         None => None,
@@ -65,7 +65,7 @@
         etag: text(&work.got),
         body,
         arrived_at: arrived,
-        budget: Duration::from_micros(record.left),
+        budget: Duration::from_micros(record.time_left),
         front: "takeover",
         caller: "".into(),
         required_group: foldmux_core::records::OwnedRecord::required_group(&hold),
--- a/pure/takeover/src/lib.rs
+++ b/pure/takeover/src/lib.rs
@@ -1,27 +1,41 @@
-//! A record of each covered request, kept at the three replicas of its key, so that another process takes it over, once.
+//! Failover of requests: a record of each request is replicated at the three replicas of its key, so that
+//! another process takes the request over, and only one.
 //!
-//! Owns: the record and what it proves ([`record`]), the replica's side ([`replica`]) and what of it outlives its process ([`kept`]), the claim by which a request is begun,
-//! joined, answered from what is kept, or taken over ([`claim`], [`join`], [`successor`]), and the owner's side ([`owner`]).
-//! May not: do I/O, read a clock, start threads, choose a cache, or know a wire. One [`Takeover`] is all three at once in
-//! each process. Of two owners of one key, whenever they live, the later one has the greater term.
+//! [`Takeover`] is the state machine of a process. It is three things at once:
+//!
+//! - a *replica* (`replica`), which stores records, grants leases to owners and notifies successors,
+//! - an *owner* (`owner`), which acquires a key by ballot and writes the record at the replicas before an
+//!   attempt is sent and before the client is answered,
+//! - a *successor* (`owner::succession`), which continues what an owner left.
+//!
+//! Of two owners of a key, whenever they lived, the later one has the greater term. The crate does no I/O,
+//! reads no clock, starts no threads, selects no cache and knows no front.
+//!
+//! Dependencies run one way: `machine` uses `replica` and `owner`; these use `owned`, `acquisition`, `waiter`
+//! and `context`; all use `messages`, `interface`, `record`, `policy` and `setup`.
+
+#![warn(missing_docs)]
 
-mod claim;
-mod grant;
-mod hold;
-mod holding;
-mod join;
-mod kept;
-mod message;
+mod acquisition;
+mod context;
+mod interface;
+mod machine;
+mod messages;
+mod owned;
 mod owner;
-mod part;
+mod policy;
 mod record;
 mod replica;
 mod setup;
-mod successor;
 mod timers;
+mod waiter;
 
-pub use kept::Kept;
-pub use message::{Command, Event, Lease, Message, Note, Verdict};
-pub use part::Takeover;
-pub use record::*;
+pub use interface::{Command, Event, Lease};
+pub use machine::Takeover;
+pub use messages::{Message, RecordWrite, Verdict};
+pub use policy::{ClassPolicies, ClassPolicy, Repeatability, UnclaimedPolicy, UnreplicatedPolicy};
+pub use record::{
+    Answer, Attempt, AttemptOutcome, Ballot, Key, Proof, Record, Request, MAX_ATTEMPTS,
+};
+pub use replica::PersistedEntry;
 pub use setup::{Fault, Setup};
--- a/pure/takeover/src/record.rs
+++ b/pure/takeover/src/record.rs
@@ -1,23 +1,28 @@
-//! What is kept of one covered request, and what it proves. Times in it are spans, right at the moment that goes with
-//! it: two processes' clocks are never compared.
-
-use foldmux_replicas::{Peer, Time};
+//! The replicated record of one request, and what it proves. Spans in it are right at the moment that goes
+//! with the record: clocks of two processes are never compared.
+//!
+//! The types that go into messages or to disk are encoded with postcard: the order of variants and fields is
+//! the format.
+
+use crate::policy::Repeatability;
+use foldmux_replicas::{Micros, Peer};
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Attempts that a record holds; one more is refused.
-pub const ATTEMPTS: usize = 16;
+/// Attempts that a record holds. A further one is rejected.
+pub const MAX_ATTEMPTS: usize = 16;
 
-/// A request, wherever its client comes again: a hash of its class and its key.
+/// Identifies a request at whichever process its client retries: a hash of its class and its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Key(pub u128);
 
 impl Key {
+    /// The key as bytes, big endian.
     pub fn bytes(self) -> [u8; 16] {
         self.0.to_be_bytes()
     }
 
+    /// The key of a request of this class with this idempotency key.
     pub fn of(class: &str, key: &str) -> Key {
         let mut hasher = blake3::Hasher::new();
         hasher
@@ -31,17 +36,20 @@
     }
 }
 
-/// Who may write: a later term before an earlier one. A replica grants each term once, so no two owners share one.
+/// The right to write a record. A higher ballot supersedes a lower one. A replica grants each term once, so no
+/// two owners share a term.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ballot {
+    /// Grows with every owner.
     pub term: u64,
+    /// The owner.
     pub owner: Peer,
-    /// Which life of the owner.
+    /// The owner's incarnation.
     pub session: u64,
 }
 
 impl Ballot {
-    /// Below every owner's: nothing was written under it but the request itself.
+    /// Lower than every owner's: under it only the request itself is stored.
     pub fn none() -> Ballot {
         Ballot {
             term: 0,
@@ -51,199 +59,197 @@
     }
 }
 
-/// The request itself; it never changes.
+/// The request. It never changes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Work {
+pub struct Request {
+    /// The name of its class.
     pub class: Arc<str>,
+    /// The object it is for.
     pub object: u64,
+    /// The part of the object.
     pub part: u32,
+    /// Its group.
     pub group: u32,
-    /// Thousandths of a KB.
+    /// Its size, in thousandths of a KB.
     pub size: u64,
+    /// Its idempotency key.
     pub token: Option<Arc<str>>,
+    /// The version of the copy that the client holds.
     pub got: Option<Arc<str>>,
+    /// Its body.
     pub body: Option<Arc<[u8]>>,
 }
 
-impl Work {
+impl Request {
+    /// The memory that it is counted with.
     pub fn bytes(&self) -> usize {
-        let text = |text: &Option<Arc<str>>| text.as_ref().map_or(0, |t| t.len());
-        self.class.len()
-            + text(&self.token)
-            + text(&self.got)
-            + self.body.as_ref().map_or(0, |b| b.len())
+        let length = |text: &Option<Arc<str>>| text.as_ref().map_or(0, |text| text.len());
+        let body = self.body.as_ref().map_or(0, |body| body.len());
+        self.class.len() + length(&self.token) + length(&self.got) + body
     }
 }
 
-/// How an attempt ended, as far as anyone can tell.
+/// How an attempt ended, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum End {
+pub enum AttemptOutcome {
+    /// It certainly did not run.
     NeverRan,
+    /// It ran, or may have run.
     MayHaveRun,
 }
 
+/// One attempt of the request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The term under which it was intended, and its number there.
+    /// The term under which it was begun.
     pub term: u64,
+    /// Its number within the term.
     pub number: u8,
     /// The group of caches that it went to.
     pub group: u32,
-    /// None: intended, and no more is known.
-    pub ended: Option<End>,
-    /// Intended no longer ago than this: never too little.
-    pub age: Time,
+    /// How it ended. Without an outcome it may have run.
+    pub outcome: Option<AttemptOutcome>,
+    /// An upper bound on the time since it was begun.
+    pub age: Micros,
+}
+
+impl Attempt {
+    fn may_have_run(&self) -> bool {
+        self.outcome != Some(AttemptOutcome::NeverRan)
+    }
+
+    pub(crate) fn is(&self, term: u64, number: u8) -> bool {
+        self.term == term && self.number == number
+    }
 }
 
-/// The one final answer.
+/// The final answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Answer {
+    /// This content.
     Served(Arc<[u8]>),
-    /// The copy that the client holds is the one.
-    Same,
+    /// The copy that the client holds is current.
+    NotModified,
+    /// The request failed.
     Failed,
 }
 
 impl Answer {
+    /// The memory that it is counted with.
     pub fn bytes(&self) -> usize {
         match self {
             Answer::Served(bytes) => bytes.len(),
-            Answer::Same | Answer::Failed => 0,
+            Answer::NotModified | Answer::Failed => 0,
         }
     }
 }
 
+/// What is known of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Under which it was written, and how often under that.
+    /// The ballot under which it was last written.
     pub ballot: Ballot,
+    /// Counts the writes under the ballot.
     pub version: u32,
-    pub work: Arc<Work>,
-    /// Until its client gives it up.
-    pub left: Time,
+    /// The request.
+    pub request: Arc<Request>,
+    /// Until the client gives up.
+    pub time_left: Micros,
+    /// All attempts.
     pub attempts: Vec<Attempt>,
+    /// The final answer.
     pub answer: Option<Answer>,
 }
 
-/// How far a class's attempts may be repeated.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Repeat {
-    /// Any number of times, anywhere.
-    Safe,
-    /// Within the group that drops its repeats, for so long after the first.
-    Keyed { window: Time },
-    /// Only when every earlier attempt is known not to have run.
-    SingleShot,
-}
-
-/// What a record proves.
+/// What a record proves of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Proof {
-    /// Nothing of it has run.
+    /// No attempt has run.
     NeverRan,
-    /// Something may have, and may be repeated: in this group alone, if one is named, and for so long.
-    Again { within: Option<u32>, left: Time },
-    /// Something may have run, and must not be repeated.
-    Over,
+    /// An attempt may have run, and the request may be repeated.
+    Repeatable {
+        /// Only within this group, if one is named.
+        only_group: Option<u32>,
+        /// For this long.
+        time_left: Micros,
+    },
+    /// An attempt may have run, and the request must not be repeated.
+    NotRepeatable,
 }
 
 impl Record {
-    /// As nobody has written it yet.
-    pub fn new(work: Arc<Work>, left: Time) -> Record {
+    /// The record of a request that no owner has written yet.
+    pub fn new(request: Arc<Request>, time_left: Micros) -> Record {
         Record {
             ballot: Ballot::none(),
             version: 0,
-            work,
-            left,
+            request,
+            time_left,
             attempts: Vec::new(),
             answer: None,
         }
     }
 
-    /// So much later.
-    pub fn aged(&self, by: Time) -> Record {
+    /// The record after some time.
+    pub fn aged(&self, by: Micros) -> Record {
         let mut record = self.clone();
-        record.left = record.left.saturating_sub(by);
-        record
-            .attempts
-            .iter_mut()
-            .for_each(|a| a.age = a.age.saturating_add(by));
+        record.time_left = record.time_left.saturating_sub(by);
+        for attempt in &mut record.attempts {
+            attempt.age = attempt.age.saturating_add(by);
+        }
         record
     }
 
-    pub fn place(&self) -> (&Ballot, u32) {
+    /// Orders the writes of a record: by ballot, then by version.
+    pub fn write_order(&self) -> (&Ballot, u32) {
         (&self.ballot, self.version)
     }
 
-    /// Takes the greater age of each attempt that both know. Guards against the time that a record spent on its way
-    /// making an attempt look younger than it is.
-    pub fn elder(&mut self, other: &[Attempt]) {
-        for one in &mut self.attempts {
-            let same = |o: &&Attempt| o.term == one.term && o.number == one.number;
-            other
-                .iter()
-                .filter(same)
-                .for_each(|o| one.age = one.age.max(o.age));
+    /// Raises each attempt's age to that in `others`. A record ages on its way between processes, and an
+    /// attempt must never look younger than it is.
+    pub fn raise_ages(&mut self, others: &[Attempt]) {
+        for attempt in &mut self.attempts {
+            for other in others {
+                if other.is(attempt.term, attempt.number) {
+                    attempt.age = attempt.age.max(other.age);
+                }
+            }
         }
     }
 
-    pub fn proof(&self, repeat: Repeat) -> Proof {
-        let mut ran = self
-            .attempts
-            .iter()
-            .filter(|a| a.ended != Some(End::NeverRan));
-        let Some(first) = ran.next() else {
+    /// What the record proves.
+    pub fn proof(&self, repeatability: Repeatability) -> Proof {
+        let mut may_have_run = self.attempts.iter().filter(|a| a.may_have_run());
+        let Some(first) = may_have_run.next() else {
             return Proof::NeverRan;
         };
-        match repeat {
-            Repeat::Safe => Proof::Again {
-                within: None,
-                left: Time::MAX,
-            },
-            Repeat::SingleShot => Proof::Over,
-            Repeat::Keyed { window } => {
-                // In two groups no one remembers both.
-                let (torn, age) = ran.fold((false, first.age), |(torn, age), a| {
-                    (torn || a.group != first.group, age.max(a.age))
-                });
-                match torn || age >= window {
-                    true => Proof::Over,
-                    false => Proof::Again {
-                        within: Some(first.group),
-                        left: window - age,
-                    },
+        let window = match repeatability {
+            Repeatability::Safe => {
+                return Proof::Repeatable {
+                    only_group: None,
+                    time_left: Micros::MAX,
                 }
             }
+            Repeatability::SingleShot => return Proof::NotRepeatable,
+            Repeatability::Keyed { window } => window,
+        };
+        let (mut one_group, mut age) = (true, first.age);
+        for attempt in may_have_run {
+            one_group &= attempt.group == first.group;
+            age = age.max(attempt.age);
+        }
+        // No group remembers the attempts of another one.
+        if !one_group || age >= window {
+            return Proof::NotRepeatable;
+        }
+        Proof::Repeatable {
+            only_group: Some(first.group),
+            time_left: window - age,
         }
     }
 
+    /// The memory that it is counted with.
     pub fn bytes(&self) -> usize {
-        self.work.bytes() + self.answer.as_ref().map_or(0, Answer::bytes)
+        self.request.bytes() + self.answer.as_ref().map_or(0, Answer::bytes)
     }
 }
-
-/// What becomes of a request that can't be covered.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Uncovered {
-    Run,
-    Refuse,
-}
-
-/// What becomes of work whose client has not come again.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Unclaimed {
-    Finish,
-    LetGo,
-}
-
-/// What the operator's file and the settings say of a covered class.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Rule {
-    pub uncovered: Uncovered,
-    pub unclaimed: Unclaimed,
-    /// How long a final answer is kept.
-    pub keep: Time,
-    pub repeat: Repeat,
-}
-
-pub type Rules = BTreeMap<Arc<str>, Rule>;
--- a/pure/takeover/src/replica.rs
+++ b/pure/takeover/src/replica.rs
@@ -1,227 +1,148 @@
-//! The replica's side of a key: whom it has promised, what was noted, whose lease runs, who waits. It grants each term once,
-//! and none while another's lease runs; without memory of the time before its start it neither grants nor notes.
+//! The replica's side of a key: the ballot it has promised, the record, the owner's lease, and who waits for a
+//! change. It grants each term once, and none while another owner's lease is active. A replica that lost its
+//! state neither grants nor accepts writes until its recovery delay has passed.
 
-use crate::message::{Message, Note, Verdict};
-use crate::part::At;
+mod acquire;
+mod persistence;
+mod succession;
+mod write;
+
+use crate::context::Context;
 use crate::record::{Ballot, Key, Record};
 use crate::setup::{Fault, Setup};
 use crate::timers::Timers;
-use foldmux_replicas::{Effect, Peer, RecoveryDelay, Time};
+use foldmux_replicas::{Micros, Peer, RecoveryDelay, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Processes that a replica tells of a key's next change; one more looks again by itself.
-pub const WATCHERS: usize = 8;
+pub use persistence::PersistedEntry;
+
+/// Processes that a replica notifies of a key's next change. Further ones retry by themselves.
+const MAX_WATCHERS: usize = 8;
 
 /// What a replica knows of one key.
 #[derive(Clone, Debug)]
-pub struct Held {
-    /// The greatest ballot that was granted.
-    pub promised: Ballot,
-    /// The owner stopped by itself: its late messages prolong nothing. Whether somebody need go on.
-    pub let_go: bool,
-    pub over: bool,
-    /// The owner's lease ends.
-    pub lease: Time,
-    /// What was noted, right at `at`.
-    pub record: Option<Record>,
-    pub at: Time,
-    pub watchers: Vec<Peer>,
-    /// Successors that were told.
-    pub told: usize,
-    /// When a successor is looked for next, and when all this is forgotten.
-    pub look: Option<Time>,
-    pub forget: Time,
+struct Entry {
+    /// The highest ballot that was granted.
+    promised: Ballot,
+    /// The owner stopped by itself: its late messages extend nothing.
+    released: bool,
+    /// The owner said that no successor is needed.
+    abandoned: bool,
+    lease_expires_at: Time,
+    /// As last written, right at `record_as_of`.
+    record: Option<Record>,
+    record_as_of: Time,
+    watchers: Vec<Peer>,
+    successors_notified: usize,
+    /// When a successor is looked for next.
+    next_succession: Option<Time>,
+    forget_at: Time,
 }
 
-impl Held {
-    pub fn done(&self) -> bool {
-        self.record
-            .as_ref()
-            .is_some_and(|record| record.answer.is_some())
+impl Entry {
+    fn is_answered(&self) -> bool {
+        let record = self.record.as_ref();
+        record.is_some_and(|record| record.answer.is_some())
     }
 
-    pub fn shown(&self, now: Time) -> Option<Record> {
-        self.record
-            .as_ref()
-            .map(|record| record.aged(now - self.at))
+    /// The record, aged to the present.
+    fn record_now(&self, now: Time) -> Option<Record> {
+        let record = self.record.as_ref();
+        record.map(|record| record.aged(now - self.record_as_of))
     }
 
-    pub fn bytes(&self) -> usize {
+    fn bytes(&self) -> usize {
         self.record.as_ref().map_or(0, Record::bytes)
     }
+
+    fn due(&self) -> Time {
+        self.next_succession
+            .map_or(self.forget_at, |next| next.min(self.forget_at))
+    }
+}
+
+/// Keys whose entries have changed since they were last persisted. Records nothing where nothing is persisted.
+#[derive(Clone, Debug, Default)]
+struct ChangedKeys(Option<BTreeSet<Key>>);
+
+impl ChangedKeys {
+    fn insert(&mut self, key: Key) {
+        if let Some(keys) = &mut self.0 {
+            keys.insert(key);
+        }
+    }
+
+    fn take(&mut self) -> BTreeSet<Key> {
+        self.0.as_mut().map(std::mem::take).unwrap_or_default()
+    }
 }
 
-/// This process as a replica of keys.
+/// This process as a replica.
 #[derive(Clone, Debug)]
 pub struct Replica {
-    /// Whether it may vote yet.
-    pub memory: RecoveryDelay,
-    pub held: BTreeMap<Key, Held>,
-    pub timers: Timers,
-    pub bytes: usize,
-    /// Keys to be kept anew; none where nothing is kept.
-    pub changed: Option<BTreeSet<Key>>,
+    recovery: RecoveryDelay,
+    entries: BTreeMap<Key, Entry>,
+    timers: Timers,
+    bytes: usize,
+    changed: ChangedKeys,
 }
 
 impl Replica {
     pub fn new(now: Time, setup: &Setup) -> Replica {
-        let memory = match setup.memory {
+        let recovery = match setup.state_recovered {
             true => RecoveryDelay::state_recovered(now),
-            false => RecoveryDelay::state_lost(now, &[setup.window()], setup.drift),
+            false => RecoveryDelay::state_lost(now, &[setup.recovery_window()], setup.drift),
         };
         Replica {
-            memory,
-            held: BTreeMap::new(),
+            recovery,
+            entries: BTreeMap::new(),
             timers: Timers::default(),
             bytes: 0,
-            changed: None,
+            changed: ChangedKeys::default(),
         }
     }
 
-    pub fn votes(&self, at: &At) -> bool {
-        self.memory.may_vote(at.now) || at.setup.planted(Fault::FreshSeatVotes)
-    }
-
-    pub fn arm(&mut self, key: Key) {
-        let due = self
-            .held
-            .get(&key)
-            .map(|held| held.look.map_or(held.forget, |at| at.min(held.forget)));
-        self.timers.set(key, due);
+    pub fn len(&self) -> usize {
+        self.entries.len()
     }
 
-    /// Nothing that is written of a key is forgotten while a repeat of it may be answered from it.
-    pub fn forget_at(at: &At, class: Option<&str>, left: Time) -> Time {
-        let keep = class
-            .and_then(|class| at.setup.rules.get(class))
-            .map_or(0, |rule| rule.keep);
-        let longest = left.min(at.setup.longest) + keep + at.setup.lease;
-        at.now + at.setup.drift.stretched(longest)
+    pub fn may_vote(&self, now: Time, setup: &Setup) -> bool {
+        self.recovery.may_vote(now) || setup.planted(Fault::VoteAfterStateLoss)
     }
 
-    pub fn note(&mut self, at: &mut At, key: Key, ballot: Ballot, stamp: Time, note: Option<Note>) {
-        let (verdict, version) = match self.votes(at) {
-            true => self.take(at, key, &ballot, note),
-            false => (Verdict::NoVote, 0),
-        };
-        let to = ballot.owner.clone();
-        at.send(
-            &to,
-            Message::Noted {
-                key,
-                ballot,
-                stamp,
-                verdict,
-                version,
-            },
-        );
-        self.arm(key);
+    pub fn next_tick(&self) -> Option<Time> {
+        self.timers.next()
     }
 
-    /// A note, or a renewal without one.
-    fn take(
-        &mut self,
-        at: &mut At,
-        key: Key,
-        ballot: &Ballot,
-        note: Option<Note>,
-    ) -> (Verdict, u32) {
-        let Some(held) = self.held.get_mut(&key) else {
-            return (Verdict::Unknown, 0);
-        };
-        let old =
-            *ballot < held.promised && !(note.is_some() && at.setup.planted(Fault::OldNoteTaken));
-        if old {
-            return (Verdict::Higher, 0);
-        }
-        let has = held
-            .record
-            .as_ref()
-            .filter(|r| r.ballot == *ballot)
-            .map_or(0, |r| r.version);
-        let Some(note) = note else {
-            if *ballot != held.promised || held.let_go {
-                return (Verdict::Higher, has);
-            }
-            held.lease = at.now + at.setup.lease;
-            held.look = held.look.map(|_| held.lease);
-            return (Verdict::Yes, has);
-        };
-        if *ballot > held.promised {
-            // Two others granted it: nobody else's lease holds.
-            held.promised = ballot.clone();
-            (held.let_go, held.over) = (false, false);
-            self.changed
-                .iter_mut()
-                .for_each(|changed| _ = changed.insert(key));
-        }
-        if note.version > has {
-            let work = note
-                .work
-                .or_else(|| held.record.as_ref().map(|r| r.work.clone()));
-            let Some(work) = work else {
-                return (Verdict::Unknown, has);
-            };
-            let mut new = Record {
-                ballot: ballot.clone(),
-                version: note.version,
-                work,
-                left: note.left,
-                attempts: note.attempts,
-                answer: note.answer,
-            };
-            held.shown(at.now)
-                .iter()
-                .for_each(|former| new.elder(&former.attempts));
-            let bytes = self.bytes - held.bytes() + new.bytes();
-            if bytes > at.setup.bytes && new.bytes() > held.bytes() {
-                return (Verdict::Full, has);
-            }
-            self.bytes = bytes;
-            held.forget = held
-                .forget
-                .max(Replica::forget_at(at, Some(&new.work.class), new.left));
-            (held.record, held.at) = (Some(new), at.now);
-            self.changed
-                .iter_mut()
-                .for_each(|changed| _ = changed.insert(key));
-        }
-        let version = has.max(note.version);
-        if held.done() {
-            held.look = None;
-            for watcher in held.watchers.drain(..) {
-                at.out.push(Effect::Send {
-                    to: watcher,
-                    message: Message::Changed { key },
-                });
+    /// Handles the timers that are due. `alive`: the processes that a successor is chosen from.
+    pub fn on_tick(&mut self, ctx: &mut Context, alive: &BTreeSet<Peer>) {
+        while let Some(key) = self.timers.pop(ctx.now) {
+            let entry = self.entries.get(&key);
+            if entry.is_some_and(|entry| entry.forget_at <= ctx.now) {
+                self.forget(key);
+                continue;
             }
-        } else if !held.let_go {
-            held.lease = at.now + at.setup.lease;
-            held.look = Some(held.lease);
+            self.find_successor(ctx, key, alive);
+            self.arm(key);
         }
-        (Verdict::Yes, version)
     }
 
-    pub fn release(&mut self, at: &mut At, key: Key, ballot: &Ballot, over: bool) -> bool {
-        let Some(held) = self
-            .held
-            .get_mut(&key)
-            .filter(|h| h.promised == *ballot && !h.let_go)
-        else {
-            return false;
-        };
-        (held.let_go, held.over, held.lease) = (true, over, at.now);
-        // Before the lease that was waited for: nothing is lost by looking at once.
-        held.look = (!held.done()).then_some(at.now);
-        self.touch(key);
-        self.arm(key);
-        true
+    fn arm(&mut self, key: Key) {
+        self.timers.set(key, self.entries.get(&key).map(Entry::due));
     }
 
-    pub fn forget(&mut self, key: Key) {
-        if let Some(held) = self.held.remove(&key) {
-            self.bytes -= held.bytes();
+    fn forget(&mut self, key: Key) {
+        if let Some(entry) = self.entries.remove(&key) {
+            self.bytes -= entry.bytes();
         }
         self.timers.set(key, None);
     }
 }
+
+/// When an entry may be forgotten: not while a repeat of its request may be answered from it.
+fn forget_at(ctx: &Context, class: Option<&str>, time_left: Micros) -> Time {
+    let policy = class.and_then(|class| ctx.setup.policies.get(class));
+    let retention = policy.map_or(0, |policy| policy.retention);
+    let longest = time_left.min(ctx.setup.max_deadline) + retention + ctx.setup.lease;
+    ctx.now + ctx.setup.drift.stretched(longest)
+}
--- a/pure/takeover/src/setup.rs
+++ b/pure/takeover/src/setup.rs
@@ -1,47 +1,71 @@
-//! What a process's takeover part is told at its start.
+//! The configuration of the state machine.
 
-use crate::record::Rules;
-use foldmux_replicas::{ClockDrift, Peer, ReplicaSet, Time};
+use crate::policy::ClassPolicies;
+use foldmux_replicas::{ClockDrift, Micros, Peer, ReplicaSet};
 
+/// Messages that may be lost are resent this many times per lease.
+const RESENDS_PER_LEASE: Micros = 10;
+
+/// The configuration of a process.
 #[derive(Clone, Debug)]
 pub struct Setup {
+    /// This process.
     pub name: Peer,
-    /// Which life of the process; no two are alike.
+    /// Its incarnation; no two are equal.
     pub session: u64,
+    /// Where the replicas of keys are.
     pub replicas: ReplicaSet,
-    /// The covered classes.
-    pub rules: Rules,
-    pub lease: Time,
+    /// The replicated classes.
+    pub policies: ClassPolicies,
+    /// How long an owner's lease lasts.
+    pub lease: Micros,
+    /// How far clocks may drift.
     pub drift: ClockDrift,
-    /// The longest deadline of a covered class.
-    pub longest: Time,
-    /// The replica read back all that it had promised; or there was never anything to promise.
-    pub memory: bool,
-    /// Records that a replica holds, their bytes, and the works that this process owns or waits for.
-    pub records: usize,
-    pub bytes: usize,
-    pub works: usize,
+    /// The longest deadline of a replicated class.
+    pub max_deadline: Micros,
+    /// The replica recovered everything that it had promised, or never promised anything.
+    pub state_recovered: bool,
+    /// Records that the replica holds.
+    pub max_records: usize,
+    /// Bytes of all records that the replica holds.
+    pub max_record_bytes: usize,
+    /// Requests that this process owns or acquires.
+    pub max_requests: usize,
     /// Clients that wait at this process for one key.
-    pub waiters: usize,
+    pub max_waiters: usize,
+    /// For the random backoff.
     pub seed: u64,
+    /// The planted fault.
     #[cfg(feature = "planted")]
     pub planted: Option<Fault>,
 }
 
-/// Faults that tests plant, each of which must be found.
+/// Planted faults: each breaks one rule, and a test must find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
+    /// The owner sends without a valid lease.
     NoLeaseCheck,
-    IntendedAtOneSeat,
+    /// An attempt is sent once one replica has stored it.
+    BeginAtOneReplica,
+    /// A successor forgets earlier attempts.
     SuccessorForgets,
-    AnswerBeforeKept,
-    FreshSeatVotes,
-    OldNoteTaken,
+    /// The client is answered before the answer is stored.
+    AnswerBeforeCommit,
+    /// A replica that lost its state votes at once.
+    VoteAfterStateLoss,
+    /// A write under a superseded ballot is accepted.
+    StaleWriteAccepted,
+    /// One grant makes an owner.
     OneGrantIsEnough,
+    /// The lease counts from the reply.
     LeaseFromReply,
+    /// A repeat goes to any group.
     AnyGroup,
+    /// A replica grants one term twice.
     TermGrantedTwice,
+    /// The age of an attempt counts from the record's arrival.
     AgeFromArrival,
+    /// A record that was never written outranks written ones.
     SeedOutranks,
 }
 
@@ -56,14 +80,15 @@
         }
     }
 
-    /// No promise matters for longer than this: a replica that lost its memory stays silent for so long.
-    pub fn window(&self) -> Time {
-        let keep = self.rules.values().map(|rule| rule.keep).max().unwrap_or(0);
-        self.longest + keep + self.lease
+    /// The longest time for which a promise stays in force. A replica that lost its state abstains for this
+    /// long.
+    pub fn recovery_window(&self) -> Micros {
+        let retentions = self.policies.values().map(|policy| policy.retention);
+        self.max_deadline + retentions.max().unwrap_or(0) + self.lease
     }
 
-    /// Between a message that may be lost and the same again.
-    pub(crate) fn resend(&self) -> Time {
-        (self.lease / 10).max(1)
+    /// The time between a message that may be lost and its repetition.
+    pub(crate) fn resend_interval(&self) -> Micros {
+        (self.lease / RESENDS_PER_LEASE).max(1)
     }
 }
--- a/pure/takeover/src/timers.rs
+++ b/pure/takeover/src/timers.rs
@@ -1,4 +1,4 @@
-//! One time for each key at which something is to be done about it.
+//! One timer per key.
 
 use crate::record::Key;
 use foldmux_replicas::Time;
@@ -6,38 +6,40 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Timers {
-    at: BTreeMap<Key, Time>,
+    due: BTreeMap<Key, Time>,
     order: BTreeSet<(Time, Key)>,
 }
 
 impl Timers {
+    /// Sets the timer of a key, or stops it.
     pub fn set(&mut self, key: Key, due: Option<Time>) {
         let former = match due {
-            Some(due) => self.at.insert(key, due),
-            None => self.at.remove(&key),
+            Some(due) => self.due.insert(key, due),
+            None => self.due.remove(&key),
         };
         if former == due {
             return;
         }
-        if let Some(at) = former {
-            self.order.remove(&(at, key));
+        if let Some(former) = former {
+            self.order.remove(&(former, key));
         }
-        if let Some(at) = due {
-            self.order.insert((at, key));
+        if let Some(due) = due {
+            self.order.insert((due, key));
         }
     }
 
     pub fn next(&self) -> Option<Time> {
-        self.order.first().map(|(at, _)| *at)
+        self.order.first().map(|(due, _)| *due)
     }
 
-    /// A key whose time has come; its timer is off.
+    /// A key whose timer is due. Its timer stops.
     pub fn pop(&mut self, now: Time) -> Option<Key> {
-        let (at, key) = *self.order.first()?;
-        (at <= now).then(|| {
-            self.order.pop_first();
-            self.at.remove(&key);
-            key
-        })
+        let (due, key) = *self.order.first()?;
+        if due > now {
+            return None;
+        }
+        self.order.pop_first();
+        self.due.remove(&key);
+        Some(key)
     }
 }
--- a/pure/takeover/tests/bounds.rs
+++ b/pure/takeover/tests/bounds.rs
@@ -69,7 +69,7 @@
 fn claim(ticket: u64, key: u128, left: u64, body: usize) -> Command {
     let body = Some(vec![7; body].into());
     let (class, token, got) = (Arc::from("keyed"), None, None);
-    let work = Arc::new(Work {
+    let work = Arc::new(Request {
         class,
         object: 1,
         part: 0,
@@ -79,20 +79,25 @@
         got,
         body,
     });
-    Command::Claim {
+    Command::Acquire {
         ticket,
         key: Key(key),
-        work,
-        left,
-        again: false,
+        request: work,
+        time_left: left,
+        ownership_lost: false,
     }
 }
 
 #[test]
 fn a_flood_fills_no_table_beyond_its_bound_and_all_is_forgotten() {
     for bytes in [0, 100] {
-        let mut alone =
-            Alone::new(|setup| (setup.records, setup.works, setup.bytes) = (50, 80, 4_000));
+        let mut alone = Alone::new(|setup| {
+            (
+                setup.max_records,
+                setup.max_requests,
+                setup.max_record_bytes,
+            ) = (50, 80, 4_000)
+        });
         for n in 0..10_000u64 {
             alone.ask(claim(n, n.into(), 1_000 * MS, bytes));
             let (records, works) = alone.part.counts();
@@ -107,7 +112,7 @@
             .told
             .iter()
             .map(|told| match told {
-                Event::Refused { ticket } | Event::Failed { ticket } => *ticket,
+                Event::Rejected { ticket } | Event::Failed { ticket } => *ticket,
                 other => panic!("one seat of three decides nothing: {other:?}"),
             })
             .collect();
@@ -117,7 +122,7 @@
 
 #[test]
 fn clients_of_one_key_are_bounded_too() {
-    let mut alone = Alone::new(|setup| setup.waiters = 10);
+    let mut alone = Alone::new(|setup| setup.max_waiters = 10);
     (0..100).for_each(|n| alone.ask(claim(n, 7, 100 * MS, 0)));
     assert_eq!(alone.told.len(), 90);
     alone.wait(1_000 * MS);
@@ -126,7 +131,7 @@
 
 #[test]
 fn a_class_with_no_rule_is_not_covered() {
-    let mut alone = Alone::new(|setup| setup.rules.clear());
+    let mut alone = Alone::new(|setup| setup.policies.clear());
     alone.ask(claim(1, 1, MS, 0));
-    assert_eq!(alone.told, [Event::Uncovered { ticket: 1 }]);
+    assert_eq!(alone.told, [Event::Unreplicated { ticket: 1 }]);
 }
--- a/pure/takeover/tests/common/acts.rs
+++ b/pure/takeover/tests/common/acts.rs
@@ -40,7 +40,7 @@
                 let keys: Vec<u8> = self.processes[who].hosts.keys().copied().collect();
                 self.lost_at
                     .extend(keys.into_iter().map(|key| (key, self.now)));
-                self.ask(who, Command::LetGoAll);
+                self.ask(who, Command::ReleaseAll);
             }
         }
     }
--- a/pure/takeover/tests/common/archive.rs
+++ b/pure/takeover/tests/common/archive.rs
@@ -11,7 +11,7 @@
 }
 
 #[derive(Default)]
-struct Kept {
+struct KeptAnswer {
     first: u64,
     group: u32,
     runs: u8,
@@ -20,7 +20,7 @@
 
 #[derive(Default)]
 pub struct Archive {
-    keys: HashMap<u8, Kept>,
+    keys: HashMap<u8, KeptAnswer>,
 }
 
 impl Archive {
--- a/pure/takeover/tests/common/host.rs
+++ b/pure/takeover/tests/common/host.rs
@@ -10,9 +10,9 @@
     ["keyed", "keyed", "once", "safe"][key as usize % 4]
 }
 
-pub fn work(key: u8) -> Arc<Work> {
+pub fn work(key: u8) -> Arc<Request> {
     let (class, token) = (class(key).into(), Some(key.to_string().into()));
-    Arc::new(Work {
+    Arc::new(Request {
         class,
         object: 1,
         part: 0,
@@ -74,12 +74,12 @@
         let ticket = self.ticket(at, Purpose::Claim { client });
         self.ask(
             at,
-            Command::Claim {
+            Command::Acquire {
                 ticket,
                 key: Key(key.into()),
-                work: work(key),
-                left,
-                again,
+                request: work(key),
+                time_left: left,
+                ownership_lost: again,
             },
         );
     }
@@ -92,13 +92,13 @@
         let by = |world: &mut World, ticket: u64| world.purpose(at, ticket);
         match told {
             Event::Joined { .. } => {}
-            Event::TakeOver {
+            Event::TakenOver {
                 key,
                 record,
                 proof,
                 lease,
             } => self.host(at, None, key, record, proof, lease),
-            Event::Mine {
+            Event::Acquired {
                 ticket,
                 key,
                 record,
@@ -109,20 +109,20 @@
                     self.host(at, Some(client), key, record, proof, lease);
                 }
             }
-            Event::Kept { ticket, answer } => {
+            Event::Answered { ticket, answer } => {
                 if let Some(Purpose::Claim { client }) = by(self, ticket) {
                     self.answer(client, answer);
                 }
             }
-            Event::Uncovered { ticket } | Event::Failed { ticket } => {
+            Event::Unreplicated { ticket } | Event::Failed { ticket } => {
                 drop(self.elsewhere(at, ticket))
             }
-            Event::Refused { ticket } => {
+            Event::Rejected { ticket } => {
                 if let Some(Purpose::Intend { key }) = self.elsewhere(at, ticket) {
                     self.finish(at, key, None);
                 }
             }
-            Event::Written { ticket } => match by(self, ticket) {
+            Event::Committed { ticket } => match by(self, ticket) {
                 Some(Purpose::Intend { key }) => {
                     let gap = self.draw.to(2 * MS);
                     let life = self.processes[at].life;
@@ -143,7 +143,7 @@
                 }
                 _ => {}
             },
-            Event::Lost { ticket } => {
+            Event::OwnershipLost { ticket } => {
                 if let Some(Purpose::Intend { key } | Purpose::Done { key, .. }) = by(self, ticket)
                 {
                     let host = self.processes[at].hosts.remove(&key);
@@ -179,11 +179,11 @@
         self.verdict.one_term_twice += former.is_some_and(|former| former != (at, life)) as usize;
         self.verdict.took_over += (record.ballot.term > 1) as usize;
         let (group, may_have_run) = match proof {
-            Proof::Again {
-                within: Some(group),
+            Proof::Repeatable {
+                only_group: Some(group),
                 ..
             } => (group, true),
-            Proof::Again { .. } => (self.draw.to(2) as u32, true),
+            Proof::Repeatable { .. } => (self.draw.to(2) as u32, true),
             _ => (self.draw.to(2) as u32, false),
         };
         let number = record.attempts.iter().filter(|a| a.term == term).count() as u8;
@@ -209,7 +209,7 @@
         let ticket = self.ticket(at, Purpose::Intend { key });
         self.ask(
             at,
-            Command::Intend {
+            Command::BeginAttempt {
                 ticket,
                 key: Key(key.into()),
                 term,
@@ -229,11 +229,11 @@
         if !host.lease.may_send(local) {
             self.ask(
                 at,
-                Command::Ended {
+                Command::EndAttempt {
                     key: Key(key.into()),
                     term,
                     number,
-                    end: End::NeverRan,
+                    outcome: AttemptOutcome::NeverRan,
                 },
             );
             if number < 8 {
@@ -246,10 +246,10 @@
                 .and_then(|host| host.client);
             self.ask(
                 at,
-                Command::LetGo {
+                Command::Release {
                     key: Key(key.into()),
                     term,
-                    over: false,
+                    abandoned: false,
                 },
             );
             return client
@@ -317,11 +317,11 @@
                 }
                 self.ask(
                     at,
-                    Command::Ended {
+                    Command::EndAttempt {
                         key: key_,
                         term,
                         number,
-                        end: End::NeverRan,
+                        outcome: AttemptOutcome::NeverRan,
                     },
                 );
                 self.intend(at, key);
@@ -331,11 +331,11 @@
                 let again = class(key) != "once" && number < 4;
                 self.ask(
                     at,
-                    Command::Ended {
+                    Command::EndAttempt {
                         key: key_,
                         term,
                         number,
-                        end: End::MayHaveRun,
+                        outcome: AttemptOutcome::MayHaveRun,
                     },
                 );
                 match again {
@@ -362,7 +362,7 @@
         let answer = run.map_or(Answer::Failed, |run| Answer::Served(Arc::from([key, run])));
         self.ask(
             at,
-            Command::Done {
+            Command::Complete {
                 ticket,
                 key: Key(key.into()),
                 term,
--- a/pure/takeover/tests/common/mod.rs
+++ b/pure/takeover/tests/common/mod.rs
@@ -9,7 +9,9 @@
 pub mod world;
 
 use foldmux_replicas::{ClockDrift, Peer, ReplicaSet};
-use foldmux_takeover::{Fault, Repeat, Rule, Setup, Unclaimed, Uncovered};
+use foldmux_takeover::{
+    ClassPolicy, Fault, Repeatability, Setup, UnclaimedPolicy, UnreplicatedPolicy,
+};
 use std::sync::Arc;
 
 pub const MS: u64 = 1_000;
@@ -124,39 +126,39 @@
     Peer::new(&format!("n{index}"))
 }
 
-pub fn rule(repeat: Repeat) -> Rule {
-    Rule {
-        uncovered: Uncovered::Refuse,
-        unclaimed: Unclaimed::Finish,
-        keep: LONGEST,
-        repeat,
+pub fn rule(repeat: Repeatability) -> ClassPolicy {
+    ClassPolicy {
+        unreplicated: UnreplicatedPolicy::Reject,
+        unclaimed: UnclaimedPolicy::Finish,
+        retention: LONGEST,
+        repeatability: repeat,
     }
 }
 
 pub fn setup(plan: &Plan, index: usize, session: u64, memory: bool) -> Setup {
-    let mut once = rule(Repeat::SingleShot);
-    once.unclaimed = Unclaimed::LetGo;
+    let mut once = rule(Repeatability::SingleShot);
+    once.unclaimed = UnclaimedPolicy::Release;
     let rules = [
-        ("keyed", rule(Repeat::Keyed { window: OWN_WINDOW })),
+        ("keyed", rule(Repeatability::Keyed { window: OWN_WINDOW })),
         ("once", once),
-        ("safe", rule(Repeat::Safe)),
+        ("safe", rule(Repeatability::Safe)),
     ];
     Setup {
         name: name(index),
         session,
         replicas: ReplicaSet::new((0..plan.processes.max(3)).map(name)).unwrap(),
-        rules: rules
+        policies: rules
             .into_iter()
             .map(|(class, rule)| (Arc::from(class), rule))
             .collect(),
         lease: 500 * MS,
         drift: ClockDrift::from_percent(1.0).unwrap(),
-        longest: LONGEST,
-        memory,
-        records: 1_000,
-        bytes: 1 << 20,
-        works: 1_000,
-        waiters: 100,
+        max_deadline: LONGEST,
+        state_recovered: memory,
+        max_records: 1_000,
+        max_record_bytes: 1 << 20,
+        max_requests: 1_000,
+        max_waiters: 100,
         seed: plan.seed ^ session,
         #[cfg(feature = "planted")]
         planted: plan.planted,
--- a/pure/takeover/tests/formats.rs
+++ b/pure/takeover/tests/formats.rs
@@ -4,8 +4,10 @@
 mod fixtures;
 
 use foldmux_replicas::Peer;
-use foldmux_takeover::{Answer, Attempt, Ballot, End, Kept, Key, Message, Note, Record};
-use foldmux_takeover::{Verdict, Work};
+use foldmux_takeover::{
+    Answer, Attempt, AttemptOutcome, Ballot, Key, Message, PersistedEntry, Record, RecordWrite,
+};
+use foldmux_takeover::{Request, Verdict};
 use std::sync::Arc;
 
 const KEY: Key = Key(0x0102_0304_0506_0708_090a_0b0c_0d0e_0f10);
@@ -18,8 +20,8 @@
     }
 }
 
-fn work() -> Arc<Work> {
-    Arc::new(Work {
+fn work() -> Arc<Request> {
+    Arc::new(Request {
         class: "mix-video".into(),
         object: 301,
         part: 302,
@@ -36,13 +38,13 @@
         term: 401,
         number,
         group: 402,
-        ended,
+        outcome: ended,
         age: 403,
     };
     vec![
         attempt(1, None),
-        attempt(2, Some(End::NeverRan)),
-        attempt(3, Some(End::MayHaveRun)),
+        attempt(2, Some(AttemptOutcome::NeverRan)),
+        attempt(3, Some(AttemptOutcome::MayHaveRun)),
     ]
 }
 
@@ -50,19 +52,19 @@
     Record {
         ballot: ballot(501),
         version: 502,
-        work: work(),
-        left: 503,
+        request: work(),
+        time_left: 503,
         attempts: attempts(),
         answer: Some(answer),
     }
 }
 
 fn claimed(verdict: Verdict, record: Option<Record>) -> Message {
-    Message::Claimed {
+    Message::AcquireReply {
         key: KEY,
         ballot: ballot(601),
         verdict,
-        seen: ballot(602),
+        promised: ballot(602),
         record,
     }
 }
@@ -70,72 +72,72 @@
 /// The message's name in the fixtures. A new variant needs a name here and a fixture.
 fn variant(message: &Message) -> &'static str {
     match message {
-        Message::Claim { .. } => "claim",
-        Message::Claimed { verdict, .. } => match verdict {
-            Verdict::Yes => "claimed, granted",
-            Verdict::Busy { .. } => "claimed, leased",
-            Verdict::Higher => "claimed, higher term promised",
-            Verdict::NoVote => "claimed, no vote",
+        Message::Acquire { .. } => "claim",
+        Message::AcquireReply { verdict, .. } => match verdict {
+            Verdict::Granted => "claimed, granted",
+            Verdict::Leased { .. } => "claimed, leased",
+            Verdict::HigherTerm => "claimed, higher term promised",
+            Verdict::Abstained => "claimed, no vote",
             Verdict::Full => "claimed, full",
             Verdict::Unknown => "claimed, unknown",
         },
-        Message::Note { .. } => "write",
+        Message::Write { .. } => "write",
         Message::Renew { .. } => "renew",
-        Message::Noted { .. } => "written",
+        Message::WriteReply { .. } => "written",
         Message::Release { .. } => "release",
-        Message::Succeed { .. } => "succeed",
+        Message::TakeOver { .. } => "succeed",
         Message::Changed { .. } => "changed",
     }
 }
 
 fn messages() -> Vec<Message> {
-    let note = Note {
+    let note = RecordWrite {
         version: 701,
-        work: Some(work()),
-        left: 702,
+        request: Some(work()),
+        time_left: 702,
         attempts: attempts(),
         answer: Some(Answer::Served([4, 5][..].into())),
     };
     vec![
-        Message::Claim {
+        Message::Acquire {
             key: KEY,
             ballot: ballot(801),
-            work: Some(work()),
-            left: 802,
+            request: Some(work()),
+            time_left: 802,
         },
         claimed(
-            Verdict::Yes,
+            Verdict::Granted,
             Some(record(Answer::Served([6, 7][..].into()))),
         ),
-        claimed(Verdict::Busy { left: 803 }, None),
-        claimed(Verdict::Higher, None),
-        claimed(Verdict::NoVote, None),
+        claimed(Verdict::Leased { time_left: 803 }, None),
+        claimed(Verdict::HigherTerm, None),
+        claimed(Verdict::Abstained, None),
         claimed(Verdict::Full, None),
         claimed(Verdict::Unknown, None),
-        Message::Note {
+        Message::Write {
             key: KEY,
             ballot: ballot(804),
-            stamp: 805,
-            note,
+            sent_at: 805,
+            write: note,
         },
         Message::Renew {
             key: KEY,
             ballot: ballot(806),
-            stamp: 807,
+            sent_at: 807,
         },
-        Message::Noted {
+        Message::WriteReply {
             key: KEY,
             ballot: ballot(808),
-            stamp: 809,
-            verdict: Verdict::Busy { left: 810 },
+            sent_at: 809,
+            verdict: Verdict::Leased { time_left: 810 },
             version: 811,
         },
         Message::Release {
             key: KEY,
             ballot: ballot(812),
-            over: true,
+            abandoned: true,
         },
-        Message::Succeed { key: KEY },
+        Message::TakeOver { key: KEY },
         Message::Changed { key: KEY },
     ]
 }
@@ -149,18 +151,18 @@
 
 #[test]
 fn the_bytes_of_persisted_replicas_stay() {
-    let kept = |let_go, over, record| Kept {
+    let kept = |let_go, over, record| PersistedEntry {
         promised: ballot(901),
-        let_go,
-        over,
+        released: let_go,
+        abandoned: over,
         record,
-        left: 902,
+        time_left: 902,
     };
     // A new variant of `Answer` needs a name here and a fixture.
     let named = |answer: Answer| {
         let name = match &answer {
             Answer::Served(_) => "served",
-            Answer::Same => "not modified",
+            Answer::NotModified => "not modified",
             Answer::Failed => "failed",
         };
         (name, kept(false, true, Some(record(answer))))
@@ -171,7 +173,7 @@
         &[
             ("promise alone", kept(true, false, None)),
             named(Answer::Served([8, 9][..].into())),
-            named(Answer::Same),
+            named(Answer::NotModified),
             named(Answer::Failed),
         ],
     );
--- a/pure/takeover/tests/kept.rs
+++ b/pure/takeover/tests/kept.rs
@@ -9,12 +9,12 @@
 use std::sync::Arc;
 
 const KEY: Key = Key(7);
-const AGAIN: Repeat = Repeat::Keyed {
+const AGAIN: Repeatability = Repeatability::Keyed {
     window: common::OWN_WINDOW,
 };
 
-fn seat(kept: BTreeMap<Key, Kept>, speaks_in: u64) -> Takeover {
-    Takeover::read_back(
+fn seat(kept: BTreeMap<Key, PersistedEntry>, speaks_in: u64) -> Takeover {
+    Takeover::recovered(
         0,
         setup(&Plan::new(1), 0, 1, false),
         speaks_in,
@@ -47,14 +47,14 @@
         part,
         now,
         from,
-        Message::Claim {
+        Message::Acquire {
             key: KEY,
             ballot,
-            work: Some(work),
-            left,
+            request: Some(work),
+            time_left: left,
         },
     ) {
-        Message::Claimed {
+        Message::AcquireReply {
             verdict, record, ..
         } => (verdict, record),
         other => panic!("{other:?}"),
@@ -66,14 +66,14 @@
         term: 1,
         number: 1,
         group: 3,
-        ended: None,
+        outcome: None,
         age: 0,
     }];
     let version = 1 + u32::from(answer.is_some());
-    let note = Note {
+    let note = RecordWrite {
         version,
-        work: None,
-        left: 900 * MS,
+        request: None,
+        time_left: 900 * MS,
         attempts,
         answer,
     };
@@ -81,18 +81,18 @@
         part,
         now,
         1,
-        Message::Note {
+        Message::Write {
             key: KEY,
             ballot: ballot(1, 1),
-            stamp: 0,
-            note,
+            sent_at: 0,
+            write: note,
         },
     );
     assert!(
         matches!(
             said,
-            Message::Noted {
-                verdict: Verdict::Yes,
+            Message::WriteReply {
+                verdict: Verdict::Granted,
                 ..
             }
         ),
@@ -101,8 +101,8 @@
 }
 
 /// What is on the file by now, as of `now`.
-fn kept(part: &mut Takeover, now: u64) -> BTreeMap<Key, Kept> {
-    part.changed(now).into_iter().collect()
+fn kept(part: &mut Takeover, now: u64) -> BTreeMap<Key, PersistedEntry> {
+    part.take_changed(now).into_iter().collect()
 }
 
 #[test]
@@ -129,7 +129,7 @@
         Message::Renew {
             key: KEY,
             ballot: ballot(1, 1),
-            stamp: 0,
+            sent_at: 0,
         },
     );
     assert!(kept(&mut part, 3 * MS).is_empty());
@@ -139,11 +139,11 @@
         Message::Release {
             key: KEY,
             ballot: ballot(1, 1),
-            over: false,
+            abandoned: false,
         },
         &mut Vec::new(),
     );
-    assert!(kept(&mut part, 4 * MS)[&KEY].let_go);
+    assert!(kept(&mut part, 4 * MS)[&KEY].released);
 }
 
 #[test]
@@ -153,16 +153,18 @@
     note_under(&mut part, 3);
     let file = kept(&mut part, 10 * MS);
     let mut next = seat(file, 0);
-    assert_eq!(claim(&mut next, MS, ballot(2, 2)).0, Verdict::Higher);
+    assert_eq!(claim(&mut next, MS, ballot(2, 2)).0, Verdict::HigherTerm);
     assert_eq!(
         claim(&mut next, MS, ballot(4, 2)).0,
-        Verdict::Busy { left: 499 * MS }
+        Verdict::Leased {
+            time_left: 499 * MS
+        }
     );
     let (verdict, record) = claim(&mut next, 500 * MS, ballot(5, 2));
     // Half a second older than as it was kept.
     assert_eq!(
         (verdict, record.unwrap().attempts[0].age),
-        (Verdict::Yes, 500 * MS)
+        (Verdict::Granted, 500 * MS)
     );
 }
 
@@ -171,13 +173,13 @@
         term,
         number: 1,
         group: 3,
-        ended: None,
+        outcome: None,
         age: 0,
     }];
-    let note = Note {
+    let note = RecordWrite {
         version: 1,
-        work: None,
-        left: 900 * MS,
+        request: None,
+        time_left: 900 * MS,
         attempts,
         answer: None,
     };
@@ -185,11 +187,11 @@
         part,
         10 * MS,
         1,
-        Message::Note {
+        Message::Write {
             key: KEY,
             ballot: ballot(term, 1),
-            stamp: 0,
-            note,
+            sent_at: 0,
+            write: note,
         },
     );
 }
@@ -202,25 +204,28 @@
     note(&mut part, 0, Some(answer.clone()));
     let file = kept(&mut part, 0);
     let one = file[&KEY].clone();
-    assert_eq!(one.clone().aged(one.left), None);
-    let later: BTreeMap<Key, Kept> = [(KEY, one.aged(2_000 * MS).unwrap())].into();
+    assert_eq!(one.clone().aged(one.time_left), None);
+    let later: BTreeMap<Key, PersistedEntry> = [(KEY, one.aged(2_000 * MS).unwrap())].into();
     let record = claim(&mut seat(later, 0), 0, ballot(2, 2)).1.unwrap();
     assert_eq!(
         (record.answer.clone(), record.attempts[0].age),
         (Some(answer), 2_000 * MS)
     );
-    assert!(matches!(record.proof(AGAIN), Proof::Over));
+    assert!(matches!(record.proof(AGAIN), Proof::NotRepeatable));
 }
 
 #[test]
 fn one_that_must_be_silent_is_so_also_when_it_was_started_again_and_one_that_is_mute_for_ever() {
     let mut part = seat(BTreeMap::new(), 700 * MS);
-    assert_eq!(claim(&mut part, 699 * MS, ballot(1, 1)).0, Verdict::NoVote);
-    assert_eq!(claim(&mut part, 700 * MS, ballot(1, 1)).0, Verdict::Yes);
+    assert_eq!(
+        claim(&mut part, 699 * MS, ballot(1, 1)).0,
+        Verdict::Abstained
+    );
+    assert_eq!(claim(&mut part, 700 * MS, ballot(1, 1)).0, Verdict::Granted);
     part.mute();
     assert_eq!(
         claim(&mut part, 100_000 * MS, ballot(2, 1)).0,
-        Verdict::NoVote
+        Verdict::Abstained
     );
     assert!(kept(&mut part, 100_000 * MS).is_empty());
 }
--- a/pure/takeover/tests/planted.rs
+++ b/pure/takeover/tests/planted.rs
@@ -48,11 +48,11 @@
 
 planted! {
     no_look_at_the_lease_before_the_send: NoLeaseCheck,
-    intended_at_one_seat_alone: IntendedAtOneSeat,
+    intended_at_one_seat_alone: BeginAtOneReplica,
     a_successor_forgets_attempts: SuccessorForgets,
-    an_answer_given_before_it_is_kept: AnswerBeforeKept,
-    a_seat_without_memory_votes: FreshSeatVotes,
-    a_note_of_an_old_owner_is_taken: OldNoteTaken,
+    an_answer_given_before_it_is_kept: AnswerBeforeCommit,
+    a_seat_without_memory_votes: VoteAfterStateLoss,
+    a_note_of_an_old_owner_is_taken: StaleWriteAccepted,
     one_grant_is_enough: OneGrantIsEnough,
     a_lease_counted_from_the_reply: LeaseFromReply,
     a_repeat_in_any_group: AnyGroup,
--- a/pure/takeover/tests/small/mod.rs
+++ b/pure/takeover/tests/small/mod.rs
@@ -92,24 +92,24 @@
 }
 
 pub fn part(index: usize) -> Takeover {
-    let rule = Rule {
-        keep: 100,
-        unclaimed: Unclaimed::LetGo,
-        ..rule(Repeat::Keyed { window: OWN_WINDOW })
+    let rule = ClassPolicy {
+        retention: 100,
+        unclaimed: UnclaimedPolicy::Release,
+        ..rule(Repeatability::Keyed { window: OWN_WINDOW })
     };
     let setup = Setup {
         name: name(index),
         session: index as u64,
         replicas: ReplicaSet::new((2..5).map(name)).unwrap(),
-        rules: [(Arc::from("keyed"), rule)].into(),
+        policies: [(Arc::from("keyed"), rule)].into(),
         lease: LEASE,
         drift: ClockDrift::from_percent(0.0).unwrap(),
-        longest: 100,
-        memory: true,
-        records: 2,
-        bytes: 10_000,
-        works: 2,
-        waiters: 2,
+        max_deadline: 100,
+        state_recovered: true,
+        max_records: 2,
+        max_record_bytes: 10_000,
+        max_requests: 2,
+        max_waiters: 2,
         seed: index as u64,
         #[cfg(feature = "planted")]
         planted: None,
@@ -131,16 +131,16 @@
                     self.net
                         .push((at, to.as_str()[1..].parse().unwrap(), message))
                 }
-                Effect::Emit(Event::Mine { record, .. } | Event::TakeOver { record, .. }) => {
+                Effect::Emit(Event::Acquired { record, .. } | Event::TakenOver { record, .. }) => {
                     (self.hosts[at], self.terms[at]) = (Host::Owns, record.ballot.term);
                     self.met.push((record.ballot.term, at));
                 }
-                Effect::Emit(Event::Written { .. }) if self.hosts[at] == Host::Ran => {
-                    self.answers[at] = Some(Answer::Same);
+                Effect::Emit(Event::Committed { .. }) if self.hosts[at] == Host::Ran => {
+                    self.answers[at] = Some(Answer::NotModified);
                     self.hosts[at] = Host::None;
                 }
-                Effect::Emit(Event::Written { .. }) => self.hosts[at] = Host::Written,
-                Effect::Emit(Event::Kept { answer, .. }) => self.answers[at] = Some(answer),
+                Effect::Emit(Event::Committed { .. }) => self.hosts[at] = Host::Written,
+                Effect::Emit(Event::Answered { answer, .. }) => self.answers[at] = Some(answer),
                 Effect::Emit(Event::Joined { .. }) => {}
                 Effect::Emit(_) => self.hosts[at] = Host::None,
             }
@@ -166,12 +166,12 @@
         match *step {
             Step::Command(at) => {
                 self.asked[at] = true;
-                let ask = Command::Claim {
+                let ask = Command::Acquire {
                     ticket: 1,
                     key: KEY,
-                    work: work(0),
-                    left: 90,
-                    again: false,
+                    request: work(0),
+                    time_left: 90,
+                    ownership_lost: false,
                 };
                 self.drive(at, |part, now, out| part.on_command(now, ask, out));
             }
@@ -215,7 +215,7 @@
         };
         match self.hosts[at] {
             Host::Owns => {
-                let ask = Command::Intend {
+                let ask = Command::BeginAttempt {
                     ticket: 2,
                     key: KEY,
                     term: self.terms[at],
@@ -233,11 +233,11 @@
             Host::Sent(_) => {
                 self.runs += (self.runs == 0) as u8;
                 self.hosts[at] = Host::Ran;
-                let ask = Command::Done {
+                let ask = Command::Complete {
                     ticket: 3,
                     key: KEY,
                     term: self.terms[at],
-                    answer: Answer::Same,
+                    answer: Answer::NotModified,
                 };
                 self.drive(at, |part, now, out| part.on_command(now, ask, out));
             }
--- a/rigs/fleet-simulator/src/plan.rs
+++ b/rigs/fleet-simulator/src/plan.rs
@@ -195,18 +195,21 @@
     }
 }
 
-pub fn rules() -> takeover::Rules {
-    let rule = |repeat, unclaimed| takeover::Rule {
-        uncovered: takeover::Uncovered::Refuse,
+pub fn rules() -> takeover::ClassPolicies {
+    let rule = |repeat, unclaimed| takeover::ClassPolicy {
+        unreplicated: takeover::UnreplicatedPolicy::Reject,
         unclaimed,
-        keep: LONGEST,
-        repeat,
+        retention: LONGEST,
+        repeatability: repeat,
     };
     let keyed = rule(
-        takeover::Repeat::Keyed { window: OWN_WINDOW },
-        takeover::Unclaimed::Finish,
+        takeover::Repeatability::Keyed { window: OWN_WINDOW },
+        takeover::UnclaimedPolicy::Finish,
+    );
+    let once = rule(
+        takeover::Repeatability::SingleShot,
+        takeover::UnclaimedPolicy::Release,
     );
-    let once = rule(takeover::Repeat::SingleShot, takeover::Unclaimed::LetGo);
     [("keyed".into(), keyed), ("once".into(), once)]
         .into_iter()
         .collect()
--- a/rigs/fleet-simulator/src/pools.rs
+++ b/rigs/fleet-simulator/src/pools.rs
@@ -233,7 +233,7 @@
                 self.say(Said::Left { process: at });
                 self.nodes[at].leaving = true;
                 self.drive::<takeover::Takeover>(at, |part, now, out| {
-                    part.on_command(now, takeover::Command::LetGoAll, out);
+                    part.on_command(now, takeover::Command::ReleaseAll, out);
                 });
                 self.drive::<relay::Relay>(at, |part, now, out| {
                     part.on_command(now, relay::Ask::Leave, out)
--- a/rigs/fleet-simulator/src/work.rs
+++ b/rigs/fleet-simulator/src/work.rs
@@ -8,9 +8,9 @@
 use foldmux_takeover::{self as takeover, *};
 use std::sync::Arc;
 
-fn work(key: u32) -> Arc<Work> {
+fn work(key: u32) -> Arc<Request> {
     let (class, token) = (class(key).into(), Some(key.to_string().into()));
-    Arc::new(Work {
+    Arc::new(Request {
         class,
         object: 1,
         part: 0,
@@ -126,12 +126,12 @@
             let ticket = self.ticket(at, Purpose::Claim { client });
             self.ask(
                 at,
-                Command::Claim {
+                Command::Acquire {
                     ticket,
                     key: Key(key.into()),
-                    work: work(key),
-                    left,
-                    again,
+                    request: work(key),
+                    time_left: left,
+                    ownership_lost: again,
                 },
             );
         }
@@ -173,13 +173,13 @@
     pub fn work_told(&mut self, at: usize, told: takeover::Event) {
         match told {
             takeover::Event::Joined { .. } => {}
-            takeover::Event::TakeOver {
+            takeover::Event::TakenOver {
                 key,
                 record,
                 proof,
                 lease,
             } => self.host(at, None, key, record, proof, lease),
-            takeover::Event::Mine {
+            takeover::Event::Acquired {
                 ticket,
                 key,
                 record,
@@ -190,22 +190,22 @@
                     self.host(at, Some(client), key, record, proof, lease);
                 }
             }
-            takeover::Event::Kept { ticket, answer } => {
+            takeover::Event::Answered { ticket, answer } => {
                 if let Some(Purpose::Claim { client }) = self.purpose(at, ticket) {
                     self.answer(client, at, &answer);
                 }
             }
-            takeover::Event::Uncovered { ticket }
+            takeover::Event::Unreplicated { ticket }
             | takeover::Event::Failed { ticket }
-            | takeover::Event::Refused { ticket } => {
-                let refused = matches!(told, takeover::Event::Refused { .. });
+            | takeover::Event::Rejected { ticket } => {
+                let refused = matches!(told, takeover::Event::Rejected { .. });
                 match self.purpose(at, ticket) {
                     Some(Purpose::Claim { client }) => self.elsewhere(at, client, refused),
                     Some(Purpose::Intend { key }) if refused => self.finish(at, key, None),
                     _ => {}
                 }
             }
-            takeover::Event::Written { ticket } => match self.purpose(at, ticket) {
+            takeover::Event::Committed { ticket } => match self.purpose(at, ticket) {
                 Some(Purpose::Intend { key }) => {
                     let gap = self.rng.u64(..2 * MS);
                     self.then(at, gap, Local::Work(Step::Send { key }));
@@ -218,7 +218,7 @@
                 }
                 _ => {}
             },
-            takeover::Event::Lost { ticket } => {
+            takeover::Event::OwnershipLost { ticket } => {
                 if let Some(Purpose::Intend { key } | Purpose::Done { key, .. }) =
                     self.purpose(at, ticket)
                 {
--- a/rigs/fleet-simulator/src/work/host.rs
+++ b/rigs/fleet-simulator/src/work/host.rs
@@ -22,11 +22,11 @@
     ) {
         let (key, term) = (key.0 as u32, record.ballot.term);
         let (group, may_have_run) = match proof {
-            Proof::Again {
-                within: Some(group),
+            Proof::Repeatable {
+                only_group: Some(group),
                 ..
             } => (group, true),
-            Proof::Again { .. } => (self.rng.u32(..3), true),
+            Proof::Repeatable { .. } => (self.rng.u32(..3), true),
             _ => (self.rng.u32(..3), false),
         };
         let number = record
@@ -58,7 +58,7 @@
         let ticket = self.ticket(at, Purpose::Intend { key });
         self.ask(
             at,
-            Command::Intend {
+            Command::BeginAttempt {
                 ticket,
                 key: Key(key.into()),
                 term,
@@ -92,11 +92,11 @@
         if !host.lease.may_send(clock) {
             self.ask(
                 at,
-                Command::Ended {
+                Command::EndAttempt {
                     key: Key(key.into()),
                     term,
                     number,
-                    end: End::NeverRan,
+                    outcome: AttemptOutcome::NeverRan,
                 },
             );
             if number < TRIES {
@@ -109,10 +109,10 @@
                 .and_then(|host| host.client);
             self.ask(
                 at,
-                Command::LetGo {
+                Command::Release {
                     key: Key(key.into()),
                     term,
-                    over: false,
+                    abandoned: false,
                 },
             );
             return client
@@ -162,11 +162,11 @@
                 }
                 self.ask(
                     at,
-                    Command::Ended {
+                    Command::EndAttempt {
                         key: own,
                         term,
                         number,
-                        end: End::NeverRan,
+                        outcome: AttemptOutcome::NeverRan,
                     },
                 );
                 self.intend(at, key);
@@ -176,11 +176,11 @@
                 let again = class(key) != "once" && number < TRIES / 2;
                 self.ask(
                     at,
-                    Command::Ended {
+                    Command::EndAttempt {
                         key: own,
                         term,
                         number,
-                        end: End::MayHaveRun,
+                        outcome: AttemptOutcome::MayHaveRun,
                     },
                 );
                 match again {
@@ -199,7 +199,7 @@
         let ticket = self.ticket(at, Purpose::Done { key, client, run });
         self.ask(
             at,
-            Command::Done {
+            Command::Complete {
                 ticket,
                 key: Key(key.into()),
                 term,
