--- a/edge/proxy/src/load_reports.rs
+++ b/edge/proxy/src/load_reports.rs
@@ -25,7 +25,7 @@
     let Some(reports) = RouterLoadReports::new(setup.clone(), settings) else {
         return Ok(Box::new(upstream));
     };
-    let prober = match setup.asks() {
+    let prober = match setup.probes_pay() {
         true => Some(start_prober(&setup, handle, &upstream)?),
         false => None,
     };
--- a/edge/proxy/src/startup_settings.rs
+++ b/edge/proxy/src/startup_settings.rs
@@ -105,7 +105,7 @@
     let reports = &config.decoded.reports;
     (
         format!("{:?}", reports.fields),
-        reports.in_answers,
+        reports.in_responses,
         reports.probes,
         reports.price.to_bits(),
     )
