--- a/edge/proxy/src/cover/rules.rs
+++ b/edge/proxy/src/cover/rules.rs
@@ -91,19 +91,12 @@
         };
         let class = &decoded.settings.classes[at];
         // A repeat is on its way to the archive for a while, and the archive's clock is its own.
-<<<<<<< HEAD
         let window = drift
             .shortened(class.idempotency_window)
             .saturating_sub(way);
-        let rule = Rule {
-            uncovered: if cover.uncovered == Not::Refuse {
-                Uncovered::Refuse
-=======
-        let window = drift.shortened(class.repeat_window).saturating_sub(way);
         let rule = ClassPolicy {
             unreplicated: if cover.uncovered == Not::Refuse {
                 UnreplicatedPolicy::Reject
->>>>>>> 83ce38a (Restructure the takeover state machine: replica, owner and acquisition without import circles)
             } else {
                 UnreplicatedPolicy::Run
             },
@@ -112,19 +105,11 @@
             } else {
                 UnclaimedPolicy::Release
             },
-<<<<<<< HEAD
-            keep: cover.keep_ms * 1_000,
-            repeat: match class.retry_safety {
-                Repeats::Idempotent => Repeat::Safe,
-                Repeats::Keyed(_) => Repeat::Keyed { window },
-                Repeats::NonIdempotent => Repeat::SingleShot,
-=======
             retention: cover.keep_ms * 1_000,
-            repeatability: match class.repeat {
-                Repeats::Safe => Repeatability::Safe,
+            repeatability: match class.retry_safety {
+                Repeats::Idempotent => Repeatability::Safe,
                 Repeats::Keyed(_) => Repeatability::Keyed { window },
-                Repeats::SingleShot => Repeatability::SingleShot,
->>>>>>> 83ce38a (Restructure the takeover state machine: replica, owner and acquisition without import circles)
+                Repeats::NonIdempotent => Repeatability::SingleShot,
             },
         };
         longest = longest.max(class.deadline);
