--- a/edge/proxy/src/cover/rules.rs
+++ b/edge/proxy/src/cover/class_policies.rs
@@ -1,8 +1,10 @@
 //! What the operator's file and the settings say of covered classes.
 
-use crate::fleet::parts::seats;
-use foldmux::interface::RetrySafety as Repeats;
-use foldmux_operator::{Fleet as Said, Unclaimed as Left, Uncovered as Not};
+use crate::fleet::replica_set::replica_set;
+use foldmux::interface::RetrySafety;
+use foldmux_operator::{
+    Fleet as FleetConfig, Unclaimed as UnclaimedConfig, Uncovered as UncoveredConfig,
+};
 use foldmux_replicas::Peer;
 use foldmux_settings::Decoded;
 use foldmux_takeover::{
@@ -14,18 +16,18 @@
 
 /// A covered class, as requests of it go by it.
 #[derive(Clone, Copy)]
-pub struct Class {
-    pub repeat: Repeats,
+pub struct ReplicatedClass {
+    pub repeat: RetrySafety,
     pub terms: bool,
     /// What can't be covered is refused.
     pub refuse: bool,
 }
 
 #[derive(Default)]
-pub struct Classes(HashMap<Arc<str>, (Class, Arc<usize>)>);
+pub struct ReplicatedClasses(HashMap<Arc<str>, (ReplicatedClass, Arc<usize>)>);
 
-impl Classes {
-    pub fn get(&self, name: &str) -> Option<&Class> {
+impl ReplicatedClasses {
+    pub fn get(&self, name: &str) -> Option<&ReplicatedClass> {
         self.0.get(name).map(|(class, _)| class)
     }
 
@@ -38,10 +40,10 @@
 
     /// `places`: the classes as the fronts serve them.
     pub fn new<'a>(
-        said: &Said,
+        config: &FleetConfig,
         decoded: &Decoded,
         places: impl Iterator<Item = (&'a Arc<str>, &'a Arc<usize>)>,
-    ) -> Classes {
+    ) -> ReplicatedClasses {
         let places: HashMap<&str, &Arc<usize>> =
             places.map(|(name, place)| (&**name, place)).collect();
         let one = |cover: &foldmux_operator::Cover| {
@@ -50,18 +52,19 @@
                 .iter()
                 .position(|class| *class == cover.class)?;
             let repeat = decoded.settings.classes[at].retry_safety;
-            let class = Class {
+            let class = ReplicatedClass {
                 repeat,
                 terms: cover.terms,
-                refuse: cover.uncovered == Not::Refuse,
+                refuse: cover.uncovered == UncoveredConfig::Refuse,
             };
             Some((
                 Arc::from(cover.class.as_str()),
                 (class, (*places.get(cover.class.as_str())?).clone()),
             ))
         };
-        Classes(
-            said.covers
+        ReplicatedClasses(
+            config
+                .covers
                 .iter()
                 .filter_map(|said| one(&said.value))
                 .collect(),
@@ -71,17 +74,17 @@
 
 /// `open`: requests that this process has at once; `memory_mb`: what it may use.
 pub fn setup(
-    said: &Said,
+    config: &FleetConfig,
     name: &str,
     decoded: &Decoded,
     open: usize,
     memory_mb: u64,
     seed: u64,
 ) -> Result<Setup, String> {
-    let (seats, drift) = seats(said)?;
-    let way = said.round_trip_ms * 1_000;
+    let (replicas, drift) = replica_set(config)?;
+    let way = config.round_trip_ms * 1_000;
     let (mut rules, mut longest) = (ClassPolicies::new(), 0);
-    for cover in said.covers.iter().map(|said| &said.value) {
+    for cover in config.covers.iter().map(|said| &said.value) {
         let Some(at) = decoded
             .classes
             .iter()
@@ -95,21 +98,21 @@
             .shortened(class.idempotency_window)
             .saturating_sub(way);
         let rule = ClassPolicy {
-            unreplicated: if cover.uncovered == Not::Refuse {
+            unreplicated: if cover.uncovered == UncoveredConfig::Refuse {
                 UnreplicatedPolicy::Reject
             } else {
                 UnreplicatedPolicy::Run
             },
-            unclaimed: if cover.unclaimed == Left::Finish {
+            unclaimed: if cover.unclaimed == UnclaimedConfig::Finish {
                 UnclaimedPolicy::Finish
             } else {
                 UnclaimedPolicy::Release
             },
             retention: cover.keep_ms * 1_000,
             repeatability: match class.retry_safety {
-                Repeats::Idempotent => Repeatability::Safe,
-                Repeats::Keyed(_) => Repeatability::Keyed { window },
-                Repeats::NonIdempotent => Repeatability::SingleShot,
+                RetrySafety::Idempotent => Repeatability::Safe,
+                RetrySafety::Keyed(_) => Repeatability::Keyed { window },
+                RetrySafety::NonIdempotent => Repeatability::SingleShot,
             },
         };
         longest = longest.max(class.deadline);
@@ -120,9 +123,9 @@
     Ok(Setup {
         name: Peer::new(name),
         session: RandomState::new().build_hasher().finish(),
-        replicas: seats,
+        replicas,
         policies: rules,
-        lease: said.lease_ms * 1_000,
+        lease: config.lease_ms * 1_000,
         drift,
         max_deadline: longest,
         // Nothing of a seat's promises is on a disk: it is silent for a window after each start.
--- a/edge/proxy/src/cover/log.rs
+++ b/edge/proxy/src/cover/log.rs
@@ -12,21 +12,21 @@
 use std::path::{Path, PathBuf};
 
 /// A file is written anew, with what holds alone, once it is so long and four times as long as then.
-const LEAST: u64 = 4 << 20;
+const MIN_COMPACTION_BYTES: u64 = 4 << 20;
 /// A length and the start of the bytes' hash come before each entry.
-const HEAD: usize = 12;
+const ENTRY_HEADER_BYTES: usize = 12;
 /// Starts at one moment that may each take the next number.
-const TRIES: usize = 16;
+const MAX_OPEN_ATTEMPTS: usize = 16;
 /// There while a process waits for the one that holds the file.
-const WAITS: &str = "waits";
+const WAITING_MARKER: &str = "waits";
 
 #[derive(Serialize, Deserialize, PartialEq)]
-struct First {
+struct Header {
     boot: String,
     /// What the promises are about; another list of seats or other windows begin anew.
-    mark: String,
+    fingerprint: String,
     /// From when it speaks, on the machine's clock (us).
-    speaks: u64,
+    votes_at: u64,
 }
 
 pub struct Log {
@@ -34,28 +34,28 @@
     number: u64,
     /// Held locked: no other process goes on with it.
     file: File,
-    first: First,
+    first: Header,
     length: u64,
-    longest: u64,
+    compact_above: u64,
 }
 
 /// What there is of a process before this one.
-enum Past {
-    Read(Log, Found),
-    Held,
+enum Existing {
+    Resumed(Log, Recovered),
+    Locked,
     /// It went on to another file.
-    Passed,
-    Nothing,
+    Superseded,
+    None,
 }
 
 /// What a start finds: from when it speaks (us from now), and what was kept.
-pub struct Found {
-    pub speaks_in: u64,
+pub struct Recovered {
+    pub votes_in: u64,
     pub kept: BTreeMap<Key, PersistedEntry>,
 }
 
 /// The machine's time since its start, asleep too (us): the same for all its processes.
-pub fn machine() -> u64 {
+pub fn time_since_boot() -> u64 {
     let time = clock_gettime(ClockId::CLOCK_BOOTTIME);
     time.map_or(0, |time| {
         time.tv_sec() as u64 * 1_000_000 + time.tv_nsec() as u64 / 1_000
@@ -91,38 +91,42 @@
 /// The next entry that is whole; one that was torn off is not there.
 fn next<'a, T: Deserialize<'a>>(from: &mut &'a [u8]) -> Option<T> {
     let length = u32::from_le_bytes(from.get(..4)?.try_into().ok()?) as usize;
-    let bytes = from.get(HEAD..HEAD + length)?;
-    if blake3::hash(bytes).as_bytes()[..8] != from[4..HEAD] {
+    let bytes = from.get(ENTRY_HEADER_BYTES..ENTRY_HEADER_BYTES + length)?;
+    if blake3::hash(bytes).as_bytes()[..8] != from[4..ENTRY_HEADER_BYTES] {
         return None;
     }
-    *from = &from[HEAD + length..];
+    *from = &from[ENTRY_HEADER_BYTES + length..];
     postcard::from_bytes(bytes).ok()
 }
 
 impl Log {
     /// None while another process holds it. `window`: how long a seat with no memory is silent (us). Fails where the
     /// folder can't be used.
-    pub fn open(folder: &Path, mark: &str, window: u64) -> io::Result<Option<(Log, Found)>> {
+    pub fn open(
+        folder: &Path,
+        fingerprint: &str,
+        window: u64,
+    ) -> io::Result<Option<(Log, Recovered)>> {
         fs::create_dir_all(folder)?;
         let boot = fs::read_to_string("/proc/sys/kernel/random/boot_id")?;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_OPEN_ATTEMPTS {
             let last = numbers(folder)?.into_iter().max().unwrap_or(0);
-            match Log::go_on(folder, last, &boot, mark)? {
-                Past::Read(log, found) => {
-                    let _ = fs::remove_file(folder.join(WAITS));
+            match Log::resume(folder, last, &boot, fingerprint)? {
+                Existing::Resumed(log, found) => {
+                    let _ = fs::remove_file(folder.join(WAITING_MARKER));
                     return Ok(Some((log, found)));
                 }
-                Past::Held => {
-                    fs::write(folder.join(WAITS), "")?;
+                Existing::Locked => {
+                    fs::write(folder.join(WAITING_MARKER), "")?;
                     return Ok(None);
                 }
-                Past::Passed => {}
-                Past::Nothing => {
-                    if let Some(log) = Log::fresh(folder, last, mark, window)? {
+                Existing::Superseded => {}
+                Existing::None => {
+                    if let Some(log) = Log::create_next(folder, last, fingerprint, window)? {
                         return Ok(Some((
                             log,
-                            Found {
-                                speaks_in: window,
+                            Recovered {
+                                votes_in: window,
                                 kept: BTreeMap::new(),
                             },
                         )));
@@ -134,47 +138,53 @@
     }
 
     /// Behind one that is held and has not been given up while this process was silent for a window.
-    pub fn pass(folder: &Path, mark: &str) -> io::Result<Option<Log>> {
+    pub fn supersede(folder: &Path, fingerprint: &str) -> io::Result<Option<Log>> {
         let last = numbers(folder)?.into_iter().max().unwrap_or(0);
-        Log::fresh(folder, last, mark, 0)
+        Log::create_next(folder, last, fingerprint, 0)
     }
 
-    fn fresh(folder: &Path, last: u64, mark: &str, silent: u64) -> io::Result<Option<Log>> {
+    fn create_next(
+        folder: &Path,
+        last: u64,
+        fingerprint: &str,
+        silent: u64,
+    ) -> io::Result<Option<Log>> {
         let boot = fs::read_to_string("/proc/sys/kernel/random/boot_id")?;
-        let first = First {
+        let first = Header {
             boot,
-            mark: mark.to_string(),
-            speaks: machine() + silent,
+            fingerprint: fingerprint.to_string(),
+            votes_at: time_since_boot() + silent,
         };
-        Log::begin(folder, last + 1, first, &[])
+        Log::create(folder, last + 1, first, &[])
     }
 
     /// Whether another process waits to be this seat.
-    pub fn wanted(&self) -> bool {
-        self.folder.join(WAITS).exists()
+    pub fn successor_waits(&self) -> bool {
+        self.folder.join(WAITING_MARKER).exists()
     }
 
-    fn go_on(folder: &Path, number: u64, boot: &str, mark: &str) -> io::Result<Past> {
+    fn resume(folder: &Path, number: u64, boot: &str, fingerprint: &str) -> io::Result<Existing> {
         let Ok(mut file) = OpenOptions::new()
             .read(true)
             .append(true)
             .open(named(folder, number))
         else {
-            return Ok(Past::Nothing);
+            return Ok(Existing::None);
         };
         if file.try_lock().is_err() {
-            return Ok(Past::Held);
+            return Ok(Existing::Locked);
         }
         // Looked at again once it is held: whoever held it may have gone on to the next.
         if numbers(folder)?.into_iter().any(|other| other > number) {
-            return Ok(Past::Passed);
+            return Ok(Existing::Superseded);
         }
         let mut bytes = Vec::new();
         io::Read::read_to_end(&mut file, &mut bytes)?;
-        let (mut from, now) = (&bytes[..], machine());
-        let Some(first) = next::<First>(&mut from).filter(|f| f.boot == boot && f.mark == mark)
+        let (mut from, now) = (&bytes[..], time_since_boot());
+        let Some(first) =
+            next::<Header>(&mut from).filter(|f| f.boot == boot && f.fingerprint == fingerprint)
         else {
-            return Ok(Past::Nothing);
+            return Ok(Existing::None);
         };
         let mut kept = BTreeMap::new();
         while let Some((stamp, key, one)) = next::<(u64, Key, PersistedEntry)>(&mut from) {
@@ -186,29 +196,29 @@
         let aged = |(key, (stamp, one)): (Key, (u64, PersistedEntry))| {
             Some((key, one.aged(now.saturating_sub(stamp))?))
         };
-        let found = Found {
-            speaks_in: first.speaks.saturating_sub(now),
+        let found = Recovered {
+            votes_in: first.votes_at.saturating_sub(now),
             kept: kept.into_iter().filter_map(aged).collect(),
         };
-        let longest = LEAST.max(4 * length);
-        Ok(Past::Read(
+        let compact_above = MIN_COMPACTION_BYTES.max(4 * length);
+        Ok(Existing::Resumed(
             Log {
                 folder: folder.to_path_buf(),
                 number,
                 file,
                 first,
                 length,
-                longest,
+                compact_above,
             },
             found,
         ))
     }
 
     /// None where another has the number by now.
-    fn begin(
+    fn create(
         folder: &Path,
         number: u64,
-        first: First,
+        first: Header,
         all: &[(Key, PersistedEntry)],
     ) -> io::Result<Option<Log>> {
         let own = folder.join(format!("{number}.{}", std::process::id()));
@@ -216,7 +226,7 @@
         file.set_len(0)?;
         let mut bytes = Vec::new();
         put(&mut bytes, &first)?;
-        let stamp = machine();
+        let stamp = time_since_boot();
         all.iter()
             .try_for_each(|(key, kept)| put(&mut bytes, &(stamp, key, kept)))?;
         file.write_all(&bytes)?;
@@ -232,31 +242,31 @@
             .filter(|n| *n < number)
             .for_each(|n| drop(fs::remove_file(named(folder, n))));
         let length = bytes.len() as u64;
-        let longest = LEAST.max(4 * length);
+        let compact_above = MIN_COMPACTION_BYTES.max(4 * length);
         Ok(Some(Log {
             folder: folder.to_path_buf(),
             number,
             file,
             first,
             length,
-            longest,
+            compact_above,
         }))
     }
 
     /// Whether another process is this seat by now.
-    pub fn passed(&self) -> bool {
+    pub fn is_superseded(&self) -> bool {
         let later =
             numbers(&self.folder).is_ok_and(|all| all.into_iter().any(|other| other > self.number));
         later || !named(&self.folder, self.number).exists()
     }
 
     /// Whether it is so long that it should be written anew.
-    pub fn long(&self) -> bool {
-        self.length > self.longest
+    pub fn needs_compaction(&self) -> bool {
+        self.length > self.compact_above
     }
 
-    pub fn add(&mut self, changed: &[(Key, PersistedEntry)]) -> io::Result<()> {
-        let (stamp, mut bytes) = (machine(), Vec::new());
+    pub fn append(&mut self, changed: &[(Key, PersistedEntry)]) -> io::Result<()> {
+        let (stamp, mut bytes) = (time_since_boot(), Vec::new());
         changed
             .iter()
             .try_for_each(|(key, kept)| put(&mut bytes, &(stamp, key, kept)))?;
@@ -265,23 +275,27 @@
     }
 
     /// Anew, with all that holds. Fails where another process has gone on.
-    pub fn anew(&mut self, all: &[(Key, PersistedEntry)]) -> io::Result<()> {
-        if self.passed() {
+    pub fn rewrite(&mut self, all: &[(Key, PersistedEntry)]) -> io::Result<()> {
+        if self.is_superseded() {
             return Err(io::Error::other("another process goes on"));
         }
-        let First { boot, mark, speaks } = &self.first;
-        let first = First {
+        let Header {
+            boot,
+            fingerprint,
+            votes_at,
+        } = &self.first;
+        let first = Header {
             boot: boot.clone(),
-            mark: mark.clone(),
-            speaks: *speaks,
+            fingerprint: fingerprint.clone(),
+            votes_at: *votes_at,
         };
-        let log = Log::begin(&self.folder, self.number + 1, first, all)?;
+        let log = Log::create(&self.folder, self.number + 1, first, all)?;
         *self = log.ok_or_else(|| io::Error::other("another process goes on"))?;
         Ok(())
     }
 
     /// What it holds is not all that was promised: nobody reads it back.
-    pub fn spoil(&mut self) {
+    pub fn invalidate(&mut self) {
         let _ = self.file.set_len(0);
     }
 }
--- a/edge/proxy/src/cover/log_format_tests.rs
+++ b/edge/proxy/src/cover/log_format_tests.rs
@@ -74,20 +74,20 @@
 
 #[test]
 fn the_bytes_of_the_first_entry_stay() {
-    let first = || First {
+    let first = || Header {
         boot: "7c1e7a3c-0f5e-4f0e-9a52-1d2f3a4b5c6d\n".into(),
-        mark: "mark".into(),
-        speaks: 314,
+        fingerprint: "mark".into(),
+        votes_at: 314,
     };
-    let fields = |first: First| (first.boot, first.mark, first.speaks);
+    let fields = |first: Header| (first.boot, first.fingerprint, first.votes_at);
     fixtures::check(
         &path("header.hex"),
         &[("header", fields(first()))],
-        |(boot, mark, speaks)| {
-            written(&First {
+        |(boot, fingerprint, votes_at)| {
+            written(&Header {
                 boot: boot.clone(),
-                mark: mark.clone(),
-                speaks: *speaks,
+                fingerprint: fingerprint.clone(),
+                votes_at: *votes_at,
             })
         },
         |bytes| fields(read(bytes)),
@@ -113,12 +113,13 @@
 fn a_log_writes_its_entries_in_this_form() {
     let folder = tempfile::tempdir().unwrap();
     let (mut log, _) = Log::open(folder.path(), "mark", 0).unwrap().unwrap();
-    log.add(&[(Key(1), kept(false, Some(record())))]).unwrap();
+    log.append(&[(Key(1), kept(false, Some(record())))])
+        .unwrap();
     let bytes = fs::read(folder.path().join("1.seat")).unwrap();
     let mut rest = &bytes[..];
-    let first = next::<First>(&mut rest).unwrap();
+    let first = next::<Header>(&mut rest).unwrap();
     let (stamp, key, one) = read::<(u64, Key, PersistedEntry)>(rest);
-    assert!(first.mark == "mark" && first.speaks <= stamp && stamp <= machine());
+    assert!(first.fingerprint == "mark" && first.votes_at <= stamp && stamp <= time_since_boot());
     assert_eq!((key, &one), (Key(1), &kept(false, Some(record()))));
     let again = [written(&first), written(&(stamp, key, one))].concat();
     assert_eq!(again, bytes);
--- a/edge/proxy/src/cover/log_tests.rs
+++ b/edge/proxy/src/cover/log_tests.rs
@@ -17,13 +17,13 @@
     }
 }
 
-fn open(folder: &Path, mark: &str) -> (Log, Found) {
-    Log::open(folder, mark, 5_000_000)
+fn open(folder: &Path, fingerprint: &str) -> (Log, Recovered) {
+    Log::open(folder, fingerprint, 5_000_000)
         .unwrap()
         .expect("nobody holds it")
 }
 
-fn terms(found: &Found) -> Vec<u64> {
+fn terms(found: &Recovered) -> Vec<u64> {
     found.kept.values().map(|one| one.promised.term).collect()
 }
 
@@ -31,13 +31,13 @@
 fn the_next_process_reads_the_last_of_each_key_and_goes_on_being_silent() {
     let folder = tempfile::tempdir().unwrap();
     let (mut log, found) = open(folder.path(), "a");
-    assert_eq!((found.speaks_in, found.kept.len()), (5_000_000, 0));
-    log.add(&[(Key(1), kept(1)), (Key(2), kept(2))]).unwrap();
-    log.add(&[(Key(1), kept(3))]).unwrap();
+    assert_eq!((found.votes_in, found.kept.len()), (5_000_000, 0));
+    log.append(&[(Key(1), kept(1)), (Key(2), kept(2))]).unwrap();
+    log.append(&[(Key(1), kept(3))]).unwrap();
     drop(log);
     let (_log, found) = open(folder.path(), "a");
     assert_eq!(terms(&found), [3, 2]);
-    assert!(found.speaks_in > 0 && found.speaks_in <= 5_000_000);
+    assert!(found.votes_in > 0 && found.votes_in <= 5_000_000);
     assert!(found.kept[&Key(1)].time_left <= 60_000_000);
 }
 
@@ -45,14 +45,14 @@
 fn a_torn_end_is_passed_over_and_written_over() {
     let folder = tempfile::tempdir().unwrap();
     let (mut log, _) = open(folder.path(), "a");
-    log.add(&[(Key(1), kept(1))]).unwrap();
+    log.append(&[(Key(1), kept(1))]).unwrap();
     let whole = log.length;
-    log.add(&[(Key(2), kept(2))]).unwrap();
+    log.append(&[(Key(2), kept(2))]).unwrap();
     log.file.set_len(whole + 20).unwrap();
     drop(log);
     let (mut log, found) = open(folder.path(), "a");
     assert_eq!(terms(&found), [1]);
-    log.add(&[(Key(3), kept(3))]).unwrap();
+    log.append(&[(Key(3), kept(3))]).unwrap();
     drop(log);
     assert_eq!(terms(&open(folder.path(), "a").1), [1, 3]);
 }
@@ -61,12 +61,12 @@
 fn what_is_about_other_seats_or_was_spoilt_is_not_read_back() {
     let folder = tempfile::tempdir().unwrap();
     let (mut log, _) = open(folder.path(), "a");
-    log.add(&[(Key(1), kept(1))]).unwrap();
+    log.append(&[(Key(1), kept(1))]).unwrap();
     drop(log);
     let (mut log, found) = open(folder.path(), "b");
-    assert_eq!((found.speaks_in, found.kept.len()), (5_000_000, 0));
-    log.add(&[(Key(1), kept(1))]).unwrap();
-    log.spoil();
+    assert_eq!((found.votes_in, found.kept.len()), (5_000_000, 0));
+    log.append(&[(Key(1), kept(1))]).unwrap();
+    log.invalidate();
     drop(log);
     assert_eq!(open(folder.path(), "b").1.kept.len(), 0);
 }
@@ -75,13 +75,13 @@
 fn one_beside_another_waits_for_it_and_goes_on_with_all_that_it_kept() {
     let folder = tempfile::tempdir().unwrap();
     let (mut old, _) = open(folder.path(), "a");
-    assert!(!old.wanted());
+    assert!(!old.successor_waits());
     assert!(Log::open(folder.path(), "a", 5_000_000).unwrap().is_none());
-    assert!(old.wanted() && !old.passed());
-    old.add(&[(Key(1), kept(1))]).unwrap();
+    assert!(old.successor_waits() && !old.is_superseded());
+    old.append(&[(Key(1), kept(1))]).unwrap();
     drop(old);
     let (new, found) = open(folder.path(), "a");
-    assert!(!new.wanted());
+    assert!(!new.successor_waits());
     assert_eq!(terms(&found), [1]);
 }
 
@@ -89,11 +89,11 @@
 fn one_that_is_passed_over_learns_of_it_and_writes_no_more_files() {
     let folder = tempfile::tempdir().unwrap();
     let (mut old, _) = open(folder.path(), "a");
-    old.add(&[(Key(1), kept(1))]).unwrap();
-    let mut new = Log::pass(folder.path(), "a").unwrap().unwrap();
-    assert!(old.passed() && !new.passed());
-    assert!(old.anew(&[(Key(1), kept(1))]).is_err());
-    new.add(&[(Key(2), kept(2))]).unwrap();
+    old.append(&[(Key(1), kept(1))]).unwrap();
+    let mut new = Log::supersede(folder.path(), "a").unwrap().unwrap();
+    assert!(old.is_superseded() && !new.is_superseded());
+    assert!(old.rewrite(&[(Key(1), kept(1))]).is_err());
+    new.append(&[(Key(2), kept(2))]).unwrap();
     drop((old, new));
     assert_eq!(terms(&open(folder.path(), "a").1), [2]);
 }
@@ -102,10 +102,10 @@
 fn written_anew_it_holds_what_it_is_given_alone() {
     let folder = tempfile::tempdir().unwrap();
     let (mut log, _) = open(folder.path(), "a");
-    log.add(&[(Key(1), kept(1)), (Key(2), kept(2))]).unwrap();
-    log.anew(&[(Key(2), kept(2))]).unwrap();
-    log.add(&[(Key(3), kept(3))]).unwrap();
-    assert!(!log.passed());
+    log.append(&[(Key(1), kept(1)), (Key(2), kept(2))]).unwrap();
+    log.rewrite(&[(Key(2), kept(2))]).unwrap();
+    log.append(&[(Key(3), kept(3))]).unwrap();
+    assert!(!log.is_superseded());
     drop(log);
     assert_eq!(terms(&open(folder.path(), "a").1), [2, 3]);
 }
--- a/edge/proxy/src/cover/hold.rs
+++ b/edge/proxy/src/cover/owned_record.rs
@@ -1,7 +1,7 @@
 //! One request that this process owns, for its thread.
 
-use super::line::Line;
-use super::rules::Class;
+use super::class_policies::ReplicatedClass;
+use super::client::TakeoverClient;
 use foldmux::interface::{Member, Outcome};
 use foldmux_core::records::{AttemptIntent, OwnedRecord, StoredResponse};
 use foldmux_takeover::{Answer, AttemptOutcome, Command, Event, Key, Lease, Proof, Record};
@@ -9,9 +9,9 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-pub struct Held {
-    line: Arc<Line>,
-    class: Class,
+pub struct ReplicatedRecord {
+    client: Arc<TakeoverClient>,
+    class: ReplicatedClass,
     key: Key,
     term: u64,
     lease: Lease,
@@ -23,16 +23,16 @@
     closed: AtomicBool,
 }
 
-impl Held {
+impl ReplicatedRecord {
     pub fn new(
-        line: &Arc<Line>,
-        class: Class,
+        client: &Arc<TakeoverClient>,
+        class: ReplicatedClass,
         key: Key,
         record: &Record,
         proof: Proof,
         lease: Lease,
         until: Instant,
-    ) -> Held {
+    ) -> ReplicatedRecord {
         let term = record.ballot.term;
         let within = match proof {
             Proof::Repeatable {
@@ -48,8 +48,8 @@
             .map(|a| a.number)
             .max()
             .unwrap_or(0);
-        Held {
-            line: line.clone(),
+        ReplicatedRecord {
+            client: client.clone(),
             class,
             key,
             term,
@@ -64,12 +64,12 @@
 
     fn lost(&self) {
         self.closed.store(true, Ordering::SeqCst);
-        self.line.counts.lost.fetch_add(1, Ordering::Relaxed);
+        self.client.counts.lost.fetch_add(1, Ordering::Relaxed);
     }
 
     fn let_go(&self, over: bool) {
         if !self.closed.swap(true, Ordering::SeqCst) {
-            self.line.say(Command::Release {
+            self.client.send(Command::Release {
                 key: self.key,
                 term: self.term,
                 abandoned: over,
@@ -78,7 +78,7 @@
     }
 }
 
-impl OwnedRecord for Held {
+impl OwnedRecord for ReplicatedRecord {
     fn required_group(&self) -> Option<u32> {
         self.within
     }
@@ -87,14 +87,16 @@
         let (key, term) = (self.key, self.term);
         let number = self.number.fetch_add(1, Ordering::SeqCst) + 1;
         let group = self.class.repeat.key_group(server);
-        let told = self.line.ask(self.until, |ticket| Command::BeginAttempt {
-            ticket,
-            key,
-            term,
-            number,
-            group,
-        });
-        match told {
+        let event = self
+            .client
+            .call(self.until, |ticket| Command::BeginAttempt {
+                ticket,
+                key,
+                term,
+                number,
+                group,
+            });
+        match event {
             Some(Event::Committed { .. }) => AttemptIntent::Recorded,
             Some(Event::Rejected { .. }) => AttemptIntent::Declined,
             Some(_) => {
@@ -106,7 +108,9 @@
     }
 
     fn may_send(&self) -> bool {
-        self.line.now().is_some_and(|now| self.lease.may_send(now))
+        self.client
+            .now()
+            .is_some_and(|now| self.lease.may_send(now))
     }
 
     fn term(&self) -> Option<u64> {
@@ -126,7 +130,7 @@
         if end == AttemptOutcome::MayHaveRun {
             self.may_have_run.store(true, Ordering::SeqCst);
         }
-        self.line.say(Command::EndAttempt {
+        self.client.send(Command::EndAttempt {
             key: self.key,
             term: self.term,
             number,
@@ -145,14 +149,14 @@
             StoredResponse::NotModified => Answer::NotModified,
             StoredResponse::Failed => Answer::Failed,
         };
-        let told = self.line.ask(self.until, |ticket| Command::Complete {
+        let event = self.client.call(self.until, |ticket| Command::Complete {
             ticket,
             key,
             term,
             answer,
         });
-        let kept = matches!(told, Some(Event::Committed { .. }));
-        match told {
+        let kept = matches!(event, Some(Event::Committed { .. }));
+        match event {
             Some(Event::Committed { .. }) => self.closed.store(true, Ordering::SeqCst),
             Some(_) => self.lost(),
             None => {}
@@ -165,7 +169,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for ReplicatedRecord {
     /// Guards against a request that ends with nothing said of it: the next in line goes on with it.
     fn drop(&mut self) {
         self.let_go(false);
--- a/edge/proxy/src/cover/taken.rs
+++ b/edge/proxy/src/cover/take_over.rs
@@ -1,24 +1,21 @@
 //! Works that this process was handed: each is run as any request, with its answer kept for whoever comes again.
 
-use super::hold::Held;
-use super::line::Line;
-use super::rules::Classes;
+use super::class_policies::ReplicatedClasses;
+use super::client::{TakenOverRequest, TakeoverClient};
+use super::owned_record::ReplicatedRecord;
 use foldmux_core::{ClientRequest, Core};
-use foldmux_takeover::{Key, Lease, Proof, Record};
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-pub struct Taken {
-    pub key: Key,
-    pub record: Record,
-    pub proof: Proof,
-    pub lease: Lease,
-}
-
 /// Whether it was begun; else its hold was dropped, and the next in line goes on.
-pub fn begin(core: &Arc<Core>, classes: &Classes, line: &Arc<Line>, taken: Taken) -> bool {
-    let Taken {
+pub fn begin(
+    core: &Arc<Core>,
+    classes: &ReplicatedClasses,
+    client: &Arc<TakeoverClient>,
+    taken: TakenOverRequest,
+) -> bool {
+    let TakenOverRequest {
         key,
         record,
         proof,
@@ -28,8 +25,8 @@
         return false;
     };
     let (arrived, work) = (Instant::now(), &record.request);
-    let hold = Held::new(
-        line,
+    let hold = ReplicatedRecord::new(
+        client,
         *class,
         key,
         &record,
--- a/edge/proxy/src/fleet.rs
+++ b/edge/proxy/src/fleet.rs
@@ -15,6 +15,7 @@
 use std::time::{Duration, SystemTime};
 
 pub mod parts;
+pub(crate) mod replica_set;
 
 /// Longest that what is still to be said may take at the end.
 const LAST_WORDS: Duration = Duration::from_millis(100);
--- a/edge/proxy/src/fleet/parts.rs
+++ b/edge/proxy/src/fleet/parts.rs
@@ -1,7 +1,7 @@
 //! The parts that the operator's file names beside the members: covered requests, the journal by site, slots of pools.
 
-use crate::cover::start::Covered;
-use crate::cover::Ready;
+use crate::cover::start::RunningCover;
+use crate::cover::PreparedCover;
 use crate::journal::JournalClient;
 use crate::relayed::{self, Relayed};
 use crate::turns::Turns;
@@ -9,21 +9,10 @@
 use foldmux_core::Core;
 use foldmux_fleet::{Builder, Port};
 use foldmux_operator::Fleet as Said;
-use foldmux_replicas::{ClockDrift, Peer, ReplicaSet};
 use foldmux_settings::Decoded;
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Whom each part asks for a majority, and how far clocks may run apart.
-pub(crate) fn seats(said: &Said) -> Result<(ReplicaSet, ClockDrift), String> {
-    let seats = ReplicaSet::new(said.seats.iter().map(|name| Peer::new(name)));
-    let drift = ClockDrift::from_percent(said.drift_percent);
-    Ok((
-        seats.map_err(|e| format!("fleet: {e}"))?,
-        drift.map_err(|e| format!("fleet: {e}"))?,
-    ))
-}
-
 /// What the process brings to them.
 pub struct Own<'a> {
     pub name: &'a str,
@@ -40,7 +29,7 @@
 /// Added to the fleet, and not in service yet.
 #[derive(Default)]
 pub struct Parts {
-    cover: Option<(Ready, Port<foldmux_takeover::Command>)>,
+    cover: Option<(PreparedCover, Port<foldmux_takeover::Command>)>,
     relayed: Option<(Relayed, Port<foldmux_relay::Ask>)>,
     turns: Option<Arc<Turns>>,
     told: Vec<String>,
@@ -49,7 +38,7 @@
 /// In service.
 #[derive(Default)]
 pub struct Serving {
-    cover: Option<Covered>,
+    cover: Option<RunningCover>,
     relayed: Option<Relayed>,
     turns: Option<Arc<Turns>>,
 }
@@ -58,7 +47,7 @@
     pub fn add(builder: &mut Builder, said: &Said, own: &Own) -> Result<Parts, String> {
         let mut parts = Parts::default();
         let bounds = (own.open, own.memory_mb, own.seed);
-        if let Some(ready) = Ready::new(
+        if let Some(ready) = PreparedCover::new(
             said,
             own.name,
             own.decoded,
@@ -140,7 +129,7 @@
 impl Serving {
     /// What others can go on with is theirs at once.
     pub fn leave(&self) {
-        self.cover.iter().for_each(Covered::leave);
+        self.cover.iter().for_each(RunningCover::leave);
         self.relayed.iter().for_each(|relayed| relayed.desk.leave());
         self.turns.iter().for_each(|turns| turns.leave());
     }
--- /dev/null
+++ b/edge/proxy/src/fleet/replica_set.rs
@@ -0,0 +1,17 @@
+//! The replica set and the clock drift that the operator's file gives to all state machines of the fleet.
+
+use foldmux_operator::Fleet as FleetConfig;
+use foldmux_replicas::{ClockDrift, Peer, ReplicaSet};
+
+/// The replica set (`seat(...)` in the operator's file), and how far clocks may drift.
+///
+/// # Errors
+///
+/// One line that says what is wrong with either.
+pub(crate) fn replica_set(config: &FleetConfig) -> Result<(ReplicaSet, ClockDrift), String> {
+    let names = config.seats.iter().map(|name| Peer::new(name));
+    let replicas = ReplicaSet::new(names).map_err(|e| format!("fleet: {e}"))?;
+    let drift =
+        ClockDrift::from_percent(config.drift_percent).map_err(|e| format!("fleet: {e}"))?;
+    Ok((replicas, drift))
+}
--- a/edge/proxy/src/relayed.rs
+++ b/edge/proxy/src/relayed.rs
@@ -2,7 +2,7 @@
 //! unless the operator's file names the stream.
 
 use crate::backoff::Backoff;
-use crate::fleet::parts::seats;
+use crate::fleet::replica_set::replica_set;
 use crate::journal::JournalClient;
 use foldmux_event_stream::readers::RelaySink;
 use foldmux_event_stream::{serve, StreamReaders};
@@ -42,7 +42,7 @@
         let Some(journal) = said.streams.iter().find(|stream| stream.name == JOURNAL) else {
             return Ok(None);
         };
-        let (seats, drift) = seats(said)?;
+        let (replicas, drift) = replica_set(said)?;
         let life = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |d| d.as_micros() as u64);
@@ -57,7 +57,7 @@
                     )
                 })
                 .collect(),
-            replicas: seats,
+            replicas,
             drift,
             lease: said.lease_ms * 1_000,
             streams: vec![stream(journal)],
--- a/edge/proxy/src/turns.rs
+++ b/edge/proxy/src/turns.rs
@@ -4,7 +4,7 @@
 mod pool;
 mod weights;
 
-use crate::fleet::parts::seats;
+use crate::fleet::replica_set::replica_set;
 use crate::turns::pool::{Pool, TurnPlace, Word};
 use crate::turns::weights::{keyed, weights};
 use crossbeam_channel::{bounded, Sender};
@@ -135,8 +135,8 @@
                 unnamed: Weight::ONE.0,
             });
         }
-        let (seats, drift) = seats(said)?;
-        let seats = ReplicaConfiguration::stable(seats);
+        let (replicas, drift) = replica_set(said)?;
+        let seats = ReplicaConfiguration::stable(replicas);
         let peers = said
             .peers
             .iter()
--- a/pure/takeover/tests/common/acts.rs
+++ b/pure/takeover/tests/common/acts.rs
@@ -1,6 +1,7 @@
 //! What a plan does to the world.
 
-use super::world::{Scheduled, World};
+use super::schedule::Scheduled;
+use super::world::World;
 use super::{name, setup, Act};
 use foldmux_replicas::StateMachine;
 use foldmux_takeover::{Command, Takeover};
--- a/pure/takeover/tests/common/host.rs
+++ b/pure/takeover/tests/common/host.rs
@@ -1,8 +1,9 @@
-//! A process as the part's host: request threads that intend, send, hear and answer; and the clients that ask.
+//! The threads of a process that work on its requests: they begin attempts, send them, and store the answer.
 
 use super::archive::Came;
-use super::world::{Scheduled, World};
-use super::{LONGEST, MS};
+use super::schedule::Scheduled;
+use super::world::World;
+use super::MS;
 use foldmux_takeover::*;
 use std::sync::Arc;
 
@@ -10,7 +11,7 @@
     ["keyed", "keyed", "once", "safe"][key as usize % 4]
 }
 
-pub fn work(key: u8) -> Arc<Request> {
+pub fn request(key: u8) -> Arc<Request> {
     let (class, token) = (class(key).into(), Some(key.to_string().into()));
     Arc::new(Request {
         class,
@@ -51,43 +52,7 @@
     },
 }
 
-pub struct Client {
-    pub key: u8,
-    pub until: u64,
-    pub answer: Option<Answer>,
-    /// Which of its asks is open.
-    pub turn: u32,
-}
-
 impl World {
-    pub fn client_asks(&mut self, client: usize, at: usize, again: bool) {
-        let one = &mut self.clients[client];
-        if one.answer.is_some() || self.now >= one.until {
-            return;
-        }
-        one.turn += 1;
-        let (key, left, turn) = (one.key, one.until - self.now, one.turn);
-        self.later(700 * MS, Scheduled::Patience { client, turn, at });
-        if self.processes[at].part.is_none() {
-            return self.later(20 * MS, Scheduled::Elsewhere { client, turn, at });
-        }
-        let ticket = self.ticket(at, Purpose::Claim { client });
-        self.ask(
-            at,
-            Command::Acquire {
-                ticket,
-                key: Key(key.into()),
-                request: work(key),
-                time_left: left,
-                ownership_lost: again,
-            },
-        );
-    }
-
-    fn answer(&mut self, client: usize, answer: Answer) {
-        self.clients[client].answer.get_or_insert(answer);
-    }
-
     pub fn told(&mut self, at: usize, told: Event) {
         let by = |world: &mut World, ticket: u64| world.purpose(at, ticket);
         match told {
@@ -115,7 +80,7 @@
                 }
             }
             Event::Unreplicated { ticket } | Event::Failed { ticket } => {
-                drop(self.elsewhere(at, ticket))
+                _ = self.elsewhere(at, ticket)
             }
             Event::Rejected { ticket } => {
                 if let Some(Purpose::Intend { key }) = self.elsewhere(at, ticket) {
@@ -155,15 +120,6 @@
         }
     }
 
-    fn elsewhere(&mut self, at: usize, ticket: u64) -> Option<Purpose> {
-        let purpose = self.purpose(at, ticket);
-        if let Some(Purpose::Claim { client }) = purpose {
-            let turn = self.clients[client].turn;
-            self.later(50 * MS, Scheduled::Elsewhere { client, turn, at });
-        }
-        purpose
-    }
-
     fn host(
         &mut self,
         at: usize,
@@ -370,14 +326,4 @@
             },
         );
     }
-
-    pub fn new_client(&mut self, key: u8, at: usize) {
-        self.clients.push(Client {
-            key,
-            until: self.now + LONGEST,
-            answer: None,
-            turn: 0,
-        });
-        self.client_asks(self.clients.len() - 1, at, false);
-    }
 }
--- a/pure/takeover/tests/common/mod.rs
+++ b/pure/takeover/tests/common/mod.rs
@@ -4,8 +4,10 @@
 
 pub mod acts;
 pub mod archive;
+pub mod client;
 pub mod host;
 pub mod plans;
+pub mod schedule;
 pub mod world;
 
 use foldmux_replicas::{ClockDrift, Peer, ReplicaSet};
--- a/pure/takeover/tests/kept.rs
+++ b/pure/takeover/tests/kept.rs
@@ -40,7 +40,7 @@
 }
 
 fn claim(part: &mut Takeover, now: u64, ballot: Ballot) -> (Verdict, Option<Record>) {
-    let work = common::host::work(1);
+    let work = common::host::request(1);
     let from = ballot.owner.as_str()[1..].parse().unwrap();
     let left = 1_000 * MS;
     match heard(
--- a/pure/takeover/tests/small/mod.rs
+++ b/pure/takeover/tests/small/mod.rs
@@ -1,6 +1,6 @@
 //! The small fleet's state and its steps.
 
-use super::common::{host::work, rule, OWN_WINDOW};
+use super::common::{host::request, rule, OWN_WINDOW};
 use foldmux_replicas::{ClockDrift, Effect, Peer, ReplicaSet, StateMachine};
 use foldmux_takeover::*;
 use std::hash::{Hash, Hasher};
@@ -169,7 +169,7 @@
                 let ask = Command::Acquire {
                     ticket: 1,
                     key: KEY,
-                    request: work(0),
+                    request: request(0),
                     time_left: 90,
                     ownership_lost: false,
                 };
