--- a/edge/simhost/src/main.rs
+++ b/edge/simhost/src/main.rs
@@ -1,17 +1,24 @@
-use foldmux_simhost::host::Host;
+//! `foldmux-simhost`: plays the simulator's batches from standard input, replies on standard output.
+
+use foldmux_simhost::host::{Host, HostOptions};
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
-/// `--deaf`: load reports are left aside; `--probes`: probes are sent where they may pay. Both are there to compare by.
+const INPUT_BUFFER_BYTES: usize = 1 << 20;
+
+/// `--deaf` ignores load reports, `--probes` sends health checks where they may pay; both are for comparisons.
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let has = |word: &str| arguments.iter().any(|argument| argument == word);
-    let host = Host::new(has("--deaf"), has("--probes"));
-    let input = BufReader::with_capacity(1 << 20, io::stdin().lock());
+    let has = |flag: &str| arguments.iter().any(|argument| argument == flag);
+    let host = Host::new(HostOptions {
+        ignores_load_reports: has("--deaf"),
+        acts_on_load_reports: has("--probes"),
+    });
+    let input = BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     match foldmux_simhost::run_on(host, input, BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("foldmux-simhost: {}", message.replace('\n', " "));
+        Err(error) => {
+            eprintln!("foldmux-simhost: {}", error.to_string().replace('\n', " "));
             ExitCode::FAILURE
         }
     }
--- a/edge/simhost/tests/wire.rs
+++ b/edge/simhost/tests/wire.rs
@@ -99,7 +99,7 @@
 
 fn play(input: &[u8]) -> Result<Vec<Records>, String> {
     let mut out = Vec::new();
-    run(input, &mut out)?;
+    run(input, &mut out).map_err(|error| error.to_string())?;
     let word = |at: usize| u32::from_le_bytes(std::array::from_fn(|k| out[at + k])) as usize;
     let (mut replies, mut at) = (Vec::new(), 0);
     while at < out.len() {
@@ -199,7 +199,7 @@
 #[test]
 fn malformed_input_is_named_with_record_and_offset() {
     let short = batch(1000, &[start(1), record(9, &[&1u32.to_le_bytes()])]);
-    let message = run(&short[..], Vec::new()).unwrap_err();
+    let message = run(&short[..], Vec::new()).unwrap_err().to_string();
     assert!(
         message.contains("record 1") && message.contains("offset"),
         "{message}"
@@ -208,9 +208,11 @@
     cut.truncate(40);
     assert!(run(&cut[..], Vec::new())
         .unwrap_err()
+        .to_string()
         .contains("the input ends"));
     assert!(run(&[1, 2, 3][..], Vec::new())
         .unwrap_err()
+        .to_string()
         .contains("header"));
     let extra = [batch(1000, &[]), vec![]].concat();
     let mut extra = extra;
@@ -218,6 +220,7 @@
     extra.extend([0, 0]);
     assert!(run(&extra[..], Vec::new())
         .unwrap_err()
+        .to_string()
         .contains("after the last record"));
 }
 
