--- a/edge/core/src/core.rs
+++ b/edge/core/src/core.rs
@@ -250,13 +250,20 @@
 impl RequestJob {
     /// Rejects the request before the router heard of it. One that was taken over has no client here: dropping its record
     /// releases it.
-    fn shed(self, reason: Reason) {
-        let Work::Client(responder) = self.work else {
+    fn shed(self: Box<Self>, reason: Reason) {
+        let RequestJob {
+            core,
+            claim: _claim,
+            request,
+            work,
+            ..
+        } = *self;
+        let Work::Client(responder) = work else {
             return;
         };
-        let services = self.core.services();
+        let services = core.services();
         let completion = Completion::Shed(reason);
-        services.record_completion(&self.request, completion, &AttemptHistory::default());
+        services.record_completion(&request, completion, &AttemptHistory::default());
         responder.respond(Response::Rejected(services.rejected()));
     }
 }
--- a/edge/core/src/workers.rs
+++ b/edge/core/src/workers.rs
@@ -23,10 +23,17 @@
 
 /// A job that no thread took, and why.
 pub(crate) struct NotStarted<J> {
-    pub(crate) job: J,
+    pub(crate) job: Box<J>,
     pub(crate) reason: Reason,
 }
 
+impl<J> NotStarted<J> {
+    fn new(job: J, reason: Reason) -> NotStarted<J> {
+        let job = Box::new(job);
+        NotStarted { job, reason }
+    }
+}
+
 /// A job on its way to a thread, with its place among the open requests.
 struct Assignment<J> {
     job: J,
@@ -53,19 +60,16 @@
     /// Gives the job to a thread, or back where there is no room for it.
     pub(crate) fn start(self: &Arc<Self>, job: J) -> Result<(), NotStarted<J>> {
         let Some(open) = self.open.enter() else {
-            let reason = Reason::RequestsFull;
-            return Err(NotStarted { job, reason });
+            return Err(NotStarted::new(job, Reason::RequestsFull));
         };
-        let reason = Reason::NoThread;
         let idle = self.idle().pop();
         // Where the machine gives no more threads, those that there are serve on.
         let Ok(thread) = idle.map_or_else(|| self.spawn(), Ok) else {
-            return Err(NotStarted { job, reason });
+            return Err(NotStarted::new(job, Reason::NoThread));
         };
-        thread.send(Assignment { job, open }).map_err(|unsent| {
-            let job = unsent.0.job;
-            NotStarted { job, reason }
-        })
+        thread
+            .send(Assignment { job, open })
+            .map_err(|unsent| NotStarted::new(unsent.0.job, Reason::NoThread))
     }
 
     fn idle(&self) -> MutexGuard<'_, Vec<Sender<Assignment<J>>>> {
--- a/edge/core/tests/limits.rs
+++ b/edge/core/tests/limits.rs
@@ -119,9 +119,10 @@
     )
 }
 
-#[test]
-fn a_reload_in_the_middle_of_a_storm_loses_nothing_and_doubles_nothing() {
-    const REQUESTS: u64 = 3_000;
+const REQUESTS: u64 = 3_000;
+
+/// A core in service whose attempts `boxes` make, and its limits.
+fn start_core(boxes: Arc<Boxes>) -> (Arc<Core>, Arc<Limiter>) {
     let decoded = foldmux_settings::parse(SETTINGS).unwrap();
     let repeats = decoded
         .settings
@@ -159,8 +160,7 @@
         full: true,
         servers: all,
     });
-    let boxes = Arc::new(Boxes::default());
-    let upstream = Box::new(Shared(boxes.clone()));
+    let upstream = Box::new(Shared(boxes));
     let core = Core::new(CoreSetup {
         event_loop: handle,
         clock: clock.clone(),
@@ -177,30 +177,40 @@
         .stack_size(512 * 1024)
         .spawn(move || event_loop.run())
         .unwrap();
+    (core, limiter)
+}
+
+fn request(id: u64) -> ClientRequest {
+    ClientRequest {
+        via_id: id,
+        class: ((id % 3) as usize).into(),
+        class_name: "any".into(),
+        object: id % 50,
+        part: 0,
+        group: 0,
+        size_kb: 1.0,
+        token: Some(format!("k{id}")),
+        etag: Some("x".into()),
+        body: None,
+        arrived_at: Instant::now(),
+        budget: Duration::from_secs(2),
+        front: "msgpack",
+        caller: "".into(),
+        required_group: None,
+    }
+}
+
+#[test]
+fn a_reload_in_the_middle_of_a_storm_loses_nothing_and_doubles_nothing() {
+    let boxes = Arc::new(Boxes::default());
+    let (core, limiter) = start_core(boxes.clone());
     let (told, answers) = channel();
     let asking = {
         let core = core.clone();
         thread::spawn(move || {
             for id in 1..=REQUESTS {
-                let request = ClientRequest {
-                    via_id: id,
-                    class: ((id % 3) as usize).into(),
-                    class_name: "any".into(),
-                    object: id % 50,
-                    part: 0,
-                    group: 0,
-                    size_kb: 1.0,
-                    token: Some(format!("k{id}")),
-                    etag: Some("x".into()),
-                    body: None,
-                    arrived_at: Instant::now(),
-                    budget: Duration::from_secs(2),
-                    front: "msgpack",
-                    caller: "".into(),
-                    required_group: None,
-                };
                 core.start(
-                    request,
+                    request(id),
                     core.new_cancel_handle(),
                     Box::new(Counted(told.clone(), id)),
                 );
