--- a/edge/proxy/src/check_config.rs
+++ b/edge/proxy/src/check_config.rs
@@ -4,7 +4,7 @@
 use crate::hierarchy::{HierarchyError, Zones};
 use crate::limits;
 use crate::operator_file::{self, OperatorFileError};
-use foldmux_hierarchy::tree::Kind;
+use foldmux_hierarchy::tree::NodeKind;
 use foldmux_limits::resolve::LimitsFile;
 use foldmux_limits::Account;
 use foldmux_operator::{Fleet, Hierarchy, Operator};
@@ -154,10 +154,10 @@
     let count = |kind| hierarchy.names(kind).len();
     println!(
         "  hierarchy: tree {}, {} locations, {} hubs, {} of them shields, {}",
-        hierarchy.tree.stamp(),
-        count(Kind::Location),
-        count(Kind::Hub),
-        hierarchy.tree.tops().len(),
+        hierarchy.tree.version(),
+        count(NodeKind::Location),
+        count(NodeKind::Hub),
+        hierarchy.tree.top_hubs().len(),
         hierarchy.domain
     );
 }
--- a/edge/proxy/src/hierarchy.rs
+++ b/edge/proxy/src/hierarchy.rs
@@ -4,8 +4,8 @@
 use foldmux_core::clock::Clock;
 use foldmux_core::event_loop::EventLoopHandle;
 use foldmux_core::messages::Command;
-use foldmux_hierarchy::epochs::{Taken, Wiring};
-use foldmux_hierarchy::tree::{Ix, Kind, Tree};
+use foldmux_hierarchy::tree::{NodeIndex, NodeKind, Tree};
+use foldmux_hierarchy::versions::{Applied, TopologyVersions};
 use foldmux_operator::Hierarchy;
 use foldmux_settings::Decoded;
 use std::fmt;
@@ -89,7 +89,7 @@
     }
 
     /// The hubs of a location, by their numbers among the zones.
-    fn hubs(&self, tree: &Tree, location: Ix) -> Result<Vec<usize>, HierarchyError> {
+    fn hubs(&self, tree: &Tree, location: NodeIndex) -> Result<Vec<usize>, HierarchyError> {
         let parents = tree.node(location).parents.iter();
         let hubs = parents.filter(|parent| **parent != tree.archive());
         hubs.map(|hub| self.number(tree.name(*hub))).collect()
@@ -103,14 +103,14 @@
     }
 }
 
-fn location(tree: &Tree, name: &str) -> Option<Ix> {
+fn location(tree: &Tree, name: &str) -> Option<NodeIndex> {
     tree.find(name)
-        .filter(|index| tree.node(*index).kind == Kind::Location)
+        .filter(|index| tree.node(*index).kind == NodeKind::Location)
 }
 
 /// The hierarchy in service.
 pub struct ActiveHierarchy {
-    versions: Wiring,
+    versions: TopologyVersions,
     zones: Zones,
     clock: Clock,
     event_loop: EventLoopHandle,
@@ -130,7 +130,7 @@
     ) -> Result<ActiveHierarchy, HierarchyError> {
         let notice = zones.notice(&hierarchy.tree)?;
         let overlap = hierarchy.overlap_ms * 1_000;
-        let versions = Wiring::new(zones.own_name(), hierarchy.tree.clone(), overlap)
+        let versions = TopologyVersions::new(zones.own_name(), hierarchy.tree.clone(), overlap)
             .map_err(|refused| HierarchyError::Refused(refused.to_string()))?;
         event_loop.send(notice);
         Ok(ActiveHierarchy {
@@ -148,7 +148,7 @@
     ///
     /// Where the tree can't be used here.
     pub fn reapply(&self) -> Result<(), HierarchyError> {
-        let notice = self.zones.notice(self.versions.present())?;
+        let notice = self.zones.notice(self.versions.current())?;
         self.event_loop.send(notice);
         Ok(())
     }
@@ -162,12 +162,12 @@
         let notice = self.zones.notice(&hierarchy.tree)?;
         let taken = self
             .versions
-            .take(self.clock.now(), hierarchy.tree.clone())
+            .apply(self.clock.now(), hierarchy.tree.clone())
             .map_err(|refused| HierarchyError::Refused(refused.to_string()))?;
-        if taken == Taken::New {
+        if taken == Applied::New {
             self.event_loop.send(notice);
         }
-        let stamp = self.versions.present().stamp();
+        let stamp = self.versions.current().version();
         Ok(format!("tree {stamp} is in service"))
     }
 }
--- a/edge/proxy/src/plan.rs
+++ b/edge/proxy/src/plan.rs
@@ -1,8 +1,8 @@
 //! `foldmux plan`: what a change of the hierarchy would move.
 
-use foldmux_hierarchy::epochs::Wiring;
 use foldmux_hierarchy::plan::{plan, Plan};
-use foldmux_hierarchy::tree::Kind;
+use foldmux_hierarchy::tree::NodeKind;
+use foldmux_hierarchy::versions::TopologyVersions;
 use foldmux_operator::Hierarchy;
 use std::fmt;
 
@@ -32,35 +32,35 @@
 ///
 /// Where the tree in service would refuse the change.
 pub fn print_plan(old: &Hierarchy, new: &Hierarchy) -> Result<(), PlanError> {
-    println!("tree {} -> {}", old.tree.stamp(), new.tree.stamp());
+    println!("tree {} -> {}", old.tree.version(), new.tree.version());
     print_moves(&plan(&old.tree, &new.tree));
     let root = old.tree.name(old.tree.archive());
-    let mut versions = Wiring::new(root, old.tree.clone(), 0)
+    let mut versions = TopologyVersions::new(root, old.tree.clone(), 0)
         .map_err(|refused| PlanError::Old(refused.to_string()))?;
     let taken = versions
-        .take(1, new.tree.clone())
+        .apply(1, new.tree.clone())
         .map_err(|refused| PlanError::Refused(refused.to_string()))?;
     println!("it would be taken ({taken:?})");
     Ok(())
 }
 
 fn print_moves(plan: &Plan) {
-    for name in &plan.came {
+    for name in &plan.added {
         println!("  new      {name}");
     }
-    for name in &plan.went {
+    for name in &plan.removed {
         println!("  gone     {name}");
     }
-    for change in &plan.rewired {
+    for change in &plan.reparented {
         let (kind, name) = (change.kind, &change.name);
         let (before, after) = (change.before.join(", "), change.after.join(", "));
         println!("  rewired  {kind} {name}: {before} -> {after}");
     }
-    let rewired = |kind| plan.rewired.iter().filter(|c| c.kind == kind).count();
+    let rewired = |kind| plan.reparented.iter().filter(|c| c.kind == kind).count();
     println!(
         "{} locations and {} hubs rewired",
-        rewired(Kind::Location),
-        rewired(Kind::Hub)
+        rewired(NodeKind::Location),
+        rewired(NodeKind::Hub)
     );
     println!(
         "{:.1}% of objects get another shield",
@@ -68,7 +68,7 @@
     );
     println!(
         "{:.1}% of (location, object) go by other hubs",
-        plan.ways_moved * 100.0
+        plan.paths_moved * 100.0
     );
     println!(
         "{:.3} extra fetches from the archive for each held object, at the most",
--- a/hub/benches/relay.rs
+++ b/hub/benches/relay.rs
@@ -6,8 +6,8 @@
 
 use foldmux_fakes::client::{path, Client};
 use foldmux_fakes::source::{Act, Source};
-use foldmux_hierarchy::ledger::{Arrival, Key, Ledger, Limits, Want};
-use foldmux_hierarchy::tree::Stamp;
+use foldmux_hierarchy::in_flight::{FetchKey, FetchLimits, FetchRequest, FetchTable, FillOrigin};
+use foldmux_hierarchy::tree::TreeVersion;
 use foldmux_operator::script::evaluate;
 use hdrhistogram::Histogram;
 use std::net::{SocketAddr, TcpListener};
@@ -129,30 +129,30 @@
         );
     }
     let before = resident();
-    let mut ledger = Ledger::new(Limits {
+    let mut ledger = FetchTable::new(FetchLimits {
         fetches: 10_000,
-        waits: 20_000,
-        lease: 1,
+        waiters: 20_000,
+        lease_us: 1,
         attempts: 3,
     });
-    let present = Stamp {
+    let present = TreeVersion {
         epoch: 1,
         digest: 1,
     };
     for object in 0..10_000 {
         for _ in 0..2 {
-            let key = Key {
+            let key = FetchKey {
                 class: 0,
                 object,
                 part: 0,
             };
-            ledger.want(
+            ledger.request(
                 0,
-                Want {
+                FetchRequest {
                     key,
-                    arrival: Arrival::BEGINS,
-                    present,
-                    born_after: 0,
+                    origin: FillOrigin::LOCAL,
+                    version: present,
+                    min_birth: 0,
                     until: 1,
                 },
             );
@@ -162,7 +162,7 @@
     println!(
         "10,000 fetches and 20,000 waits in a ledger: {:.2} MB resident ({:?})",
         grown as f64 / 1e6,
-        ledger.size()
+        ledger.sizes()
     );
 }
 
--- a/hub/src/book.rs
+++ b/hub/src/book.rs
@@ -3,13 +3,15 @@
 
 use crate::flight::{Flight, Verdict};
 use crate::tally::{add, Tally};
-use foldmux_hierarchy::epochs::{Refused, Taken};
-use foldmux_hierarchy::health::Word;
-use foldmux_hierarchy::ledger::{Arrival, FetchId, Key, Lane, Limits, Next, Turn, WaitId};
-use foldmux_hierarchy::node::{Choice, NoWay, Node, Seeking};
-use foldmux_hierarchy::tree::{Ix, Stamp};
-use foldmux_hierarchy::way::Way;
-use foldmux_hierarchy::Time;
+use foldmux_hierarchy::fill_path::FillPath;
+use foldmux_hierarchy::health::AttemptOutcome;
+use foldmux_hierarchy::in_flight::{
+    Admission, AfterFailure, CollapseScope, FetchId, FetchKey, FetchLimits, FillOrigin, WaiterId,
+};
+use foldmux_hierarchy::node::{NoSource, Node, SourceChoice, SourceRequest};
+use foldmux_hierarchy::tree::{NodeIndex, TreeVersion};
+use foldmux_hierarchy::versions::{Applied, TopologyRejected};
+use foldmux_hierarchy::TimestampUs;
 use foldmux_operator::Hierarchy;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,11 +21,11 @@
 #[derive(Clone)]
 pub struct Fill {
     pub id: FetchId,
-    pub key: Key,
+    pub key: FetchKey,
     pub path: String,
     pub via: String,
-    pub way: Way,
-    pub lane: Lane,
+    pub way: FillPath,
+    pub lane: CollapseScope,
     pub born_after: u64,
     /// Nodes that somebody tried for this fill in vain.
     pub past: Vec<String>,
@@ -32,7 +34,7 @@
 
 /// Where a try goes, and where that is.
 pub struct Target {
-    pub choice: Choice,
+    pub choice: SourceChoice,
     pub address: SocketAddr,
 }
 
@@ -49,7 +51,7 @@
 /// A place in the ledger, and the bytes to wait for.
 pub struct Waiting<'a> {
     book: &'a Book,
-    wait: WaitId,
+    wait: WaiterId,
     pub flight: Arc<Flight>,
 }
 
@@ -76,9 +78,20 @@
 }
 
 impl Book {
-    pub fn new(me: &str, hierarchy: Hierarchy, limits: Limits) -> Result<Book, Refused> {
+    pub fn new(
+        me: &str,
+        hierarchy: Hierarchy,
+        limits: FetchLimits,
+    ) -> Result<Book, TopologyRejected> {
         let (tree, overlap) = (hierarchy.tree.clone(), hierarchy.overlap_ms * 1_000);
-        let node = Node::new(me, tree, overlap, limits, hierarchy.cold, paces(&hierarchy))?;
+        let node = Node::new(
+            me,
+            tree,
+            overlap,
+            limits,
+            hierarchy.slow_start,
+            paces(&hierarchy),
+        )?;
         Ok(Book {
             state: Mutex::new(State {
                 node,
@@ -92,25 +105,29 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn stamp(&self) -> Stamp {
-        self.state().node.present().stamp()
+    pub fn stamp(&self) -> TreeVersion {
+        self.state().node.current_tree().version()
     }
 
     /// Former trees held, fetches under way, those who wait, sources known.
     pub fn sizes(&self) -> [usize; 4] {
         let state = self.state();
         let ((former, sources), (fetches, waits)) =
-            (state.node.sizes(), state.node.ledger().size());
+            (state.node.sizes(), state.node.fetches().sizes());
         [former, fetches, waits, sources]
     }
 
     /// A new tree; nothing changes where it is refused.
-    pub fn rewire(&self, now: Time, hierarchy: Hierarchy) -> Result<Taken, Refused> {
+    pub fn rewire(
+        &self,
+        now: TimestampUs,
+        hierarchy: Hierarchy,
+    ) -> Result<Applied, TopologyRejected> {
         let mut state = self.state();
         let taken = state
             .node
-            .rewire(now, hierarchy.tree.clone(), paces(&hierarchy))?;
-        if taken == Taken::New {
+            .apply_tree(now, hierarchy.tree.clone(), paces(&hierarchy))?;
+        if taken == Applied::New {
             // Addresses of nodes that only a former tree names stay until its fills are over.
             let mut nodes = std::mem::take(&mut state.hierarchy.nodes);
             nodes.extend(
@@ -119,7 +136,12 @@
                     .iter()
                     .map(|(name, place)| (name.clone(), *place)),
             );
-            let formers: Vec<_> = state.node.wiring().usable_former(now).cloned().collect();
+            let formers: Vec<_> = state
+                .node
+                .versions()
+                .usable_previous(now)
+                .cloned()
+                .collect();
             let known = |name: &str| hierarchy.tree.find(name).is_some();
             nodes.retain(|name, _| known(name) || formers.iter().any(|f| f.find(name).is_some()));
             state.hierarchy = Hierarchy { nodes, ..hierarchy };
@@ -129,16 +151,16 @@
 
     pub fn want(
         &self,
-        now: Time,
-        key: Key,
-        arrival: Arrival,
+        now: TimestampUs,
+        key: FetchKey,
+        arrival: FillOrigin,
         born_after: u64,
-        until: Time,
-    ) -> (Entry<'_>, Lane) {
+        until: TimestampUs,
+    ) -> (Entry<'_>, CollapseScope) {
         let mut state = self.state();
-        let (turn, lane) = state.node.want(now, key, arrival, born_after, until);
+        let (turn, lane) = state.node.request(now, key, arrival, born_after, until);
         let entry = match turn {
-            Turn::Lead(id, wait) => {
+            Admission::Lead(id, wait) => {
                 let flight = Arc::new(Flight::default());
                 state.flights.insert(id, flight.clone());
                 Entry::Lead(
@@ -150,7 +172,7 @@
                     },
                 )
             }
-            Turn::Join(id, wait) => {
+            Admission::Follow(id, wait) => {
                 let flight = state.flights[&id].clone();
                 Entry::Join(Waiting {
                     book: self,
@@ -158,12 +180,12 @@
                     flight,
                 })
             }
-            Turn::Full => Entry::Full,
+            Admission::Rejected => Entry::Full,
         };
         (entry, lane)
     }
 
-    fn leave(&self, wait: WaitId) {
+    fn leave(&self, wait: WaiterId) {
         let mut state = self.state();
         let left = state
             .node
@@ -176,7 +198,7 @@
     /// Where a try of a fill goes; `tried` names the sources that this fetch has tried.
     pub fn choose(
         &self,
-        now: Time,
+        now: TimestampUs,
         fill: &Fill,
         tried: &[Arc<str>],
         tally: &Tally,
@@ -185,21 +207,23 @@
         let State {
             node, hierarchy, ..
         } = &mut *state;
-        let passed: Vec<&str> = fill.way.passed(&hierarchy.domain).collect();
+        let passed: Vec<&str> = fill.way.visited_names(&hierarchy.domain).collect();
         let mut used: Vec<&str> = fill.past.iter().map(String::as_str).collect();
         used.extend(tried.iter().map(|name| &**name));
-        let seeking = Seeking {
+        let seeking = SourceRequest {
             object: fill.key.object,
-            lane: fill.lane,
+            scope: fill.lane,
             passed: &passed,
             tried: &used,
         };
-        let choice = node.choose(now, &seeking).map_err(|none| match none {
-            NoWay::Loop => Verdict::Loop,
-            NoWay::Cold => Verdict::Full,
-            NoWay::Tried => Verdict::Failed,
-        })?;
-        if choice.avoided {
+        let choice = node
+            .select_source(now, &seeking)
+            .map_err(|none| match none {
+                NoSource::Loop => Verdict::Loop,
+                NoSource::WarmingUp => Verdict::Full,
+                NoSource::Exhausted => Verdict::Failed,
+            })?;
+        if choice.loop_avoided {
             add(&tally.loops_avoided);
         }
         (0..choice.held_back).for_each(|_| add(&tally.cold_held_back));
@@ -215,64 +239,72 @@
 
     pub fn hear(
         &self,
-        now: Time,
+        now: TimestampUs,
         unix_ms: u64,
         name: &Arc<str>,
-        word: Word,
+        word: AttemptOutcome,
         since_ms: Option<u64>,
     ) {
-        self.state().node.hear(now, unix_ms, name, word, since_ms);
+        self.state()
+            .node
+            .record_attempt(now, unix_ms, name, word, since_ms);
     }
 
     /// A try failed: what is next for all who wait.
-    pub fn failed(&self, now: Time, fill: &Fill, attempt: u32, verdict: Verdict) -> Next {
+    pub fn failed(
+        &self,
+        now: TimestampUs,
+        fill: &Fill,
+        attempt: u32,
+        verdict: Verdict,
+    ) -> AfterFailure {
         let mut state = self.state();
-        let next = state.node.failed(now, fill.id, attempt);
+        let next = state.node.fail(now, fill.id, attempt);
         match next {
-            Next::Again(attempt) => fill.flight.next(attempt),
-            Next::Over => {
+            AfterFailure::Retry(attempt) => fill.flight.next(attempt),
+            AfterFailure::GiveUp => {
                 state.flights.remove(&fill.id);
                 fill.flight.end(verdict);
             }
-            Next::Stale => {}
+            AfterFailure::Stale => {}
         }
         next
     }
 
     /// How long somebody still waits for a fetch (us); none where nobody does.
-    pub fn left(&self, now: Time, fill: &Fill) -> Option<Time> {
+    pub fn left(&self, now: TimestampUs, fill: &Fill) -> Option<TimestampUs> {
         self.state()
             .node
-            .ledger()
+            .fetches()
             .until(fill.id)?
             .checked_sub(now)
             .filter(|left| *left > 0)
     }
 
     /// Where a write goes: by its object's way, past the nodes that it has passed. One, and no other.
-    pub fn first(&self, object: u64, way: &Way) -> Option<(SocketAddr, Stamp)> {
+    pub fn first(&self, object: u64, way: &FillPath) -> Option<(SocketAddr, TreeVersion)> {
         let state = self.state();
-        let tree = state.node.present();
-        let passed: Vec<Ix> = way
-            .passed(&state.hierarchy.domain)
+        let tree = state.node.current_tree();
+        let passed: Vec<NodeIndex> = way
+            .visited_names(&state.hierarchy.domain)
             .filter_map(|name| tree.find(name))
             .collect();
-        let me = state.node.wiring().me(tree);
+        let me = state.node.versions().own_node(tree);
         let ix = *tree.next(me, object, |ix| !passed.contains(&ix)).first()?;
         Some((
             state.hierarchy.nodes.get(tree.name(ix))?.address?,
-            tree.stamp(),
+            tree.version(),
         ))
     }
 
-    pub fn beat(&self, now: Time, fill: &Fill, attempt: u32) {
-        self.state().node.beat(now, fill.id, attempt);
+    pub fn beat(&self, now: TimestampUs, fill: &Fill, attempt: u32) {
+        self.state().node.renew_lease(now, fill.id, attempt);
     }
 
     /// The fetch is over for all: its part is whole, or there is none.
     pub fn done(&self, fill: &Fill, attempt: u32, verdict: Option<Verdict>) -> bool {
         let mut state = self.state();
-        let current = state.node.done(fill.id, attempt);
+        let current = state.node.complete(fill.id, attempt);
         if current {
             state.flights.remove(&fill.id);
             verdict.iter().for_each(|verdict| fill.flight.end(*verdict));
@@ -281,17 +313,17 @@
     }
 
     /// Fetches whose thread died or hangs.
-    pub fn lapsed(&self, now: Time) -> Vec<(FetchId, u32)> {
-        self.state().node.lapsed(now)
+    pub fn lapsed(&self, now: TimestampUs) -> Vec<(FetchId, u32)> {
+        self.state().node.expired_leases(now)
     }
 
     /// Former trees whose time is over are let go of; addresses that nothing here uses any more.
-    pub fn look(&self, now: Time) -> Vec<SocketAddr> {
+    pub fn look(&self, now: TimestampUs) -> Vec<SocketAddr> {
         let mut state = self.state();
         let State {
             node, hierarchy, ..
         } = &mut *state;
-        let drained = node.look(now);
+        let drained = node.expire(now);
         let addresses = drained
             .iter()
             .filter_map(|name| hierarchy.nodes.get(name)?.address)
--- a/hub/src/exchange.rs
+++ b/hub/src/exchange.rs
@@ -98,7 +98,7 @@
         Err(Broken::Reset) if filled == 0 => return (off(End::Unreached), None),
         Err(_) => return (off(End::Failed), None),
     };
-    let hold_only = target.choice.hold_only;
+    let hold_only = target.choice.only_if_cached;
     let (end, whole) = take(
         hub,
         fill,
@@ -214,14 +214,18 @@
     }
     field(
         "X-Flags",
-        if target.choice.hold_only {
+        if target.choice.only_if_cached {
             &"shallow"
         } else {
             &"coalesce"
         },
     );
-    field("CDN-Loop", &fill.way.with(&hub.signer, fill.key.object));
-    let solo = if target.choice.solo { ";solo" } else { "" };
+    field("CDN-Loop", &fill.way.append(&hub.signer, fill.key.object));
+    let solo = if target.choice.uncollapsed {
+        ";solo"
+    } else {
+        ""
+    };
     // So that a node that stands in for one that failed does not ask that one again.
     let mut past: Vec<&str> = fill.past.iter().map(String::as_str).collect();
     past.extend(tried.iter().map(|name| &**name));
@@ -233,7 +237,7 @@
     };
     field(
         "Hub-Tree",
-        &format_args!("{}{solo}{past}", target.choice.stamp),
+        &format_args!("{}{solo}{past}", target.choice.version),
     );
     head.push_str("\r\n");
     Some(head)
--- a/hub/src/fetch.rs
+++ b/hub/src/fetch.rs
@@ -6,8 +6,8 @@
 use crate::flight::Verdict;
 use crate::state::Hub;
 use crate::tally::add;
-use foldmux_hierarchy::health::Word;
-use foldmux_hierarchy::ledger::Next;
+use foldmux_hierarchy::health::AttemptOutcome;
+use foldmux_hierarchy::in_flight::AfterFailure;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::Arc;
 
@@ -37,10 +37,10 @@
         let (end, since) = ended.unwrap_or((End::Failed, None));
         fill.flight.release(attempt);
         let word = match end {
-            End::Whole | End::Missing => Some(Word::Served),
-            End::Full | End::Loop | End::TooOld | End::Lacks => Some(Word::Turned),
-            End::Unreached => Some(Word::Unreached),
-            End::Failed => Some(Word::Failed),
+            End::Whole | End::Missing => Some(AttemptOutcome::Served),
+            End::Full | End::Loop | End::TooOld | End::Lacks => Some(AttemptOutcome::Rejected),
+            End::Unreached => Some(AttemptOutcome::Unreached),
+            End::Failed => Some(AttemptOutcome::Failed),
             End::Off => None,
         };
         word.iter().for_each(|word| {
@@ -77,8 +77,8 @@
             .book
             .failed(hub.now(), fill, attempt, verdict.unwrap_or(Verdict::Failed))
         {
-            Next::Again(next) => attempt = next,
-            Next::Over | Next::Stale => return,
+            AfterFailure::Retry(next) => attempt = next,
+            AfterFailure::GiveUp | AfterFailure::Stale => return,
         }
     }
 }
--- a/hub/src/request_fields.rs
+++ b/hub/src/request_fields.rs
@@ -1,8 +1,8 @@
 //! What a request asks of this hub: its path and its fields.
 
-use foldmux_hierarchy::ledger::Arrival;
-use foldmux_hierarchy::tree::Stamp;
-use foldmux_hierarchy::way::BYTES_MOST;
+use foldmux_hierarchy::fill_path::MAX_HEADER_BYTES;
+use foldmux_hierarchy::in_flight::FillOrigin;
+use foldmux_hierarchy::tree::TreeVersion;
 
 /// What a request's fields say.
 #[derive(Default)]
@@ -30,7 +30,7 @@
                 self.way.extend_from_slice(b", ");
             }
             self.way
-                .extend_from_slice(&value[..value.len().min(BYTES_MOST + 1)]);
+                .extend_from_slice(&value[..value.len().min(MAX_HEADER_BYTES + 1)]);
             return;
         }
         let Ok(text) = std::str::from_utf8(value) else {
@@ -60,12 +60,12 @@
     }
 
     /// How the fill comes here, and whom it was sent past. What can't be read counts as solo: that never waits.
-    pub(crate) fn arrival(&self) -> (Arrival, Vec<String>) {
+    pub(crate) fn arrival(&self) -> (FillOrigin, Vec<String>) {
         let Some(text) = &self.tree else {
-            return (Arrival::BEGINS, vec![]);
+            return (FillOrigin::LOCAL, vec![]);
         };
         let mut parts = text.split(';').map(str::trim);
-        let stamp = parts.next().and_then(Stamp::parse);
+        let stamp = parts.next().and_then(TreeVersion::parse);
         let (mut solo, mut past) = (stamp.is_none(), vec![]);
         for part in parts {
             solo |= part == "solo";
@@ -73,7 +73,13 @@
                 past = names.split('+').take(8).map(str::to_string).collect();
             }
         }
-        (Arrival { stamp, solo }, past)
+        (
+            FillOrigin {
+                version: stamp,
+                uncollapsed: solo,
+            },
+            past,
+        )
     }
 }
 
--- a/hub/src/request_fields/tests.rs
+++ b/hub/src/request_fields/tests.rs
@@ -31,12 +31,16 @@
         }
         .arrival()
     };
-    assert_eq!(of(None).0, Arrival::BEGINS);
-    let (arrival, past) = of(Some("4-0000abcd;solo;past=east+south"));
+    assert_eq!(of(None).0, FillOrigin::LOCAL);
+    let (origin, past) = of(Some("4-0000abcd;solo;past=east+south"));
     assert_eq!(
-        (arrival.stamp.unwrap().epoch, arrival.solo, past.len()),
+        (
+            origin.version.unwrap().epoch,
+            origin.uncollapsed,
+            past.len()
+        ),
         (4, true, 2)
     );
-    assert!(!of(Some("4-0000abcd")).0.solo);
-    assert!(of(Some("nonsense")).0.solo && of(Some("")).0.solo);
+    assert!(!of(Some("4-0000abcd")).0.uncollapsed);
+    assert!(of(Some("nonsense")).0.uncollapsed && of(Some("")).0.uncollapsed);
 }
--- a/hub/src/run.rs
+++ b/hub/src/run.rs
@@ -7,9 +7,9 @@
 use crate::state::{Bytes, Hub};
 use crate::tally::{add, Tally};
 use crate::threads::{self, STACK};
-use foldmux_hierarchy::epochs::Taken;
-use foldmux_hierarchy::ledger::Limits;
-use foldmux_hierarchy::way::Signer;
+use foldmux_hierarchy::fill_path::PathSigner;
+use foldmux_hierarchy::in_flight::FetchLimits;
+use foldmux_hierarchy::versions::Applied;
 use foldmux_operator::Operator;
 use quick_cache::sync::Cache;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -34,17 +34,17 @@
         .hierarchy
         .ok_or("the operator's file has no hierarchy")?;
     let relay = operator.relay.unwrap_or_default();
-    let steps = hierarchy.tree.tallest() as u64 + 2;
+    let steps = hierarchy.tree.max_height() as u64 + 2;
     let lease = Duration::from_millis(relay.lease_ms);
-    let limits = Limits {
+    let limits = FetchLimits {
         fetches: relay.fetches as usize,
-        waits: relay.waits as usize,
+        waiters: relay.waits as usize,
         // Sockets have their own time; this one is for threads that died or hang.
-        lease: relay.lease_ms * 1_000 * steps * 2,
+        lease_us: relay.lease_ms * 1_000 * steps * 2,
         attempts: relay.attempts as u32,
     };
     let domain = hierarchy.domain.clone();
-    let signer = Signer::new(name, &domain, &rand::random::<[u8; 32]>());
+    let signer = PathSigner::new(name, &domain, &rand::random::<[u8; 32]>());
     let bytes = relay.memory_mb * 1024 * 1024;
     let copies = Cache::with_weighter((bytes / 16_384).max(16) as usize, bytes, Bytes);
     let address = listener.local_addr().map_err(|e| e.to_string())?;
@@ -220,10 +220,10 @@
             })
             .and_then(|hierarchy| running.hub.rewire(hierarchy));
         match taken {
-            Ok(Taken::New) => {
+            Ok(Applied::New) => {
                 tracing::info!(tree = %running.hub.book.stamp(), "a new tree is in service")
             }
-            Ok(Taken::Same) => {
+            Ok(Applied::Same) => {
                 tracing::info!(tree = %running.hub.book.stamp(), "the tree stays as it is")
             }
             Err(why) => tracing::error!(%why, "the tree can't be taken; all stays as it was"),
--- a/hub/src/serve.rs
+++ b/hub/src/serve.rs
@@ -8,8 +8,8 @@
 use crate::threads;
 use crate::wait::wait_for;
 use crate::writes::pass_on;
-use foldmux_hierarchy::ledger::Key;
-use foldmux_hierarchy::way::{Fault, Way};
+use foldmux_hierarchy::fill_path::{FillPath, PathError};
+use foldmux_hierarchy::in_flight::FetchKey;
 use foldmux_http1::answer::MOST_HEAD;
 use foldmux_http1::io::read_some;
 use foldmux_http1::request::{read_request, Request, Unread};
@@ -131,16 +131,16 @@
     if let Some(why) = fields.unusable {
         return bad("400 Bad Request", why);
     }
-    let way = match Way::parse(&fields.way) {
+    let way = match FillPath::parse(&fields.way) {
         Ok(way) => way,
-        Err(Fault::TooLong) => return bad("431 Request Header Fields Too Large", "CDN-Loop"),
-        Err(Fault::TooManyHops) => {
+        Err(PathError::TooLong) => return bad("431 Request Header Fields Too Large", "CDN-Loop"),
+        Err(PathError::TooManyHops) => {
             add(&hub.tally.loops_found);
             return reply.refuse("502 Bad Gateway", "proxy_loop_detected", "too many hops");
         }
-        Err(Fault::Malformed) => return bad("400 Bad Request", "CDN-Loop can't be read"),
+        Err(PathError::Malformed) => return bad("400 Bad Request", "CDN-Loop can't be read"),
     };
-    if hub.signer.sent(&way, object) {
+    if hub.signer.has_signed(&way, object) {
         // The fill was here before: its sender takes another source, and nothing waits for itself.
         add(&hub.tally.loops_found);
         return reply.refuse("502 Bad Gateway", "proxy_loop_detected", "");
@@ -160,7 +160,7 @@
     let Some(class) = hub.class(class_name) else {
         return bad("400 Bad Request", "there are too many classes");
     };
-    let key = Key {
+    let key = FetchKey {
         class,
         object,
         part,
--- a/hub/src/state.rs
+++ b/hub/src/state.rs
@@ -5,11 +5,11 @@
 use crate::links::Links;
 use crate::tally::{add, Tally};
 use crossbeam_channel::Sender;
-use foldmux_hierarchy::epochs::Taken;
-use foldmux_hierarchy::fence::Fences;
-use foldmux_hierarchy::ledger::Key;
-use foldmux_hierarchy::way::Signer;
-use foldmux_hierarchy::Time;
+use foldmux_hierarchy::fill_path::PathSigner;
+use foldmux_hierarchy::freshness_fence::FreshnessFences;
+use foldmux_hierarchy::in_flight::FetchKey;
+use foldmux_hierarchy::versions::Applied;
+use foldmux_hierarchy::TimestampUs;
 use foldmux_operator::{Hierarchy, Relay};
 use quick_cache::sync::Cache;
 use quick_cache::Weighter;
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// The hub's clock at its start: what began before has room behind it.
-const ORIGIN: Time = 1 << 40;
+const ORIGIN: TimestampUs = 1 << 40;
 
 /// Classes that are told apart.
 const CLASSES_MOST: usize = 256;
@@ -29,8 +29,8 @@
 #[derive(Clone)]
 pub(crate) struct Bytes;
 
-impl Weighter<Key, Arc<Copy>> for Bytes {
-    fn weight(&self, _: &Key, copy: &Arc<Copy>) -> u64 {
+impl Weighter<FetchKey, Arc<Copy>> for Bytes {
+    fn weight(&self, _: &FetchKey, copy: &Arc<Copy>) -> u64 {
         copy.meta.length as u64 + 256
     }
 }
@@ -42,26 +42,26 @@
     pub since_ms: u64,
     pub relay: Relay,
     pub lease: Duration,
-    pub signer: Signer,
+    pub signer: PathSigner,
     pub book: Book,
     pub links: Links,
     pub tally: Tally,
     pub leaving: AtomicBool,
-    pub(crate) copies: Cache<Key, Arc<Copy>, Bytes>,
+    pub(crate) copies: Cache<FetchKey, Arc<Copy>, Bytes>,
     pub(crate) classes: Mutex<HashMap<String, u32>>,
-    pub(crate) fences: Mutex<Fences>,
+    pub(crate) fences: Mutex<FreshnessFences>,
     pub(crate) started: Instant,
     pub(crate) open: AtomicUsize,
     /// Threads that wait for a fetch.
     pub(crate) idle: Mutex<Vec<Sender<(Fill, u32)>>>,
     /// Fetches under way, by what their threads need: a successor takes over where one dies.
-    pub(crate) fills: Mutex<HashMap<foldmux_hierarchy::ledger::FetchId, Fill>>,
+    pub(crate) fills: Mutex<HashMap<foldmux_hierarchy::in_flight::FetchId, Fill>>,
     pub(crate) sockets: Mutex<HashMap<u64, Arc<TcpStream>>>,
 }
 
 impl Hub {
-    pub fn now(&self) -> Time {
-        ORIGIN + self.started.elapsed().as_micros() as Time
+    pub fn now(&self) -> TimestampUs {
+        ORIGIN + self.started.elapsed().as_micros() as TimestampUs
     }
 
     pub fn unix_ms(&self) -> u64 {
@@ -88,7 +88,7 @@
         self.fences
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .purge(object, stamp_ms);
+            .invalidate(object, stamp_ms);
         add(&self.tally.purges);
     }
 
@@ -97,25 +97,25 @@
         self.fences
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .oldest(object)
+            .min_birth(object)
             .max(born_after)
     }
 
     /// The copy that is held, if it is young enough.
-    pub fn held(&self, key: Key, born_after: u64) -> Option<Arc<Copy>> {
+    pub fn held(&self, key: FetchKey, born_after: u64) -> Option<Arc<Copy>> {
         self.copies
             .get(&key)
             .filter(|copy| copy.meta.born_ms >= born_after)
     }
 
     /// Keeps a copy; never an older one in a younger one's place.
-    pub fn keep(&self, key: Key, born_after: u64, copy: Copy) {
+    pub fn keep(&self, key: FetchKey, born_after: u64, copy: Copy) {
         if copy.meta.born_ms >= born_after && self.held(key, copy.meta.born_ms).is_none() {
             self.copies.insert(key, Arc::new(copy));
         }
     }
 
-    pub fn rewire(&self, hierarchy: Hierarchy) -> Result<Taken, String> {
+    pub fn rewire(&self, hierarchy: Hierarchy) -> Result<Applied, String> {
         self.book
             .rewire(self.now(), hierarchy)
             .map_err(|refused| refused.to_string())
--- a/hub/src/threads.rs
+++ b/hub/src/threads.rs
@@ -5,7 +5,7 @@
 use crate::flight::Verdict;
 use crate::state::Hub;
 use crossbeam_channel::{bounded, Sender};
-use foldmux_hierarchy::ledger::Next;
+use foldmux_hierarchy::in_flight::AfterFailure;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::{Arc, MutexGuard, PoisonError};
 use std::thread;
@@ -81,7 +81,7 @@
             .get(&id)
             .cloned();
         let Some(fill) = fill else { continue };
-        if let Next::Again(next) = hub.book.failed(now, &fill, attempt, Verdict::Late) {
+        if let AfterFailure::Retry(next) = hub.book.failed(now, &fill, attempt, Verdict::Late) {
             fetch(hub, fill, next);
         }
     }
@@ -92,7 +92,7 @@
 }
 
 /// The end of a fetch's thread, however it ends.
-struct Ended<'a>(&'a Hub, foldmux_hierarchy::ledger::FetchId);
+struct Ended<'a>(&'a Hub, foldmux_hierarchy::in_flight::FetchId);
 
 impl Drop for Ended<'_> {
     fn drop(&mut self) {
--- a/hub/src/writes.rs
+++ b/hub/src/writes.rs
@@ -4,7 +4,7 @@
 use crate::reply::{broken_off, Reply};
 use crate::request_fields::RequestFields;
 use crate::tally::add;
-use foldmux_hierarchy::way::Way;
+use foldmux_hierarchy::fill_path::FillPath;
 use foldmux_http1::io::{read_some, write_all};
 use foldmux_http1::request::Request;
 use foldmux_http1::{read_response, Broken};
@@ -18,7 +18,7 @@
     reply: &Reply,
     request: &Request,
     fields: &RequestFields,
-    way: &Way,
+    way: &FillPath,
     object: u64,
     until: Instant,
     buffer: &mut [u8],
@@ -61,7 +61,7 @@
     let _ = write!(
         head,
         "CDN-Loop: {}\r\nHub-Tree: {};solo\r\n",
-        way.with(&hub.signer, object),
+        way.append(&hub.signer, object),
         stamp
     );
     if !fields.via.is_empty() {
--- a/pure/hierarchy/benches/decision.rs
+++ b/pure/hierarchy/benches/decision.rs
@@ -1,8 +1,10 @@
 //! One decision of each sort, at 60 hubs and 2,000 locations.
 
-use foldmux_hierarchy::ledger::{Arrival, Key, Ledger, Limits, Turn, Want};
-use foldmux_hierarchy::tree::{Draft, Kind, Proposed, Tree};
-use foldmux_hierarchy::way::{Signer, Way};
+use foldmux_hierarchy::fill_path::{FillPath, PathSigner};
+use foldmux_hierarchy::in_flight::{
+    Admission, FetchKey, FetchLimits, FetchRequest, FetchTable, FillOrigin,
+};
+use foldmux_hierarchy::tree::{NodeKind, ProposedNode, Tree, TreeDraft};
 use std::hint::black_box;
 
 fn main() {
@@ -10,19 +12,19 @@
 }
 
 fn tree() -> Tree {
-    let node = |name: String, kind, parents: Vec<String>| Proposed {
+    let node = |name: String, kind, parents: Vec<String>| ProposedNode {
         name,
         kind,
         parents,
     };
-    let mut nodes = vec![node("archive".into(), Kind::Archive, vec![])];
-    nodes.extend((0..60).map(|h| node(format!("hub-{h}"), Kind::Hub, vec!["archive".into()])));
+    let mut nodes = vec![node("archive".into(), NodeKind::Archive, vec![])];
+    nodes.extend((0..60).map(|h| node(format!("hub-{h}"), NodeKind::Hub, vec!["archive".into()])));
     let parents = |l: usize| vec![format!("hub-{}", l % 60), format!("hub-{}", (l + 7) % 60)];
-    nodes.extend((0..2_000).map(|l| node(format!("office-{l}"), Kind::Location, parents(l))));
-    Tree::check(&Draft {
+    nodes.extend((0..2_000).map(|l| node(format!("office-{l}"), NodeKind::Location, parents(l))));
+    Tree::validate(&TreeDraft {
         epoch: 1,
         nodes,
-        ..Draft::default()
+        ..TreeDraft::default()
     })
     .expect("a sound tree")
 }
@@ -49,45 +51,45 @@
 }
 
 #[divan::bench]
-fn want_join_and_leave(bencher: divan::Bencher) {
-    let present = tree().stamp();
-    let mut ledger = Ledger::new(Limits {
+fn request_follow_and_leave(bencher: divan::Bencher) {
+    let version = tree().version();
+    let mut table = FetchTable::new(FetchLimits {
         fetches: 20_000,
-        waits: 40_000,
-        lease: 1_000_000,
+        waiters: 40_000,
+        lease_us: 1_000_000,
         attempts: 3,
     });
-    let want = |object| Want {
-        key: Key {
+    let request = |object| FetchRequest {
+        key: FetchKey {
             class: 0,
             object,
             part: 0,
         },
-        arrival: Arrival::BEGINS,
-        present,
-        born_after: 0,
+        origin: FillOrigin::LOCAL,
+        version,
+        min_birth: 0,
         until: u64::MAX,
     };
     for object in 0..10_000 {
-        ledger.want(0, want(object));
+        table.request(0, request(object));
     }
     let mut object = 0;
     bencher.bench_local(|| {
         object = (object + 7) % 10_000;
-        match ledger.want(1, want(object)) {
-            Turn::Join(_, wait) => black_box(ledger.leave(wait)),
+        match table.request(1, request(object)) {
+            Admission::Follow(_, wait) => black_box(table.leave(wait)),
             _ => unreachable!("all are under way"),
         }
     });
 }
 
 #[divan::bench]
-fn a_way_read_checked_and_passed_on(bencher: divan::Bencher) {
-    let signer = Signer::new("hub-31", "fill.example", &[7; 32]);
-    let first = Way::default().with(&Signer::new("hub-2", "fill.example", &[8; 32]), 5);
+fn a_path_parsed_checked_and_forwarded(bencher: divan::Bencher) {
+    let signer = PathSigner::new("hub-31", "fill.example", &[7; 32]);
+    let first = FillPath::default().append(&PathSigner::new("hub-2", "fill.example", &[8; 32]), 5);
     bencher.bench_local(|| {
-        let way = Way::parse(first.as_bytes()).expect("a way");
-        assert!(!signer.sent(&way, 5));
-        black_box(way.with(&signer, 5))
+        let path = FillPath::parse(first.as_bytes()).expect("a path");
+        assert!(!signer.has_signed(&path, 5));
+        black_box(path.append(&signer, 5))
     });
 }
--- a/pure/hierarchy/src/health.rs
+++ b/pure/hierarchy/src/health.rs
@@ -1,51 +1,61 @@
-//! Which sources are left out for being unwell. What speaks of the source (silence, a reset, an error) counts; what
-//! speaks of load, of a loop or of an identity does not.
+//! Outlier detection of sources: which are left out for a while after failures in a row. What speaks of the source
+//! (silence, a reset, an error) counts; what speaks of load, of a loop or of an identity does not.
 
-use crate::Time;
+use crate::TimestampUs;
 
-/// Left out for so long after a failure; twice as long with each in a row, up to the most.
-const FIRST: Time = 250_000;
-const MOST: Time = 4_000_000;
-/// Failures in a row until it is left out: one reset is no illness.
-const STRAY: u32 = 1;
+/// The first ejection (us); each further failure in a row doubles it.
+const BASE_EJECTION_US: u64 = 250_000;
+/// The longest ejection (us).
+const MAX_EJECTION_US: u64 = 4_000_000;
+/// Doublings after which an ejection grows no further.
+const MAX_DOUBLINGS: u32 = 8;
+/// Failures in a row that are tolerated on a connection that came up: a single reset is no sign of a fault.
+const TOLERATED_FAILURES: u32 = 1;
 
-/// How a try at a source ended, for its record.
+/// How an attempt at a source ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum AttemptOutcome {
+    /// It served.
     Served,
-    /// No connection came up: left out at once.
+    /// No connection came up: it is ejected at once.
     Unreached,
-    /// It broke off, erred, or said nothing in its time.
+    /// It broke off, returned an error, or timed out.
     Failed,
-    /// It turned the fill away untouched, or found a loop: no illness.
-    Turned,
+    /// It rejected the fill unprocessed, or found a loop: no fault of its own.
+    Rejected,
 }
 
+/// The health of one source.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
-    in_row: u32,
-    until: Time,
+    failures_in_row: u32,
+    ejected_until: TimestampUs,
 }
 
 impl Health {
-    pub fn hear(&mut self, now: Time, word: Word) {
-        match word {
-            Word::Served => *self = Health::default(),
-            Word::Turned => {}
-            Word::Unreached | Word::Failed => {
-                self.in_row = self.in_row.saturating_add(1);
-                let stray = if word == Word::Unreached { 0 } else { STRAY };
-                if self.in_row > stray {
-                    let wait = FIRST << (self.in_row - stray - 1).min(8);
-                    self.until = self.until.max(now.saturating_add(wait.min(MOST)));
-                }
-            }
+    /// Records the outcome of an attempt.
+    pub fn record(&mut self, now: TimestampUs, outcome: AttemptOutcome) {
+        match outcome {
+            AttemptOutcome::Served => *self = Health::default(),
+            AttemptOutcome::Rejected => {}
+            AttemptOutcome::Unreached => self.record_failure(now, 0),
+            AttemptOutcome::Failed => self.record_failure(now, TOLERATED_FAILURES),
         }
     }
 
-    /// Fit to be asked. After its time it is asked again, and one more failure leaves it out for longer.
-    pub fn well(&self, now: Time) -> bool {
-        now >= self.until
+    fn record_failure(&mut self, now: TimestampUs, tolerated: u32) {
+        self.failures_in_row = self.failures_in_row.saturating_add(1);
+        if self.failures_in_row <= tolerated {
+            return;
+        }
+        let doublings = (self.failures_in_row - tolerated - 1).min(MAX_DOUBLINGS);
+        let ejection_us = (BASE_EJECTION_US << doublings).min(MAX_EJECTION_US);
+        self.ejected_until = self.ejected_until.max(now.saturating_add(ejection_us));
+    }
+
+    /// Whether it may be asked. After an ejection it is asked again, and one more failure ejects it for longer.
+    pub fn is_healthy(&self, now: TimestampUs) -> bool {
+        now >= self.ejected_until
     }
 }
 
--- a/pure/hierarchy/src/lib.rs
+++ b/pure/hierarchy/src/lib.rs
@@ -1,29 +1,35 @@
 //! The cache hierarchy as versioned state, and what follows from it.
 //!
-//! Owns: which tree may be taken ([`tree`]), how a node goes from epoch to epoch ([`epochs`]), which hub shields
-//! an object and where a fill goes next ([`route`]), which sources are unwell ([`health`]), how old
-//! a copy may be ([`fence`]), who fetches and who waits ([`ledger`]), how much a hub that
-//! started lately may be given ([`cold`]), a fill's way ([`way`]), all of one hub's decisions
-//! together ([`node`]), and what a rewiring would move ([`plan`]).
+//! - [`tree`]: the fill tree, its validation, and where a fill goes next ([`route`]);
+//! - [`versions`]: how one node goes from one version of the tree to the next;
+//! - [`in_flight`]: request collapsing, who leads a fetch and who follows it;
+//! - [`health`]: outlier detection of sources;
+//! - [`slow_start`]: how much work a hub that started lately may be given;
+//! - [`freshness_fence`]: how old a copy may be after invalidations;
+//! - [`fill_path`]: the nodes that a fill has passed (`CDN-Loop`);
+//! - [`node`]: all decisions of one hub together;
+//! - [`plan`]: what a change of the tree would move.
 //!
-//! May not: read or write anything, read a clock (every moment is passed in), draw random numbers, know an
-//! address or a wire, or choose what the decision module chooses. It depends on no other crate of foldmux.
+//! The crate does no I/O, reads no clock (times are passed in) and draws no random numbers; it knows no addresses and no
+//! wire formats but that of `CDN-Loop`. It depends on no other crate of foldmux.
 
-pub mod cold;
-pub mod epochs;
-pub mod fence;
+#![warn(missing_docs)]
+
+pub mod fill_path;
+pub mod freshness_fence;
 pub mod health;
-pub mod ledger;
+pub mod in_flight;
 pub mod node;
 pub mod plan;
 pub mod route;
+pub mod slow_start;
 pub mod tree;
-pub mod way;
+pub mod versions;
 
-/// Microseconds, on a clock that only goes forward; its start is arbitrary.
-pub type Time = u64;
+/// A time in microseconds of a clock that never goes back; its start is arbitrary.
+pub type TimestampUs = u64;
 
-/// Spreads the bits of a number: the same at every node, in every version of the program.
+/// Mixes the bits of a number (the finalizer of SplitMix64). Nodes of all versions must agree on it.
 pub(crate) fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/pure/hierarchy/src/node.rs
+++ b/pure/hierarchy/src/node.rs
@@ -1,188 +1,204 @@
-//! One hub's decisions, all together: the trees that it goes by, its ledger, and what it knows of its sources. A
-//! hub on sockets and one in a model decide by the same.
+//! All decisions of one hub together: the trees that it uses, its fetches in flight, and what it knows of its sources. A
+//! hub on sockets and one in a simulation decide by the same code.
 
-mod choose;
+mod select_source;
 
-pub use choose::{Choice, NoWay, Seeking};
+pub use select_source::{NoSource, SourceChoice, SourceRequest};
 
-use crate::cold::{Gate, Rule, Start};
-use crate::epochs::{Refused, Taken, Wiring};
-use crate::health::{Health, Word};
-use crate::ledger::{Arrival, FetchId, Lane, Ledger, Limits, Next, Turn, WaitId, Want};
+use crate::health::{AttemptOutcome, Health};
+use crate::in_flight::{
+    Admission, AfterFailure, CollapseScope, FetchId, FetchKey, FetchLimits, FetchRequest,
+    FetchTable, FillOrigin, WaiterId,
+};
+use crate::slow_start::{NodeStart, SlowStart, SlowStartLimiter};
 use crate::tree::Tree;
-use crate::Time;
+use crate::versions::{Applied, TopologyRejected, TopologyVersions};
+use crate::TimestampUs;
 use std::collections::HashMap;
 use std::sync::Arc;
 
+const US_PER_MS: u64 = 1_000;
+
 /// What is known of a source.
 #[derive(Default)]
 struct Source {
     health: Health,
-    /// When it last started, as it says; 0 while it has not said.
-    since_ms: u64,
-    /// Guards against a hub that started lately, and has not said so yet, being pushed over by the first that is
-    /// sent to it: one that is not known counts as started when it is first wanted.
-    gate: Option<Gate>,
+    /// When it last started by its own account, in Unix time (ms); 0 while it has not said.
+    started_unix_ms: u64,
+    /// A source that has not been heard of counts as started when it is first wanted: one that did start lately must not be
+    /// overloaded by the first that is sent to it.
+    limiter: Option<SlowStartLimiter>,
+}
+
+impl Source {
+    fn set_start(&mut self, at: TimestampUs) {
+        if let Some(limiter) = &mut self.limiter {
+            let start = NodeStart {
+                at,
+                ..limiter.start()
+            };
+            limiter.set_start(start);
+        }
+    }
 }
 
+/// What is known of the nodes' full rates, in fills a second by name; a node that is not in it is not limited.
+pub type FullRates = HashMap<Arc<str>, f64>;
+
 /// All that one hub decides by.
 pub struct Node {
-    wiring: Wiring,
-    ledger: Ledger,
+    versions: TopologyVersions,
+    fetches: FetchTable,
     sources: HashMap<Arc<str>, Source>,
-    /// Fills a second of those whose full pace is told.
-    paces: HashMap<Arc<str>, f64>,
-    cold: Rule,
+    full_rates: FullRates,
+    slow_start: SlowStart,
 }
 
 impl Node {
-    /// A hub named `me`. `overlap`: how long a former tree may still be used; `paces`: fills a second of those hubs whose
-    /// full pace is told. An error where the tree does not hold `me`.
+    /// The hub of that name. A previous tree may be used for `overlap_us`.
+    ///
+    /// # Errors
+    ///
+    /// Where the hub is not in the tree.
     pub fn new(
-        me: &str,
+        name: &str,
         tree: Tree,
-        overlap: Time,
-        limits: Limits,
-        cold: Rule,
-        paces: HashMap<Arc<str>, f64>,
-    ) -> Result<Node, Refused> {
-        let (wiring, ledger) = (Wiring::new(me, tree, overlap)?, Ledger::new(limits));
+        overlap_us: u64,
+        limits: FetchLimits,
+        slow_start: SlowStart,
+        full_rates: FullRates,
+    ) -> Result<Node, TopologyRejected> {
         Ok(Node {
-            wiring,
-            ledger,
+            versions: TopologyVersions::new(name, tree, overlap_us)?,
+            fetches: FetchTable::new(limits),
             sources: HashMap::new(),
-            paces,
-            cold,
+            full_rates,
+            slow_start,
         })
     }
 
     /// The tree in service.
-    pub fn present(&self) -> &Arc<Tree> {
-        self.wiring.present()
+    pub fn current_tree(&self) -> &Arc<Tree> {
+        self.versions.current()
     }
 
-    /// Its fetches and who waits for them.
-    pub fn ledger(&self) -> &Ledger {
-        &self.ledger
+    /// Its fetches, and who waits for them.
+    pub fn fetches(&self) -> &FetchTable {
+        &self.fetches
     }
 
-    /// The trees that it goes by.
-    pub fn wiring(&self) -> &Wiring {
-        &self.wiring
+    /// The trees that it uses.
+    pub fn versions(&self) -> &TopologyVersions {
+        &self.versions
     }
 
-    /// Former trees held, and sources known.
+    /// Previous trees, and sources that something is known of.
     pub fn sizes(&self) -> (usize, usize) {
-        (self.wiring.former(), self.sources.len())
+        (self.versions.previous_count(), self.sources.len())
     }
 
-    /// A new tree, and the paces that come with it; nothing changes where it is refused.
-    pub fn rewire(
+    /// Puts a tree into service, with the full rates that come with it.
+    ///
+    /// # Errors
+    ///
+    /// Where the tree is rejected; nothing changes then.
+    pub fn apply_tree(
         &mut self,
-        now: Time,
+        now: TimestampUs,
         tree: Tree,
-        paces: HashMap<Arc<str>, f64>,
-    ) -> Result<Taken, Refused> {
-        let taken = self.wiring.take(now, tree)?;
-        if taken == Taken::New {
-            self.paces = paces;
+        full_rates: FullRates,
+    ) -> Result<Applied, TopologyRejected> {
+        let applied = self.versions.apply(now, tree)?;
+        if applied == Applied::New {
+            self.full_rates = full_rates;
         }
-        Ok(taken)
+        Ok(applied)
     }
 
-    /// Somebody wants a part that is not held here: see [`Ledger::want`].
-    pub fn want(
+    /// A part is requested that is not cached here: see [`FetchTable::request`]. With the scope in which the fill goes on.
+    pub fn request(
         &mut self,
-        now: Time,
-        key: crate::ledger::Key,
-        arrival: Arrival,
-        born_after: u64,
-        until: Time,
-    ) -> (Turn, Lane) {
-        let present = self.wiring.present().stamp();
-        let turn = self.ledger.want(
-            now,
-            Want {
-                key,
-                arrival,
-                present,
-                born_after,
-                until,
-            },
-        );
-        (turn, arrival.lane(present))
+        now: TimestampUs,
+        key: FetchKey,
+        origin: FillOrigin,
+        min_birth: u64,
+        until: TimestampUs,
+    ) -> (Admission, CollapseScope) {
+        let version = self.current_tree().version();
+        let request = FetchRequest {
+            key,
+            origin,
+            version,
+            min_birth,
+            until,
+        };
+        let admission = self.fetches.request(now, request);
+        (admission, origin.collapse_scope(version))
     }
 
-    /// See [`Ledger::leave`].
-    pub fn leave(&mut self, wait: WaitId) -> Option<FetchId> {
-        self.ledger.leave(wait)
+    /// See [`FetchTable::leave`].
+    pub fn leave(&mut self, waiter: WaiterId) -> Option<FetchId> {
+        self.fetches.leave(waiter)
     }
 
-    /// See [`Ledger::beat`].
-    pub fn beat(&mut self, now: Time, id: FetchId, attempt: u32) {
-        self.ledger.beat(now, id, attempt);
+    /// See [`FetchTable::renew_lease`].
+    pub fn renew_lease(&mut self, now: TimestampUs, id: FetchId, attempt: u32) {
+        self.fetches.renew_lease(now, id, attempt);
     }
 
-    /// See [`Ledger::done`].
-    pub fn done(&mut self, id: FetchId, attempt: u32) -> bool {
-        self.ledger.done(id, attempt)
+    /// See [`FetchTable::complete`].
+    pub fn complete(&mut self, id: FetchId, attempt: u32) -> bool {
+        self.fetches.complete(id, attempt)
     }
 
-    /// See [`Ledger::failed`].
-    pub fn failed(&mut self, now: Time, id: FetchId, attempt: u32) -> Next {
-        self.ledger.failed(now, id, attempt)
+    /// See [`FetchTable::fail`].
+    pub fn fail(&mut self, now: TimestampUs, id: FetchId, attempt: u32) -> AfterFailure {
+        self.fetches.fail(now, id, attempt)
     }
 
-    /// See [`Ledger::lapsed`].
-    pub fn lapsed(&mut self, now: Time) -> Vec<(FetchId, u32)> {
-        self.ledger.lapsed(now)
+    /// See [`FetchTable::expired_leases`].
+    pub fn expired_leases(&mut self, now: TimestampUs) -> Vec<(FetchId, u32)> {
+        self.fetches.expired_leases(now)
     }
 
-    /// What a try says of its source. `since_ms`: when the source started, if it says so; `unix_ms`: now.
-    pub fn hear(
+    /// Records an attempt at a source. `started_unix_ms`: when the source started, if it says so; `unix_ms`: now.
+    pub fn record_attempt(
         &mut self,
-        now: Time,
+        now: TimestampUs,
         unix_ms: u64,
         name: &Arc<str>,
-        word: Word,
-        since_ms: Option<u64>,
+        outcome: AttemptOutcome,
+        started_unix_ms: Option<u64>,
     ) {
         let source = self.sources.entry(name.clone()).or_default();
-        source.health.hear(now, word);
-        let learn = |source: &mut Source, at: Time| {
-            source
-                .gate
-                .iter_mut()
-                .for_each(|gate| gate.learn(Start { at, ..gate.start() }));
-        };
-        if matches!(word, Word::Unreached | Word::Failed) {
-            // It may come back as a new start: until it says which, it counts as one.
-            source.since_ms = 0;
-            learn(source, now);
+        source.health.record(now, outcome);
+        let faulty = matches!(outcome, AttemptOutcome::Unreached | AttemptOutcome::Failed);
+        if faulty {
+            // It may come back restarted: until it says when it started, it counts as started now.
+            source.started_unix_ms = 0;
+            source.set_start(now);
         }
-        if let Some(since) = since_ms.filter(|since| *since != source.since_ms) {
-            source.since_ms = since;
-            let age = unix_ms.saturating_sub(since).saturating_mul(1_000);
-            // Guards against one that started before this node's clock counting as started with it.
-            learn(
-                source,
-                if age >= self.cold.over {
-                    0
-                } else {
-                    now.saturating_sub(age).max(1)
-                },
-            );
+        let restarted = started_unix_ms.filter(|started| *started != source.started_unix_ms);
+        if let Some(started) = restarted {
+            source.started_unix_ms = started;
+            let age_us = unix_ms.saturating_sub(started).saturating_mul(US_PER_MS);
+            // One that started before this node's clock must not count as started with it.
+            let at = if age_us >= self.slow_start.ramp_us {
+                0
+            } else {
+                now.saturating_sub(age_us).max(1)
+            };
+            source.set_start(at);
         }
     }
 
-    /// Lets go of former trees whose time is over, and of what is known of nodes that no tree names; the names that
-    /// this node may not use any more.
-    pub fn look(&mut self, now: Time) -> Vec<Arc<str>> {
-        let drained = self.wiring.look(now);
-        if self.wiring.former() == 0 {
-            // Guards against what is known of nodes piling up as they come and go.
-            let present = self.wiring.present();
-            self.sources.retain(|name, _| present.find(name).is_some());
+    /// Drops previous trees whose time is over, and what is known of nodes that no tree names. Returns the nodes that this
+    /// one may not ask any more.
+    pub fn expire(&mut self, now: TimestampUs) -> Vec<Arc<str>> {
+        let drained = self.versions.expire(now);
+        if self.versions.previous_count() == 0 {
+            let current = self.versions.current();
+            self.sources.retain(|name, _| current.find(name).is_some());
         }
         drained
     }
--- a/pure/hierarchy/src/node/tests.rs
+++ b/pure/hierarchy/src/node/tests.rs
@@ -1,107 +1,118 @@
-//! A hub's choice of source, over trees, health and cold gates together.
+//! A hub's choice of source, over trees, health and slow start together.
 
 use super::*;
-use crate::ledger::Key;
-use crate::tree::{Draft, Kind, Proposed};
+use crate::in_flight::FetchKey;
+use crate::tree::{NodeKind, ProposedNode, TreeDraft};
 
-const RULE: Rule = Rule {
-    from: 0.1,
-    over: 20_000_000,
-    breaks_at: 2.0,
-    window: 3_000_000,
-    safety: 0.6,
+const RULE: SlowStart = SlowStart {
+    initial_ratio: 0.1,
+    ramp_us: 20_000_000,
+    overload_multiple: 2.0,
+    overload_window_us: 3_000_000,
+    budget_ratio: 0.6,
 };
-const LIMITS: Limits = Limits {
+const LIMITS: FetchLimits = FetchLimits {
     fetches: 10,
-    waits: 100,
-    lease: 1_000_000,
+    waiters: 100,
+    lease_us: 1_000_000,
     attempts: 4,
 };
 
 fn tree(epoch: u64, tops: &[&str], low: &[(&str, &[&str])]) -> Tree {
-    let node = |name: &str, kind, parents: &[&str]| Proposed {
+    let node = |name: &str, kind, parents: &[&str]| ProposedNode {
         name: name.into(),
         kind,
         parents: parents.iter().map(|p| p.to_string()).collect(),
     };
-    let mut nodes = vec![node("archive", Kind::Archive, &[])];
-    nodes.extend(tops.iter().map(|name| node(name, Kind::Hub, &["archive"])));
+    let mut nodes = vec![node("archive", NodeKind::Archive, &[])];
+    nodes.extend(
+        tops.iter()
+            .map(|name| node(name, NodeKind::Hub, &["archive"])),
+    );
     nodes.extend(
         low.iter()
-            .map(|(name, parents)| node(name, Kind::Hub, parents)),
+            .map(|(name, parents)| node(name, NodeKind::Hub, parents)),
     );
-    Tree::check(&Draft {
+    Tree::validate(&TreeDraft {
         epoch,
         nodes,
-        ..Draft::default()
+        ..TreeDraft::default()
     })
     .unwrap()
 }
 
-fn node(me: &str, tree: Tree, paces: &[(&str, f64)]) -> Node {
-    let paces = paces
+fn node(me: &str, tree: Tree, full_rates: &[(&str, f64)]) -> Node {
+    let full_rates = full_rates
         .iter()
-        .map(|(name, pace)| ((*name).into(), *pace))
+        .map(|(name, rate)| ((*name).into(), *rate))
         .collect();
-    Node::new(me, tree, 10_000_000, LIMITS, RULE, paces).unwrap()
+    Node::new(me, tree, 10_000_000, LIMITS, RULE, full_rates).unwrap()
 }
 
-fn seeking<'a>(
+fn request<'a>(
     object: u64,
-    lane: Lane,
+    scope: CollapseScope,
     passed: &'a [&'a str],
     tried: &'a [&'a str],
-) -> Seeking<'a> {
-    Seeking {
+) -> SourceRequest<'a> {
+    SourceRequest {
         object,
-        lane,
+        scope,
         passed,
         tried,
     }
 }
 
 #[test]
-fn a_source_on_the_way_is_avoided_and_where_all_are_it_is_a_loop() {
+fn a_source_on_the_path_is_avoided_and_where_all_are_it_is_a_loop() {
     let mut east = node("east", tree(1, &["south"], &[("east", &["south"])]), &[]);
-    let lane = Lane::Of(east.present().stamp());
+    let scope = CollapseScope::Version(east.current_tree().version());
     assert_eq!(
-        &*east.choose(1, &seeking(7, lane, &[], &[])).unwrap().name,
+        &*east
+            .select_source(1, &request(7, scope, &[], &[]))
+            .unwrap()
+            .name,
         "south"
     );
     assert_eq!(
-        east.choose(1, &seeking(7, lane, &["south"], &[])),
-        Err(NoWay::Loop)
+        east.select_source(1, &request(7, scope, &["south"], &[])),
+        Err(NoSource::Loop)
     );
     assert_eq!(
-        east.choose(1, &seeking(7, lane, &[], &["south"])),
-        Err(NoWay::Tried)
+        east.select_source(1, &request(7, scope, &[], &["south"])),
+        Err(NoSource::Exhausted)
     );
     let mut east = node(
         "east",
         tree(1, &["south"], &[("east", &["south", "archive"])]),
         &[],
     );
-    let choice = east.choose(1, &seeking(7, lane, &["south"], &[])).unwrap();
-    assert!(choice.archive && choice.avoided);
+    let choice = east
+        .select_source(1, &request(7, scope, &["south"], &[]))
+        .unwrap();
+    assert!(choice.archive && choice.loop_avoided);
 }
 
 #[test]
-fn an_unwell_source_is_left_out_while_there_is_another() {
+fn an_ejected_source_is_left_out_while_there_is_another() {
     let mut east = node(
         "east",
         tree(1, &["south", "north"], &[("east", &["south", "north"])]),
         &[],
     );
-    let lane = Lane::Of(east.present().stamp());
+    let scope = CollapseScope::Version(east.current_tree().version());
     let south: Arc<str> = "south".into();
-    east.hear(1, 0, &south, Word::Unreached, None);
+    east.record_attempt(1, 0, &south, AttemptOutcome::Unreached, None);
     assert_eq!(
-        &*east.choose(2, &seeking(7, lane, &[], &[])).unwrap().name,
+        &*east
+            .select_source(2, &request(7, scope, &[], &[]))
+            .unwrap()
+            .name,
         "north"
     );
     assert_eq!(
         &*east
-            .choose(2, &seeking(7, lane, &[], &["north"]))
+            .select_source(2, &request(7, scope, &[], &["north"]))
             .unwrap()
             .name,
         "south"
@@ -109,7 +120,7 @@
 }
 
 #[test]
-fn after_a_rewiring_the_former_shield_is_asked_for_what_it_holds_before_the_archive() {
+fn after_a_change_of_the_tree_the_previous_shield_is_asked_for_a_copy_before_the_archive() {
     let (before, after) = (
         tree(1, &["a", "b", "c"], &[]),
         tree(2, &["a", "b"], &[("c", &["a", "archive"])]),
@@ -119,75 +130,77 @@
         .unwrap();
     let shield = after.name(after.shield(object).unwrap()).clone();
     let mut node = node(&shield, before, &[]);
-    node.rewire(5, after, HashMap::new()).unwrap();
-    let lane = Lane::Of(node.present().stamp());
-    let first = node.choose(6, &seeking(object, lane, &[], &[])).unwrap();
-    assert_eq!((&*first.name, first.hold_only), ("c", true));
+    node.apply_tree(5, after, HashMap::new()).unwrap();
+    let scope = CollapseScope::Version(node.current_tree().version());
+    let first = node
+        .select_source(6, &request(object, scope, &[], &[]))
+        .unwrap();
+    assert_eq!((&*first.name, first.only_if_cached), ("c", true));
     // It lacks it, or is where the fill came from: then the archive.
     assert!(
-        node.choose(6, &seeking(object, lane, &[], &["c"]))
+        node.select_source(6, &request(object, scope, &[], &["c"]))
             .unwrap()
             .archive
     );
     assert!(
-        node.choose(6, &seeking(object, lane, &["c"], &[]))
+        node.select_source(6, &request(object, scope, &["c"], &[]))
             .unwrap()
             .archive
     );
     // Once the former tree's time is over, the archive at once.
     assert!(
-        node.choose(10_000_006, &seeking(object, lane, &[], &[]))
+        node.select_source(10_000_006, &request(object, scope, &[], &[]))
             .unwrap()
             .archive
     );
 }
 
 #[test]
-fn a_fill_whose_tree_is_gone_goes_on_solo_by_the_present_one() {
+fn a_fill_whose_tree_is_gone_goes_on_uncollapsed_under_the_current_one() {
     let mut east = node(
         "east",
         tree(1, &["south", "north"], &[("east", &["south"])]),
         &[],
     );
-    let (_, lane) = east.want(
+    let (_, scope) = east.request(
         1,
-        Key {
+        FetchKey {
             class: 0,
             object: 7,
             part: 0,
         },
-        Arrival::BEGINS,
+        FillOrigin::LOCAL,
         0,
         50_000_000,
     );
-    east.rewire(
+    east.apply_tree(
         2,
         tree(2, &["south", "north"], &[("east", &["north"])]),
         HashMap::new(),
     )
     .unwrap();
-    let during = east.choose(3, &seeking(7, lane, &[], &[])).unwrap();
-    assert_eq!((&*during.name, during.solo), ("south", false));
+    let during = east.select_source(3, &request(7, scope, &[], &[])).unwrap();
+    assert_eq!((&*during.name, during.uncollapsed), ("south", false));
     let after = east
-        .choose(10_000_002, &seeking(7, lane, &[], &[]))
+        .select_source(10_000_002, &request(7, scope, &[], &[]))
         .unwrap();
-    assert_eq!((&*after.name, after.solo), ("north", true));
+    assert_eq!((&*after.name, after.uncollapsed), ("north", true));
 }
 
 #[test]
-fn a_cold_source_is_passed_over_once_it_has_been_given_its_part() {
+fn a_source_that_warms_up_is_passed_over_once_its_share_is_spent() {
     let mut east = node(
         "east",
         tree(1, &["south"], &[("east", &["south", "archive"])]),
         &[("south", 10.0)],
     );
-    let lane = Lane::Of(east.present().stamp());
+    let scope = CollapseScope::Version(east.current_tree().version());
     let south: Arc<str> = "south".into();
     let given = |node: &mut Node, now| {
         (0..100)
             .filter(|_| {
                 !node
-                    .choose(now, &seeking(7, lane, &[], &[]))
+                    .select_source(now, &request(7, scope, &[], &[]))
                     .unwrap()
                     .archive
             })
@@ -196,9 +209,16 @@
     let first = given(&mut east, 1_000);
     assert!((1..10).contains(&first), "{first}");
     // It says that it started long ago.
-    east.hear(2_000, 1_000_000, &south, Word::Served, Some(1_000));
+    east.record_attempt(
+        2_000,
+        1_000_000,
+        &south,
+        AttemptOutcome::Served,
+        Some(1_000),
+    );
     assert_eq!(given(&mut east, 3_000), 100);
     // It breaks off twice: it may be a new start.
-    (0..2).for_each(|_| east.hear(4_000, 1_000_000, &south, Word::Failed, None));
+    (0..2)
+        .for_each(|_| east.record_attempt(4_000, 1_000_000, &south, AttemptOutcome::Failed, None));
     assert!((1..=12).contains(&given(&mut east, 5_000_000)));
 }
--- a/pure/hierarchy/src/plan.rs
+++ b/pure/hierarchy/src/plan.rs
@@ -1,36 +1,47 @@
-//! What a rewiring would move: which nodes get other parents, and for how many objects fills take another way.
+//! What a change of the tree would move: which nodes get other parents, and for how many objects fills take another path.
 
-use crate::tree::{Kind, Tree};
+use crate::tree::{NodeKind, Tree};
 use std::sync::Arc;
 
-/// Objects that stand for all; ids are spread by hashing, so that any will do.
-const SAMPLE: u64 = 8_192;
+/// Objects that are sampled; ids are hashed, so that any will do.
+const SAMPLED_OBJECTS: u64 = 8_192;
 
+/// Objects that are sampled for each location at the least.
+const MIN_OBJECTS_PER_LOCATION: u64 = 64;
+
+/// A node whose parents change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct ParentChange {
+    /// The node.
     pub name: Arc<str>,
-    pub kind: Kind,
+    /// What it is.
+    pub kind: NodeKind,
+    /// Its parents in the old tree.
     pub before: Vec<Arc<str>>,
+    /// Its parents in the new tree.
     pub after: Vec<Arc<str>>,
 }
 
+/// The effects of a change of the tree.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    pub came: Vec<Arc<str>>,
-    pub went: Vec<Arc<str>>,
+    /// Nodes of the new tree alone.
+    pub added: Vec<Arc<str>>,
+    /// Nodes of the old tree alone.
+    pub removed: Vec<Arc<str>>,
     /// Nodes in both trees whose parents differ.
-    pub rewired: Vec<Change>,
-    /// Part of the objects that get another shield.
+    pub reparented: Vec<ParentChange>,
+    /// Part of the objects that get another shield, from 0 to 1.
     pub shields_moved: f64,
-    /// Part of (location, object) whose fills go by other hubs than before: what those hubs lack, they fetch.
-    pub ways_moved: f64,
-    /// Fetches from the archive that the change itself causes, a held object: one where its new shield is a hub
-    /// that it had not, as long as the old one can't be asked.
+    /// Part of the pairs of location and object whose fills pass other hubs than before, from 0 to 1.
+    pub paths_moved: f64,
+    /// Fetches from the archive that the change itself causes for each cached object: one for each that gets another shield,
+    /// unless the old shield can be asked.
     pub extra_fetches: f64,
 }
 
-/// The hubs that a fill passes from a node to the archive while all is well.
-fn hubs_on_way(tree: &Tree, name: &str, object: u64) -> Vec<Arc<str>> {
+/// The hubs that a fill passes from a node to the archive while all sources are healthy.
+fn hubs_on_path(tree: &Tree, name: &str, object: u64) -> Vec<Arc<str>> {
     let mut hubs = Vec::new();
     let mut at = tree.find(name);
     while let Some(from) = at {
@@ -44,6 +55,7 @@
     hubs
 }
 
+/// What changes from the old tree to the new one.
 pub fn plan(old: &Tree, new: &Tree) -> Plan {
     let names = |tree: &Tree| {
         tree.nodes()
@@ -51,18 +63,19 @@
             .collect::<Vec<_>>()
     };
     let parents = |tree: &Tree, name: &str| {
-        let ix = tree
+        let index = tree
             .find(name)
-            .map(|ix| tree.node(ix).parents.clone())
+            .map(|index| tree.node(index).parents.clone())
             .unwrap_or_default();
-        ix.into_iter()
+        index
+            .into_iter()
             .map(|p| tree.name(p).clone())
             .collect::<Vec<_>>()
     };
-    let rewired = new
+    let reparented = new
         .nodes()
         .filter(|(_, node)| old.find(&node.name).is_some())
-        .map(|(_, node)| Change {
+        .map(|(_, node)| ParentChange {
             name: node.name.clone(),
             kind: node.kind,
             before: parents(old, &node.name),
@@ -71,35 +84,35 @@
         .filter(|change| change.before != change.after)
         .collect();
     let share = |n: u64, of: u64| if of == 0 { 0.0 } else { n as f64 / of as f64 };
-    let shield = |tree: &Tree, object| tree.shield(object).map(|ix| tree.name(ix).clone());
-    let moved = (0..SAMPLE)
+    let shield = |tree: &Tree, object| tree.shield(object).map(|index| tree.name(index).clone());
+    let moved = (0..SAMPLED_OBJECTS)
         .filter(|o| shield(old, *o) != shield(new, *o))
         .count() as u64;
     let locations: Vec<Arc<str>> = new
-        .of_kind(Kind::Location)
+        .of_kind(NodeKind::Location)
         .map(|(_, n)| n.name.clone())
         .filter(|name| old.find(name).is_some())
         .collect();
-    // Fewer objects for each location where there are many: the figure needs no more.
-    let each = (SAMPLE / locations.len().max(1) as u64).max(64);
-    let other = |name: &Arc<str>, o: u64| hubs_on_way(old, name, o) != hubs_on_way(new, name, o);
-    let ways = locations
+    // Fewer objects for each location where there are many: the estimate needs no more.
+    let each = (SAMPLED_OBJECTS / locations.len().max(1) as u64).max(MIN_OBJECTS_PER_LOCATION);
+    let other = |name: &Arc<str>, o: u64| hubs_on_path(old, name, o) != hubs_on_path(new, name, o);
+    let moved_paths: u64 = locations
         .iter()
         .map(|name| (0..each).filter(|o| other(name, *o)).count() as u64)
         .sum();
     Plan {
-        came: names(new)
+        added: names(new)
             .into_iter()
             .filter(|n| old.find(n).is_none())
             .collect(),
-        went: names(old)
+        removed: names(old)
             .into_iter()
             .filter(|n| new.find(n).is_none())
             .collect(),
-        rewired,
-        shields_moved: share(moved, SAMPLE),
-        ways_moved: share(ways, each * locations.len() as u64),
-        extra_fetches: share(moved, SAMPLE),
+        reparented,
+        shields_moved: share(moved, SAMPLED_OBJECTS),
+        paths_moved: share(moved_paths, each * locations.len() as u64),
+        extra_fetches: share(moved, SAMPLED_OBJECTS),
     }
 }
 
--- a/pure/hierarchy/src/route.rs
+++ b/pure/hierarchy/src/route.rs
@@ -1,78 +1,82 @@
-//! Where a fill goes next. A location goes by its parents in their order. A hub that has hubs above it goes by
-//! those; one that has the archive alone goes to the hubs that rank before it for the object, best first, and
-//! then to the archive. The best of all is the object's shield: it alone asks the archive while all is well.
+//! Where a fill goes next. A location asks its parents in their order. A hub that has hubs above it asks those; a hub whose
+//! only parent is the archive asks the hubs that rank before it for the object, best first, and then the archive. The best
+//! of all is the object's shield: it alone asks the archive while all sources are healthy.
 //!
-//! Why no fill goes in a circle under one tree: parents form no cycle ([`Tree::check`]), a step among the top
-//! hubs always goes to a better rank, and no top hub has a hub as its parent.
+//! No fill goes in a cycle under one tree: parents form no cycle ([`Tree::validate`]), a step among the top hubs always
+//! goes to a better rank, and no top hub has a hub as its parent.
 
 use crate::mix;
-use crate::tree::{Ix, Kind, Tree};
+use crate::tree::{NodeIndex, NodeKind, Tree};
 
-/// Better-ranked hubs that a top hub tries before it goes to the archive itself: the shield, and one that stands
-/// in for it. Each further one would only add to the time of a fill whose hubs are unwell.
-pub const SHIELDS_TRIED: usize = 2;
+/// Better-ranked hubs that a top hub asks before the archive: the shield, and one fallback. Each further one would only
+/// add latency to a fill whose hubs are unhealthy.
+pub const MAX_SHIELDS: usize = 2;
 
-/// Rendezvous score of a hub for an object: each node finds the same, and a hub that comes or goes moves only the
-/// objects that it has or had.
+/// Rendezvous score of a hub for an object: each node derives the same, and a hub that is added or removed moves only its
+/// own objects.
 fn score(object: u64, seed: u64) -> u64 {
     mix(object ^ seed)
 }
 
-/// An object's place among the hubs, spread before it is scored, as ids may be in sequence.
-fn spread(object: u64) -> u64 {
+/// Mixes an object's id before it is scored, as ids may be in sequence.
+fn mix_id(object: u64) -> u64 {
     mix(object.wrapping_add(0x9e37_79b9_7f4a_7c15))
 }
 
 impl Tree {
-    fn rank(&self, object: u64, ix: Ix) -> (u64, Ix) {
-        (score(object, self.node(ix).seed), ix)
+    fn rank(&self, object: u64, index: NodeIndex) -> (u64, NodeIndex) {
+        (score(object, self.node(index).seed), index)
     }
 
-    /// The hub that fetches an object from the archive for all; none where no hub asks the archive.
-    pub fn shield(&self, object: u64) -> Option<Ix> {
-        let object = spread(object);
-        self.tops()
+    /// The origin shield of an object: the hub that fetches it from the archive for all. `None` where no hub asks the archive.
+    pub fn shield(&self, object: u64) -> Option<NodeIndex> {
+        let object = mix_id(object);
+        self.top_hubs()
             .iter()
             .copied()
-            .max_by_key(|ix| self.rank(object, *ix))
+            .max_by_key(|index| self.rank(object, *index))
     }
 
-    /// The best top hubs for an object that may still be used, of those that rank before `below`.
+    /// Adds the best top hubs for an object that may be used, of those that rank before `below`.
     fn shields(
         &self,
         object: u64,
-        below: Option<Ix>,
-        may: &impl Fn(Ix) -> bool,
-        found: &mut Vec<Ix>,
+        below: Option<NodeIndex>,
+        may: &impl Fn(NodeIndex) -> bool,
+        found: &mut Vec<NodeIndex>,
     ) {
-        let object = spread(object);
-        let bound = below.map(|ix| self.rank(object, ix));
-        // One pass, without sorting: the two best that may be used.
-        let mut best: [Option<(u64, Ix)>; SHIELDS_TRIED] = [None; SHIELDS_TRIED];
-        for &ix in self.tops() {
-            let rank = Some(self.rank(object, ix));
-            if rank <= bound || rank <= best[SHIELDS_TRIED - 1] || !may(ix) {
+        let object = mix_id(object);
+        let bound = below.map(|index| self.rank(object, index));
+        // One pass, without sorting: the best that may be used.
+        let mut best: [Option<(u64, NodeIndex)>; MAX_SHIELDS] = [None; MAX_SHIELDS];
+        for &index in self.top_hubs() {
+            let rank = Some(self.rank(object, index));
+            if rank <= bound || rank <= best[MAX_SHIELDS - 1] || !may(index) {
                 continue;
             }
             let at = best
                 .iter()
                 .position(|b| *b < rank)
-                .unwrap_or(SHIELDS_TRIED - 1);
+                .unwrap_or(MAX_SHIELDS - 1);
             best[at..].rotate_right(1);
             best[at] = rank;
         }
-        found.extend(best.into_iter().flatten().map(|(_, ix)| ix));
+        found.extend(best.into_iter().flatten().map(|(_, index)| index));
     }
 
-    /// Where a fill for this object may go next from a node, best first: nodes for which `may` is false (on the
-    /// fill's way, tried in vain, unwell) are left out. The archive is never left out for being unwell: there is
-    /// no other; but a node that tried it says so by `may` as well.
-    pub fn next(&self, from: Ix, object: u64, may: impl Fn(Ix) -> bool) -> Vec<Ix> {
+    /// Where a fill for this object may go next from a node, best first. Nodes for which `may` is false (on the fill's path,
+    /// tried, ejected) are left out.
+    pub fn next(
+        &self,
+        from: NodeIndex,
+        object: u64,
+        may: impl Fn(NodeIndex) -> bool,
+    ) -> Vec<NodeIndex> {
         let node = self.node(from);
         let mut found = Vec::with_capacity(4);
         match node.kind {
-            Kind::Archive => return found,
-            Kind::Hub if node.parents == [self.archive()] => {
+            NodeKind::Archive => return found,
+            NodeKind::Hub if node.parents == [self.archive()] => {
                 self.shields(object, Some(from), &may, &mut found);
             }
             _ => {
@@ -82,9 +86,10 @@
                     .filter(|p| **p != self.archive() && may(**p));
                 found.extend(hubs);
                 if node.parents.last() == Some(&self.archive()) {
-                    // Guards against each hub that may ask the archive doing so by itself: the shield first.
+                    // The shield comes first also here: else each hub that may ask the archive would do so by itself.
                     let known = found.clone();
-                    let other = |ix: Ix| ix != from && !known.contains(&ix) && may(ix);
+                    let other =
+                        |index: NodeIndex| index != from && !known.contains(&index) && may(index);
                     self.shields(object, None, &other, &mut found);
                 }
             }
@@ -95,11 +100,11 @@
         found
     }
 
-    /// Whether this tree lets a fill go from one node to another, for whatever object.
-    pub fn allows(&self, from: Ix, to: Ix) -> bool {
+    /// Whether a fill may go from one node to another under this tree, for any object.
+    pub fn allows(&self, from: NodeIndex, to: NodeIndex) -> bool {
         let node = self.node(from);
         let over_shield = node.parents.last() == Some(&self.archive());
-        node.parents.contains(&to) || (over_shield && from != to && self.tops().contains(&to))
+        node.parents.contains(&to) || (over_shield && from != to && self.top_hubs().contains(&to))
     }
 }
 
--- a/pure/hierarchy/src/route/tests.rs
+++ b/pure/hierarchy/src/route/tests.rs
@@ -1,22 +1,26 @@
 //! Where a fill goes next, and which hub shields an object.
 
 use super::*;
-use crate::tree::{Draft, Proposed};
+use crate::tree::{ProposedNode, TreeDraft};
 
 pub fn hubs(n: usize, epoch: u64) -> Tree {
-    let proposed = |name: String, kind, parents: &[&str]| Proposed {
+    let proposed = |name: String, kind, parents: &[&str]| ProposedNode {
         name,
         kind,
         parents: parents.iter().map(|p| p.to_string()).collect(),
     };
-    let mut nodes = vec![proposed("archive".into(), Kind::Archive, &[])];
-    nodes.extend((0..n).map(|h| proposed(format!("hub-{h}"), Kind::Hub, &["archive"])));
-    nodes.push(proposed("low".into(), Kind::Hub, &["hub-0", "archive"]));
-    nodes.push(proposed("office".into(), Kind::Location, &["low", "hub-1"]));
-    Tree::check(&Draft {
+    let mut nodes = vec![proposed("archive".into(), NodeKind::Archive, &[])];
+    nodes.extend((0..n).map(|h| proposed(format!("hub-{h}"), NodeKind::Hub, &["archive"])));
+    nodes.push(proposed("low".into(), NodeKind::Hub, &["hub-0", "archive"]));
+    nodes.push(proposed(
+        "office".into(),
+        NodeKind::Location,
+        &["low", "hub-1"],
+    ));
+    Tree::validate(&TreeDraft {
         epoch,
         nodes,
-        ..Draft::default()
+        ..TreeDraft::default()
     })
     .unwrap()
 }
@@ -27,10 +31,10 @@
     for object in 0..2_000 {
         let shield = tree.shield(object).unwrap();
         assert_eq!(tree.next(shield, object, |_| true), [tree.archive()]);
-        for &hub in tree.tops().iter().filter(|h| **h != shield) {
+        for &hub in tree.top_hubs().iter().filter(|h| **h != shield) {
             let next = tree.next(hub, object, |_| true);
             assert_eq!((next[0], next.last()), (shield, Some(&tree.archive())));
-            assert!(next.len() <= SHIELDS_TRIED + 1 && next.iter().all(|to| tree.allows(hub, *to)));
+            assert!(next.len() <= MAX_SHIELDS + 1 && next.iter().all(|to| tree.allows(hub, *to)));
         }
     }
 }
@@ -41,8 +45,8 @@
     for object in 0..500 {
         let shield = tree.shield(object).unwrap();
         let rest = |ix| ix != shield;
-        let firsts: Vec<Ix> = tree
-            .tops()
+        let firsts: Vec<NodeIndex> = tree
+            .top_hubs()
             .iter()
             .filter(|h| **h != shield)
             .map(|h| tree.next(*h, object, rest)[0])
--- a/pure/hierarchy/src/tree.rs
+++ b/pure/hierarchy/src/tree.rs
@@ -1,41 +1,42 @@
-//! One tree: its nodes, their ordered parents, and the checks without which no tree comes to be.
+//! The fill tree: nodes and their ordered parents. A [`Tree`] exists only once its draft was validated.
 
-mod check;
 mod draft;
+mod validate;
 
-pub use draft::{Draft, Fault, Proposed};
+pub use draft::{ProposedNode, TreeDraft, TreeFault};
 
 use std::collections::HashMap;
 use std::fmt;
 use std::sync::Arc;
 
-/// Most nodes of a tree.
-pub const NODES_MOST: usize = 16_384;
-/// Most parents of one node.
-pub const PARENTS_MOST: usize = 8;
-/// Longest name of a node: a label of a host name, as the way's header wants it.
-pub const NAME_MOST: usize = 63;
+/// Nodes of a tree at the most.
+pub const MAX_NODES: usize = 16_384;
+/// Parents of one node at the most.
+pub const MAX_PARENTS: usize = 8;
+/// Longest name of a node: one label of a host name, as `CDN-Loop` requires.
+pub const MAX_NAME_BYTES: usize = 63;
 
-/// A node's place in one tree; it means nothing in another.
+/// A node of one tree; it means nothing in another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Ix(pub u16);
+pub struct NodeIndex(pub u16);
 
+/// What a node of the tree is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
-    /// Caches and edge proxies of one place; asks for fills and gives none.
+pub enum NodeKind {
+    /// Caches and edge proxies of one site; requests fills and serves none.
     Location,
-    /// Keeps copies and passes fills on.
+    /// Caches copies and forwards fills.
     Hub,
     /// Holds everything; the one root.
     Archive,
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for NodeKind {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Kind::Location => "location",
-            Kind::Hub => "hub",
-            Kind::Archive => "archive",
+            NodeKind::Location => "location",
+            NodeKind::Hub => "hub",
+            NodeKind::Archive => "archive",
         })
     }
 }
@@ -46,37 +47,37 @@
     /// Its name, unlike any other in the tree.
     pub name: Arc<str>,
     /// What it is.
-    pub kind: Kind,
+    pub kind: NodeKind,
     /// In the order in which they are asked.
-    pub parents: Vec<Ix>,
+    pub parents: Vec<NodeIndex>,
     /// Stands for the name where objects are hashed over nodes.
     pub(crate) seed: u64,
 }
 
-/// Which tree a fill was routed by: two trees never share one.
+/// Which tree a fill was routed by. Two different trees never share a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Stamp {
-    /// The tree's number.
+pub struct TreeVersion {
+    /// Its number; a newer tree has a higher one.
     pub epoch: u64,
-    /// Of its nodes and their parents.
+    /// Digest of its nodes and their parents.
     pub digest: u32,
 }
 
-impl fmt::Display for Stamp {
+impl fmt::Display for TreeVersion {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}-{:08x}", self.epoch, self.digest)
     }
 }
 
-impl Stamp {
+impl TreeVersion {
     /// Reads what `Display` writes.
-    pub fn parse(text: &str) -> Option<Stamp> {
+    pub fn parse(text: &str) -> Option<TreeVersion> {
         let (epoch, digest) = text.split_once('-')?;
         let digits = |t: &str| !t.is_empty() && t.bytes().all(|b| b.is_ascii_hexdigit());
         if !digits(epoch) || !digits(digest) || digest.len() != 8 {
             return None;
         }
-        Some(Stamp {
+        Some(TreeVersion {
             epoch: epoch.parse().ok()?,
             digest: u32::from_str_radix(digest, 16).ok()?,
         })
@@ -86,91 +87,95 @@
 /// A tree that passed every check. It has no cycle, and each node reaches the archive.
 #[derive(Clone, Debug)]
 pub struct Tree {
-    stamp: Stamp,
+    version: TreeVersion,
     instead_of: Option<u64>,
     nodes: Vec<Node>,
-    archive: Ix,
-    /// Hubs that ask the archive alone: an object's shield is one of them.
-    tops: Vec<Ix>,
-    /// Longest way to the archive, in steps, the one over a shield counted.
+    archive: NodeIndex,
+    /// Hubs whose only parent is the archive: an object's shield is one of them.
+    top_hubs: Vec<NodeIndex>,
+    /// Steps of the longest path to the archive, the one over a shield included.
     heights: Vec<u8>,
-    by_name: HashMap<Arc<str>, Ix>,
+    by_name: HashMap<Arc<str>, NodeIndex>,
 }
 
 impl Tree {
-    /// Number and digest.
-    pub fn stamp(&self) -> Stamp {
-        self.stamp
+    /// Its number and digest.
+    pub fn version(&self) -> TreeVersion {
+        self.version
     }
 
     /// The tree's number.
     pub fn epoch(&self) -> u64 {
-        self.stamp.epoch
+        self.version.epoch
     }
 
-    /// The epoch in service that it takes the place of, though its own number is lower.
+    /// The epoch in service that it replaces, though its own number is lower.
     pub fn instead_of(&self) -> Option<u64> {
         self.instead_of
     }
 
     /// The node of a name.
-    pub fn find(&self, name: &str) -> Option<Ix> {
+    pub fn find(&self, name: &str) -> Option<NodeIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// The node at a place.
-    pub fn node(&self, ix: Ix) -> &Node {
-        &self.nodes[ix.0 as usize]
+    /// A node.
+    ///
+    /// # Panics
+    ///
+    /// Where the index is of another tree.
+    pub fn node(&self, index: NodeIndex) -> &Node {
+        &self.nodes[index.0 as usize]
     }
 
-    /// The name of the node at a place.
-    pub fn name(&self, ix: Ix) -> &Arc<str> {
-        &self.node(ix).name
+    /// The name of a node.
+    pub fn name(&self, index: NodeIndex) -> &Arc<str> {
+        &self.node(index).name
     }
 
     /// The root.
-    pub fn archive(&self) -> Ix {
+    pub fn archive(&self) -> NodeIndex {
         self.archive
     }
 
-    /// Steps from a node to the archive, on the longest way that a fill may take while all is well.
-    pub fn height(&self, ix: Ix) -> u8 {
-        self.heights[ix.0 as usize]
+    /// Steps from a node to the archive, on the longest path that a fill takes while all sources are healthy.
+    pub fn height(&self, index: NodeIndex) -> u8 {
+        self.heights[index.0 as usize]
     }
 
     /// The greatest height of any node.
-    pub fn tallest(&self) -> u8 {
+    pub fn max_height(&self) -> u8 {
         self.heights.iter().copied().max().unwrap_or(0)
     }
 
     /// Hubs whose only parent is the archive.
-    pub fn tops(&self) -> &[Ix] {
-        &self.tops
+    pub fn top_hubs(&self) -> &[NodeIndex] {
+        &self.top_hubs
     }
 
     /// All nodes, in the order of their names.
-    pub fn nodes(&self) -> impl Iterator<Item = (Ix, &Node)> {
+    pub fn nodes(&self) -> impl Iterator<Item = (NodeIndex, &Node)> {
         self.nodes
             .iter()
             .enumerate()
-            .map(|(at, node)| (Ix(at as u16), node))
+            .map(|(at, node)| (NodeIndex(at as u16), node))
     }
 
     /// The nodes of one kind.
-    pub fn of_kind(&self, kind: Kind) -> impl Iterator<Item = (Ix, &Node)> {
+    pub fn of_kind(&self, kind: NodeKind) -> impl Iterator<Item = (NodeIndex, &Node)> {
         self.nodes().filter(move |(_, node)| node.kind == kind)
     }
 
-    /// The nodes that may ask this one: those that name it as a parent, and for a top hub all that go over a shield.
-    pub fn callers(&self, ix: Ix) -> impl Iterator<Item = Ix> + '_ {
+    /// The nodes that may ask this one: those that have it as a parent, and for a top hub all that may go over a shield.
+    pub fn callers(&self, index: NodeIndex) -> impl Iterator<Item = NodeIndex> + '_ {
         self.nodes()
-            .filter(move |(at, _)| self.allows(*at, ix))
+            .filter(move |(at, _)| self.allows(*at, index))
             .map(|(at, _)| at)
     }
 
-    /// A caller's place among all that may ask a node, and how many they are.
-    pub fn turn(&self, ix: Ix, caller: Ix) -> (usize, usize) {
-        let callers: Vec<Ix> = self.callers(ix).collect();
+    /// A caller's number among all that may ask a node, and how many they are.
+    pub fn caller_turn(&self, index: NodeIndex, caller: NodeIndex) -> (usize, usize) {
+        let callers: Vec<NodeIndex> = self.callers(index).collect();
         (
             callers.iter().position(|c| *c == caller).unwrap_or(0),
             callers.len(),
--- a/pure/hierarchy/src/tree/draft.rs
+++ b/pure/hierarchy/src/tree/draft.rs
@@ -1,40 +1,40 @@
-//! A tree as somebody proposes it, and what may be wrong with it.
+//! A proposed tree, and why one can be rejected.
 
-use super::{Kind, NAME_MOST, NODES_MOST, PARENTS_MOST};
+use super::{NodeKind, MAX_NAME_BYTES, MAX_NODES, MAX_PARENTS};
 use std::fmt;
 
-/// A tree as somebody proposes it.
+/// A proposed tree, not validated yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Draft {
+pub struct TreeDraft {
     /// Its number, from 1.
     pub epoch: u64,
-    /// The epoch in service that this takes the place of, though its own number is lower.
+    /// The epoch in service that it replaces, though its own number is lower.
     pub instead_of: Option<u64>,
     /// Locations may have the archive as a parent.
-    pub skip: bool,
+    pub skip_tiers: bool,
     /// All nodes, in any order.
-    pub nodes: Vec<Proposed>,
+    pub nodes: Vec<ProposedNode>,
 }
 
 /// One node of a draft.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Proposed {
-    /// 1 to [`NAME_MOST`] lower-case letters, digits and inner hyphens.
+pub struct ProposedNode {
+    /// 1 to [`MAX_NAME_BYTES`] lower-case letters, digits and inner hyphens.
     pub name: String,
     /// What it is.
-    pub kind: Kind,
+    pub kind: NodeKind,
     /// In the order in which they are asked.
     pub parents: Vec<String>,
 }
 
-/// Why a tree can't be taken.
+/// Why a tree is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum TreeFault {
     /// The epoch is 0.
     EpochZero,
     /// There is no node.
     Empty,
-    /// So many, over [`NODES_MOST`].
+    /// So many, over [`MAX_NODES`].
     TooManyNodes(usize),
     /// No valid name.
     Name(String),
@@ -45,8 +45,8 @@
     /// The root has parents.
     ArchiveHasParents(String),
     /// Another node than the archive has no parent.
-    Parentless(String, Kind),
-    /// So many, over [`PARENTS_MOST`].
+    Parentless(String, NodeKind),
+    /// So many, over [`MAX_PARENTS`].
     TooManyParents(String, usize),
     /// The node names this parent twice.
     ParentTwice(String, String),
@@ -58,59 +58,65 @@
     Skips(String),
     /// The node names the archive before other parents.
     ArchiveNotLast(String),
-    /// From a node by its parents back to itself.
+    /// A cycle, from a node by its parents back to itself.
     Cycle(Vec<String>),
 }
 
-impl Fault {
-    /// The node that the fault is told of, where there is one.
+impl TreeFault {
+    /// The node that the fault is reported for, where there is one.
     pub fn node(&self) -> Option<&str> {
         match self {
-            Fault::EpochZero | Fault::Empty | Fault::TooManyNodes(_) => None,
-            Fault::Archives(names) | Fault::Cycle(names) => names.first().map(String::as_str),
-            Fault::Name(node) | Fault::Twice(node) | Fault::ArchiveHasParents(node) => Some(node),
-            Fault::Parentless(node, _)
-            | Fault::TooManyParents(node, _)
-            | Fault::ParentTwice(node, _) => Some(node),
-            Fault::Unknown(node, _) | Fault::ParentIsLocation(node, _) => Some(node),
-            Fault::Skips(node) | Fault::ArchiveNotLast(node) => Some(node),
+            TreeFault::EpochZero | TreeFault::Empty | TreeFault::TooManyNodes(_) => None,
+            TreeFault::Archives(names) | TreeFault::Cycle(names) => {
+                names.first().map(String::as_str)
+            }
+            TreeFault::Name(node) | TreeFault::Twice(node) | TreeFault::ArchiveHasParents(node) => {
+                Some(node)
+            }
+            TreeFault::Parentless(node, _)
+            | TreeFault::TooManyParents(node, _)
+            | TreeFault::ParentTwice(node, _) => Some(node),
+            TreeFault::Unknown(node, _) | TreeFault::ParentIsLocation(node, _) => Some(node),
+            TreeFault::Skips(node) | TreeFault::ArchiveNotLast(node) => Some(node),
         }
     }
 }
 
-impl fmt::Display for Fault {
+impl std::error::Error for TreeFault {}
+
+impl fmt::Display for TreeFault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::EpochZero => write!(f, "the epoch must be 1 or more"),
-            Fault::Empty => write!(f, "there is no node"),
-            Fault::TooManyNodes(n) => write!(f, "{n} nodes, {NODES_MOST} at most"),
-            Fault::Name(name) => write!(
+            TreeFault::EpochZero => write!(f, "the epoch must be 1 or more"),
+            TreeFault::Empty => write!(f, "there is no node"),
+            TreeFault::TooManyNodes(n) => write!(f, "{n} nodes, {MAX_NODES} at most"),
+            TreeFault::Name(name) => write!(
                 f,
-                "{name:?} is no name: 1 to {NAME_MOST} lower-case letters, digits and inner hyphens"
+                "{name:?} is no name: 1 to {MAX_NAME_BYTES} lower-case letters, digits and inner hyphens"
             ),
-            Fault::Twice(name) => write!(f, "{name} is there twice"),
-            Fault::Archives(names) if names.is_empty() => write!(f, "there is no archive"),
-            Fault::Archives(names) => {
+            TreeFault::Twice(name) => write!(f, "{name} is there twice"),
+            TreeFault::Archives(names) if names.is_empty() => write!(f, "there is no archive"),
+            TreeFault::Archives(names) => {
                 write!(f, "{} archives ({}); there is one", names.len(), names.join(", "))
             }
-            Fault::ArchiveHasParents(name) => write!(f, "the archive {name} has parents; it is the root"),
-            Fault::Parentless(name, kind) => {
+            TreeFault::ArchiveHasParents(name) => write!(f, "the archive {name} has parents; it is the root"),
+            TreeFault::Parentless(name, kind) => {
                 write!(f, "{kind} {name} has no parent: it can't reach the archive")
             }
-            Fault::TooManyParents(name, n) => write!(f, "{name} has {n} parents, {PARENTS_MOST} at most"),
-            Fault::ParentTwice(name, parent) => write!(f, "{name} names its parent {parent} twice"),
-            Fault::Unknown(name, parent) => write!(f, "{name} names the parent {parent}, which is no node"),
-            Fault::ParentIsLocation(name, parent) => {
+            TreeFault::TooManyParents(name, n) => write!(f, "{name} has {n} parents, {MAX_PARENTS} at most"),
+            TreeFault::ParentTwice(name, parent) => write!(f, "{name} names its parent {parent} twice"),
+            TreeFault::Unknown(name, parent) => write!(f, "{name} names the parent {parent}, which is no node"),
+            TreeFault::ParentIsLocation(name, parent) => {
                 write!(f, "{name} names the location {parent} as a parent; locations give no fills")
             }
-            Fault::Skips(name) => write!(
+            TreeFault::Skips(name) => write!(
                 f,
                 "location {name} names the archive as a parent, past all hubs; skip_tiers = True allows it"
             ),
-            Fault::ArchiveNotLast(name) => {
+            TreeFault::ArchiveNotLast(name) => {
                 write!(f, "{name} names the archive before other parents; the archive comes last")
             }
-            Fault::Cycle(names) => write!(f, "fills would go in a circle: {}", names.join(" -> ")),
+            TreeFault::Cycle(names) => write!(f, "fills would go in a circle: {}", names.join(" -> ")),
         }
     }
 }
--- a/pure/hierarchy/src/tree/tests.rs
+++ b/pure/hierarchy/src/tree/tests.rs
@@ -2,36 +2,36 @@
 
 use super::*;
 
-fn node(name: &str, kind: Kind, parents: &[&str]) -> Proposed {
-    Proposed {
+fn node(name: &str, kind: NodeKind, parents: &[&str]) -> ProposedNode {
+    ProposedNode {
         name: name.into(),
         kind,
         parents: parents.iter().map(|p| p.to_string()).collect(),
     }
 }
 
-fn draft(nodes: Vec<Proposed>) -> Draft {
-    Draft {
+fn draft(nodes: Vec<ProposedNode>) -> TreeDraft {
+    TreeDraft {
         epoch: 3,
         nodes,
-        ..Draft::default()
+        ..TreeDraft::default()
     }
 }
 
-fn sound() -> Vec<Proposed> {
+fn sound() -> Vec<ProposedNode> {
     vec![
-        node("archive", Kind::Archive, &[]),
-        node("south", Kind::Hub, &["archive"]),
-        node("east", Kind::Hub, &["south", "archive"]),
-        node("porvoo", Kind::Location, &["east", "south"]),
+        node("archive", NodeKind::Archive, &[]),
+        node("south", NodeKind::Hub, &["archive"]),
+        node("east", NodeKind::Hub, &["south", "archive"]),
+        node("porvoo", NodeKind::Location, &["east", "south"]),
     ]
 }
 
 #[test]
 fn a_sound_tree_is_taken_and_is_the_same_however_it_is_written() {
-    let tree = Tree::check(&draft(sound())).unwrap();
+    let tree = Tree::validate(&draft(sound())).unwrap();
     assert_eq!(
-        tree.tops()
+        tree.top_hubs()
             .iter()
             .map(|t| &**tree.name(*t))
             .collect::<Vec<_>>(),
@@ -51,12 +51,18 @@
     );
     let mut turned = sound();
     turned.reverse();
-    assert_eq!(Tree::check(&draft(turned)).unwrap().stamp(), tree.stamp());
+    assert_eq!(
+        Tree::validate(&draft(turned)).unwrap().version(),
+        tree.version()
+    );
     let mut other = sound();
     other[3].parents.reverse();
-    assert_ne!(Tree::check(&draft(other)).unwrap().stamp(), tree.stamp());
-    let stamp = tree.stamp();
-    assert_eq!(Stamp::parse(&stamp.to_string()), Some(stamp));
+    assert_ne!(
+        Tree::validate(&draft(other)).unwrap().version(),
+        tree.version()
+    );
+    let stamp = tree.version();
+    assert_eq!(TreeVersion::parse(&stamp.to_string()), Some(stamp));
     for text in [
         "",
         "3",
@@ -67,90 +73,98 @@
         "3-0000000g",
         "x-00000000",
     ] {
-        assert_eq!(Stamp::parse(text), None, "{text}");
+        assert_eq!(TreeVersion::parse(text), None, "{text}");
     }
 }
 
 #[test]
 fn what_is_wrong_with_a_draft_is_named() {
-    let with = |change: &dyn Fn(&mut Vec<Proposed>)| {
+    let with = |change: &dyn Fn(&mut Vec<ProposedNode>)| {
         let mut nodes = sound();
         change(&mut nodes);
-        Tree::check(&draft(nodes)).map(|t| t.stamp()).unwrap_err()
+        Tree::validate(&draft(nodes))
+            .map(|t| t.version())
+            .unwrap_err()
     };
     let parents = |at: usize, parents: &'static [&'static str]| {
-        with(&move |n: &mut Vec<Proposed>| {
+        with(&move |n: &mut Vec<ProposedNode>| {
             n[at].parents = parents.iter().map(|p| p.to_string()).collect()
         })
     };
     let s = |text: &str| text.to_string();
     assert_eq!(
         parents(3, &["west"]),
-        [Fault::Unknown(s("porvoo"), s("west"))]
+        [TreeFault::Unknown(s("porvoo"), s("west"))]
     );
     assert_eq!(
         parents(3, &[]),
-        [Fault::Parentless(s("porvoo"), Kind::Location)]
+        [TreeFault::Parentless(s("porvoo"), NodeKind::Location)]
     );
-    assert_eq!(parents(3, &["archive"]), [Fault::Skips(s("porvoo"))]);
+    assert_eq!(parents(3, &["archive"]), [TreeFault::Skips(s("porvoo"))]);
     assert_eq!(
         parents(3, &["east", "east"]),
-        [Fault::ParentTwice(s("porvoo"), s("east"))]
+        [TreeFault::ParentTwice(s("porvoo"), s("east"))]
     );
     assert_eq!(
         parents(2, &["archive", "south"]),
-        [Fault::ArchiveNotLast(s("east"))]
+        [TreeFault::ArchiveNotLast(s("east"))]
     );
     assert_eq!(
         parents(2, &["porvoo"]),
-        [Fault::ParentIsLocation(s("east"), s("porvoo"))]
+        [TreeFault::ParentIsLocation(s("east"), s("porvoo"))]
     );
     assert_eq!(
         parents(0, &["east"]),
-        [Fault::ArchiveHasParents(s("archive"))]
+        [TreeFault::ArchiveHasParents(s("archive"))]
     );
     assert_eq!(
         parents(1, &["east", "archive"]),
-        [Fault::Cycle(vec![s("east"), s("south"), s("east")])]
+        [TreeFault::Cycle(vec![s("east"), s("south"), s("east")])]
     );
     assert_eq!(
         parents(2, &["east", "archive"]),
-        [Fault::Cycle(vec![s("east"), s("east")])]
+        [TreeFault::Cycle(vec![s("east"), s("east")])]
     );
     assert_eq!(
-        with(&|n| n[0].kind = Kind::Hub).last(),
-        Some(&Fault::Archives(vec![]))
+        with(&|n| n[0].kind = NodeKind::Hub).last(),
+        Some(&TreeFault::Archives(vec![]))
+    );
+    assert_eq!(
+        with(&|n| n.push(n[3].clone())),
+        [TreeFault::Twice(s("porvoo"))]
     );
-    assert_eq!(with(&|n| n.push(n[3].clone())), [Fault::Twice(s("porvoo"))]);
     assert_eq!(
         with(&|n| n[3].name = s("Porvoo")),
-        [Fault::Name(s("Porvoo"))]
+        [TreeFault::Name(s("Porvoo"))]
     );
-    let many = vec![node("archive", Kind::Archive, &[]); NODES_MOST + 1];
+    let many = vec![node("archive", NodeKind::Archive, &[]); MAX_NODES + 1];
     assert_eq!(
-        Tree::check(&draft(many)).unwrap_err(),
-        [Fault::TooManyNodes(NODES_MOST + 1)]
+        Tree::validate(&draft(many)).unwrap_err(),
+        [TreeFault::TooManyNodes(MAX_NODES + 1)]
     );
-    let skipping = Draft {
-        skip: true,
+    let skipping = TreeDraft {
+        skip_tiers: true,
         nodes: sound(),
         epoch: 0,
         instead_of: None,
     };
-    assert_eq!(Tree::check(&skipping).unwrap_err(), [Fault::EpochZero]);
-    assert!(Fault::Skips(s("a")).to_string().contains("skip_tiers"));
+    assert_eq!(
+        Tree::validate(&skipping).unwrap_err(),
+        [TreeFault::EpochZero]
+    );
+    assert!(TreeFault::Skips(s("a")).to_string().contains("skip_tiers"));
 }
 
 #[test]
 fn a_chain_as_long_as_the_tree_is_checked_without_recursion() {
-    let mut nodes = vec![node("archive", Kind::Archive, &[])];
-    for n in 0..NODES_MOST - 1 {
+    let mut nodes = vec![node("archive", NodeKind::Archive, &[])];
+    for n in 0..MAX_NODES - 1 {
         let parent = if n == 0 {
             "archive".to_string()
         } else {
             format!("h{}", n - 1)
         };
-        nodes.push(node(&format!("h{n}"), Kind::Hub, &[&parent]));
+        nodes.push(node(&format!("h{n}"), NodeKind::Hub, &[&parent]));
     }
-    assert_eq!(Tree::check(&draft(nodes)).unwrap().tops().len(), 1);
+    assert_eq!(Tree::validate(&draft(nodes)).unwrap().top_hubs().len(), 1);
 }
--- a/pure/hierarchy/tests/network/fills.rs
+++ b/pure/hierarchy/tests/network/fills.rs
@@ -1,15 +1,15 @@
 //! What a node does with a fill: it joins, fetches, tries again and answers.
 
 use crate::net::{name, Fetch, Message, Net, Who};
-use foldmux_hierarchy::ledger::{Arrival, FetchId, Next, Turn};
-use foldmux_hierarchy::node::Seeking;
+use foldmux_hierarchy::in_flight::{Admission, AfterFailure, FetchId, FillOrigin};
+use foldmux_hierarchy::node::SourceRequest;
 
 impl Net {
     pub fn failed(&mut self, hub: usize, id: FetchId, attempt: u32) {
-        match self.hubs[hub].node.failed(self.now, id, attempt) {
-            Next::Again(next) => self.seek(hub, id, next),
-            Next::Over => self.end(hub, id, false),
-            Next::Stale => {}
+        match self.hubs[hub].node.fail(self.now, id, attempt) {
+            AfterFailure::Retry(next) => self.seek(hub, id, next),
+            AfterFailure::GiveUp => self.end(hub, id, false),
+            AfterFailure::Stale => {}
         }
     }
 
@@ -32,31 +32,31 @@
                     },
                 got,
             } => match got {
-                true if self.hubs[hub].node.done(fetch, attempt) => self.end(hub, fetch, true),
+                true if self.hubs[hub].node.complete(fetch, attempt) => self.end(hub, fetch, true),
                 true => {}
                 false => self.failed(hub, fetch, attempt),
             },
             Message::Ask {
                 hub,
                 key,
-                arrival,
+                origin,
                 way,
                 past,
-                hold_only,
+                only_if_cached,
                 back,
             } => {
                 if way.contains(&hub) {
                     self.faults.push(format!("{hub} twice on {way:?}"));
                 }
-                if self.hubs[hub].held.contains(&key) || hold_only {
+                if self.hubs[hub].held.contains(&key) || only_if_cached {
                     let got = self.hubs[hub].held.contains(&key);
                     return self.send(Message::Answer { back, got });
                 }
                 let until = self.now + 40_000;
-                let (turn, lane) = self.hubs[hub].node.want(self.now, key, arrival, 0, until);
+                let (turn, scope) = self.hubs[hub].node.request(self.now, key, origin, 0, until);
                 match turn {
-                    Turn::Full => self.send(Message::Answer { back, got: false }),
-                    Turn::Join(id, wait) => {
+                    Admission::Rejected => self.send(Message::Answer { back, got: false }),
+                    Admission::Follow(id, wait) => {
                         self.hubs[hub]
                             .fetches
                             .get_mut(&id)
@@ -64,10 +64,10 @@
                             .waits
                             .push((wait, back));
                     }
-                    Turn::Lead(id, wait) => {
+                    Admission::Lead(id, wait) => {
                         let fetch = Fetch {
                             key,
-                            lane,
+                            scope,
                             way,
                             tried: past,
                             waits: vec![(wait, back)],
@@ -88,14 +88,14 @@
         let (passed, tried) = (names(&fetch.way), names(&fetch.tried));
         let passed: Vec<&str> = passed.iter().map(String::as_str).collect();
         let tried: Vec<&str> = tried.iter().map(String::as_str).collect();
-        let seeking = Seeking {
+        let seeking = SourceRequest {
             object: fetch.key.object,
-            lane: fetch.lane,
+            scope: fetch.scope,
             passed: &passed,
             tried: &tried,
         };
-        let Ok(choice) = state.node.choose(now, &seeking) else {
-            assert!(state.node.done(id, attempt));
+        let Ok(choice) = state.node.select_source(now, &seeking) else {
+            assert!(state.node.complete(id, attempt));
             return self.end(hub, id, false);
         };
         let back = Who::Hub {
@@ -116,18 +116,18 @@
         fetch.tried.push(to);
         let (key, past) = (fetch.key, fetch.tried.clone());
         let way = fetch.way.iter().copied().chain([hub]).collect();
-        let arrival = Arrival {
-            stamp: Some(choice.stamp),
-            solo: choice.solo,
+        let origin = FillOrigin {
+            version: Some(choice.version),
+            uncollapsed: choice.uncollapsed,
         };
         if !lost {
             self.send(Message::Ask {
                 hub: to,
                 key,
-                arrival,
+                origin,
                 way,
                 past,
-                hold_only: choice.hold_only,
+                only_if_cached: choice.only_if_cached,
                 back,
             });
         }
--- a/pure/hierarchy/tests/network/main.rs
+++ b/pure/hierarchy/tests/network/main.rs
@@ -1,5 +1,5 @@
 //! Many nodes, each with its own news, over an unreliable network in virtual time: whatever the order of epochs,
-//! news, starts and deaths, no fill visits a node twice, no lane has two leaders, and every request ends.
+//! news, starts and deaths, no fill visits a node twice, no scope has two leaders, and every request ends.
 
 mod fills;
 mod net;
@@ -30,7 +30,7 @@
     #![proptest_config(ProptestConfig::with_cases(std::env::var("PROPTEST_CASES").map_or(400, |n| n.parse().unwrap_or(400))))]
 
     #[test]
-    fn no_circle_no_second_leader_and_every_request_ends(
+    fn no_cycle_no_second_leader_and_every_request_ends(
         picks in proptest::collection::vec(proptest::collection::vec(any::<u8>(), HUBS), 4),
         orders in proptest::collection::vec(Just((0..HUBS).collect::<Vec<_>>()).prop_shuffle(), 4),
         steps in steps(),
@@ -46,7 +46,7 @@
                 Step::Told { hub, tree } => {
                     let news = net.trees[tree].clone();
                     let now = net.now;
-                    if net.hubs[hub].node.rewire(now, news, HashMap::new()).is_ok() {
+                    if net.hubs[hub].node.apply_tree(now, news, HashMap::new()).is_ok() {
                         net.told[hub] = tree;
                     }
                 }
@@ -65,7 +65,7 @@
         prop_assert!(net.clients.values().all(Option::is_some), "a request without an end");
         if lost == 0 {
             // Nothing hangs: no fill ever waited for one that waited for it.
-            prop_assert!(net.hubs.iter().all(|h| h.node.ledger().counts().lapsed == 0), "a wait that never ended by itself");
+            prop_assert!(net.hubs.iter().all(|h| h.node.fetches().counts().leases_expired == 0), "a wait that never ended by itself");
         }
     }
 }
--- a/pure/hierarchy/tests/network/net.rs
+++ b/pure/hierarchy/tests/network/net.rs
@@ -1,25 +1,27 @@
 //! The nodes of a network, the messages between them, and virtual time.
 
-use foldmux_hierarchy::cold::Rule;
-use foldmux_hierarchy::ledger::{Arrival, FetchId, Key, Lane, Limits, WaitId};
+use foldmux_hierarchy::in_flight::{
+    CollapseScope, FetchId, FetchKey, FetchLimits, FillOrigin, WaiterId,
+};
 use foldmux_hierarchy::node::Node;
-use foldmux_hierarchy::tree::{Draft, Kind, Proposed, Tree};
-use foldmux_hierarchy::Time;
+use foldmux_hierarchy::slow_start::SlowStart;
+use foldmux_hierarchy::tree::{NodeKind, ProposedNode, Tree, TreeDraft};
+use foldmux_hierarchy::TimestampUs;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 pub const HUBS: usize = 5;
-pub const LIMITS: Limits = Limits {
+pub const LIMITS: FetchLimits = FetchLimits {
     fetches: 64,
-    waits: 512,
-    lease: 4_000,
+    waiters: 512,
+    lease_us: 4_000,
     attempts: 6,
 };
-const RULE: Rule = Rule {
-    from: 0.1,
-    over: 1,
-    breaks_at: 2.0,
-    window: 1,
-    safety: 1.0,
+const RULE: SlowStart = SlowStart {
+    initial_ratio: 0.1,
+    ramp_us: 1,
+    overload_multiple: 2.0,
+    overload_window_us: 1,
+    budget_ratio: 1.0,
 };
 
 pub fn name(h: usize) -> String {
@@ -28,12 +30,12 @@
 
 /// A tree from numbers: hub h goes by hubs that stand before it in an order, or by the archive alone.
 pub fn tree(epoch: u64, order: &[usize], picks: &[u8]) -> Tree {
-    let node = |name: String, kind, parents: Vec<String>| Proposed {
+    let node = |name: String, kind, parents: Vec<String>| ProposedNode {
         name,
         kind,
         parents,
     };
-    let mut nodes = vec![node("archive".into(), Kind::Archive, vec![])];
+    let mut nodes = vec![node("archive".into(), NodeKind::Archive, vec![])];
     for (at, &h) in order.iter().enumerate() {
         let pick = picks[h] as usize;
         let mut parents: Vec<String> = (0..pick % 3)
@@ -44,12 +46,12 @@
         if parents.is_empty() || pick.is_multiple_of(2) {
             parents.push("archive".into());
         }
-        nodes.push(node(name(h), Kind::Hub, parents));
+        nodes.push(node(name(h), NodeKind::Hub, parents));
     }
-    Tree::check(&Draft {
+    Tree::validate(&TreeDraft {
         epoch,
         nodes,
-        ..Draft::default()
+        ..TreeDraft::default()
     })
     .expect("sound by the order")
 }
@@ -68,11 +70,11 @@
 pub enum Message {
     Ask {
         hub: usize,
-        key: Key,
-        arrival: Arrival,
+        key: FetchKey,
+        origin: FillOrigin,
         way: Vec<usize>,
         past: Vec<usize>,
-        hold_only: bool,
+        only_if_cached: bool,
         back: Who,
     },
     Answer {
@@ -83,27 +85,27 @@
 
 pub struct Hub {
     pub node: Node,
-    pub held: HashSet<Key>,
+    pub held: HashSet<FetchKey>,
     pub fetches: HashMap<FetchId, Fetch>,
     /// Which start this is: answers to a former one find nobody.
     start: u64,
 }
 
 pub struct Fetch {
-    pub key: Key,
-    pub lane: Lane,
+    pub key: FetchKey,
+    pub scope: CollapseScope,
     pub way: Vec<usize>,
     pub tried: Vec<usize>,
-    pub waits: Vec<(WaitId, Who)>,
+    pub waits: Vec<(WaiterId, Who)>,
 }
 
 pub struct Net {
-    pub now: Time,
+    pub now: TimestampUs,
     pub hubs: Vec<Hub>,
     pub trees: Vec<Tree>,
     /// Which tree each hub was told of last, so that one that starts anew has it.
     pub told: Vec<usize>,
-    queue: BTreeMap<(Time, u64), Message>,
+    queue: BTreeMap<(TimestampUs, u64), Message>,
     next: u64,
     random: u64,
     pub clients: HashMap<usize, Option<bool>>,
@@ -145,19 +147,19 @@
     pub fn client(&mut self, hub: usize, object: u64) {
         let number = self.clients.len();
         self.clients.insert(number, None);
-        let key = Key {
+        let key = FetchKey {
             class: 0,
             object,
             part: 0,
         };
-        let (arrival, back) = (Arrival::BEGINS, Who::Client(number));
+        let (origin, back) = (FillOrigin::LOCAL, Who::Client(number));
         self.send(Message::Ask {
             hub,
             key,
-            arrival,
+            origin,
             way: vec![],
             past: vec![],
-            hold_only: false,
+            only_if_cached: false,
             back,
         });
     }
@@ -166,7 +168,7 @@
         let due = self
             .hubs
             .iter()
-            .filter_map(|h| h.node.ledger().next_due())
+            .filter_map(|h| h.node.fetches().next_lease_end())
             .min();
         let first = self.queue.keys().next().copied();
         match (first, due) {
@@ -183,16 +185,18 @@
         true
     }
 
-    /// No two fetches in one lane can be joined, and the ledger counts what is there.
+    /// No two fetches in one scope can be joined, and the ledger counts what is there.
     fn look(&mut self) {
         for hub in &self.hubs {
             let mut lanes = HashSet::new();
             if hub.fetches.values().any(|f| {
-                !f.waits.is_empty() && f.lane != Lane::Solo && !lanes.insert((f.key, f.lane))
+                !f.waits.is_empty()
+                    && f.scope != CollapseScope::Uncollapsed
+                    && !lanes.insert((f.key, f.scope))
             }) {
-                self.faults.push("two leaders in one lane".to_string());
+                self.faults.push("two leaders in one scope".to_string());
             }
-            let (fetches, waits) = hub.node.ledger().size();
+            let (fetches, waits) = hub.node.fetches().sizes();
             if fetches != hub.fetches.len()
                 || waits != hub.fetches.values().map(|f| f.waits.len()).sum::<usize>()
             {
@@ -203,10 +207,10 @@
         }
     }
 
-    fn lapse(&mut self, due: Time) {
+    fn lapse(&mut self, due: TimestampUs) {
         self.now = self.now.max(due);
         for hub in 0..HUBS {
-            for (id, attempt) in self.hubs[hub].node.lapsed(self.now) {
+            for (id, attempt) in self.hubs[hub].node.expired_leases(self.now) {
                 self.failed(hub, id, attempt);
             }
         }
@@ -223,7 +227,7 @@
         );
         for other in &mut self.hubs {
             for fetch in other.fetches.values_mut() {
-                let gone = |w: &(WaitId, Who)| matches!(w.1, Who::Hub { hub: h, .. } if h == hub);
+                let gone = |w: &(WaiterId, Who)| matches!(w.1, Who::Hub { hub: h, .. } if h == hub);
                 for (wait, _) in fetch.waits.extract_if(.., |w| gone(w)) {
                     other.node.leave(wait);
                 }
--- a/rigs/simulator/src/model/hub.rs
+++ b/rigs/simulator/src/model/hub.rs
@@ -4,8 +4,8 @@
 use super::setup::{hub_name, hub_of};
 use super::state::Flight;
 use super::*;
-use foldmux_hierarchy::ledger::{Arrival, FetchId, Key, Next, Turn};
-use foldmux_hierarchy::node::Seeking;
+use foldmux_hierarchy::in_flight::{Admission, AfterFailure, FetchId, FetchKey, FillOrigin};
+use foldmux_hierarchy::node::SourceRequest;
 
 impl Day<'_> {
     pub(super) fn at_hub(&mut self, hub: usize, fill: Fill, back: Back) {
@@ -20,17 +20,17 @@
         if fill.hold_only {
             return self.give(hub, &fill, back, Got::Lacks);
         }
-        let key = Key {
+        let key = FetchKey {
             class: 0,
             object: fill.part.0,
             part: fill.part.1,
         };
         let (turn, lane) = state
             .node
-            .want(now, key, fill.arrival, fill.born_after, fill.until);
+            .request(now, key, fill.arrival, fill.born_after, fill.until);
         match turn {
-            Turn::Full => self.give(hub, &fill, back, Got::Refused),
-            Turn::Join(id, wait) => {
+            Admission::Rejected => self.give(hub, &fill, back, Got::Refused),
+            Admission::Follow(id, wait) => {
                 state
                     .fetches
                     .get_mut(&id)
@@ -38,7 +38,7 @@
                     .waits
                     .push((wait, back));
             }
-            Turn::Lead(id, wait) => {
+            Admission::Lead(id, wait) => {
                 let tried = fill.past.clone();
                 state.fetches.insert(
                     id,
@@ -77,23 +77,23 @@
         let (passed, tried) = (names(&flight.fill.way), names(&flight.tried));
         let passed: Vec<&str> = passed.iter().map(String::as_str).collect();
         let tried: Vec<&str> = tried.iter().map(String::as_str).collect();
-        let seeking = Seeking {
+        let seeking = SourceRequest {
             object: fill.part.0,
-            lane: flight.lane,
+            scope: flight.lane,
             passed: &passed,
             tried: &tried,
         };
-        let choice = match state.node.choose(now, &seeking) {
+        let choice = match state.node.select_source(now, &seeking) {
             Ok(choice) => choice,
             Err(_) => return self.end(hub, id, attempt, Got::Refused),
         };
-        self.result.loops_broken += choice.avoided as u64;
-        fill.arrival = Arrival {
-            stamp: Some(choice.stamp),
-            solo: choice.solo,
+        self.result.loops_broken += choice.loop_avoided as u64;
+        fill.arrival = FillOrigin {
+            version: Some(choice.version),
+            uncollapsed: choice.uncollapsed,
         };
         fill.past = flight.tried.clone();
-        fill.hold_only = choice.hold_only;
+        fill.hold_only = choice.only_if_cached;
         match hub_of(&choice.name) {
             Some(next) => {
                 flight.tried.push(next);
@@ -177,10 +177,10 @@
                     Got::Copy { born, .. } if born >= flight.fill.born_after => {
                         self.end(hub, fetch, attempt, got)
                     }
-                    _ => match self.hubs[hub].node.failed(self.now, fetch, attempt) {
-                        Next::Again(next) => self.seek(hub, fetch, next),
-                        Next::Over => self.end_all(hub, fetch, Got::Refused),
-                        Next::Stale => {}
+                    _ => match self.hubs[hub].node.fail(self.now, fetch, attempt) {
+                        AfterFailure::Retry(next) => self.seek(hub, fetch, next),
+                        AfterFailure::GiveUp => self.end_all(hub, fetch, Got::Refused),
+                        AfterFailure::Stale => {}
                     },
                 }
             }
@@ -188,7 +188,7 @@
     }
 
     pub(super) fn end(&mut self, hub: usize, id: FetchId, attempt: u32, got: Got) {
-        if self.hubs[hub].node.done(id, attempt) {
+        if self.hubs[hub].node.complete(id, attempt) {
             self.end_all(hub, id, got);
         }
     }
--- a/rigs/simulator/src/model/setup.rs
+++ b/rigs/simulator/src/model/setup.rs
@@ -4,10 +4,10 @@
 use super::state::{EdgeState, HubState};
 use super::store::Store;
 use super::*;
-use foldmux_hierarchy::cold::Rule;
-use foldmux_hierarchy::ledger::Limits;
+use foldmux_hierarchy::in_flight::FetchLimits;
 use foldmux_hierarchy::node::Node;
-use foldmux_hierarchy::tree::{Draft, Kind, Proposed};
+use foldmux_hierarchy::slow_start::SlowStart;
+use foldmux_hierarchy::tree::{NodeKind, ProposedNode, TreeDraft};
 use rand::{RngExt, SeedableRng};
 
 /// Mean size of a part (KB) and its spread.
@@ -28,13 +28,13 @@
 
 /// The tree of a scenario; `turned`: the hubs that go by another hub instead of the archive.
 fn tree(s: &Scenario, epoch: u64, turned: &[usize]) -> Tree {
-    let node = |name: String, kind, parents: Vec<String>| Proposed {
+    let node = |name: String, kind, parents: Vec<String>| ProposedNode {
         name,
         kind,
         parents,
     };
     let tops = s.hubs - s.low_hubs;
-    let mut nodes = vec![node("archive".into(), Kind::Archive, vec![])];
+    let mut nodes = vec![node("archive".into(), NodeKind::Archive, vec![])];
     for h in 0..s.hubs {
         let stays = |h: &usize| *h < tops && !turned.contains(h);
         let above = (1..s.hubs).map(|n| (h + n) % s.hubs).find(stays);
@@ -42,18 +42,18 @@
             Some(above) => vec![hub_name(above), "archive".into()],
             None => vec!["archive".into()],
         };
-        nodes.push(node(hub_name(h), Kind::Hub, parents));
+        nodes.push(node(hub_name(h), NodeKind::Hub, parents));
     }
     for l in 0..s.edges {
         let parents: Vec<String> = (0..s.hubs.min(2))
             .map(|n| hub_name((l + n) % s.hubs))
             .collect();
-        nodes.push(node(format!("office-{l}"), Kind::Location, parents));
+        nodes.push(node(format!("office-{l}"), NodeKind::Location, parents));
     }
-    Tree::check(&Draft {
+    Tree::validate(&TreeDraft {
         epoch,
         nodes,
-        ..Draft::default()
+        ..TreeDraft::default()
     })
     .expect("the lab's trees are sound")
 }
@@ -141,18 +141,18 @@
                 trees.push(tree(s, 3, &[]));
             }
         }
-        let limits = Limits {
+        let limits = FetchLimits {
             fetches: 1 << 20,
-            waits: 1 << 22,
-            lease: 60_000_000,
+            waiters: 1 << 22,
+            lease_us: 60_000_000,
             attempts: 8,
         };
-        let cold = Rule {
-            from: 0.067,
-            over: 21_000_000,
-            breaks_at: 2.0,
-            window: 3_000_000,
-            safety: 0.6,
+        let cold = SlowStart {
+            initial_ratio: 0.067,
+            ramp_us: 21_000_000,
+            overload_multiple: 2.0,
+            overload_window_us: 3_000_000,
+            budget_ratio: 0.6,
         };
         let node = |name: &str| {
             Node::new(
--- a/rigs/simulator/src/model/state.rs
+++ b/rigs/simulator/src/model/state.rs
@@ -4,7 +4,7 @@
 use super::store::{Part, Store};
 use foldmux::interface::{RequestId, Time};
 use foldmux::Router;
-use foldmux_hierarchy::ledger::{FetchId, Lane, WaitId};
+use foldmux_hierarchy::in_flight::{CollapseScope, FetchId, WaiterId};
 use foldmux_hierarchy::node::Node;
 use std::collections::HashMap;
 
@@ -31,9 +31,9 @@
 /// A fetch under way at a hub.
 pub(super) struct Flight {
     pub(super) fill: Fill,
-    pub(super) lane: Lane,
+    pub(super) lane: CollapseScope,
     pub(super) tried: Vec<usize>,
-    pub(super) waits: Vec<(WaitId, Back)>,
+    pub(super) waits: Vec<(WaiterId, Back)>,
 }
 
 /// An edge proxy.
--- a/rigs/simulator/src/model/step.rs
+++ b/rigs/simulator/src/model/step.rs
@@ -54,7 +54,9 @@
                 change,
             } => {
                 let tree = self.trees[change].clone();
-                let _ = self.hubs[hub].node.rewire(self.now, tree, HashMap::new());
+                let _ = self.hubs[hub]
+                    .node
+                    .apply_tree(self.now, tree, HashMap::new());
             }
             Event::Told {
                 node: Who::Edge(edge),
--- a/shared/operator/src/script/finish.rs
+++ b/shared/operator/src/script/finish.rs
@@ -3,16 +3,16 @@
 use super::sets::{valid, Sets};
 use crate::values::{ExtProc, Hierarchy, Operator};
 use anyhow::anyhow;
-use foldmux_hierarchy::cold::Rule;
-use foldmux_hierarchy::tree::{Draft, Kind, Proposed, Tree};
+use foldmux_hierarchy::slow_start::SlowStart;
+use foldmux_hierarchy::tree::{NodeKind, ProposedNode, Tree, TreeDraft};
 
 /// Where the file says nothing: the figures of our first installation.
-const COLD: Rule = Rule {
-    from: 0.067,
-    over: 21_000_000,
-    breaks_at: 2.0,
-    window: 3_000_000,
-    safety: 0.6,
+const DEFAULT_SLOW_START: SlowStart = SlowStart {
+    initial_ratio: 0.067,
+    ramp_us: 21_000_000,
+    overload_multiple: 2.0,
+    overload_window_us: 3_000_000,
+    budget_ratio: 0.6,
 };
 
 /// What only the whole file shows: the tree, and whether its parts fit together.
@@ -63,13 +63,13 @@
             (None, None) => Ok(operator),
         };
     };
-    let draft = Draft {
+    let draft = TreeDraft {
         epoch: head.epoch,
         instead_of: head.instead_of,
-        skip: head.skip,
+        skip_tiers: head.skip,
         nodes,
     };
-    let tree = Tree::check(&draft).map_err(|faults| {
+    let tree = Tree::validate(&draft).map_err(|faults| {
         let at = |node: Option<&str>| node.and_then(|n| lines.get(n)).unwrap_or(&head.at);
         faults
             .iter()
@@ -77,7 +77,8 @@
             .collect::<Vec<_>>()
     })?;
     if operator.relay.is_some() {
-        let without = |p: &&Proposed| p.kind != Kind::Location && places[&p.name].address.is_none();
+        let without =
+            |p: &&ProposedNode| p.kind != NodeKind::Location && places[&p.name].address.is_none();
         let faults: Vec<String> = draft
             .nodes
             .iter()
@@ -101,7 +102,7 @@
         tree,
         domain: head.domain,
         overlap_ms: head.overlap_ms,
-        cold: cold.unwrap_or(COLD),
+        slow_start: cold.unwrap_or(DEFAULT_SLOW_START),
     });
     Ok(operator)
 }
--- a/shared/operator/src/script/sets.rs
+++ b/shared/operator/src/script/sets.rs
@@ -3,8 +3,8 @@
 use super::fleet::Parts;
 use crate::values::{AskRule, ExtProc, LedgerFile, Operator, Place, TokenKey};
 use anyhow::{anyhow, bail};
-use foldmux_hierarchy::cold::Rule;
-use foldmux_hierarchy::tree::Proposed;
+use foldmux_hierarchy::slow_start::SlowStart;
+use foldmux_hierarchy::tree::ProposedNode;
 use foldmux_limits::resolve::LimitsFile;
 use garde::Validate;
 use starlark::eval::Evaluator;
@@ -23,11 +23,11 @@
 #[derive(Debug, Default)]
 pub(super) struct Sets {
     pub head: Option<Head>,
-    pub nodes: Vec<Proposed>,
+    pub nodes: Vec<ProposedNode>,
     pub places: HashMap<String, Place>,
     /// Where each node was named first.
     pub lines: HashMap<String, String>,
-    pub cold: Option<Rule>,
+    pub cold: Option<SlowStart>,
     pub asks: Vec<AskRule>,
     pub keys: Vec<TokenKey>,
     pub ledger: Option<LedgerFile>,
--- a/shared/operator/src/script/tests.rs
+++ b/shared/operator/src/script/tests.rs
@@ -1,5 +1,5 @@
 use super::evaluate;
-use foldmux_hierarchy::tree::Kind;
+use foldmux_hierarchy::tree::NodeKind;
 
 const TREE: &str = r#"
 hierarchy(epoch = 4, domain = "fill.example")
@@ -23,7 +23,7 @@
     assert_eq!(
         (
             hierarchy.tree.epoch(),
-            hierarchy.names(Kind::Location).len()
+            hierarchy.names(NodeKind::Location).len()
         ),
         (4, 2)
     );
--- a/shared/operator/src/script/tree.rs
+++ b/shared/operator/src/script/tree.rs
@@ -7,8 +7,8 @@
 use super::CALLS_MOST;
 use crate::values::{Place, Relay};
 use anyhow::bail;
-use foldmux_hierarchy::cold::Rule;
-use foldmux_hierarchy::tree::{Kind, Proposed};
+use foldmux_hierarchy::slow_start::SlowStart;
+use foldmux_hierarchy::tree::{NodeKind, ProposedNode};
 use starlark::environment::GlobalsBuilder;
 use starlark::eval::Evaluator;
 use starlark::starlark_module;
@@ -16,7 +16,7 @@
 use starlark::values::list::UnpackList;
 use starlark::values::none::{NoneOr, NoneType};
 
-fn node(eval: &Evaluator, proposed: Proposed, place: Place) -> anyhow::Result<NoneType> {
+fn node(eval: &Evaluator, proposed: ProposedNode, place: Place) -> anyhow::Result<NoneType> {
     let at = here(eval);
     SETS.with_borrow_mut(|sets| {
         if sets.nodes.len() >= CALLS_MOST {
@@ -69,9 +69,9 @@
         #[starlark(require = named, default = NoneOr::None)] address: NoneOr<&str>,
         eval: &mut Evaluator,
     ) -> anyhow::Result<NoneType> {
-        let proposed = Proposed {
+        let proposed = ProposedNode {
             name: name.to_string(),
-            kind: Kind::Archive,
+            kind: NodeKind::Archive,
             parents: vec![],
         };
         node(
@@ -92,9 +92,9 @@
         #[starlark(require = named, default = 0i64)] fills_per_s: i64,
         eval: &mut Evaluator,
     ) -> anyhow::Result<NoneType> {
-        let proposed = Proposed {
+        let proposed = ProposedNode {
             name: name.to_string(),
-            kind: Kind::Hub,
+            kind: NodeKind::Hub,
             parents: parents.items,
         };
         let fills_per_s = whole("fills_per_s", fills_per_s)? as f64;
@@ -114,9 +114,9 @@
         #[starlark(require = named)] parents: UnpackList<String>,
         eval: &mut Evaluator,
     ) -> anyhow::Result<NoneType> {
-        let proposed = Proposed {
+        let proposed = ProposedNode {
             name: name.to_string(),
-            kind: Kind::Location,
+            kind: NodeKind::Location,
             parents: parents.items,
         };
         node(
@@ -137,12 +137,13 @@
         #[starlark(require = named)] window_ms: i64,
         #[starlark(require = named, default = UnpackFloat(60.0))] use_percent: UnpackFloat,
     ) -> anyhow::Result<NoneType> {
-        let rule = Rule {
-            from: within("from_percent", from_percent.0, 0.1, 100.0)? / 100.0,
-            over: within("over_ms", over_ms as f64, 1.0, 3_600_000.0)? as u64 * 1_000,
-            breaks_at: within("breaks_at", breaks_at.0, 0.1, 1_000.0)?,
-            window: within("window_ms", window_ms as f64, 1.0, 600_000.0)? as u64 * 1_000,
-            safety: within("use_percent", use_percent.0, 1.0, 100.0)? / 100.0,
+        let rule = SlowStart {
+            initial_ratio: within("from_percent", from_percent.0, 0.1, 100.0)? / 100.0,
+            ramp_us: within("over_ms", over_ms as f64, 1.0, 3_600_000.0)? as u64 * 1_000,
+            overload_multiple: within("breaks_at", breaks_at.0, 0.1, 1_000.0)?,
+            overload_window_us: within("window_ms", window_ms as f64, 1.0, 600_000.0)? as u64
+                * 1_000,
+            budget_ratio: within("use_percent", use_percent.0, 1.0, 100.0)? / 100.0,
         };
         once(|s| &mut s.cold, rule, "cold_start")
     }
--- a/shared/operator/src/values.rs
+++ b/shared/operator/src/values.rs
@@ -10,8 +10,8 @@
     Cover, Fleet, Peer, Pool, PoolBy, Slow, Stream, StreamFirst, Unclaimed, Uncovered,
 };
 
-use foldmux_hierarchy::cold::Rule;
-use foldmux_hierarchy::tree::{Kind, Tree};
+use foldmux_hierarchy::slow_start::SlowStart;
+use foldmux_hierarchy::tree::{NodeKind, Tree};
 use foldmux_limits::resolve::LimitsFile;
 use garde::Validate;
 use std::collections::HashMap;
@@ -40,7 +40,7 @@
     pub overlap_ms: u64,
     pub nodes: HashMap<Arc<str>, Place>,
     /// What a hub that started lately may be given.
-    pub cold: Rule,
+    pub slow_start: SlowStart,
 }
 
 /// Where a node of the tree is, and what it can do.
@@ -101,7 +101,7 @@
 
 impl Hierarchy {
     /// The nodes of a kind, by name.
-    pub fn names(&self, kind: Kind) -> Vec<Arc<str>> {
+    pub fn names(&self, kind: NodeKind) -> Vec<Arc<str>> {
         self.tree
             .of_kind(kind)
             .map(|(_, node)| node.name.clone())
