--- a/edge/proxy/src/fleet.rs
+++ b/edge/proxy/src/fleet.rs
@@ -3,9 +3,9 @@
 
 use crate::journal::JournalClient;
 use foldmux_core::Core;
-use foldmux_fleet::members::{self, Roll};
+use foldmux_fleet::members::{self, MembershipView};
 use foldmux_fleet::{Builder, Fault, Port, Setup, Sink};
-use foldmux_membership::{Command, Event, Pace, Seen, Who};
+use foldmux_membership::{Command, Event, MemberView, NodeIdentity, Pace};
 use foldmux_operator::Fleet as Said;
 use foldmux_peers::Bounds;
 use foldmux_replicas::{Effect, Effects, Peer, StateMachine, Time};
@@ -26,7 +26,7 @@
 pub struct Fleet {
     builder: Builder,
     members: Port<Command>,
-    roll: Roll,
+    roll: MembershipView,
     parts: Parts,
     /// For the log: how many it has, this one's site, where it listens.
     told: (usize, String, std::net::SocketAddr),
@@ -40,7 +40,7 @@
     members: Port<Command>,
     serving: Serving,
     /// Who of the fleet was seen, for any thread.
-    pub roll: Roll,
+    pub roll: MembershipView,
 }
 
 impl Fleet {
@@ -84,7 +84,7 @@
         let born = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
-        let me = Who::new(
+        let me = NodeIdentity::new(
             Peer::new(name),
             &place.site,
             place.address,
@@ -256,7 +256,8 @@
 
 impl Sink<Event> for Log {
     fn told(&self, told: Event) {
-        let of = |seen: &Seen| format!("{} at {}, site {}", seen.peer, seen.address, seen.site);
+        let of =
+            |seen: &MemberView| format!("{} at {}, site {}", seen.peer, seen.address, seen.site);
         match told {
             Event::Up(seen) => tracing::info!("members: {} joined", of(&seen)),
             Event::Restarted(seen) => tracing::info!("members: {} started again", of(&seen)),
--- a/pure/membership/src/admission.rs
+++ b/pure/membership/src/admission.rs
@@ -1,8 +1,8 @@
 //! What of a packet comes in. foca takes whoever it is told of; here members are bounded in number and size,
 //! and a peer speaks for no other than itself.
 
-use crate::who::Who;
-use crate::{Packet, PACKET};
+use crate::identity::NodeIdentity;
+use crate::{Packet, MAX_PACKET_BYTES};
 use foca::{Codec, Header, Identity, Member, PostcardCodec};
 use foldmux_replicas::Peer;
 use std::collections::BTreeSet;
@@ -40,7 +40,11 @@
 
     /// Whether there is room for it. `known` are the names that foca knows of, asked once a packet at most:
     /// it may have forgotten some, or never have taken those of a packet that it did not believe.
-    fn lets(&mut self, who: &Who, known: &mut Option<impl FnOnce() -> BTreeSet<Peer>>) -> bool {
+    fn lets(
+        &mut self,
+        who: &NodeIdentity,
+        known: &mut Option<impl FnOnce() -> BTreeSet<Peer>>,
+    ) -> bool {
         if !who.fits() || self.names.contains(&who.name) {
             return who.fits();
         }
@@ -63,18 +67,18 @@
     /// a higher one comes beside it.
     pub fn admit(
         &mut self,
-        me: &Who,
+        me: &NodeIdentity,
         from: &Peer,
         packet: &Packet,
         known: impl FnOnce() -> BTreeSet<Peer>,
-    ) -> Result<(Vec<u8>, Option<Who>), Refused> {
+    ) -> Result<(Vec<u8>, Option<NodeIdentity>), Refused> {
         let mut known = Some(known);
         self.fresh.clear();
-        if packet.0.len() > PACKET {
+        if packet.0.len() > MAX_PACKET_BYTES {
             return Err(Refused::Unread);
         }
         let mut rest = &packet.0[..];
-        let read: Header<Who> = PostcardCodec
+        let read: Header<NodeIdentity> = PostcardCodec
             .decode_header(&mut rest)
             .map_err(|_| Refused::Unread)?;
         if read.src.name != *from {
@@ -83,8 +87,9 @@
         if !self.lets(&read.src, &mut known) {
             return Err(Refused::Full);
         }
-        let above =
-            |who: &Who| who.name == me.name && who.born != me.born && who.win_addr_conflict(me);
+        let above = |who: &NodeIdentity| {
+            who.name == me.name && who.born != me.born && who.win_addr_conflict(me)
+        };
         let mut rival = above(&read.dst).then(|| read.dst.clone());
         let mut out = Vec::with_capacity(packet.0.len());
         PostcardCodec
@@ -99,7 +104,7 @@
         out.extend_from_slice(&[0, 0]);
         // The packet's size bounds the loop: an update that is not there is not read.
         for _ in 0..u16::from_be_bytes(*count) {
-            let member: Member<Who> = PostcardCodec
+            let member: Member<NodeIdentity> = PostcardCodec
                 .decode_member(&mut rest)
                 .map_err(|_| Refused::Unread)?;
             let who = member.id();
--- a/pure/membership/src/told.rs
+++ b/pure/membership/src/event.rs
@@ -1,6 +1,6 @@
 //! What the process is told of the others.
 
-use crate::who::Who;
+use crate::identity::NodeIdentity;
 use foca::Member;
 use foldmux_replicas::Peer;
 use std::net::SocketAddr;
@@ -9,20 +9,20 @@
 /// News of a peer. For each peer *up* and *down* or *left* take turns; *restarted* comes only while it is up.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    Up(Seen),
+    Up(MemberView),
     /// It did not answer, nor refute the suspicion: a hint where not to turn, never a proof.
     Down(Peer),
     /// On purpose: it said so itself.
     Left(Peer),
     /// What was up is gone without a word; this is another life under the same name.
-    Restarted(Seen),
+    Restarted(MemberView),
     /// Someone else speaks under this process's name, or did with a clock that was ahead. Reported once for each.
-    Rival(Seen),
+    Rival(MemberView),
 }
 
 /// What is known of a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct MemberView {
     pub peer: Peer,
     pub site: Arc<str>,
     pub address: SocketAddr,
@@ -49,8 +49,8 @@
     }
 }
 
-impl Seen {
-    pub(crate) fn of(member: &Member<Who>) -> Seen {
+impl MemberView {
+    pub(crate) fn of(member: &Member<NodeIdentity>) -> MemberView {
         let who = member.id();
         let state = match member.state() {
             _ if who.left => State::Left,
@@ -58,7 +58,7 @@
             foca::State::Suspect => State::Suspect,
             foca::State::Down => State::Down,
         };
-        Seen {
+        MemberView {
             peer: who.name.clone(),
             site: who.site.clone(),
             address: who.address,
--- a/pure/membership/src/who.rs
+++ b/pure/membership/src/identity.rs
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 
 /// Bytes of a name and of a site, at most: an identity stands several times in each packet.
-pub const NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// A process as the others know it. Two with one name are the same process in two lives, or before and after
 /// it was taken for dead; the higher generation holds, at once and everywhere.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Who {
+pub struct NodeIdentity {
     pub name: Peer,
     pub site: Arc<str>,
     pub address: SocketAddr,
@@ -23,11 +23,11 @@
     pub left: bool,
 }
 
-impl Who {
+impl NodeIdentity {
     /// `born` must be higher than in the life before, as the time of the start is by the calendar's clock.
     /// When that clock was set back, the process still comes in, by as many returns as it takes.
-    pub fn new(name: Peer, site: &str, address: SocketAddr, born: u64) -> Who {
-        Who {
+    pub fn new(name: Peer, site: &str, address: SocketAddr, born: u64) -> NodeIdentity {
+        NodeIdentity {
             name,
             site: site.into(),
             address,
@@ -38,8 +38,8 @@
     }
 
     /// Someone of whom only the name is known: enough to announce oneself to.
-    pub(crate) fn contact(name: &Peer) -> Who {
-        Who::new(
+    pub(crate) fn contact(name: &Peer) -> NodeIdentity {
+        NodeIdentity::new(
             name.clone(),
             "",
             SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
@@ -47,8 +47,8 @@
         )
     }
 
-    pub(crate) fn leaving(&self) -> Who {
-        Who {
+    pub(crate) fn leaving(&self) -> NodeIdentity {
+        NodeIdentity {
             left: true,
             ..self.clone()
         }
@@ -56,9 +56,9 @@
 
     /// The next generation. The steps double, so that a life that began too low passes the one before it in
     /// as many returns as the difference has bits.
-    pub(crate) fn again(&self) -> Who {
+    pub(crate) fn again(&self) -> NodeIdentity {
         let step = (self.generation - self.born).clamp(1, 1 << 32);
-        Who {
+        NodeIdentity {
             generation: self.generation.saturating_add(step),
             left: false,
             ..self.clone()
@@ -66,7 +66,7 @@
     }
 
     pub(crate) fn fits(&self) -> bool {
-        let sized = |text: &str| text.len() <= NAME;
+        let sized = |text: &str| text.len() <= MAX_NAME_BYTES;
         !self.name.as_str().is_empty()
             && sized(self.name.as_str())
             && sized(&self.site)
@@ -85,10 +85,10 @@
     }
 }
 
-impl foca::Identity for Who {
+impl foca::Identity for NodeIdentity {
     type Addr = Peer;
 
-    fn renew(&self) -> Option<Who> {
+    fn renew(&self) -> Option<NodeIdentity> {
         (!self.left).then(|| self.again())
     }
 
@@ -96,7 +96,7 @@
         self.name.clone()
     }
 
-    fn win_addr_conflict(&self, other: &Who) -> bool {
+    fn win_addr_conflict(&self, other: &NodeIdentity) -> bool {
         #[cfg(feature = "planted")]
         if crate::planted::on(crate::planted::Fault::AnyLifeHolds) {
             return false;
--- a/pure/membership/src/members.rs
+++ b/pure/membership/src/members.rs
@@ -1,9 +1,9 @@
 //! The part: foca, its timers and its chance, driven by messages, asks and time.
 
 use crate::admission::Admission;
+use crate::event::MemberView;
+use crate::identity::NodeIdentity;
 use crate::timers::Timers;
-use crate::told::Seen;
-use crate::who::Who;
 use crate::{BadMembers, Pace};
 use foca::{AccumulatingRuntime, Foca, Member, NoCustomBroadcast, PostcardCodec, Timer};
 use foldmux_replicas::{Peer, Time};
@@ -17,7 +17,7 @@
 /// What a process has to say of itself and of its fleet.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    pub me: Who,
+    pub me: NodeIdentity,
     pub pace: Pace,
     /// Names that are kept, dead ones too; a further one is not taken in.
     pub most: usize,
@@ -36,11 +36,11 @@
     pub returns: u64,
 }
 
-type Swim = Foca<Who, PostcardCodec, SmallRng, NoCustomBroadcast>;
+type Swim = Foca<NodeIdentity, PostcardCodec, SmallRng, NoCustomBroadcast>;
 
 pub struct Members {
     foca: Swim,
-    runtime: AccumulatingRuntime<Who>,
+    runtime: AccumulatingRuntime<NodeIdentity>,
     timers: Timers,
     admission: Admission,
     pace: Pace,
@@ -57,7 +57,7 @@
     counts: Counts,
 }
 
-fn swim(me: Who, pace: Pace, rng: &mut SmallRng) -> Swim {
+fn swim(me: NodeIdentity, pace: Pace, rng: &mut SmallRng) -> Swim {
     Foca::new(
         me,
         pace.config(),
@@ -92,7 +92,7 @@
     }
 
     /// This process, as it speaks of itself now.
-    pub fn me(&self) -> &Who {
+    pub fn me(&self) -> &NodeIdentity {
         self.foca.identity()
     }
 
@@ -106,11 +106,11 @@
     }
 
     /// All that is known of the others, dead ones too.
-    pub fn seen(&self) -> Vec<Seen> {
-        self.others().map(Seen::of).collect()
+    pub fn seen(&self) -> Vec<MemberView> {
+        self.others().map(MemberView::of).collect()
     }
 
-    fn others(&self) -> impl Iterator<Item = &Member<Who>> {
+    fn others(&self) -> impl Iterator<Item = &Member<NodeIdentity>> {
         let me = &self.foca.identity().name;
         self.foca
             .iter_membership_state()
@@ -125,7 +125,7 @@
 
     /// Whether a suspicion came to nothing. foca 2.0 sends the suspected its death notice also when it has refuted,
     /// and so makes it come back under another identity for each: it does not get to see such a timer.
-    fn refuted(&self, timer: &Timer<Who>) -> bool {
+    fn refuted(&self, timer: &Timer<NodeIdentity>) -> bool {
         #[cfg(feature = "planted")]
         if crate::planted::on(crate::planted::Fault::RefutedInVain) {
             return false;
@@ -158,7 +158,7 @@
             let contact = some.swap_remove(self.rng.random_range(0..some.len()));
             let done = self
                 .foca
-                .announce(Who::contact(&contact), &mut self.runtime);
+                .announce(NodeIdentity::contact(&contact), &mut self.runtime);
             Members::noted(&mut self.counts, done);
         }
     }
--- a/pure/membership/src/members/effects.rs
+++ b/pure/membership/src/members/effects.rs
@@ -1,8 +1,8 @@
 //! What foca wants done, and what of it the process is told.
 
 use super::Members;
-use crate::told::{Event, Seen};
-use crate::who::Who;
+use crate::event::{Event, MemberView};
+use crate::identity::NodeIdentity;
 use crate::Packet;
 use foca::{Member, OwnedNotification};
 use foldmux_replicas::{Effect, Effects, Time};
@@ -25,7 +25,11 @@
         }
     }
 
-    fn notified(&mut self, notification: OwnedNotification<Who>, out: &mut Effects<Members>) {
+    fn notified(
+        &mut self,
+        notification: OwnedNotification<NodeIdentity>,
+        out: &mut Effects<Members>,
+    ) {
         match notification {
             OwnedNotification::Rename(_, new) if new.left => self.left(new, out),
             OwnedNotification::MemberUp(new) if new.left => self.left(new, out),
@@ -49,11 +53,11 @@
         }
     }
 
-    fn came(&mut self, who: Who, out: &mut Effects<Members>) {
+    fn came(&mut self, who: NodeIdentity, out: &mut Effects<Members>) {
         if who.name == self.me().name {
             return;
         }
-        let seen = Seen::of(&Member::alive(who.clone()));
+        let seen = MemberView::of(&Member::alive(who.clone()));
         match self.up.insert(who.name.clone(), who.born) {
             None => out.push(Effect::Emit(Event::Up(seen))),
             Some(born) if born != who.born => out.push(Effect::Emit(Event::Restarted(seen))),
@@ -61,7 +65,7 @@
         }
     }
 
-    fn left(&mut self, who: Who, out: &mut Effects<Members>) {
+    fn left(&mut self, who: NodeIdentity, out: &mut Effects<Members>) {
         if self.up.remove(&who.name).is_some() {
             out.push(Effect::Emit(Event::Left(who.name.clone())));
         }
--- a/pure/membership/src/members/part.rs
+++ b/pure/membership/src/members/part.rs
@@ -2,7 +2,7 @@
 
 use super::{swim, Members};
 use crate::admission::Refused;
-use crate::told::{Event, Seen};
+use crate::event::{Event, MemberView};
 use crate::{Command, Packet};
 use foca::Member;
 use foldmux_replicas::{Effect, Effects, Peer, StateMachine, Time};
@@ -29,7 +29,9 @@
             Ok((packet, rival)) => {
                 if let Some(rival) = rival.filter(|rival| self.rival != Some(rival.born)) {
                     self.rival = Some(rival.born);
-                    out.push(Effect::Emit(Event::Rival(Seen::of(&Member::alive(rival)))));
+                    out.push(Effect::Emit(Event::Rival(MemberView::of(&Member::alive(
+                        rival,
+                    )))));
                 }
                 let done = self.foca.handle_data(&packet, &mut self.runtime);
                 Members::noted(&mut self.counts, done);
--- a/pure/membership/src/pace.rs
+++ b/pure/membership/src/pace.rs
@@ -9,7 +9,7 @@
 /// Members asked to ask in one's stead, and told the news in each round: SWIM's three.
 const FRIENDS: NonZeroUsize = NonZeroUsize::new(3).unwrap();
 /// Bytes of a packet: links are streams, so the bound is one of memory, and has room for some 80 members.
-pub const PACKET: usize = 8 * 1024;
+pub const MAX_PACKET_BYTES: usize = 8 * 1024;
 
 /// The times, all in [`Time`]'s microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,7 +65,7 @@
             // A dead one is remembered by its name, of which there are few; after an hour nothing about it is
             // under way.
             remove_down_after: Some(Duration::from_secs(3600)),
-            max_packet_size: NonZeroUsize::new(PACKET).expect("not 0"),
+            max_packet_size: NonZeroUsize::new(MAX_PACKET_BYTES).expect("not 0"),
             notify_down_members: true,
             periodic_announce: every(self.period() * 30, NonZeroUsize::MIN),
             periodic_announce_to_down_members: every(self.period() * 10, NonZeroUsize::MIN),
--- a/pure/membership/src/timers.rs
+++ b/pure/membership/src/timers.rs
@@ -1,7 +1,7 @@
 //! The timers that foca set, in order of time. There is one place for each purpose and member, so that there
 //! are never more than two a member and a few beside.
 
-use crate::who::Who;
+use crate::identity::NodeIdentity;
 use foca::Timer;
 use foldmux_replicas::{Peer, Time};
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
     AnnounceDown,
 }
 
-fn place(timer: &Timer<Who>) -> Place {
+fn place(timer: &Timer<NodeIdentity>) -> Place {
     match timer {
         Timer::SendIndirectProbe { .. } => Place::Indirect,
         Timer::ProbeRandomMember(_) => Place::Probe,
@@ -33,13 +33,13 @@
 #[derive(Default)]
 pub(crate) struct Timers {
     order: BTreeSet<(Time, Place)>,
-    set: BTreeMap<Place, (Time, Timer<Who>)>,
+    set: BTreeMap<Place, (Time, Timer<NodeIdentity>)>,
 }
 
 impl Timers {
     /// What stood in its place is about a probe, a suspicion or a life that is over; but the same suspicion,
     /// raised again, does not give the suspected more time.
-    pub fn put(&mut self, at: Time, timer: Timer<Who>) {
+    pub fn put(&mut self, at: Time, timer: Timer<NodeIdentity>) {
         let place = place(&timer);
         if let Some((was, old)) = self.set.get(&place) {
             if *old == timer && *was <= at {
@@ -55,7 +55,7 @@
         self.order.first().map(|(at, _)| *at)
     }
 
-    pub fn take(&mut self, now: Time) -> Option<Timer<Who>> {
+    pub fn take(&mut self, now: Time) -> Option<Timer<NodeIdentity>> {
         if self.due()? > now {
             return None;
         }
--- a/pure/membership/tests/common/mod.rs
+++ b/pure/membership/tests/common/mod.rs
@@ -61,7 +61,7 @@
 
     pub fn start(&mut self, i: usize, born: u64, contacts: &[usize]) {
         let address = format!("127.0.0.1:{}", 7000 + i).parse().unwrap();
-        let me = Who::new(name(i), ["east", "west"][i % 2], address, born);
+        let me = NodeIdentity::new(name(i), ["east", "west"][i % 2], address, born);
         let setup = Setup {
             me,
             pace: self.pace,
@@ -190,7 +190,7 @@
             .collect()
     }
 
-    pub fn seen(&self, i: usize, other: usize) -> Option<Seen> {
+    pub fn seen(&self, i: usize, other: usize) -> Option<MemberView> {
         self.members[i]
             .as_ref()?
             .seen()
@@ -203,7 +203,7 @@
         let running = self.running();
         running.iter().all(|i| {
             let seen = self.members[*i].as_ref().unwrap().seen();
-            let alive: Vec<&Seen> = seen.iter().filter(|seen| seen.state.alive()).collect();
+            let alive: Vec<&MemberView> = seen.iter().filter(|seen| seen.state.alive()).collect();
             alive.len() + 1 == running.len()
                 && alive.iter().all(|seen| {
                     let other: usize = seen.peer.as_str()[1..].parse().unwrap();
--- a/pure/membership/tests/door.rs
+++ b/pure/membership/tests/door.rs
@@ -5,8 +5,8 @@
 use foldmux_replicas::{Effect, Effects, Peer, StateMachine};
 use proptest::prelude::*;
 
-fn who(name: &str, born: u64) -> Who {
-    Who::new(
+fn who(name: &str, born: u64) -> NodeIdentity {
+    NodeIdentity::new(
         Peer::new(name),
         "east",
         "127.0.0.1:7000".parse().unwrap(),
@@ -27,7 +27,7 @@
     .unwrap()
 }
 
-fn packet(src: Who, of: &[Who]) -> Packet {
+fn packet(src: NodeIdentity, of: &[NodeIdentity]) -> Packet {
     let header = Header {
         src,
         src_incarnation: 0,
@@ -61,7 +61,7 @@
     let mut members = members(10);
     hear(&mut members, "p", packet(who("p", 1), &[who("known", 1)]));
     for round in 0..2_000_u64 {
-        let of: Vec<Who> = (0..8)
+        let of: Vec<NodeIdentity> = (0..8)
             .map(|i| who(&format!("x{}", round * 8 + i), round))
             .collect();
         hear(&mut members, "p", packet(who("p", round), &of));
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_name_without_measure_is_no_member() {
-    let long = "x".repeat(NAME + 1);
+    let long = "x".repeat(MAX_NAME_BYTES + 1);
     let mut inside = members(10);
     hear(
         &mut inside,
--- a/pure/membership/tests/formats.rs
+++ b/pure/membership/tests/formats.rs
@@ -3,11 +3,11 @@
 #[path = "../../../tests/formats/postcard.rs"]
 mod fixtures;
 
-use foldmux_membership::{Command, Members, Pace, Packet, Setup, Who};
+use foldmux_membership::{Command, Members, NodeIdentity, Pace, Packet, Setup};
 use foldmux_replicas::{Effect, Peer, StateMachine};
 
-fn who() -> Who {
-    Who::new(
+fn who() -> NodeIdentity {
+    NodeIdentity::new(
         Peer::new("edge-1"),
         "helsinki",
         "10.1.0.9:7001".parse().unwrap(),
@@ -21,7 +21,7 @@
 
 #[test]
 fn the_bytes_of_identities_stay() {
-    let ipv6 = Who {
+    let ipv6 = NodeIdentity {
         address: "[2001:db8::9]:7002".parse().unwrap(),
         generation: 302,
         left: true,
--- a/pure/membership/tests/states.rs
+++ b/pure/membership/tests/states.rs
@@ -19,9 +19,9 @@
 }
 
 impl Says {
-    fn who(self) -> Who {
+    fn who(self) -> NodeIdentity {
         let address = "127.0.0.1:7000".parse().unwrap();
-        let mut who = Who::new(
+        let mut who = NodeIdentity::new(
             Peer::new(&format!("n{}", self.name)),
             "east",
             address,
@@ -31,7 +31,7 @@
         who
     }
 
-    fn member(self) -> Member<Who> {
+    fn member(self) -> Member<NodeIdentity> {
         let states = [foca::State::Alive, foca::State::Suspect, foca::State::Down];
         Member::new(
             self.who(),
@@ -145,8 +145,8 @@
 }
 
 impl Real {
-    fn hear(&mut self, from: Says, of: &[Member<Who>]) -> Vec<Packet> {
-        let header: Header<Who> = Header {
+    fn hear(&mut self, from: Says, of: &[Member<NodeIdentity>]) -> Vec<Packet> {
+        let header: Header<NodeIdentity> = Header {
             src: from.who(),
             src_incarnation: from.incarnation,
             dst: self.members.me().clone(),
@@ -183,7 +183,7 @@
     type Reference = Model;
 
     fn init_test(_: &Model) -> Real {
-        let me = Who::new(
+        let me = NodeIdentity::new(
             Peer::new("n0"),
             "east",
             "127.0.0.1:7000".parse().unwrap(),
@@ -228,7 +228,8 @@
                     .into_iter()
                     .filter(|_| heeded && state == foca::State::Suspect)
                 {
-                    let header: Header<Who> = PostcardCodec.decode_header(&bytes[..]).unwrap();
+                    let header: Header<NodeIdentity> =
+                        PostcardCodec.decode_header(&bytes[..]).unwrap();
                     assert!(
                         header.src == me && header.src_incarnation == 8,
                         "it refutes: {header:?}"
--- a/rigs/fleet-simulator/src/node.rs
+++ b/rigs/fleet-simulator/src/node.rs
@@ -67,7 +67,8 @@
         let now = BORN;
         let seed = plan.seed ^ (at as u64) << 32 ^ life;
         let address = std::net::SocketAddr::from(([127, 0, 0, 1], 7000));
-        let me = members::Who::new(name(at), &site(at).to_string(), address, 1_000_000 + life);
+        let me =
+            members::NodeIdentity::new(name(at), &site(at).to_string(), address, 1_000_000 + life);
         let pace = members::Pace {
             rtt: 100 * MS,
             size: plan.instances as u32,
--- a/shared/fleet/src/members.rs
+++ b/shared/fleet/src/members.rs
@@ -3,7 +3,7 @@
 use crate::port::{Port, Sink};
 use crate::setup::Builder;
 use crate::views::Views;
-use foldmux_membership::{BadMembers, Command, Event, Members, Seen, Setup, State};
+use foldmux_membership::{BadMembers, Command, Event, MemberView, Members, Setup, State};
 use foldmux_replicas::Peer;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,14 +13,14 @@
 
 /// What members last told of each peer: a copy that any thread may read. Bounded by what members keep.
 #[derive(Clone, Default)]
-pub struct Roll(Arc<Mutex<BTreeMap<Peer, Seen>>>);
+pub struct MembershipView(Arc<Mutex<BTreeMap<Peer, MemberView>>>);
 
-impl Roll {
-    pub fn seen(&self) -> Vec<Seen> {
+impl MembershipView {
+    pub fn seen(&self) -> Vec<MemberView> {
         self.lock().values().cloned().collect()
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<Peer, Seen>> {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<Peer, MemberView>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -45,7 +45,7 @@
 }
 
 struct Tap<S> {
-    roll: Roll,
+    roll: MembershipView,
     views: Views,
     news: S,
 }
@@ -66,8 +66,8 @@
     builder: &mut Builder,
     setup: Setup,
     news: impl Sink<Event> + 'static,
-) -> Result<(Port<Command>, Roll), BadMembers> {
-    let roll = Roll::default();
+) -> Result<(Port<Command>, MembershipView), BadMembers> {
+    let roll = MembershipView::default();
     let tap = Tap {
         roll: roll.clone(),
         views: builder.views(),
