--- a/tests/guards_caches.rs
+++ b/tests/cache_failures.rs
@@ -1,10 +1,10 @@
-//! The guards against failures that were found, each with the trouble that it answers: the caches.
+//! Failures of caches: lost responses, overload, refused connections, timeouts, errors.
 mod common;
 use common::*;
 use foldmux::interface::*;
 
 #[test]
-fn lost_answers_all_over_a_location_shun_none_and_are_asked_for_again_where_they_ran() {
+fn responses_lost_throughout_a_zone_eject_no_cache_and_are_retried_where_they_were_processed() {
     let mut front = Front::new(settings(), members());
     let mut used = std::collections::BTreeSet::new();
     for object in 100..500 {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_crowded_holder_spills_and_fills_the_next_cache_from_what_it_holds() {
+fn an_overloaded_holder_spills_and_fills_the_next_cache_from_its_copy() {
     let mut front = Front::new(settings(), members());
     let held = front.serve(77, CacheStatus::Filled);
     // Four at once take twice their sending time: it carries about two.
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_cache_that_refuses_connections_is_left_alone_for_a_while() {
+fn a_cache_that_refuses_connections_is_ejected_for_a_while() {
     let mut front = Front::new(settings(), members());
     let dead = front.serve(77, CacheStatus::Filled).cache;
     let fetch = only_fetch(&front.request(0, 77).1);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_cache_whose_attempts_time_out_is_left_for_a_while() {
+fn a_cache_whose_attempts_time_out_is_ejected_for_a_while() {
     let mut front = Front::new(settings(), members());
     let hung = front.serve(77, CacheStatus::Filled).cache;
     for _ in 0..5 {
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn safe_attempts_end_long_before_the_client_and_single_shot_ones_do_not() {
+fn idempotent_attempts_time_out_long_before_the_client_and_non_idempotent_ones_do_not() {
     let mut front = Front::new(
         Settings {
             sibling_fills: SiblingFills::None,
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn answers_lost_at_caches_are_not_taken_for_a_slow_origin() {
+fn responses_lost_at_caches_do_not_count_as_a_slow_origin() {
     let lone = Settings {
         sibling_fills: SiblingFills::None,
         cache_status_detail: CacheStatusDetail::None,
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn the_parent_that_passes_an_origins_failure_on_is_not_blamed() {
+fn a_parent_that_reports_an_origin_failure_is_not_blamed() {
     let mut front = Front::new(
         Settings {
             sibling_fills: SiblingFills::None,
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn what_no_cache_can_serve_ends_after_two_errors_and_has_no_cache_shunned() {
+fn a_request_that_no_cache_can_serve_ends_after_two_errors_and_ejects_no_cache() {
     let untold = Settings {
         cache_status_detail: CacheStatusDetail::None,
         ..settings()
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_full_answer_without_notes_has_one_other_source_tried() {
+fn an_overload_without_a_cache_status_is_retried_once_at_another_source() {
     let mut front = Front::new(
         Settings {
             cache_status_detail: CacheStatusDetail::None,
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -4,7 +4,7 @@
 use foldmux::interface::*;
 
 #[test]
-fn a_never_twice_request_whose_connection_breaks_is_sent_again_only_where_nothing_was_written() {
+fn a_non_idempotent_request_whose_connection_breaks_is_retried_only_where_nothing_was_written() {
     let list = members_of(4, 0, 0);
     // Before the write: proof that nothing ran. During or after it: it may have run.
     for (end, again) in [
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_purge_of_most_groups_at_once_with_grace_left_binds_every_request() {
+fn a_purge_of_most_groups_at_once_bounds_every_request_within_stale_while_revalidate() {
     let mut front = Front::new(stale_pages(), members_of(4, 3, 0));
     for k in 0..60 {
         front.serve(k, CacheStatus::Unknown);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_location_of_one_cache_goes_on_while_it_is_replaced() {
+fn a_zone_of_one_cache_keeps_serving_while_it_is_replaced() {
     let mut front = Front::new(stale_pages(), members_of(1, 3, 0));
     for k in 0..40 {
         assert_eq!(front.serve(k, CacheStatus::Unknown).cache.0, 10);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn all_caches_of_a_location_replaced_within_twenty_seconds_leave_no_send_to_one_that_went() {
+fn replacing_all_caches_of_a_zone_within_twenty_seconds_leaves_no_attempt_at_a_removed_one() {
     let mut front = Front::new(stale_pages(), members_of(5, 3, 0));
     let mut listed: Vec<u32> = (10..15).collect();
     let (mut served, mut asked) = (0, 0);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn objects_of_twenty_one_times_the_size_do_not_close_the_ways_of_the_others() {
+fn objects_of_twenty_one_times_the_size_do_not_close_the_gates_for_others() {
     let mut front = Front::new(stale_pages(), members_of(4, 3, 0));
     let mut refused = 0;
     for k in 0..600u64 {
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_copy_at_the_edge_of_fresh_plus_grace_is_asked_for_and_its_miss_is_no_end() {
+fn a_copy_at_the_end_of_stale_while_revalidate_is_requested_and_its_miss_is_retried() {
     let mut front = Front::new(stale_pages(), members_of(4, 3, 0));
     for k in 0..20 {
         front.serve(k, CacheStatus::Unknown);
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn with_the_origin_five_times_slower_and_no_parent_what_is_held_is_served_and_the_rest_does_not_pile_up(
+fn with_an_origin_five_times_slower_and_no_parent_stored_copies_are_served_and_fills_do_not_pile_up(
 ) {
     let front = Front::new(stale_pages(), members_of(4, 3, 0));
     let mut world = World {
--- a/tests/fetches.rs
+++ b/tests/fetch_bounds.rs
@@ -9,7 +9,7 @@
 const WINDOW: Time = 2 * SECOND;
 
 #[test]
-fn a_bound_on_age_rounds_down_but_never_to_no_bound() {
+fn an_age_bound_rounds_down_but_never_to_none() {
     let rounded = [0, 1, 999, 1_000, 1_999, 2_500_000].map(bound_ms);
     assert_eq!(
         rounded,
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_earlier_bound_on_the_first_byte_holds_and_its_own_moment_is_late() {
+fn the_earlier_send_bound_holds_and_excludes_its_own_moment() {
     let mut front = Front::new(settings(), members());
     let (_, actions) = front.request(0, 1);
     let mut fetch = only_fetch(&actions);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_keyed_repeat_must_begin_while_the_caches_remember_what_may_have_run() {
+fn a_keyed_retry_must_be_sent_while_the_caches_remember_the_key() {
     let keyed = RetrySafety::Keyed(KeyScope::All);
     for may_have_run in [Outcome::Reset, Outcome::TimedOut, Outcome::Cancelled] {
         assert_eq!(
--- a/tests/vast/judging.rs
+++ b/tests/large_fleet/judging.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_cache_that_fails_half_of_what_it_is_asked_is_left_out_soon_by_all() {
+fn a_cache_that_fails_half_of_its_attempts_is_soon_ejected_by_all() {
     let (choice, list) = fleet(8, 6, 4);
     let mut world = World::new(fronts(&choice, 100, 8), &list, 8.0);
     world.run(10 * SECOND, &mut calm);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn one_failure_of_a_cache_that_was_well_leaves_it_in_service() {
+fn one_failure_of_a_healthy_cache_does_not_eject_it() {
     for outcome in [
         Outcome::TimedOut,
         Outcome::Reset,
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn one_success_of_a_cache_that_failed_often_does_not_bring_all_traffic_back() {
+fn one_success_of_a_failing_cache_does_not_bring_all_traffic_back() {
     let mut front = Front::new(
         Settings {
             cache_status_detail: CacheStatusDetail::None,
--- a/tests/vast/lists.rs
+++ b/tests/large_fleet/lists.rs
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn lists_repeated_cut_short_and_empty_never_panic_and_each_request_has_one_answer() {
+fn repeated_partial_and_empty_lists_never_panic_and_each_request_has_one_result() {
     let (choice, list) = fleet(ZONES, EACH, 4);
     let mut world = World::new(fronts(&choice, 20, ZONES), &list, 20.0);
     for round in 0..40usize {
--- a/tests/vast/odd.rs
+++ b/tests/large_fleet/odd.rs
@@ -52,7 +52,7 @@
 ];
 
 #[test]
-fn settings_of_0_below_0_or_no_number_cost_no_answer_and_never_panic() {
+fn settings_of_0_below_0_or_nan_fail_no_request_and_never_panic() {
     for (what, change) in ODD {
         let (mut choice, mut list) = fleet(4, 3, 2);
         change(&mut choice);
--- a/tests/vast/returns.rs
+++ b/tests/large_fleet/returns.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_cache_that_is_out_is_tried_by_all_at_different_times_and_by_each_about_once_a_second() {
+fn an_ejected_cache_is_tried_by_routers_at_different_times_and_by_each_about_once_a_second() {
     let (choice, list) = fleet(8, 6, 4);
     let mut world = World::new(fronts(&choice, 100, 8), &list, 8.0);
     world.run(5 * SECOND, &mut calm);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_zone_that_is_lost_costs_each_router_a_bounded_number_of_handshakes_and_comes_back() {
+fn a_lost_zone_costs_each_router_a_bounded_number_of_handshakes_and_recovers() {
     let (choice, list) = fleet(8, 6, 4);
     let mut world = World::new(fronts(&choice, 100, 8), &list, 8.0);
     world.run(5 * SECOND, &mut calm);
--- a/tests/vast/shares.rs
+++ b/tests/large_fleet/shares.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_cold_cache_is_not_pushed_over_whatever_number_of_routers_is_told() {
+fn a_cache_in_slow_start_is_not_overloaded_whatever_the_configured_number_of_routers() {
     for told in [10, 100, 1_000] {
         let (worst, all) = worst_on_cold(told);
         println!("{told} told of 100: {worst:.2} of what it bears, {all} in 12 s");
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn copies_that_go_void_at_once_do_not_have_all_ask_the_origin_in_step() {
+fn copies_invalidated_at_once_do_not_make_all_routers_fill_from_the_origin_in_step() {
     let (choice, list) = fleet(8, 6, 4);
     let mut world = World::new(fronts(&choice, 100, 8), &list, 8.0);
     world.objects = 400;
--- a/tests/hundred.rs
+++ b/tests/many_routers.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn parents_that_refuse_do_not_have_a_hundred_fronts_refuse_what_the_origin_bears() {
+fn rejecting_parents_do_not_make_a_hundred_routers_reject_what_the_origin_can_serve() {
     let (mut fleet, mut key) = (fronts(), 1);
     for _ in 0..5 {
         let sum = second(&mut fleet, &mut key, calm);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_cold_cache_gets_no_more_of_a_hundred_fronts_than_it_bears() {
+fn a_cache_in_slow_start_is_not_overloaded_by_a_hundred_routers() {
     let (mut fleet, mut key) = (fronts(), 1);
     let held = |_: &Fetch, _: Time| (Outcome::Served, 60 * MS);
     for _ in 0..20 {
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn what_a_hundred_fronts_turn_away_at_once_is_told_to_come_back_at_different_times() {
+fn clients_that_a_hundred_routers_reject_at_once_get_different_retry_after() {
     let (mut fleet, mut key) = (fronts(), 1);
     let nothing = |_: &Fetch, _: Time| (Outcome::Overloaded, 5 * MS);
     let mut advice: BTreeMap<u64, usize> = BTreeMap::new();
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_parent_that_comes_back_is_used_again_by_all_within_the_time_that_a_latency_counts() {
+fn a_recovered_parent_is_used_again_by_all_within_the_latency_ttl() {
     let (mut fleet, mut key) = (fronts(), 1);
     let one_down = |fetch: &Fetch, now: Time| match fetch.source.0 {
         10 => (Outcome::TimedOut, 500 * MS),
--- a/tests/requests.rs
+++ b/tests/request_model.rs
@@ -339,7 +339,7 @@
     #![proptest_config(ProptestConfig { cases: 128, rng_seed: RngSeed::Fixed(18), ..ProptestConfig::default() })]
 
     #[test]
-    fn each_request_is_answered_once_and_no_effect_is_risked_twice(
+    fn each_request_has_one_result_and_none_is_processed_twice(
         steps in prop::collection::vec(step(), 1..150),
     ) {
         let mut table = Table::new();
--- a/tests/path.rs
+++ b/tests/request_path.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_new_object_goes_home_and_asks_a_sibling_that_only_gives_what_it_holds() {
+fn a_new_object_goes_to_its_home_cache_and_queries_a_sibling_for_its_stored_copy() {
     let mut front = Front::new(settings(), members());
     let (_, actions) = front.request(0, 77);
     let fetch = only_fetch(&actions);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_sibling_that_lacks_it_or_says_nothing_is_followed_by_a_parent_at_the_same_cache() {
+fn a_sibling_query_that_misses_or_times_out_is_followed_by_a_parent_at_the_same_cache() {
     for outcome in [Outcome::Miss, Outcome::TimedOut] {
         let mut front = Front::new(settings(), members());
         let (_, actions) = front.request(0, 77);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_was_served_is_listed_and_a_listed_holder_needs_no_query() {
+fn a_served_object_is_listed_and_its_holder_needs_no_query() {
     let mut front = Front::new(settings(), members());
     let first = front.serve(77, CacheStatus::Filled);
     let second = front.serve(77, CacheStatus::Hit);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_summary_is_bounded_and_drops_what_was_longest_unused() {
+fn the_object_table_is_bounded_and_drops_the_entry_longest_unused() {
     let mut front = Front::new(settings(), members());
     for object in [77, 78].into_iter().chain(1_000..1_000 + 16_383) {
         let fetch = only_fetch(&front.request(0, object).1);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_entry_expires_and_a_purge_a_new_boot_or_leaving_makes_it_void() {
+fn an_entry_expires_and_a_purge_a_restart_or_a_removal_invalidates_it() {
     let void = |act: &dyn Fn(&mut Front, CacheId)| {
         let mut front = Front::new(settings(), members());
         let first = front.serve(77, CacheStatus::Filled);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_closed_gate_lets_a_trickle_through_and_reopens_when_tries_pay() {
+fn sibling_queries_that_do_not_pay_are_explored_and_resume_when_they_pay() {
     let mut front = Front::new(settings(), members());
     let mut object = 0;
     let mut share = |front: &mut Front, found: bool| {
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn nothing_is_told_to_peers_and_what_they_say_changes_nothing() {
+fn no_message_goes_to_peers_and_theirs_change_nothing() {
     let mut front = Front::new(settings(), members());
     let first = front.serve(77, CacheStatus::Filled);
     front.now += SECOND;
--- a/tests/rules.rs
+++ b/tests/request_rules.rs
@@ -4,7 +4,7 @@
 use foldmux::interface::*;
 
 #[test]
-fn the_time_out_at_the_deadline_is_answered_once_and_nothing_follows() {
+fn a_timeout_at_the_deadline_ends_the_request_once() {
     let mut front = Front::new(settings(), members());
     let (id, actions) = front.request(0, 77);
     let fetch = only_fetch(&actions);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_time_out_that_never_comes_is_made_up_for_within_the_slack() {
+fn a_timeout_that_never_comes_is_made_up_for_within_the_response_slack() {
     let mut front = Front::new(settings(), members());
     front.request(0, 77);
     front.now += 3 * SECOND + 4 * MS;
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_write_is_repeated_only_after_proof_that_it_did_not_run() {
+fn a_write_is_retried_only_after_proof_that_it_was_not_processed() {
     for (outcome, again) in [
         (Outcome::Overloaded, true),
         (Outcome::ConnectFailed, true),
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn one_attempt_at_a_time_where_a_second_copy_is_not_allowed() {
+fn one_attempt_at_a_time_where_hedging_is_not_allowed() {
     let mut front = Front::new(
         Settings {
             may_hedge: false,
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_drain_heard_while_a_request_is_out_binds_its_retry_and_its_source() {
+fn a_drain_during_an_attempt_applies_to_its_retry_and_its_source() {
     let mut front = Front::new(settings(), members());
     let (_, actions) = front.request(0, 77);
     let fetch = only_fetch(&actions);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_cold_cache_gets_no_more_than_its_budget_in_a_window() {
+fn a_cache_in_slow_start_gets_no_more_than_its_budget_in_a_window() {
     let mut front = Front::new(settings(), members());
     // Warm traffic first, so that there is something to infer a capacity from.
     for k in 0..400 {
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn shares_under_one_request_sum_up_under_the_limit_and_starve_no_restarted_zone() {
+fn budgets_under_one_request_sum_up_under_the_limit_and_starve_no_restarted_zone() {
     for fronts in [1, 3, 12, 60, 100] {
         let (each, all) = cold_zone(fronts, 20, 20);
         // Each front asks for 20 transfers of 0.2 s a second, 4 in all of which each of four caches bears one.
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn fronts_take_turns_where_a_share_is_under_one_request() {
+fn routers_rotate_where_a_budget_is_under_one_request() {
     for fronts in [12, 60, 100] {
         // Four transfers of 0.2 s a second: 0.2 for each cache, and the budget of a front at first 0.06.
         let (each, all) = cold_zone(fronts, 4, 20);
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_cold_cache_s_share_is_not_lost_to_rounding_nor_to_caches_that_leave() {
+fn a_slow_start_budget_is_not_lost_to_rounding_nor_to_removed_caches() {
     // A request is 0.1 s of work, and one of four caches bears 0.5 s of it a second: of that, 0.6 * 2.5 of the ramp.
     let wanted: f64 = (0..8)
         .map(|k| 0.6 * 2.5 * (0.2 + 0.8 * k as f64 / 16.0) * 0.5 / 0.1)
@@ -232,13 +232,13 @@
 }
 
 #[test]
-fn a_new_front_in_a_restarted_zone_still_sends_something() {
+fn a_new_router_in_a_restarted_zone_still_sends_attempts() {
     let (_, all) = cold_zone(4, 20, 0);
     assert!(all > 8, "{all} in 8 s");
 }
 
 #[test]
-fn a_purge_bounds_the_age_also_on_retries_and_never_by_zero() {
+fn a_purge_bounds_the_age_on_retries_too_and_never_by_zero() {
     let mut front = Front::new(settings(), members());
     let (_, actions) = front.request(0, 77);
     let first = only_fetch(&actions);
--- a/tests/closing.rs
+++ b/tests/shutdown.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_request_with_time_left_is_answered_before_the_process_ends_and_its_attempt_is_called_off() {
+fn a_request_with_time_left_ends_before_shutdown_and_its_attempt_is_cancelled() {
     let mut front = Front::new(settings(), members());
     let (read, sent) = front.request(0, 77);
     let read_attempt = only_fetch(&sent);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn no_further_attempt_begins_once_the_process_has_no_time_left_for_it() {
+fn no_retry_is_sent_once_the_shutdown_leaves_no_time_for_it() {
     let mut front = Front::new(settings(), members());
     let (_, sent) = front.request(0, 77);
     let attempt = only_fetch(&sent);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_request_that_ends_by_itself_before_the_process_does_keeps_its_own_time() {
+fn a_request_due_before_the_shutdown_keeps_its_deadline() {
     let mut front = Front::new(settings(), members());
     let (id, sent) = front.request_for(0, 77, 500.0, 200 * MS);
     only_fetch(&sent);
--- a/tests/silent.rs
+++ b/tests/silent_server.rs
@@ -4,7 +4,7 @@
 use foldmux::interface::*;
 
 #[test]
-fn a_cache_that_is_silent_when_an_answer_is_due_is_passed_over_until_it_speaks() {
+fn a_cache_that_is_silent_when_a_response_is_due_is_passed_over_until_it_responds() {
     let mut front = Front::new(settings(), members());
     let hung = front.serve(77, CacheStatus::Filled).cache;
     let out = only_fetch(&front.request(0, 77).1);
--- a/tests/cold_fleet/main.rs
+++ b/tests/slow_start_fleet/main.rs
@@ -35,20 +35,20 @@
 }
 
 #[test]
-fn cold_caches_bear_what_all_routers_send_together() {
+fn caches_in_slow_start_bear_the_load_of_all_routers() {
     let broken = broken(Target::Cache, &DRAWS);
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
 #[test]
-fn cold_parents_bear_what_all_routers_have_filled_together() {
+fn parents_in_slow_start_bear_the_fills_of_all_routers() {
     let broken = broken(Target::Parent, &DRAWS);
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
 /// Where each router sees a request in two windows at least: with fewer, the turns of those that may send pass unused.
 #[test]
-fn cold_caches_are_used_as_they_warm() {
+fn caches_in_slow_start_are_used_as_they_warm_up() {
     let seen = |draw: &Draw| draw.rate * draw.window as f64 / SECOND as f64;
     for draw in DRAWS.iter().filter(|draw| seen(draw) >= 0.5) {
         let played = play(
@@ -65,7 +65,7 @@
 
 /// The number that the settings tell is not used: what a router may send follows from what it is asked for and sees served.
 #[test]
-fn the_number_of_routers_that_settings_tell_changes_nothing() {
+fn the_configured_number_of_routers_changes_nothing() {
     for draw in &DRAWS {
         let told = |told| {
             play(
--- a/tests/guards_sources.rs
+++ b/tests/source_failures.rs
@@ -1,10 +1,10 @@
-//! The guards against failures that were found, each with the trouble that it answers: parents, wiring, retuning.
+//! Failures of sources: parents that reject or lose fills, topology changes, retuned classes.
 mod common;
 use common::*;
 use foldmux::interface::*;
 
 #[test]
-fn a_parent_that_refuses_is_left_for_the_other_then_for_the_origin_and_asked_again_later() {
+fn a_parent_that_rejects_gives_way_to_the_other_then_to_the_origin_and_is_used_again_later() {
     let lone = Settings {
         sibling_fills: SiblingFills::None,
         cache_status_detail: CacheStatusDetail::None,
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn what_the_parents_fail_is_asked_of_an_origin_that_serves_and_not_refused() {
+fn fills_that_the_parents_lose_go_to_a_healthy_origin_and_are_not_rejected() {
     let lone = Settings {
         sibling_fills: SiblingFills::None,
         cache_status_detail: CacheStatusDetail::None,
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_fill_that_ends_badly_after_its_parent_left_harms_nothing() {
+fn a_fill_that_fails_after_its_parent_was_removed_does_no_harm() {
     for (parent, note) in [
         (30, CacheStatus::Unknown),
         (31, CacheStatus::OriginFailed),
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn fills_follow_the_wiring_and_go_to_the_origin_where_it_names_no_parent() {
+fn fills_follow_the_topology_and_go_to_the_origin_where_it_names_no_parent() {
     let mut front = Front::new(
         Settings {
             sibling_fills: SiblingFills::None,
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_place_that_a_retune_gives_to_another_class_starts_without_the_former_s_sizes() {
+fn an_index_that_a_retune_gives_to_another_class_starts_without_known_sizes() {
     let sent_to_cold = |retune: bool| {
         let mut front = Front::new(settings(), members());
         for k in 0..400 {
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn what_is_late_by_way_of_parents_that_lose_nothing_is_not_added_to_the_origin() {
+fn late_fills_from_parents_that_lose_none_are_not_moved_to_the_origin() {
     let lone = Settings {
         sibling_fills: SiblingFills::None,
         cache_status_detail: CacheStatusDetail::None,
--- a/tests/fleets.rs
+++ b/tests/topologies.rs
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn odd_values_do_no_harm() {
+fn unusual_values_do_no_harm() {
     let (choice, list) = fleet(2, 3, 1);
     let mut front = Front::new(choice, list);
     let id = RequestId(1 << 50);
@@ -148,7 +148,7 @@
 
 /// Ten locations' traffic at four proxies that share nothing, turned to one parent as it starts anew and empty.
 #[test]
-fn a_parent_that_starts_cold_as_all_are_rewired_to_it_is_not_pushed_over() {
+fn a_parent_in_slow_start_is_not_overloaded_as_the_topology_moves_all_fills_to_it() {
     let lone = Settings {
         sibling_fills: SiblingFills::None,
         router_count: 4,
