--- a/pure/fair-queue/src/pool.rs
+++ b/pure/fair-queue/src/pool.rs
@@ -5,9 +5,8 @@
 use crate::holder::{Holder, Won};
 use crate::message::{Message, PoolKey, Told, Word};
 use crate::replica::Replica;
-use crate::slots::FleetSlots;
 use crate::{Peer, Time};
-use foldmux_replicas::{ClockDrift, Effect, Effects, ReplicaConfiguration};
+use foldmux_replicas::{ClockDrift, ReplicaConfiguration};
 use std::collections::BTreeMap;
 
 /// Wants that fall fade (us), those that rise are taken nearly as they come: slots would else be under way after each
@@ -68,17 +67,19 @@
         }
     }
 
-    /// To those who want more, what is vacant at this replica.
-    pub fn offer(&mut self, now: Time, out: &mut Effects<FleetSlots>) {
-        if self.replica.wanted() {
-            for (to, slots) in self.replica.offers(now) {
-                let message = Message {
-                    pool: self.setup.key,
-                    word: Word::Vacant { slots },
-                };
-                out.push(Effect::Send { to, message });
-            }
+    /// The messages that tell processes that want more slots which are vacant at this replica.
+    pub fn offers(&mut self, now: Time) -> Vec<(Peer, Message)> {
+        if !self.replica.wanted() {
+            return Vec::new();
         }
+        let pool = self.setup.key;
+        let offers = self.replica.offers(now).into_iter();
+        offers
+            .map(|(to, slots)| {
+                let word = Word::Vacant { slots };
+                (to, Message { pool, word })
+            })
+            .collect()
     }
 
     /// A slot, with its end on the clock of whoever asks: none before it has asked.
--- a/pure/fair-queue/src/slots.rs
+++ b/pure/fair-queue/src/slots.rs
@@ -95,7 +95,7 @@
                 continue;
             };
             if sits {
-                pool.offer(now, out);
+                send_offers(pool, now, out);
             }
             let (target, short_elsewhere) = pool.divide(now, &self.own);
             let held = pool.holder.held();
@@ -132,6 +132,11 @@
     }
 }
 
+fn send_offers(pool: &mut Pool, now: Time, out: &mut Effects<FleetSlots>) {
+    let offers = pool.offers(now).into_iter();
+    out.extend(offers.map(|(to, message)| Effect::Send { to, message }));
+}
+
 impl StateMachine for FleetSlots {
     type Message = Message;
     type Command = Ask;
@@ -170,7 +175,7 @@
                 slots,
             } if sits => {
                 pool.replica.free(from, (life, number), &slots);
-                pool.offer(now, out);
+                send_offers(pool, now, out);
             }
             Word::Granted {
                 life,
