--- a/edge/core/src/event_loop.rs
+++ b/edge/core/src/event_loop.rs
@@ -162,9 +162,9 @@
                     self.handle(Event::ClientDisconnected { id });
                 }
             }
-            Command::ShutDown { deadline } => {
+            Command::Shutdown { deadline } => {
                 self.shutdown_deadline = Some(deadline);
-                self.handle(Event::Shutdown { deadline: deadline });
+                self.handle(Event::Shutdown { deadline });
             }
             Command::Servers { full, servers } => self.update_servers(full, servers),
             Command::LoadReport {
--- a/edge/core/src/lib.rs
+++ b/edge/core/src/lib.rs
@@ -21,7 +21,7 @@
 //! | --- | --- |
 //! | basics | [`clock`], [`buffers`], [`cancellation`], [`servers`], [`reason`], [`retry_after`], [`log_throttle`], `attempt_history`, `open_requests` |
 //! | a request and its messages | [`request`], [`messages`], [`metrics`] |
-//! | what a request goes through | [`event_loop`], [`limits`], [`permits`], [`records`], [`attempt`], `admission`, `rejection`, `in_flight`, `workers` |
+//! | what a request goes through | [`event_loop`], [`limits`], [`permits`], [`records`], [`attempt`], `admission`, `rejection`, `in_flight`, `request_end`, `workers` |
 //! | the life of a request | `services`, `lifecycle`, `replicated` |
 //! | the face of the crate | [`core`], [`delegated`] |
 //!
@@ -56,6 +56,7 @@
 mod rejection;
 mod replicated;
 pub mod request;
+mod request_end;
 pub mod retry_after;
 pub mod servers;
 mod services;
--- a/edge/core/src/lifecycle.rs
+++ b/edge/core/src/lifecycle.rs
@@ -13,7 +13,6 @@
 use crate::attempt_history::AttemptHistory;
 use crate::buffers::Buffer;
 use crate::cancellation::CancelHandle;
-use crate::event_loop::EventLoopHandle;
 use crate::in_flight::InFlightAttempt;
 use crate::limits::{FillPermit, RequestLimits};
 use crate::messages::{AttemptTarget, Command, Directive, DIRECTIVE_CAPACITY};
@@ -23,10 +22,11 @@
 use crate::records::{AttemptIntent, OwnedRecord};
 use crate::rejection::{reject_or_fail, rejected_by_router};
 use crate::request::{ClientRequest, Response, ResponseBody};
+use crate::request_end::{EndGuard, RequestEnd};
 use crate::retry_after::Rejected;
 use crate::services::Services;
 use crossbeam_channel::{bounded, Receiver};
-use foldmux::interface::{Fetch, Outcome, RequestId};
+use foldmux::interface::{Fetch, Outcome};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -34,22 +34,6 @@
 /// comes first.
 const DIRECTIVE_GRACE: Duration = Duration::from_millis(30);
 
-/// How a request ended.
-pub(crate) enum RequestEnd {
-    /// With this response.
-    Finished(Completion, Response),
-    /// The client is gone: no response is owed.
-    ClientGone,
-    /// Another process owns the request by now.
-    OwnershipLost,
-}
-
-impl From<(Completion, Response)> for RequestEnd {
-    fn from((completion, response): (Completion, Response)) -> RequestEnd {
-        RequestEnd::Finished(completion, response)
-    }
-}
-
 /// Serves a request; `record` is its replicated record, where it has one.
 pub(crate) fn run(
     services: &Services,
@@ -78,16 +62,15 @@
         request: &ClientRequest,
         cancel: &CancelHandle,
     ) -> Result<Admitted, RequestEnd> {
-        let shed = |reason, rejected| {
-            RequestEnd::Finished(Completion::Shed(reason), Response::Rejected(rejected))
-        };
         let Some(buffer) = services.buffers.acquire() else {
-            return Err(shed(Reason::NoBuffer, services.rejected()));
+            return Err(RequestEnd::shed(Reason::NoBuffer, services.rejected()));
         };
         let deadline = request.deadline();
         let limits = match admit(services.limiter, request, cancel, deadline) {
             Ok(limits) => limits,
-            Err(NotAdmitted::Rejected(rejected)) => return Err(shed(Reason::Limits, rejected)),
+            Err(NotAdmitted::Rejected(rejected)) => {
+                return Err(RequestEnd::shed(Reason::Limits, rejected))
+            }
             Err(NotAdmitted::ClientGone) => return Err(RequestEnd::ClientGone),
         };
         let deadline = match &limits {
@@ -102,18 +85,6 @@
     }
 }
 
-/// Tells the event loop of the request's end, however its thread leaves it.
-struct EndGuard<'a> {
-    event_loop: &'a EventLoopHandle,
-    id: RequestId,
-}
-
-impl Drop for EndGuard<'_> {
-    fn drop(&mut self) {
-        self.event_loop.send(Command::RequestEnded(self.id));
-    }
-}
-
 /// What an attempt holds while it is made.
 #[derive(Default)]
 struct Clearance {
@@ -169,10 +140,7 @@
             deadline,
         } = admitted;
         let (sender, directives) = bounded(DIRECTIVE_CAPACITY);
-        let _end = EndGuard {
-            event_loop: services.event_loop,
-            id: cancel.id,
-        };
+        let _end = EndGuard::new(services.event_loop, cancel.id);
         services.event_loop.send(Command::Request {
             request: request.to_router(cancel.id, 0, deadline),
             cancel: cancel.clone(),
@@ -204,8 +172,8 @@
                     NextStep::End(rejected_by_router(rejected, self.limits.as_ref()).into())
                 }
                 Ok(Directive::ClientGone) => NextStep::End(RequestEnd::ClientGone),
-                Ok(Directive::Fail) => NextStep::End(failed(Reason::Router)),
-                Err(_) => NextStep::End(failed(Reason::NoDecision)),
+                Ok(Directive::Fail) => NextStep::End(RequestEnd::failed(Reason::Router)),
+                Err(_) => NextStep::End(RequestEnd::failed(Reason::NoDecision)),
             };
             match step {
                 NextStep::AwaitDirective => {}
@@ -365,7 +333,3 @@
         }
     }
 }
-
-fn failed(reason: Reason) -> RequestEnd {
-    RequestEnd::Finished(Completion::Failed(reason), Response::Failed)
-}
--- a/edge/core/src/messages.rs
+++ b/edge/core/src/messages.rs
@@ -30,7 +30,7 @@
     /// The request is finished and takes no more directives.
     RequestEnded(RequestId),
     /// The process shuts down.
-    ShutDown {
+    Shutdown {
         /// When every open request must have its final response (router time, µs).
         deadline: Time,
     },
--- a/edge/core/src/replicated.rs
+++ b/edge/core/src/replicated.rs
@@ -2,11 +2,12 @@
 
 use crate::attempt_history::AttemptHistory;
 use crate::cancellation::CancelHandle;
-use crate::lifecycle::{run, RequestEnd};
+use crate::lifecycle::run;
 use crate::metrics::Completion;
 use crate::reason::Reason;
 use crate::records::{Acquired, OwnedRecord, RequestRecords, StoredResponse};
 use crate::request::{ClientRequest, Responder, Response, ResponseBody};
+use crate::request_end::RequestEnd;
 use crate::services::Services;
 use std::sync::Arc;
 
@@ -32,11 +33,8 @@
                 run_owned(services, &request, cancel, &*record, &mut history)
             }
             Acquired::Stored(stored) => respond_stored(services, &request, stored),
-            Acquired::Rejected(rejected) => RequestEnd::Finished(
-                Completion::Shed(Reason::Replicas),
-                Response::Rejected(rejected),
-            ),
-            Acquired::Failed => failed(Reason::Replicas),
+            Acquired::Rejected(rejected) => RequestEnd::shed(Reason::Replicas, rejected),
+            Acquired::Failed => RequestEnd::failed(Reason::Replicas),
         };
         match end {
             RequestEnd::Finished(completion, response) => {
@@ -90,7 +88,7 @@
     }
     if is_failure {
         // A rejection would invite a retry, which finds the stored failure.
-        return failed(completion.reason().unwrap_or(Reason::Replicas));
+        return RequestEnd::failed(completion.reason().unwrap_or(Reason::Replicas));
     }
     RequestEnd::Finished(completion, response)
 }
@@ -107,15 +105,14 @@
             return RequestEnd::Finished(Completion::NotModified, Response::NotModified);
         }
         // Stored for a client that held a copy, while this one holds none.
-        StoredResponse::NotModified | StoredResponse::Failed => return failed(Reason::Replicas),
+        StoredResponse::NotModified | StoredResponse::Failed => {
+            return RequestEnd::failed(Reason::Replicas)
+        }
     };
     let range = HEAD_ROOM..HEAD_ROOM + bytes.len();
     let buffer = services.buffers.acquire();
     let Some(mut buffer) = buffer.filter(|buffer| range.end <= buffer.len()) else {
-        return RequestEnd::Finished(
-            Completion::Shed(Reason::NoBuffer),
-            Response::Rejected(services.rejected()),
-        );
+        return RequestEnd::shed(Reason::NoBuffer, services.rejected());
     };
     buffer[range.clone()].copy_from_slice(&bytes);
     RequestEnd::Finished(
@@ -123,7 +120,3 @@
         Response::Served(ResponseBody { buffer, range }),
     )
 }
-
-fn failed(reason: Reason) -> RequestEnd {
-    RequestEnd::Finished(Completion::Failed(reason), Response::Failed)
-}
--- a/edge/core/tests/closing.rs
+++ b/edge/core/tests/closing.rs
@@ -10,7 +10,7 @@
 fn a_request_that_is_registered_after_the_end_was_decided_is_answered_by_then() {
     let rig = Rig::new();
     // It was read before that, with its client's whole time, which is longer than the test's.
-    rig.core.event_loop.send(Command::ShutDown {
+    rig.core.event_loop.send(Command::Shutdown {
         deadline: rig.core.clock.now(),
     });
     let (_, heard) = rig.ask(1);
@@ -24,7 +24,7 @@
     let rig = Rig::new();
     let (cancel, heard) = rig.ask(1);
     assert_eq!(rig.begins(), 1);
-    rig.core.event_loop.send(Command::ShutDown {
+    rig.core.event_loop.send(Command::Shutdown {
         deadline: rig.core.clock.now(),
     });
     until("its attempt is cancelled", || cancel.is_cancelled(0));
@@ -41,7 +41,7 @@
     let rig = Rig::new();
     let (cancel, heard) = rig.ask(1);
     assert_eq!(rig.begins(), 1);
-    rig.core.event_loop.send(Command::ShutDown {
+    rig.core.event_loop.send(Command::Shutdown {
         deadline: rig.core.clock.now(),
     });
     until("its attempt is cancelled", || cancel.is_cancelled(0));
--- a/edge/proxy/src/server/serving.rs
+++ b/edge/proxy/src/server/serving.rs
@@ -104,7 +104,7 @@
     pub(super) fn shut_down(self) {
         let deadline = Instant::now() + time_until_kill(self.longest_deadline());
         let _ = self.front.leave_by.set(deadline);
-        self.core.event_loop.send(Command::ShutDown {
+        self.core.event_loop.send(Command::Shutdown {
             deadline: self.core.clock.at(deadline - ANSWER_MARGIN),
         });
         if let Some(fleet) = &self.fleet {
