--- a/edge/fronts/extproc/src/attempt.rs
+++ b/edge/fronts/extproc/src/attempt.rs
@@ -6,8 +6,8 @@
 use foldmux_core::delegated::{DelegatedRequest, Route};
 use foldmux_core::limits::{FillPermit, RequestLimits};
 use foldmux_core::messages::{Directive, DirectiveSink};
-use foldmux_idempotency::ledger::End as Word;
-use foldmux_idempotency::token::Mark;
+use foldmux_idempotency::table::AttemptEnd;
+use foldmux_idempotency::token::KeyHash;
 use std::time::Instant;
 use tokio::sync::mpsc;
 
@@ -27,7 +27,7 @@
     /// Chosen already, where the module did so when the attempt before failed.
     pub(crate) way: Option<Box<Route>>,
     pub(crate) grip: Option<Grip>,
-    pub(crate) request: Mark,
+    pub(crate) request: KeyHash,
     pub(crate) number: u8,
     pub(crate) text: String,
     pub(crate) class: usize,
@@ -60,9 +60,9 @@
         if let Some(mut grip) = self.grip.take() {
             if ended.over {
                 grip.end(if ended.outcome.not_processed() {
-                    Word::NeverRan
+                    AttemptEnd::NotExecuted
                 } else {
-                    Word::MayHaveRun
+                    AttemptEnd::MayHaveExecuted
                 });
             }
         }
--- a/edge/fronts/extproc/src/front.rs
+++ b/edge/fronts/extproc/src/front.rs
@@ -9,7 +9,7 @@
 use foldmux_core::metrics::Completion;
 use foldmux_core::reason::Reason;
 use foldmux_core::Core;
-use foldmux_idempotency::ledger::{Refusal, Rule};
+use foldmux_idempotency::table::{Denied, RetryPolicy};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
@@ -106,35 +106,35 @@
 
     pub(crate) fn no(&self, no: No, ran: Ran) -> Final {
         let wait = match &no {
-            No::Ledger(Refusal::Running { until }) => {
+            No::Ledger(Denied::InFlight { until }) => {
                 Duration::from_micros(until.saturating_sub(unix_ms()).saturating_mul(1_000).max(1))
             }
             _ => self.core.retry_after(),
         };
         let why = no.to_string();
         match no {
-            No::Token(_) | No::Ledger(Refusal::OtherKey) => Final::unusable(&why, Ran::Maybe),
+            No::Token(_) | No::Ledger(Denied::KeyMismatch) => Final::unusable(&why, Ran::Maybe),
             No::Ledger(
-                Refusal::WindowOver
-                | Refusal::Unread
-                | Refusal::TooMany
-                | Refusal::Torn
-                | Refusal::Replayed,
+                Denied::WindowExpired
+                | Denied::Unreadable
+                | Denied::AttemptsExhausted
+                | Denied::ConflictingGroups
+                | Denied::Superseded,
             ) => Final::given_up(&why, Ran::Maybe),
-            No::Ledger(Refusal::Running { .. }) => Final::refused(&why, Ran::Maybe, wait),
-            No::Ledger(Refusal::Deciding | Refusal::Full) | No::Store(_) | No::NotLoaded => {
+            No::Ledger(Denied::InFlight { .. }) => Final::refused(&why, Ran::Maybe, wait),
+            No::Ledger(Denied::Pending | Denied::TableFull) | No::Store(_) | No::NotLoaded => {
                 Final::refused(&why, ran, wait)
             }
         }
     }
 
-    pub(crate) fn rule(&self, class: &Class) -> Rule {
-        Rule {
-            window: class.window / 1_000,
-            attempts: self.attempts.min(u8::MAX as u32) as u8,
-            good_for: self.good_for.as_millis() as u64,
-            runs_for: class.longest.div_ceil(1_000),
-            remember: self.remember,
+    pub(crate) fn rule(&self, class: &Class) -> RetryPolicy {
+        RetryPolicy {
+            idempotency_window: class.window / 1_000,
+            max_attempts: self.attempts.min(u8::MAX as u32) as u8,
+            send_window: self.good_for.as_millis() as u64,
+            max_run_time: class.longest.div_ceil(1_000),
+            retention: self.remember,
         }
     }
 }
--- a/edge/fronts/extproc/src/keyed.rs
+++ b/edge/fronts/extproc/src/keyed.rs
@@ -1,8 +1,8 @@
 //! Keyed attempts in service: the ledger and the tokens' keys behind one lock, and the store under the ledger. What it
 //! decides is in the pure crate; here it is written before it is told.
 
-use foldmux_idempotency::ledger::{End, Entry, Ledger, Refusal, Rule};
-use foldmux_idempotency::token::{Bad, Keys, Mark, Token};
+use foldmux_idempotency::table::{AttemptEnd, Denied, Entry, IdempotencyTable, RetryPolicy};
+use foldmux_idempotency::token::{KeyHash, SigningKeys, Token, TokenError};
 use foldmux_idempotency::Millis;
 use foldmux_store::{Commit, Opener, Store};
 use std::sync::atomic::Ordering;
@@ -23,8 +23,8 @@
 
 struct State {
     /// None until the store told what it held.
-    ledger: Option<Ledger>,
-    keys: Keys,
+    ledger: Option<IdempotencyTable>,
+    keys: SigningKeys,
     overlap: Millis,
 }
 
@@ -55,8 +55,8 @@
         let mut drawn = [0; 32];
         getrandom::fill(&mut drawn).map_err(|e| format!("a key for tokens: {e}"))?;
         let last = keys.last().copied().unwrap_or((0, &drawn));
-        let mut held = Keys::new(last.0, last.1);
-        held.set(unix_ms(), overlap, keys);
+        let mut held = SigningKeys::new(last.0, last.1);
+        held.replace(unix_ms(), overlap, keys);
         let state = Arc::new(Mutex::new(State {
             ledger: None,
             keys: held,
@@ -68,12 +68,12 @@
                 let now = unix_ms();
                 let (mut entries, mut unread) = (Vec::new(), Vec::new());
                 for (key, value) in stored {
-                    let mark = <[u8; 16]>::try_from(key.as_slice()).map(Mark);
+                    let mark = <[u8; 16]>::try_from(key.as_slice()).map(KeyHash);
                     // Whose entry it is can't be told: to go on would be to forget it.
                     let mark =
                         mark.map_err(|_| format!("a key of {} bytes, and 16 are its own", key.len()))?;
                     match Entry::from_bytes(&value) {
-                        Some(entry) if entry.forget_at <= now => {}
+                        Some(entry) if entry.evict_at <= now => {}
                         Some(entry) => entries.push((mark, entry)),
                         None => unread.push(mark),
                     }
@@ -85,8 +85,8 @@
                         "ledger: {n} entries can't be read; their keys are refused for {remember} ms"
                     );
                 }
-                let mut ledger = Ledger::restored(most, entries);
-                unread.into_iter().for_each(|mark| ledger.fence(mark, now.saturating_add(remember)));
+                let mut ledger = IdempotencyTable::restored(most, entries);
+                unread.into_iter().for_each(|mark| ledger.block_unreadable(mark, now.saturating_add(remember)));
                 lock(&own).ledger = Some(ledger);
                 Ok(())
             })
@@ -102,7 +102,7 @@
     pub fn change(&self, keys: &[Secret]) {
         let mut state = lock(&self.state);
         let (now, overlap) = (unix_ms(), state.overlap);
-        state.keys.set(now, overlap, keys);
+        state.keys.replace(now, overlap, keys);
     }
 
     /// What is held, asked about, and out.
@@ -110,7 +110,7 @@
         lock(&self.state)
             .ledger
             .as_ref()
-            .map_or([0; 2], |ledger| [ledger.len(), ledger.asked()])
+            .map_or([0; 2], |ledger| [ledger.len(), ledger.pending()])
     }
 
     pub fn written(&self) -> Option<Arc<foldmux_store::Counts>> {
@@ -121,18 +121,20 @@
     /// could be held here; `remember` is that long.
     pub fn shown(&self, text: &str, remember: Millis) -> Result<Token, No> {
         let now = unix_ms();
-        let bad = match lock(&self.state).keys.read(now, text) {
+        let bad = match lock(&self.state).keys.verify(now, text) {
             Ok(token) => return Ok(token),
-            Err((Bad::Expired, Some(token))) if now < token.expires.saturating_add(remember) => {
+            Err((TokenError::Expired, Some(token)))
+                if now < token.expires.saturating_add(remember) =>
+            {
                 return Ok(token)
             }
             Err((bad, _)) => bad,
         };
         let count = match bad {
-            Bad::Malformed => &self.counts.malformed,
-            Bad::Foreign => &self.counts.foreign,
-            Bad::Forged => &self.counts.forged,
-            Bad::Expired => &self.counts.expired,
+            TokenError::Malformed => &self.counts.malformed,
+            TokenError::UnknownKey => &self.counts.foreign,
+            TokenError::BadSignature => &self.counts.forged,
+            TokenError::Expired => &self.counts.expired,
         };
         count.fetch_add(1, Ordering::Relaxed);
         Err(No::Token(bad))
@@ -145,14 +147,14 @@
     /// Whether an attempt of a key may be made now, and where. What is granted is the grip's to end.
     pub fn ask(
         self: &Arc<Keeper>,
-        key: Mark,
-        rule: Rule,
+        key: KeyHash,
+        rule: RetryPolicy,
         shown: Option<&Token>,
     ) -> Result<Grip, No> {
         let mut state = lock(&self.state);
         let ledger = state.ledger.as_mut().ok_or(No::NotLoaded)?;
-        let asked = ledger.ask(unix_ms(), key, &rule, shown);
-        let forgotten = ledger.forgotten();
+        let asked = ledger.acquire(unix_ms(), key, &rule, shown);
+        let forgotten = ledger.take_evicted();
         drop(state);
         forgotten
             .iter()
@@ -161,14 +163,14 @@
             Ok(grant) => Ok(Grip::granted(self.clone(), key, rule, grant)),
             Err(refusal) => {
                 let count = match refusal {
-                    Refusal::Running { .. } | Refusal::Deciding => &self.counts.running,
-                    Refusal::Replayed => &self.counts.replayed,
-                    Refusal::Full => &self.counts.full,
-                    Refusal::WindowOver
-                    | Refusal::TooMany
-                    | Refusal::Torn
-                    | Refusal::OtherKey
-                    | Refusal::Unread => &self.counts.given_up,
+                    Denied::InFlight { .. } | Denied::Pending => &self.counts.running,
+                    Denied::Superseded => &self.counts.replayed,
+                    Denied::TableFull => &self.counts.full,
+                    Denied::WindowExpired
+                    | Denied::AttemptsExhausted
+                    | Denied::ConflictingGroups
+                    | Denied::KeyMismatch
+                    | Denied::Unreadable => &self.counts.given_up,
                 };
                 count.fetch_add(1, Ordering::Relaxed);
                 Err(No::Ledger(refusal))
@@ -176,12 +178,12 @@
         }
     }
 
-    fn ended(&self, key: Mark, attempt: u8, end: End) {
+    fn ended(&self, key: KeyHash, attempt: u8, end: AttemptEnd) {
         let mut state = lock(&self.state);
         let entry = state
             .ledger
             .as_mut()
-            .and_then(|ledger| ledger.ended(key, attempt, end));
+            .and_then(|ledger| ledger.record_end(key, attempt, end));
         // Under the lock, so that the store has entries in the order in which the ledger had them.
         if let (Some(entry), Some(store)) = (entry, &self.store) {
             // Nobody waits for this one: lost, the attempt counts as one that may be running, for its time.
--- a/edge/fronts/extproc/src/keyed/grip.rs
+++ b/edge/fronts/extproc/src/keyed/grip.rs
@@ -1,8 +1,8 @@
 //! One key's attempt, from its grant to its end.
 
 use super::{lock, unix_ms, Keeper, No};
-use foldmux_idempotency::ledger::{End, Grant, Rule};
-use foldmux_idempotency::token::{Mark, Token};
+use foldmux_idempotency::table::{AttemptEnd, Grant, RetryPolicy};
+use foldmux_idempotency::token::{KeyHash, Token};
 use foldmux_idempotency::Millis;
 use foldmux_store::Fault;
 use std::sync::atomic::Ordering;
@@ -24,15 +24,20 @@
 /// One key's attempt, from its grant to its end; however it is dropped, the ledger is told what is known.
 pub struct Grip {
     keeper: Arc<Keeper>,
-    key: Mark,
-    rule: Rule,
+    key: KeyHash,
+    rule: RetryPolicy,
     pub grant: Grant,
     held: Held,
 }
 
 impl Grip {
     /// A key's attempt that the ledger has just granted.
-    pub(super) fn granted(keeper: Arc<Keeper>, key: Mark, rule: Rule, grant: Grant) -> Grip {
+    pub(super) fn granted(
+        keeper: Arc<Keeper>,
+        key: KeyHash,
+        rule: RetryPolicy,
+        grant: Grant,
+    ) -> Grip {
         Grip {
             keeper,
             key,
@@ -52,7 +57,7 @@
 
     /// Writes the attempt, to be sent to this group; its token once that is on the disk. Again, where the first choice
     /// fell through before it was told.
-    pub async fn hand(&mut self, request: Mark, group: u32) -> Result<(Token, String), No> {
+    pub async fn hand(&mut self, request: KeyHash, group: u32) -> Result<(Token, String), No> {
         let (told, written) = oneshot::channel();
         let (attempt, first, expires) = match self.grant {
             Grant::Anywhere {
@@ -78,7 +83,7 @@
         let text = {
             let mut state = lock(&self.keeper.state);
             let ledger = state.ledger.as_mut().ok_or(No::NotLoaded)?;
-            let entry = ledger.hand(unix_ms(), self.key, &self.rule, &self.grant, group, request);
+            let entry = ledger.issue(unix_ms(), self.key, &self.rule, &self.grant, group, request);
             self.held = Held::Out {
                 attempt,
                 told: false,
@@ -114,11 +119,11 @@
             .ledger
             .as_ref()
             .and_then(|ledger| ledger.get(self.key));
-        entry.map_or(0, |entry| entry.quiet_at.saturating_sub(unix_ms()))
+        entry.map_or(0, |entry| entry.running_until.saturating_sub(unix_ms()))
     }
 
     /// What is known of the attempt's end.
-    pub fn end(&mut self, end: End) {
+    pub fn end(&mut self, end: AttemptEnd) {
         if let Held::Out { attempt, .. } = self.held {
             self.held = Held::Over;
             self.keeper.ended(self.key, attempt, end);
@@ -131,10 +136,10 @@
         match self.held {
             Held::Asked => {
                 if let Some(ledger) = &mut lock(&self.keeper.state).ledger {
-                    ledger.let_go(self.key);
+                    ledger.release(self.key);
                 }
             }
-            Held::Out { told: false, .. } => self.end(End::NeverRan),
+            Held::Out { told: false, .. } => self.end(AttemptEnd::NotExecuted),
             // Nothing is known of it: it may be running until its time is over, as the ledger has it.
             Held::Out { told: true, .. } | Held::Over => {}
         }
--- a/edge/fronts/extproc/src/keyed/refused.rs
+++ b/edge/fronts/extproc/src/keyed/refused.rs
@@ -1,7 +1,7 @@
 //! Why a keyed request is not placed, and how often that was.
 
-use foldmux_idempotency::ledger::Refusal;
-use foldmux_idempotency::token::Bad;
+use foldmux_idempotency::table::Denied;
+use foldmux_idempotency::token::TokenError;
 use foldmux_store::Fault;
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -46,8 +46,8 @@
 /// Why a keyed request is not placed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum No {
-    Token(Bad),
-    Ledger(Refusal),
+    Token(TokenError),
+    Ledger(Denied),
     Store(Fault),
     /// The store has not been opened yet: what it holds is not known.
     NotLoaded,
--- a/edge/fronts/extproc/src/life.rs
+++ b/edge/fronts/extproc/src/life.rs
@@ -14,7 +14,7 @@
 use crate::place::Decided;
 use foldmux::interface::Outcome;
 use foldmux_core::metrics::Completion;
-use foldmux_idempotency::ledger::End as Word;
+use foldmux_idempotency::table::AttemptEnd;
 use std::collections::HashMap;
 use std::future::Future;
 use std::sync::Arc;
@@ -142,7 +142,7 @@
                     if ended.outcome == Outcome::Served {
                         held.begun = true;
                         // It ran: the ledger need not wait for its last byte.
-                        held.grip.take().iter_mut().for_each(|grip| grip.end(Word::MayHaveRun));
+                        held.grip.take().iter_mut().for_each(|grip| grip.end(AttemptEnd::MayHaveExecuted));
                         if headers.end_of_stream {
                             served(&front, &mut held);
                         } else {
--- a/edge/fronts/extproc/src/mapping.rs
+++ b/edge/fronts/extproc/src/mapping.rs
@@ -2,7 +2,7 @@
 
 use crate::names;
 use crate::pb::HttpHeaders;
-use foldmux_idempotency::token::Mark;
+use foldmux_idempotency::token::KeyHash;
 use foldmux_operator::AskRule;
 
 /// Longest path and key that are looked at.
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Segment {
-    Word(String),
+    AttemptEnd(String),
     /// Up to 16 hex digits.
     Object,
     /// Any text, of which the object is a digest.
@@ -120,7 +120,7 @@
                 word if word.contains(['{', '}']) => {
                     Err(told("a segment is {object}, {name}, {part} or a word"))
                 }
-                word => Ok(Segment::Word(word.to_string())),
+                word => Ok(Segment::AttemptEnd(word.to_string())),
             };
             let path = rule.path[1..]
                 .split('/')
@@ -165,7 +165,7 @@
                 .path
                 .iter()
                 .all(|segment| match (segment, words.next()) {
-                    (Segment::Word(word), Some(found)) => word == found,
+                    (Segment::AttemptEnd(word), Some(found)) => word == found,
                     (_, Some(found)) => !found.is_empty(),
                     (_, None) => false,
                 });
@@ -178,7 +178,7 @@
         };
         for (segment, word) in rule.path.iter().zip(path.split('/')) {
             match segment {
-                Segment::Word(_) => {}
+                Segment::AttemptEnd(_) => {}
                 Segment::Object => {
                     // The standard library would take a sign.
                     let hex = word.len() <= 16 && word.bytes().all(|b| b.is_ascii_hexdigit());
@@ -187,7 +187,7 @@
                         .ok_or(Unusable::Client("the object is no number of 16 hex digits"))?;
                 }
                 Segment::Name => {
-                    let digest = Mark::of(word).0;
+                    let digest = KeyHash::of(word).0;
                     asked.object = u64::from_be_bytes(digest[..8].try_into().unwrap_or_default());
                 }
                 Segment::Part => {
--- a/edge/fronts/extproc/src/parked.rs
+++ b/edge/fronts/extproc/src/parked.rs
@@ -2,14 +2,14 @@
 //! so long as they are good. Bounded; whatever is dropped here ends as one that was never sent.
 
 use crate::attempt::Attempt;
-use foldmux_idempotency::token::Mark;
+use foldmux_idempotency::token::KeyHash;
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 pub struct Parked {
     most: usize,
-    held: Mutex<HashMap<(Mark, u8), (Instant, Attempt)>>,
+    held: Mutex<HashMap<(KeyHash, u8), (Instant, Attempt)>>,
 }
 
 impl Parked {
@@ -20,12 +20,12 @@
         }
     }
 
-    fn held(&self) -> MutexGuard<'_, HashMap<(Mark, u8), (Instant, Attempt)>> {
+    fn held(&self) -> MutexGuard<'_, HashMap<(KeyHash, u8), (Instant, Attempt)>> {
         self.held.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Keeps one for the repeat of this attempt; given back where there is no room.
-    pub fn keep(&self, request: Mark, attempt: u8, way: Attempt) -> Option<Attempt> {
+    pub fn keep(&self, request: KeyHash, attempt: u8, way: Attempt) -> Option<Attempt> {
         let mut held = self.held();
         if held.len() >= self.most {
             return Some(way);
@@ -34,7 +34,7 @@
             .map(|(_, former)| former)
     }
 
-    pub fn take(&self, request: Mark, attempt: u8) -> Option<Attempt> {
+    pub fn take(&self, request: KeyHash, attempt: u8) -> Option<Attempt> {
         self.held().remove(&(request, attempt)).map(|(_, way)| way)
     }
 
--- a/edge/fronts/extproc/src/place.rs
+++ b/edge/fronts/extproc/src/place.rs
@@ -12,7 +12,7 @@
 use foldmux_core::messages::DIRECTIVE_CAPACITY;
 use foldmux_core::request::serving_budget;
 use foldmux_core::ClientRequest;
-use foldmux_idempotency::token::{Mark, Token};
+use foldmux_idempotency::token::{KeyHash, Token};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -91,7 +91,7 @@
                 .key
                 .clone()
                 .ok_or_else(|| Final::unusable("no idempotency key", Ran::Nothing))?;
-            let mark = Mark::of(&format!("{}/{told}", class.name));
+            let mark = KeyHash::of(&format!("{}/{told}", class.name));
             grip = Some(
                 self.keeper
                     .ask(mark, self.rule(class), shown.as_ref())
@@ -154,7 +154,7 @@
                     2 * self.streams,
                 )
                 .ok_or_else(full)?;
-                let request = Mark::of(&format!("{:016x}/{serial}", self.salt));
+                let request = KeyHash::of(&format!("{:016x}/{serial}", self.salt));
                 let (class, holds) = (asked.class, asked.holds);
                 Attempt {
                     delegated,
@@ -218,7 +218,7 @@
                 None => {
                     let token = Token {
                         request: attempt.request,
-                        key: Mark([0; 16]),
+                        key: KeyHash([0; 16]),
                         attempt: attempt.number,
                         group,
                         first: unix_ms(),
--- a/edge/fronts/extproc/tests/keyed/ledger.rs
+++ b/edge/fronts/extproc/tests/keyed/ledger.rs
@@ -72,12 +72,12 @@
 #[test]
 fn what_was_written_and_never_told_is_refused_as_well_after_a_crash() {
     let folder = tempfile::tempdir().unwrap();
-    let rule = Rule {
-        window: 10_000,
-        attempts: 4,
-        good_for: 200,
-        runs_for: 1_500,
-        remember: 60_000,
+    let rule = RetryPolicy {
+        idempotency_window: 10_000,
+        max_attempts: 4,
+        send_window: 200,
+        max_run_time: 1_500,
+        retention: 60_000,
     };
     let keeper = |folder: &Path| {
         let keys: [(u8, &[u8]); 1] = [(1, SECRET)];
@@ -86,8 +86,8 @@
     let first = keeper(folder.path());
     let left = tempfile::tempdir().unwrap();
     block_on(async {
-        let mut grip = first.ask(Mark::of("record/a"), rule, None).unwrap();
-        grip.hand(Mark::of("r"), 2).await.unwrap();
+        let mut grip = first.ask(KeyHash::of("record/a"), rule, None).unwrap();
+        grip.hand(KeyHash::of("r"), 2).await.unwrap();
         // Killed here: written, and no answer went out.
         copied(folder.path(), left.path());
         drop(grip);
@@ -95,11 +95,11 @@
     .unwrap();
     let again = keeper(left.path());
     assert!(matches!(
-        again.ask(Mark::of("record/a"), rule, None),
-        Err(No::Ledger(Refusal::Running { .. }))
+        again.ask(KeyHash::of("record/a"), rule, None),
+        Err(No::Ledger(Denied::InFlight { .. }))
     ));
     // The one that lived on knows that it was never told.
-    assert!(first.ask(Mark::of("record/a"), rule, None).is_ok());
+    assert!(first.ask(KeyHash::of("record/a"), rule, None).is_ok());
 }
 
 #[test]
@@ -173,7 +173,7 @@
     let folder = tempfile::tempdir().unwrap();
     written(
         folder.path(),
-        &Mark::of("record/damaged").0,
+        &KeyHash::of("record/damaged").0,
         b"\x09 of a later version",
     );
     let cache = cache();
--- a/edge/fronts/extproc/tests/keyed/main.rs
+++ b/edge/fronts/extproc/tests/keyed/main.rs
@@ -5,8 +5,8 @@
 use foldmux_extproc::keyed::{unix_ms, Keeper, No};
 use foldmux_extproc::serve::block_on;
 use foldmux_fakes::source::{Act, Source};
-use foldmux_idempotency::ledger::{Refusal, Rule};
-use foldmux_idempotency::token::{Keys, Mark, Token};
+use foldmux_idempotency::table::{Denied, RetryPolicy};
+use foldmux_idempotency::token::{KeyHash, SigningKeys, Token};
 use foldmux_store::Commit;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -40,8 +40,8 @@
 
 fn token(class_key: &str, attempt: u8, first: u64, expires: u64) -> Token {
     Token {
-        request: Mark::of("r"),
-        key: Mark::of(class_key),
+        request: KeyHash::of("r"),
+        key: KeyHash::of(class_key),
         attempt,
         group: 2,
         first,
--- a/edge/fronts/extproc/tests/keyed/tokens.rs
+++ b/edge/fronts/extproc/tests/keyed/tokens.rs
@@ -12,12 +12,12 @@
         &[cache.address(); 2],
         cache.address(),
     );
-    let (now, keys) = (unix_ms(), Keys::new(1, SECRET));
+    let (now, keys) = (unix_ms(), SigningKeys::new(1, SECRET));
     let sound = keys.sign(&token("record/k", 0, now, now + 20_000));
     let mut spoilt = sound.clone().into_bytes();
     spoilt[40] = if spoilt[40] == b'A' { b'B' } else { b'A' };
     let spoilt = String::from_utf8(spoilt).unwrap();
-    let foreign = Keys::new(9, SECRET).sign(&token("record/k", 0, now, now + 20_000));
+    let foreign = SigningKeys::new(9, SECRET).sign(&token("record/k", 0, now, now + 20_000));
     let old = keys.sign(&token("record/k", 0, now - 200_000, now - 100_000));
     for (text, why) in [
         (spoilt.as_str(), "the token was not made here"),
@@ -70,7 +70,7 @@
     let caches = [cache(), cache()];
     let places = [caches[0].address(), caches[1].address()];
     let instance = Instance::start(&script("", ""), store(folder.path()), &places, places[0]);
-    let (now, keys) = (unix_ms(), Keys::new(1, SECRET));
+    let (now, keys) = (unix_ms(), SigningKeys::new(1, SECRET));
     for n in 0..12 {
         // Cells count from 0, groups from 1: cell 2 is group 3, and the second cache's.
         let key = format!("g{n}");
--- a/pure/idempotency/src/lib.rs
+++ b/pure/idempotency/src/lib.rs
@@ -1,10 +1,13 @@
-//! Whether a request that carries an idempotency key may be attempted again, where others repeat by themselves.
+//! Whether a request that carries an idempotency key may be attempted again, where callers retry by themselves.
 //!
-//! Owns: what is known of each key's attempts ([`ledger`]), and the tokens that go with attempts that others make
-//! ([`token`]). May not: do I/O, read a clock (times are passed in, as Unix milliseconds, since they outlive a
-//! process), draw random numbers, or choose a server: it says in which group an attempt may go, or why none may.
+//! [`table`] keeps what is known of each key's attempts, and says in which group of caches the next one may be made, or why
+//! none may. [`token`] is what an attempt carries, so that any instance can judge a retry of it.
+//!
+//! Pure: no I/O, no clock (times are passed in, as Unix milliseconds, since they outlive a process), no random numbers. No
+//! cache is selected here.
+#![warn(missing_docs)]
 
-pub mod ledger;
+pub mod table;
 pub mod token;
 
 /// Unix milliseconds.
--- a/pure/idempotency/src/token.rs
+++ b/pure/idempotency/src/token.rs
@@ -1,6 +1,7 @@
-//! Tokens: what an attempt that somebody else makes carries, so that any instance can judge a repeat of it. 58 bytes
-//! and a MAC (HMAC-SHA-256, 16 bytes of it), in base64 for URLs. Keys change in service: a former key is good until
-//! its time is over, so that tokens that are out stay readable.
+//! Tokens: what an attempt that a caller makes carries, so that any instance can judge a retry of it.
+//!
+//! A token is 58 bytes and a MAC (HMAC-SHA-256, truncated to 16 bytes), in URL-safe base64. Signing keys are rotated in
+//! service: tokens of a former key stay valid for an overlap.
 
 use crate::Millis;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -10,86 +11,96 @@
 use std::fmt;
 
 const VERSION: u8 = 1;
-/// Bytes before the MAC, and of it.
-const BODY: usize = 1 + 1 + 16 + 16 + 1 + 4 + 8 + 8;
-const MAC: usize = 16;
-/// Longest token that is read at all.
-pub const TEXT_MOST: usize = 128;
+/// Length of the fields before the MAC, and of the MAC (bytes).
+const BODY_LEN: usize = 1 + 1 + 16 + 16 + 1 + 4 + 8 + 8;
+const MAC_LEN: usize = 16;
+/// Longest text that is read (bytes).
+pub const MAX_TEXT_LEN: usize = 128;
 
-/// What stands for a key or an id: nothing of it can be read back.
+/// A hash of an idempotency key or a request id (the first 16 bytes of SHA-256): the text can't be recovered from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Mark(pub [u8; 16]);
+pub struct KeyHash(pub [u8; 16]);
 
-impl Mark {
-    pub fn of(text: &str) -> Mark {
+impl KeyHash {
+    /// The hash of a text.
+    pub fn of(text: &str) -> KeyHash {
         let mut mark = [0; 16];
         mark.copy_from_slice(&Sha256::digest(text.as_bytes())[..16]);
-        Mark(mark)
+        KeyHash(mark)
     }
 }
 
+/// What a token says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token {
-    pub request: Mark,
-    pub key: Mark,
+    /// The request; unique over all instances.
+    pub request: KeyHash,
+    /// The idempotency key; zeros where the request has none.
+    pub key: KeyHash,
+    /// The attempt's number, from 0.
     pub attempt: u8,
-    /// The group of caches that drops the key's repeats.
+    /// The group of caches that drops duplicates of the key.
     pub group: u32,
-    /// When the key's first attempt was handed out, and until when this one may be sent.
+    /// When the key's first attempt that may have been executed was issued.
     pub first: Millis,
+    /// Until when the attempt may be sent.
     pub expires: Millis,
 }
 
+/// Why a token is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum TokenError {
+    /// It can't be decoded.
     Malformed,
-    /// By a key that is not known here, or not any more.
-    Foreign,
-    Forged,
+    /// Its signing key is not known here, or not any more.
+    UnknownKey,
+    /// The MAC does not match.
+    BadSignature,
+    /// Its time is over.
     Expired,
 }
 
-impl fmt::Display for Bad {
+impl fmt::Display for TokenError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Bad::Malformed => "the token can't be read",
-            Bad::Foreign => "the token's key is not known here",
-            Bad::Forged => "the token was not made here",
-            Bad::Expired => "the token's time is over",
+            TokenError::Malformed => "the token can't be read",
+            TokenError::UnknownKey => "the token's key is not known here",
+            TokenError::BadSignature => "the token was not made here",
+            TokenError::Expired => "the token's time is over",
         })
     }
 }
 
-struct Held {
+struct SigningKey {
     number: u8,
     mac: Hmac<Sha256>,
     until: Option<Millis>,
 }
 
-/// The key that signs, and former ones that are still believed.
-pub struct Keys {
-    held: Vec<Held>,
+/// The key that signs, and former ones whose tokens are still accepted.
+pub struct SigningKeys {
+    keys: Vec<SigningKey>,
 }
 
-impl Keys {
-    /// `number` names the key in its tokens: the same at all instances.
-    pub fn new(number: u8, secret: &[u8]) -> Keys {
-        let mut keys = Keys { held: Vec::new() };
-        keys.change(0, 0, number, secret);
+impl SigningKeys {
+    /// A single key; `number` names it in its tokens, and is the same at all instances.
+    pub fn new(number: u8, secret: &[u8]) -> SigningKeys {
+        let mut keys = SigningKeys { keys: Vec::new() };
+        keys.rotate(0, 0, number, secret);
         keys
     }
 
-    /// From now on another key signs; what the former ones signed is believed for `overlap` more.
-    pub fn change(&mut self, now: Millis, overlap: Millis, number: u8, secret: &[u8]) {
-        self.held
-            .retain(|held| held.number != number && held.until.is_none_or(|until| now < until));
-        for held in &mut self.held {
-            held.until = Some(held.until.unwrap_or(now.saturating_add(overlap)));
+    /// Makes another key sign; tokens of the former ones are accepted for `overlap` more.
+    pub fn rotate(&mut self, now: Millis, overlap: Millis, number: u8, secret: &[u8]) {
+        self.keys
+            .retain(|key| key.number != number && key.until.is_none_or(|until| now < until));
+        for key in &mut self.keys {
+            key.until = Some(key.until.unwrap_or(now.saturating_add(overlap)));
         }
         let mac = Hmac::new_from_slice(secret).expect("any length of key will do");
-        self.held.insert(
+        self.keys.insert(
             0,
-            Held {
+            SigningKey {
                 number,
                 mac,
                 until: None,
@@ -97,57 +108,62 @@
         );
     }
 
-    /// The keys of a file that was read again: the last of them signs, and all are believed without an end, so that a
-    /// key can be known everywhere before it signs anywhere. Those that are no longer there are believed for `overlap`.
-    pub fn set(&mut self, now: Millis, overlap: Millis, keys: &[(u8, &[u8])]) {
+    /// Replaces the keys: the last one signs, and tokens of all are accepted without an end, so that a key can be known
+    /// everywhere before it signs anywhere. Tokens of keys that are no longer there are accepted for `overlap`.
+    pub fn replace(&mut self, now: Millis, overlap: Millis, keys: &[(u8, &[u8])]) {
         for (number, secret) in keys {
-            self.change(now, overlap, *number, secret);
+            self.rotate(now, overlap, *number, secret);
         }
-        for held in &mut self.held {
-            if keys.iter().any(|(number, _)| *number == held.number) {
-                held.until = None;
+        for key in &mut self.keys {
+            if keys.iter().any(|(number, _)| *number == key.number) {
+                key.until = None;
             }
         }
     }
 
+    /// The text of a token, signed by the last key.
     pub fn sign(&self, token: &Token) -> String {
-        let held = &self.held[0];
-        let mut bytes = Vec::with_capacity(BODY + MAC);
-        bytes.extend_from_slice(&[VERSION, held.number]);
+        let key = &self.keys[0];
+        let mut bytes = Vec::with_capacity(BODY_LEN + MAC_LEN);
+        bytes.extend_from_slice(&[VERSION, key.number]);
         bytes.extend_from_slice(&token.request.0);
         bytes.extend_from_slice(&token.key.0);
         bytes.push(token.attempt);
         bytes.extend_from_slice(&token.group.to_be_bytes());
         bytes.extend_from_slice(&token.first.to_be_bytes());
         bytes.extend_from_slice(&token.expires.to_be_bytes());
-        let mut mac = held.mac.clone();
+        let mut mac = key.mac.clone();
         mac.update(&bytes);
-        bytes.extend_from_slice(&mac.finalize().into_bytes()[..MAC]);
+        bytes.extend_from_slice(&mac.finalize().into_bytes()[..MAC_LEN]);
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// The token, if one of these keys signed it. One whose time is over is told apart, and what it says is true.
-    pub fn read(&self, now: Millis, text: &str) -> Result<Token, (Bad, Option<Token>)> {
-        let malformed = (Bad::Malformed, None);
-        if text.len() > TEXT_MOST {
+    /// Verifies and decodes a token.
+    ///
+    /// # Errors
+    ///
+    /// The reason; an expired token comes with its contents, which are authentic.
+    pub fn verify(&self, now: Millis, text: &str) -> Result<Token, (TokenError, Option<Token>)> {
+        let malformed = (TokenError::Malformed, None);
+        if text.len() > MAX_TEXT_LEN {
             return Err(malformed);
         }
         let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| malformed)?;
-        if bytes.len() != BODY + MAC || bytes[0] != VERSION {
+        if bytes.len() != BODY_LEN + MAC_LEN || bytes[0] != VERSION {
             return Err(malformed);
         }
-        let (body, theirs) = bytes.split_at(BODY);
-        let held = self
-            .held
+        let (body, theirs) = bytes.split_at(BODY_LEN);
+        let key = self
+            .keys
             .iter()
             .find(|h| h.number == body[1] && h.until.is_none_or(|until| now < until));
-        let held = held.ok_or((Bad::Foreign, None))?;
-        let mut mac = held.mac.clone();
+        let key = key.ok_or((TokenError::UnknownKey, None))?;
+        let mut mac = key.mac.clone();
         mac.update(body);
         // In constant time, as the library does it.
         mac.verify_truncated_left(theirs)
-            .map_err(|_| (Bad::Forged, None))?;
-        let mark = |at: usize| Mark(body[at..at + 16].try_into().expect("16 bytes"));
+            .map_err(|_| (TokenError::BadSignature, None))?;
+        let mark = |at: usize| KeyHash(body[at..at + 16].try_into().expect("16 bytes"));
         let long = |at: usize| u64::from_be_bytes(body[at..at + 8].try_into().expect("8 bytes"));
         let token = Token {
             request: mark(2),
@@ -158,7 +174,7 @@
             expires: long(47),
         };
         if token.expires <= now {
-            return Err((Bad::Expired, Some(token)));
+            return Err((TokenError::Expired, Some(token)));
         }
         Ok(token)
     }
--- a/pure/idempotency/src/token/tests.rs
+++ b/pure/idempotency/src/token/tests.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 fn token() -> Token {
-    let (request, key) = (Mark::of("9b1f03aa5c7e2d41"), Mark::of("5c0f"));
+    let (request, key) = (KeyHash::of("9b1f03aa5c7e2d41"), KeyHash::of("5c0f"));
     Token {
         request,
         key,
@@ -17,37 +17,47 @@
 
 #[test]
 fn a_token_is_read_by_whoever_has_its_key_until_its_time_is_over() {
-    let keys = Keys::new(1, b"secret");
+    let keys = SigningKeys::new(1, b"secret");
     let text = keys.sign(&token());
-    assert_eq!(Keys::new(1, b"secret").read(2_999, &text), Ok(token()));
-    assert_eq!(keys.read(3_000, &text), Err((Bad::Expired, Some(token()))));
     assert_eq!(
-        Keys::new(1, b"other").read(0, &text),
-        Err((Bad::Forged, None))
+        SigningKeys::new(1, b"secret").verify(2_999, &text),
+        Ok(token())
     );
     assert_eq!(
-        Keys::new(2, b"secret").read(0, &text),
-        Err((Bad::Foreign, None))
+        keys.verify(3_000, &text),
+        Err((TokenError::Expired, Some(token())))
     );
-    for bad in ["", "!", &text[1..], &"A".repeat(TEXT_MOST + 4)] {
-        assert_eq!(keys.read(0, bad), Err((Bad::Malformed, None)), "{bad}");
+    assert_eq!(
+        SigningKeys::new(1, b"other").verify(0, &text),
+        Err((TokenError::BadSignature, None))
+    );
+    assert_eq!(
+        SigningKeys::new(2, b"secret").verify(0, &text),
+        Err((TokenError::UnknownKey, None))
+    );
+    for bad in ["", "!", &text[1..], &"A".repeat(MAX_TEXT_LEN + 4)] {
+        assert_eq!(
+            keys.verify(0, bad),
+            Err((TokenError::Malformed, None)),
+            "{bad}"
+        );
     }
 }
 
 #[test]
 fn a_former_key_is_believed_for_the_overlap_and_no_longer() {
-    let mut keys = Keys::new(1, b"one");
+    let mut keys = SigningKeys::new(1, b"one");
     let text = keys.sign(&Token {
         expires: u64::MAX,
         ..token()
     });
-    keys.change(100, 50, 2, b"two");
-    assert!(keys.read(149, &text).is_ok());
-    assert_eq!(keys.read(150, &text), Err((Bad::Foreign, None)));
+    keys.rotate(100, 50, 2, b"two");
+    assert!(keys.verify(149, &text).is_ok());
+    assert_eq!(keys.verify(150, &text), Err((TokenError::UnknownKey, None)));
     // A second change in the overlap does not make it longer.
-    keys.change(120, 50, 3, b"three");
-    assert_eq!(keys.read(150, &text), Err((Bad::Foreign, None)));
-    assert!(keys.read(160, &keys.sign(&token())).is_ok());
+    keys.rotate(120, 50, 3, b"three");
+    assert_eq!(keys.verify(150, &text), Err((TokenError::UnknownKey, None)));
+    assert!(keys.verify(160, &keys.sign(&token())).is_ok());
 }
 
 #[test]
@@ -56,34 +66,37 @@
         expires: u64::MAX,
         ..token()
     };
-    let mut keys = Keys::new(1, b"one");
-    keys.set(0, 50, &[(2, b"two"), (1, b"one")]);
+    let mut keys = SigningKeys::new(1, b"one");
+    keys.replace(0, 50, &[(2, b"two"), (1, b"one")]);
     let by_one = keys.sign(&token);
     assert!(
-        Keys::new(1, b"one").read(0, &by_one).is_ok(),
+        SigningKeys::new(1, b"one").verify(0, &by_one).is_ok(),
         "the last of the file signs"
     );
     assert!(
-        keys.read(0, &Keys::new(2, b"two").sign(&token)).is_ok(),
+        keys.verify(0, &SigningKeys::new(2, b"two").sign(&token))
+            .is_ok(),
         "another instance was quicker"
     );
-    keys.set(10, 50, &[(1, b"one"), (2, b"two")]);
-    assert!(Keys::new(2, b"two").read(10, &keys.sign(&token)).is_ok());
-    keys.set(20, 50, &[(2, b"two")]);
-    assert!(keys.read(69, &by_one).is_ok() && keys.read(70, &by_one).is_err());
+    keys.replace(10, 50, &[(1, b"one"), (2, b"two")]);
+    assert!(SigningKeys::new(2, b"two")
+        .verify(10, &keys.sign(&token))
+        .is_ok());
+    keys.replace(20, 50, &[(2, b"two")]);
+    assert!(keys.verify(69, &by_one).is_ok() && keys.verify(70, &by_one).is_err());
 }
 
 proptest! {
     #[test]
-    fn any_changed_byte_is_no_token(at in 0usize..BODY + MAC, by in 1u8..=255) {
-        let keys = Keys::new(1, b"secret");
+    fn any_changed_byte_is_no_token(at in 0usize..BODY_LEN + MAC_LEN, by in 1u8..=255) {
+        let keys = SigningKeys::new(1, b"secret");
         let mut bytes = URL_SAFE_NO_PAD.decode(keys.sign(&token())).unwrap();
         bytes[at] ^= by;
-        prop_assert!(keys.read(0, &URL_SAFE_NO_PAD.encode(bytes)).is_err());
+        prop_assert!(keys.verify(0, &URL_SAFE_NO_PAD.encode(bytes)).is_err());
     }
 
     #[test]
     fn any_text_is_read_or_refused(text in ".{0,160}") {
-        prop_assert!(Keys::new(1, b"secret").read(0, &text).is_err());
+        prop_assert!(SigningKeys::new(1, b"secret").verify(0, &text).is_err());
     }
 }
--- a/pure/idempotency/tests/formats.rs
+++ b/pure/idempotency/tests/formats.rs
@@ -3,8 +3,8 @@
 #[path = "../../../tests/formats/bytes.rs"]
 mod fixtures;
 
-use foldmux_idempotency::ledger::Entry;
-use foldmux_idempotency::token::{Keys, Mark, Token};
+use foldmux_idempotency::table::Entry;
+use foldmux_idempotency::token::{KeyHash, SigningKeys, Token};
 
 fn path(file: &str) -> String {
     format!("{}/tests/formats/{file}", env!("CARGO_MANIFEST_DIR"))
@@ -12,15 +12,15 @@
 
 #[test]
 fn the_bytes_of_stored_entries_stay() {
-    let entry = |out, ran| Entry {
+    let entry = |in_flight, ran| Entry {
         attempt: 3,
-        out,
-        quiet_at: 1_764_576_000_301,
-        ran,
-        request: Mark([0x11; 16]),
+        in_flight,
+        running_until: 1_764_576_000_301,
+        may_have_run: ran,
+        request: KeyHash([0x11; 16]),
         group: 302,
-        handed: 1_764_576_000_303,
-        forget_at: 1_764_576_000_304,
+        issued_at: 1_764_576_000_303,
+        evict_at: 1_764_576_000_304,
     };
     let ran = Some((1_764_576_000_305, 306));
     fixtures::check(
@@ -40,27 +40,27 @@
 fn the_bytes_of_hashes_stay() {
     fixtures::check(
         &path("hashes.hex"),
-        &[("key-1", Mark::of("key-1"))],
+        &[("key-1", KeyHash::of("key-1"))],
         |mark| mark.0.to_vec(),
-        |bytes| Mark(bytes.try_into().expect("16 bytes")),
+        |bytes| KeyHash(bytes.try_into().expect("16 bytes")),
     );
 }
 
 #[test]
 fn the_text_of_tokens_stays() {
     let token = Token {
-        request: Mark([0x21; 16]),
-        key: Mark([0x22; 16]),
+        request: KeyHash([0x21; 16]),
+        key: KeyHash([0x22; 16]),
         attempt: 4,
         group: 401,
         first: 1_764_576_000_402,
         expires: 1_764_576_000_403,
     };
-    let keys = Keys::new(7, b"secret");
+    let keys = SigningKeys::new(7, b"secret");
     fixtures::text::check(
         &path("tokens.txt"),
         &[("key 7", token)],
         |token| keys.sign(token),
-        |text| keys.read(0, text).expect("a token that is signed"),
+        |text| keys.verify(0, text).expect("a token that is signed"),
     );
 }
--- a/pure/idempotency/tests/states/main.rs
+++ b/pure/idempotency/tests/states/main.rs
@@ -1,10 +1,10 @@
-//! The ledger against a plain model, which keeps each key's whole history: whatever is asked, handed out, let go, told of its
-//! end or forgotten, in whatever order, over restarts, the ledger grants and refuses as the history says.
+//! The table against a plain model, which keeps each key's whole history: whatever is asked, handed out, let go, told of its
+//! end or forgotten, in whatever order, over restarts, the table grants and refuses as the history says.
 
 mod model;
 
-use foldmux_idempotency::ledger::{Entry, Grant, Ledger, STORED_LENGTH};
-use foldmux_idempotency::token::{Mark, Token};
+use foldmux_idempotency::table::{Entry, Grant, IdempotencyTable, STORED_LENGTH};
+use foldmux_idempotency::token::{KeyHash, Token};
 use model::{Model, Shown, Step, KEYS, MOST, RULE};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -12,14 +12,14 @@
 use std::collections::BTreeMap;
 
 struct Real {
-    ledger: Ledger,
-    stored: BTreeMap<Mark, [u8; STORED_LENGTH]>,
+    table: IdempotencyTable,
+    stored: BTreeMap<KeyHash, [u8; STORED_LENGTH]>,
     tokens: BTreeMap<u8, Vec<Token>>,
     granted: BTreeMap<u8, Grant>,
 }
 
-fn mark(key: u8) -> Mark {
-    Mark([key; 16])
+fn mark(key: u8) -> KeyHash {
+    KeyHash([key; 16])
 }
 
 impl StateMachineTest for Real {
@@ -29,7 +29,7 @@
     fn init_test(_: &Model) -> Real {
         let (stored, tokens, granted) = Default::default();
         Real {
-            ledger: Ledger::new(MOST),
+            table: IdempotencyTable::new(MOST),
             stored,
             tokens,
             granted,
@@ -61,10 +61,10 @@
                     Shown::First => own.and_then(|all| all.first().copied()),
                     Shown::OtherKey => Some(other),
                 };
-                let told = real.ledger.ask(now, mark(key), &RULE, shown.as_ref());
+                let told = real.table.acquire(now, mark(key), &RULE, shown.as_ref());
                 assert_eq!(Some(told), model.last, "key {key}, shown {shown:?}");
                 real.granted.extend(told.iter().map(|grant| (key, *grant)));
-                for gone in real.ledger.forgotten() {
+                for gone in real.table.take_evicted() {
                     real.stored.remove(&gone);
                     real.tokens.remove(&gone.0[0]);
                 }
@@ -86,8 +86,8 @@
                 };
                 let request = mark(100 + attempt);
                 let entry = real
-                    .ledger
-                    .hand(now, mark(key), &RULE, &grant, group, request);
+                    .table
+                    .issue(now, mark(key), &RULE, &grant, group, request);
                 real.stored.insert(mark(key), entry.to_bytes());
                 let token = Token {
                     request,
@@ -101,33 +101,33 @@
             }
             Step::LetGo(key) => {
                 real.granted.remove(&key);
-                real.ledger.let_go(mark(key));
+                real.table.release(mark(key));
             }
             Step::Ended(key, attempt, end) => {
-                let entry = real.ledger.ended(mark(key), attempt, end);
+                let entry = real.table.record_end(mark(key), attempt, end);
                 real.stored
                     .extend(entry.map(|entry| (mark(key), entry.to_bytes())));
             }
             Step::Restart => {
                 let read = |bytes: &[u8]| Entry::from_bytes(bytes).expect("as it was written");
                 let entries = real.stored.iter().map(|(key, bytes)| (*key, read(bytes)));
-                real.ledger = Ledger::restored(MOST, entries);
+                real.table = IdempotencyTable::restored(MOST, entries);
                 model
                     .fenced
                     .iter()
-                    .for_each(|(key, until)| real.ledger.fence(mark(*key), *until));
+                    .for_each(|(key, until)| real.table.block_unreadable(mark(*key), *until));
                 real.granted.clear();
             }
-            Step::Fence(key, time) => real.ledger.fence(mark(key), now + time),
+            Step::Fence(key, time) => real.table.block_unreadable(mark(key), now + time),
         }
         real
     }
 
     fn check_invariants(real: &Real, model: &Model) {
-        let held = (0..KEYS).filter(|key| real.ledger.get(mark(*key)).is_some());
+        let held = (0..KEYS).filter(|key| real.table.get(mark(*key)).is_some());
         assert!(held.eq(model.keys.keys().copied()));
-        assert_eq!(real.ledger.asked(), model.asked.len());
-        assert_eq!(real.ledger.len(), model.keys.len() + model.fenced.len());
+        assert_eq!(real.table.pending(), model.asked.len());
+        assert_eq!(real.table.len(), model.keys.len() + model.fenced.len());
     }
 }
 
--- a/pure/idempotency/tests/states/model.rs
+++ b/pure/idempotency/tests/states/model.rs
@@ -1,17 +1,17 @@
 //! The plain model: each key's whole history.
 
-use foldmux_idempotency::ledger::{End, Grant, Refusal, Rule};
+use foldmux_idempotency::table::{AttemptEnd, Denied, Grant, RetryPolicy};
 use foldmux_idempotency::Millis;
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
 use std::collections::BTreeMap;
 
-pub const RULE: Rule = Rule {
-    window: 2_000,
-    attempts: 4,
-    good_for: 200,
-    runs_for: 300,
-    remember: 3_000,
+pub const RULE: RetryPolicy = RetryPolicy {
+    idempotency_window: 2_000,
+    max_attempts: 4,
+    send_window: 200,
+    max_run_time: 300,
+    retention: 3_000,
 };
 pub const MOST: usize = 3;
 pub const KEYS: u8 = 5;
@@ -20,10 +20,10 @@
 pub struct Attempt {
     /// As it was granted: what came before may be forgotten by the time it is handed out.
     pub number: u8,
-    pub handed: Millis,
-    pub quiet_at: Millis,
+    pub issued_at: Millis,
+    pub running_until: Millis,
     pub group: u32,
-    pub end: Option<End>,
+    pub end: Option<AttemptEnd>,
 }
 
 /// What a caller shows: a token of its first or last attempt, of another key, or nothing.
@@ -42,7 +42,7 @@
     /// What was granted is handed out, to this group where it may go anywhere; or let go.
     Hand(u8, u32),
     LetGo(u8),
-    Ended(u8, u8, End),
+    Ended(u8, u8, AttemptEnd),
     /// With what a store kept.
     Restart,
     Fence(u8, Millis),
@@ -54,7 +54,7 @@
     pub keys: BTreeMap<u8, Vec<Attempt>>,
     pub fenced: BTreeMap<u8, Millis>,
     pub asked: BTreeMap<u8, Grant>,
-    pub last: Option<Result<Grant, Refusal>>,
+    pub last: Option<Result<Grant, Denied>>,
 }
 
 impl Model {
@@ -62,22 +62,22 @@
         let now = self.now;
         self.keys.retain(|_, all| {
             all.last()
-                .is_some_and(|last| last.quiet_at + RULE.remember > now)
+                .is_some_and(|last| last.running_until + RULE.retention > now)
         });
         self.fenced.retain(|_, until| *until > now);
     }
 
-    fn judge(&self, key: u8, shown: Shown) -> Result<Grant, Refusal> {
+    fn decide(&self, key: u8, shown: Shown) -> Result<Grant, Denied> {
         if self.asked.contains_key(&key) {
-            return Err(Refusal::Deciding);
+            return Err(Denied::Pending);
         }
         if shown == Shown::OtherKey {
-            return Err(Refusal::OtherKey);
+            return Err(Denied::KeyMismatch);
         }
         if self.fenced.contains_key(&key) {
-            return Err(Refusal::Unread);
+            return Err(Denied::Unreadable);
         }
-        let (now, expires) = (self.now, self.now + RULE.good_for);
+        let (now, expires) = (self.now, self.now + RULE.send_window);
         let Some(history) = self.keys.get(&key) else {
             let new = self
                 .asked
@@ -90,24 +90,28 @@
                 first: now,
                 expires,
             };
-            return if full { Err(Refusal::Full) } else { Ok(first) };
+            return if full {
+                Err(Denied::TableFull)
+            } else {
+                Ok(first)
+            };
         };
         let last = history.last().expect("handed out");
         let attempt = last.number + 1;
         if shown == Shown::First && history.len() > 1 {
-            return Err(Refusal::Replayed);
+            return Err(Denied::Superseded);
         }
-        if last.end.is_none() && now < last.quiet_at {
-            return Err(Refusal::Running {
-                until: last.quiet_at,
+        if last.end.is_none() && now < last.running_until {
+            return Err(Denied::InFlight {
+                until: last.running_until,
             });
         }
-        if attempt >= RULE.attempts {
-            return Err(Refusal::TooMany);
+        if attempt >= RULE.max_attempts {
+            return Err(Denied::AttemptsExhausted);
         }
         let Some(ran) = history
             .iter()
-            .find(|attempt| attempt.end != Some(End::NeverRan))
+            .find(|attempt| attempt.end != Some(AttemptEnd::NotExecuted))
         else {
             return Ok(Grant::Anywhere {
                 attempt,
@@ -115,14 +119,20 @@
                 expires,
             });
         };
-        let (first, group, closes) = (ran.handed, ran.group, ran.handed + RULE.window);
+        let (first, group, closes) = (
+            ran.issued_at,
+            ran.group,
+            ran.issued_at + RULE.idempotency_window,
+        );
         let within = Grant::Within {
             attempt,
             group,
             first,
             expires: expires.min(closes),
         };
-        (now < closes).then_some(within).ok_or(Refusal::WindowOver)
+        (now < closes)
+            .then_some(within)
+            .ok_or(Denied::WindowExpired)
     }
 }
 
@@ -142,7 +152,10 @@
         use Shown::*;
         let shown =
             prop_oneof![4 => Just(Nothing), 4 => Just(Last), 1 => Just(First), 1 => Just(OtherKey)];
-        let end = prop_oneof![Just(End::NeverRan), Just(End::MayHaveRun)];
+        let end = prop_oneof![
+            Just(AttemptEnd::NotExecuted),
+            Just(AttemptEnd::MayHaveExecuted)
+        ];
         prop_oneof![
             6 => prop_oneof![1..250u64, 1..4_000u64].prop_map(Step::Wait),
             8 => (0..KEYS, shown).prop_map(|(key, shown)| Step::Ask(key, shown)),
@@ -176,14 +189,14 @@
             Step::Wait(time) => model.now += time,
             Step::Ask(key, shown) => {
                 model.forget();
-                let told = model.judge(key, shown);
+                let told = model.decide(key, shown);
                 model.asked.extend(told.iter().map(|grant| (key, *grant)));
                 model.last = Some(told);
             }
             Step::Hand(key, group) => {
                 // A repeat counts from the first that may have run when it was granted, also where the proof that none had
                 // comes before it is handed out.
-                let (number, handed, group, expires) =
+                let (number, issued_at, group, expires) =
                     match model.asked.remove(&key).expect("granted") {
                         Grant::Anywhere {
                             attempt, expires, ..
@@ -195,11 +208,11 @@
                             expires,
                         } => (attempt, first, group, expires),
                     };
-                let quiet_at = expires + RULE.runs_for;
+                let running_until = expires + RULE.max_run_time;
                 model.keys.entry(key).or_default().push(Attempt {
                     number,
-                    handed,
-                    quiet_at,
+                    issued_at,
+                    running_until,
                     group,
                     end: None,
                 });
