--- a/edge/core/src/core.rs
+++ b/edge/core/src/core.rs
@@ -170,7 +170,7 @@
             metrics: &self.metrics,
             unserved_log: &self.unserved_log,
             limiter: self.limiter.get().map(|limiter| &**limiter),
-            permits: self.permits.get().map(|permits| &**permits),
+            permits: &self.permits,
             retry_after: &self.retry_after,
         }
     }
--- a/edge/core/src/lifecycle.rs
+++ b/edge/core/src/lifecycle.rs
@@ -212,7 +212,7 @@
             }
         }
         let mut deadline = self.deadline;
-        if let Some(permits) = self.services.permits {
+        if let Some(permits) = self.services.permits.get() {
             clearance.permit = permits
                 .acquire(&PermitRequest {
                     request: self.request,
--- a/edge/core/src/services.rs
+++ b/edge/core/src/services.rs
@@ -11,7 +11,7 @@
 use crate::request::ClientRequest;
 use crate::retry_after::{Rejected, RetryAfter};
 use crate::servers::ServerList;
-use std::sync::Arc;
+use std::sync::{Arc, OnceLock};
 use std::time::Instant;
 
 /// References to what all requests share.
@@ -24,7 +24,8 @@
     /// Bounds the log lines of requests that were not served.
     pub(crate) unserved_log: &'a LogThrottle,
     pub(crate) limiter: Option<&'a Limiter>,
-    pub(crate) permits: Option<&'a dyn AttemptPermits>,
+    /// Read at each attempt: the fleet starts after the fronts.
+    pub(crate) permits: &'a OnceLock<Arc<dyn AttemptPermits>>,
     pub(crate) retry_after: &'a RetryAfter,
 }
 
--- a/hub/src/serve.rs
+++ b/hub/src/serve.rs
@@ -131,20 +131,11 @@
     if let Some(why) = fields.unusable {
         return bad("400 Bad Request", why);
     }
-    let way = match FillPath::parse(&fields.way) {
+    let way = match read_path(&reply, fields, object) {
         Ok(way) => way,
-        Err(PathError::TooLong) => return bad("431 Request Header Fields Too Large", "CDN-Loop"),
-        Err(PathError::TooManyHops) => {
-            add(&hub.tally.loops_found);
-            return reply.refuse("502 Bad Gateway", "proxy_loop_detected", "too many hops");
-        }
-        Err(PathError::Malformed) => return bad("400 Bad Request", "CDN-Loop can't be read"),
+        Err(PathRejected::Malformed(status, why)) => return bad(status, why),
+        Err(PathRejected::Answered(keeps)) => return keeps,
     };
-    if hub.signer.has_signed(&way, object) {
-        // The fill was here before: its sender takes another source, and nothing waits for itself.
-        add(&hub.tally.loops_found);
-        return reply.refuse("502 Bad Gateway", "proxy_loop_detected", "");
-    }
     let wait = fields
         .wait_ms
         .unwrap_or(hub.relay.wait_ms)
@@ -165,11 +156,62 @@
         object,
         part,
     };
+    let wait = Wait { ms: wait, until };
+    serve_cached(hub, &reply, request, fields, key, way, &wait)
+}
+
+/// How long a request may wait for its answer.
+struct Wait {
+    ms: u64,
+    until: Instant,
+}
+
+/// Why a request's fill path is not taken.
+enum PathRejected {
+    /// It can't be read: the status and the reason to answer with.
+    Malformed(&'static str, &'static str),
+    /// It shows a loop, and that was answered: whether the connection may carry another request.
+    Answered(bool),
+}
+
+/// The fill path of a request. One that comes back to this hub is answered as a loop: its sender takes another source, and
+/// nothing waits for itself.
+fn read_path(reply: &Reply, fields: &RequestFields, object: u64) -> Result<FillPath, PathRejected> {
+    let hub = reply.hub;
+    let looped = |why| {
+        add(&hub.tally.loops_found);
+        PathRejected::Answered(reply.refuse("502 Bad Gateway", "proxy_loop_detected", why))
+    };
+    let path = FillPath::parse(&fields.way).map_err(|error| match error {
+        PathError::TooLong => {
+            PathRejected::Malformed("431 Request Header Fields Too Large", "CDN-Loop")
+        }
+        PathError::TooManyHops => looped("too many hops"),
+        PathError::Malformed => {
+            PathRejected::Malformed("400 Bad Request", "CDN-Loop can't be read")
+        }
+    })?;
+    if hub.signer.has_signed(&path, object) {
+        return Err(looped(""));
+    }
+    Ok(path)
+}
+
+/// A request for a part that may be cached: answered from a copy, or by a fetch that all who want the part share.
+fn serve_cached(
+    hub: &Arc<Hub>,
+    reply: &Reply,
+    request: &Request,
+    fields: &RequestFields,
+    key: FetchKey,
+    way: FillPath,
+    wait: &Wait,
+) -> bool {
     let born_after = match fields.max_age_ms {
         0 => 0,
         age => hub.unix_ms().saturating_sub(age),
     };
-    let born_after = hub.bound(object, born_after);
+    let born_after = hub.bound(key.object, born_after);
     if let Some(copy) = hub.held(key, born_after) {
         add(&hub.tally.hits);
         return reply.copy(fields, &copy);
@@ -182,7 +224,7 @@
     let now = hub.now();
     let (entry, lane) = hub
         .book
-        .want(now, key, arrival, born_after, now + wait * 1_000);
+        .want(now, key, arrival, born_after, now + wait.ms * 1_000);
     let waiting = match entry {
         Entry::Join(waiting) => waiting,
         Entry::Lead(id, waiting) => {
@@ -217,5 +259,5 @@
             return reply.refuse("503 Service Unavailable", "connection_limit_reached", "");
         }
     };
-    wait_for(&reply, fields, &waiting, until)
+    wait_for(reply, fields, &waiting, wait.until)
 }
--- a/rigs/demo/src/extproc.rs
+++ b/rigs/demo/src/extproc.rs
@@ -42,7 +42,7 @@
 
 /// One request of a run: a page that may be repeated, or a keyed record.
 fn request(seed: u64, number: u64) -> (u64, Request) {
-    let card = number % 5 == 0;
+    let card = number.is_multiple_of(5);
     let object = draw(seed, &[number, 3]) % 500;
     let request = match card {
         true => Request::get(&foldmux_fakes::client::path("formula-card", object, 0)),
@@ -76,6 +76,11 @@
     Ok(())
 }
 
+fn addresses(instances: &Mutex<[Instance; 2]>) -> Result<Vec<SocketAddr>, String> {
+    let instances = instances.lock().map_err(|e| e.to_string())?;
+    Ok(instances.iter().map(|instance| instance.address).collect())
+}
+
 /// Plays a run against the program. `folder`: an empty one, for its files.
 pub fn run(program: &Path, folder: &Path, trial: Trial) -> Result<Report, String> {
     let Trial {
@@ -92,12 +97,7 @@
     let instances = [0, 1].map(|n| Instance::start(program, folder, n, &places));
     let [first, second] = instances;
     let instances = Mutex::new([first?, second?]);
-    let addresses = instances
-        .lock()
-        .map_err(|e| e.to_string())?
-        .iter()
-        .map(|i| i.address)
-        .collect();
+    let addresses = addresses(&instances)?;
     let setup = Setup {
         message: Duration::from_secs(3),
         attempt: Duration::from_millis(1_500),
