--- a/edge/proxy/src/cover/start.rs
+++ b/edge/proxy/src/cover/start.rs
@@ -1,4 +1,4 @@
-//! Cover's start and end.
+//! Start and end of replicated request records.
 
 use super::class_policies::{setup, ReplicatedClasses};
 use super::client::{EventSink, TakenOverRequest, TakeoverClient};
@@ -17,28 +17,32 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The byte of the part's frames.
+/// The number of the takeover state machine in frames.
 const PART: u8 = 1;
 const STACK: usize = 128 * 1024;
 
-/// Checked, and not started yet.
+/// Replicated request records, checked and not started yet.
 pub struct PreparedCover {
     setup: Setup,
     classes: Arc<ReplicatedClasses>,
     client: Arc<TakeoverClient>,
     taken: Receiver<TakenOverRequest>,
-    /// Where its seat's promises outlive it.
+    /// Where a replica's promises outlive the process.
     folder: Option<PathBuf>,
 }
 
-/// In service.
+/// Replicated request records in service.
 pub struct RunningCover {
     client: Arc<TakeoverClient>,
 }
 
 impl PreparedCover {
-    /// None where the file covers no class; all the same this process's seat may be needed by others, so that only a file
-    /// with no cover at all gives none. `places`: the classes as the fronts serve them.
+    /// `None` where the file covers no class at all; a process is a replica for others even if it covers none itself. `places`:
+    /// the classes as the fronts serve them.
+    ///
+    /// # Errors
+    ///
+    /// Where the file's classes or replicas can't be used.
     pub fn new<'a>(
         config: &FleetConfig,
         name: &str,
@@ -64,13 +68,17 @@
         }))
     }
 
-    /// Puts the part among the fleet's; the fleet is not started yet.
+    /// Adds the state machine to the fleet's thread, which is not started yet.
     pub fn add(&self, builder: &mut Builder) -> Port<Command> {
         let part = PersistentTakeover::new(self.setup.clone(), self.folder.as_deref());
         builder.add(PART, part, EventSink(self.client.clone()))
     }
 
-    /// The fleet runs; `began`: its clock's start.
+    /// Starts taking over requests. `began`: the start of the fleet's clock.
+    ///
+    /// # Errors
+    ///
+    /// Where no thread can be had.
     pub fn start(
         self,
         core: &Arc<Core>,
@@ -107,11 +115,12 @@
 }
 
 impl RunningCover {
-    /// This process leaves: what another can go on with is handed over at once.
+    /// Hands over at once what another process can continue.
     pub fn leave(&self) {
         self.client.send(Command::ReleaseAll);
     }
 
+    /// The counters, for the log.
     pub fn report(&self) -> String {
         self.client.report()
     }
--- a/edge/proxy/src/fleet.rs
+++ b/edge/proxy/src/fleet.rs
@@ -1,36 +1,43 @@
-//! What this process shares with others, in service: its links, and who of the fleet is up. Off unless the operator's
-//! file calls `fleet(…)` and this process is one of its peers.
+//! The fleet: links to the other processes, membership, and the services they share. Off unless the operator's file calls
+//! `fleet(…)` and this process is one of its peers.
 
 use crate::journal::JournalClient;
 use foldmux_core::Core;
 use foldmux_fleet::members::{self, MembershipView};
 use foldmux_fleet::{Builder, Fault, Port, Setup, Sink};
 use foldmux_membership::{Command, Event, MemberView, NodeIdentity, Pace};
-use foldmux_operator::Fleet as Said;
+use foldmux_operator::Fleet as FleetConfig;
 use foldmux_peers::Bounds;
 use foldmux_replicas::{Effect, Effects, Peer, StateMachine, Time};
-use parts::{Own, Parts, Serving};
+use services::{PreparedServices, ProcessContext, RunningServices};
+use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-pub mod parts;
 pub(crate) mod replica_set;
+pub mod services;
 
-/// Longest that what is still to be said may take at the end.
-const LAST_WORDS: Duration = Duration::from_millis(100);
-/// The byte of the part that only looks on: no frame has it.
-const WATCH: u8 = 255;
+/// How long queued frames may take to be sent at the end.
+const MAX_FLUSH_TIME: Duration = Duration::from_millis(100);
+/// The number of the state machine that only watches peers: no frame carries it.
+const WATCHER_PART: u8 = 255;
+
+/// What the log says of the fleet at its start.
+struct Summary {
+    peer_count: usize,
+    site: String,
+    listen: SocketAddr,
+}
 
 /// A fleet that was checked and may start.
 pub struct Fleet {
     builder: Builder,
     members: Port<Command>,
-    roll: MembershipView,
-    parts: Parts,
-    /// For the log: how many it has, this one's site, where it listens.
-    told: (usize, String, std::net::SocketAddr),
-    all: Vec<Peer>,
+    membership: MembershipView,
+    services: PreparedServices,
+    summary: Summary,
+    peers: Vec<Peer>,
     seed: u64,
 }
 
@@ -38,28 +45,32 @@
 pub struct Running {
     fleet: foldmux_fleet::Fleet,
     members: Port<Command>,
-    serving: Serving,
-    /// Who of the fleet was seen, for any thread.
-    pub roll: MembershipView,
+    services: RunningServices,
+    /// The peers that are up, for any thread.
+    pub membership: MembershipView,
 }
 
 impl Fleet {
-    /// None where this process is no peer of it; an error is one plain line.
-    pub fn new(said: &Said, own: &Own) -> Result<Option<Fleet>, String> {
-        let Own {
+    /// `None` where this process is not one of its peers.
+    ///
+    /// # Errors
+    ///
+    /// Where the file can't be served; the text is one plain line.
+    pub fn new(config: &FleetConfig, own: &ProcessContext) -> Result<Option<Fleet>, String> {
+        let ProcessContext {
             name,
             decoded,
             seed,
             ..
         } = *own;
-        let Some(place) = said.peer(name) else {
+        let Some(place) = config.peer(name) else {
             tracing::warn!("fleet: {name:?} is no peer of it; it is off here");
             return Ok(None);
         };
-        if let Some(fault) = said.unknown(&decoded.classes).next() {
+        if let Some(fault) = config.unknown(&decoded.classes).next() {
             return Err(fault);
         }
-        for peer in &said.peers {
+        for peer in &config.peers {
             let site = peer.site.split('/').next().unwrap_or_default();
             if !decoded.zones.iter().any(|zone| zone == site) {
                 tracing::warn!(
@@ -70,16 +81,17 @@
         }
         let mut builder = Builder::new(Setup {
             name: Peer::new(name),
-            listen: said.listen,
-            peers: said
+            listen: config.listen,
+            peers: config
                 .peers
                 .iter()
                 .map(|peer| (Peer::new(&peer.name), peer.address))
                 .collect(),
-            key: key(Path::new(&said.key_file)).map_err(|why| format!("fleet: key_file {why}"))?,
+            key: key(Path::new(&config.key_file))
+                .map_err(|why| format!("fleet: key_file {why}"))?,
             seed,
-            queue: said.queue as usize,
-            bounds: bounds(said.round_trip_ms, said.peers.len()),
+            queue: config.queue as usize,
+            bounds: bounds(config.round_trip_ms, config.peers.len()),
         });
         let born = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
@@ -91,22 +103,26 @@
             born.as_micros() as u64,
         );
         let pace = Pace {
-            rtt: said.round_trip_ms * 1_000,
-            size: said.peers.len() as u32,
+            rtt: config.round_trip_ms * 1_000,
+            size: config.peers.len() as u32,
         };
         // Names of the list alone: no other is linked.
         let setup = foldmux_membership::Setup {
             me,
             pace,
-            most: said.peers.len(),
+            most: config.peers.len(),
             seed,
         };
-        let added = members::add(&mut builder, setup, Log);
-        let (members, roll) = added.map_err(|e| format!("fleet: {e}"))?;
-        builder.add(WATCH, Watch, Log);
-        let parts = Parts::add(&mut builder, said, own)?;
-        let told = (said.peers.len(), place.site.clone(), said.listen);
-        let all = said
+        let added = members::add(&mut builder, setup, EventLog);
+        let (members, membership) = added.map_err(|e| format!("fleet: {e}"))?;
+        builder.add(WATCHER_PART, PeerWatcher, EventLog);
+        let services = PreparedServices::add(&mut builder, config, own)?;
+        let summary = Summary {
+            peer_count: config.peers.len(),
+            site: place.site.clone(),
+            listen: config.listen,
+        };
+        let peers = config
             .peers
             .iter()
             .map(|peer| Peer::new(&peer.name))
@@ -114,55 +130,64 @@
         Ok(Some(Fleet {
             builder,
             members,
-            roll,
-            parts,
-            told,
-            all,
+            membership,
+            services,
+            summary,
+            peers,
             seed,
         }))
     }
 
-    /// Before the journal is read.
+    /// Shares what the journal client reads; called before it reads.
     pub fn share(&self, journal: &mut JournalClient) {
-        self.parts.share(journal);
+        self.services.share(journal);
     }
 
-    /// `journal`: a clone of the one that is read.
+    /// Starts the links, membership and the services. `journal`: a clone of the client that reads the source.
+    ///
+    /// # Errors
+    ///
+    /// Where a thread or a socket can't be had.
     pub fn start(self, core: &Arc<Core>, journal: JournalClient) -> Result<Running, String> {
         let Fleet {
             builder,
             members,
-            roll,
-            parts,
-            told: (count, site, listen),
-            all,
+            membership,
+            services,
+            summary:
+                Summary {
+                    peer_count,
+                    site,
+                    listen,
+                },
+            peers,
             seed,
         } = self;
         let fleet = builder
-            .start(Log)
+            .start(EventLog)
             .map_err(|e| format!("fleet: listening on {listen}: {e}"))?;
         match fleet.links().address() {
-            Some(on) => tracing::info!("fleet: one of {count}, at site {site}, on {on}"),
+            Some(on) => tracing::info!("fleet: one of {peer_count}, at site {site}, on {on}"),
             None => tracing::warn!(
-                "fleet: {listen} is in use; one of {count}, that dials until it is free"
+                "fleet: {listen} is in use; one of {peer_count}, that dials until it is free"
             ),
         }
-        let serving = parts.start(core, journal, fleet.began(), seed)?;
+        let services = services.start(core, journal, fleet.began(), seed)?;
         // The queue has room for one at the start.
-        let _ = members.ask(Command::Join(all));
+        let _ = members.ask(Command::Join(peers));
         Ok(Running {
             fleet,
             members,
-            serving,
-            roll,
+            services,
+            membership,
         })
     }
 }
 
 impl Running {
-    /// The others are told that this process leaves, and what they may go on with; it goes on until [`Running::end`].
+    /// Announces the graceful shutdown to the peers and hands over what they can continue; serves on until [`Running::end`].
     pub fn leave(&self) {
-        self.serving.leave();
+        self.services.leave();
         let asked = self.members.ask(Command::Leave);
         asked
             .err()
@@ -170,13 +195,14 @@
             .for_each(|e| tracing::warn!("fleet: leaving without a word: {e:?}"));
     }
 
-    /// See [`Serving::reweigh`].
-    pub fn reweigh(&self, said: &Said, tenants: &[(String, f64)]) -> Option<usize> {
-        self.serving.reweigh(said, tenants)
+    /// See [`RunningServices::update_weights`].
+    pub fn update_weights(&self, config: &FleetConfig, tenants: &[(String, f64)]) -> Option<usize> {
+        self.services.update_weights(config, tenants)
     }
 
+    /// Logs the counters of the links and ends them.
     pub fn end(self) {
-        self.serving.report();
+        self.services.report();
         let counts = self.fleet.links().counts();
         let (links, broken, strangers) = (
             counts.links.get(),
@@ -186,7 +212,7 @@
         let (dropped, unlinked) = (counts.dropped.get(), counts.unlinked.get());
         tracing::info!("fleet: {links} links, {broken} broken, {strangers} strangers");
         tracing::info!("fleet: {dropped} frames without room, {unlinked} without a link");
-        self.fleet.end(LAST_WORDS);
+        self.fleet.end(MAX_FLUSH_TIME);
     }
 }
 
@@ -204,8 +230,8 @@
     key.ok_or_else(|| format!("{name}: 64 hexadecimal digits are wanted"))
 }
 
-/// The links' bounds follow from a round trip: a link is silent when ten beats would have come, each at five
-/// round trips, and at the least what a busy machine may keep a thread waiting.
+/// The links' bounds follow from a round trip: a heartbeat each five round trips, and at least as seldom as a busy machine may
+/// delay a thread; a link is dead after ten missed heartbeats.
 fn bounds(round_trip_ms: u64, peers: usize) -> Bounds {
     let beat = Duration::from_millis((5 * round_trip_ms).max(100));
     let (idle, hello) = (beat * 10, beat * 10);
@@ -223,38 +249,44 @@
     }
 }
 
-/// Looks on, and tells which peers count as up for the parts.
-struct Watch;
+/// Emits which peers the fleet's thread counts as up.
+struct PeerWatcher;
 
-impl StateMachine for Watch {
+impl StateMachine for PeerWatcher {
     type Message = ();
     type Command = ();
     type Event = (Peer, bool);
 
-    fn on_message(&mut self, _: Time, _: &Peer, (): (), _: &mut Effects<Watch>) {}
+    fn on_message(&mut self, _: Time, _: &Peer, (): (), _: &mut Effects<PeerWatcher>) {}
 
-    fn on_command(&mut self, _: Time, (): (), _: &mut Effects<Watch>) {}
+    fn on_command(&mut self, _: Time, (): (), _: &mut Effects<PeerWatcher>) {}
 
-    fn on_peer_status(&mut self, _: Time, peer: &Peer, alive: bool, out: &mut Effects<Watch>) {
+    fn on_peer_status(
+        &mut self,
+        _: Time,
+        peer: &Peer,
+        alive: bool,
+        out: &mut Effects<PeerWatcher>,
+    ) {
         out.push(Effect::Emit((peer.clone(), alive)));
     }
 
-    fn on_tick(&mut self, _: Time, _: &mut Effects<Watch>) {}
+    fn on_tick(&mut self, _: Time, _: &mut Effects<PeerWatcher>) {}
 
     fn next_tick(&self) -> Option<Time> {
         None
     }
 }
 
-struct Log;
+struct EventLog;
 
-impl Sink<(Peer, bool)> for Log {
+impl Sink<(Peer, bool)> for EventLog {
     fn told(&self, (peer, alive): (Peer, bool)) {
         tracing::info!("fleet: {peer} is {}", if alive { "up" } else { "down" });
     }
 }
 
-impl Sink<Event> for Log {
+impl Sink<Event> for EventLog {
     fn told(&self, told: Event) {
         let of =
             |seen: &MemberView| format!("{} at {}, site {}", seen.peer, seen.address, seen.site);
@@ -270,7 +302,7 @@
     }
 }
 
-impl Sink<Fault> for Log {
+impl Sink<Fault> for EventLog {
     fn told(&self, Fault { part, why }: Fault) {
         tracing::error!("fleet: part {part} is out of service: {why}");
     }
--- a/edge/proxy/src/lib.rs
+++ b/edge/proxy/src/lib.rs
@@ -4,14 +4,15 @@
 //! | --- | --- |
 //! | start, serve and shut down | [`server`], [`signals`], [`drain`], [`log`] |
 //! | configuration, and what a reload changes | [`config`], [`reload`], [`startup_settings`], [`check_config`], [`operator_file`], [`plan`] |
-//! | the journal service's endpoint list and purges | [`journal`], [`backoff`], [`relayed`] |
+//! | the journal service's endpoint list and purges | [`journal`], [`backoff`], [`journal_relay`] |
 //! | the admin interface and maintenance | [`admin`] |
 //! | the fill hierarchy in service | [`hierarchy`] |
 //! | load reports and health checks | [`load_reports`] |
 //! | limits by class and route | [`limits`] |
-//! | the fleet and what its peers share | [`fleet`], [`cover`], [`turns`] |
+//! | the fleet and what its peers share | [`fleet`], [`cover`], [`pool_permits`] |
 //!
 //! Nothing here decides for a request or reads one.
+#![warn(missing_docs)]
 
 pub mod admin;
 pub mod check_config;
@@ -21,16 +22,16 @@
 pub mod fleet;
 pub mod hierarchy;
 pub mod journal;
+pub mod journal_relay;
 pub mod limits;
 pub mod load_reports;
 pub mod log;
 pub mod operator_file;
 pub mod plan;
-pub mod relayed;
+pub mod pool_permits;
 pub mod reload;
 pub mod server;
 pub mod signals;
 pub mod startup_settings;
-pub mod turns;
 
 pub use foldmux_event_stream::backoff;
--- a/edge/proxy/src/turns.rs
+++ b/edge/proxy/src/pool_permits.rs
@@ -1,12 +1,12 @@
-//! Whose turn it is at the pools of the operator's file, in service: requests wait on their own threads, each at a channel
-//! of its own; slots come from the fleet. Without a pool in the file nothing here is started.
+//! Permits of the pools in the operator's file: an attempt waits on its request's own thread, at a channel of its own, for a
+//! slot that the fleet leases to this process. Without a pool in the file nothing here is started.
 
 mod pool;
 mod weights;
 
 use crate::fleet::replica_set::replica_set;
-use crate::turns::pool::{Pool, TurnPlace, Word};
-use crate::turns::weights::{keyed, weights};
+use crate::pool_permits::pool::{Pool, PoolPermit, Wakeup};
+use crate::pool_permits::weights::{keyed, weights};
 use crossbeam_channel::{bounded, Sender};
 use foldmux::interface::{CacheId, Fetch};
 use foldmux_core::cancellation::Cancellable;
@@ -20,7 +20,7 @@
 use foldmux_fair_queue::tenants::{key, By, Weight};
 use foldmux_fair_queue::{Stock, Told};
 use foldmux_fleet::{Builder, Sink};
-use foldmux_operator::{Fleet as Said, PoolBy};
+use foldmux_operator::{Fleet as FleetConfig, PoolBy};
 use foldmux_replicas::{Peer, ReplicaConfiguration};
 use foldmux_settings::Decoded;
 use std::io;
@@ -28,20 +28,20 @@
 use std::thread;
 use std::time::Duration;
 
-/// The byte of the part's frames.
+/// The number of the slots' state machine in frames.
 pub const PART: u8 = 3;
-/// What the fleet hears of use and wants, and who waited for too long, is looked at so often.
-const BEAT: Duration = Duration::from_millis(20);
-/// Tenants without a name are told apart by so many.
-const BUCKETS: u32 = 1_024;
+/// How often usage and demand are reported to the fleet, and waits that are over are ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Tenants without a weight of their own are hashed into so many queues.
+const UNNAMED_TENANT_BUCKETS: u32 = 1_024;
 
 /// Which attempts a pool bounds: those to members of these kinds, and those whose fill names one as its source.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kinds(Vec<usize>);
+pub struct ServerKinds(Vec<usize>);
 
-impl Kinds {
+impl ServerKinds {
     /// `archive`, `hub` and `cache`, by what the settings call them, or a kind by its own name.
-    pub fn of(pool: &str, decoded: &Decoded) -> Result<Kinds, String> {
+    pub fn of(pool: &str, decoded: &Decoded) -> Result<ServerKinds, String> {
         let settings = &decoded.settings;
         let (archive, hub) = (settings.origin_kind, settings.parent_kind);
         let caches = || {
@@ -60,27 +60,31 @@
                 ))
             }
         };
-        Ok(Kinds(kinds))
+        Ok(ServerKinds(kinds))
     }
 }
 
-/// All pools, at this process.
-pub struct Turns {
+/// All pools, as this process takes part in them.
+pub struct PoolPermits {
     members: Arc<ServerList>,
-    pools: Vec<(Kinds, Arc<Pool>)>,
+    pools: Vec<(ServerKinds, Arc<Pool>)>,
 }
 
-impl Turns {
-    /// The pools of the file, their slots' part of the fleet added; none where the file has no pool.
+impl PoolPermits {
+    /// The pools of the file, with the slots' state machine added to the fleet's thread; `None` where the file has no pool.
+    ///
+    /// # Errors
+    ///
+    /// Where a pool names no kind of the settings, or the replicas can't be used.
     pub fn add(
         builder: &mut Builder,
-        said: &Said,
+        config: &FleetConfig,
         name: &str,
         decoded: &Decoded,
         members: Arc<ServerList>,
         seed: u64,
-    ) -> Result<Option<Arc<Turns>>, String> {
-        if said.pools.is_empty() {
+    ) -> Result<Option<Arc<PoolPermits>>, String> {
+        if config.pools.is_empty() {
             return Ok(None);
         }
         let classes = &decoded.settings.classes;
@@ -95,12 +99,12 @@
             .filter(|aim| *aim > 0)
             .min()
             .unwrap_or(longest);
-        // None starts that may outlast its slot's lease, also right before the lease is renewed.
-        let lease = 2 * longest + said.lease_ms * 1_000;
-        let weights = weights(said, &decoded.tenants);
+        // No attempt starts that may outlast its slot's lease, also right before the lease is renewed.
+        let lease = 2 * longest + config.lease_ms * 1_000;
+        let weights = weights(config, &decoded.tenants);
         let (mut pools, mut setups) = (Vec::new(), Vec::new());
-        for pool in &said.pools {
-            let kinds = Kinds::of(&pool.name, decoded)?;
+        for pool in &config.pools {
+            let kinds = ServerKinds::of(&pool.name, decoded)?;
             let by = match pool.by {
                 PoolBy::Tenant => By::Tenant,
                 PoolBy::Class => By::Class,
@@ -111,8 +115,8 @@
                 slots: 0,
                 slow_share: 0.5,
                 longest,
-                waiting: said.queue as usize,
-                buckets: BUCKETS,
+                waiting: config.queue as usize,
+                buckets: UNNAMED_TENANT_BUCKETS,
                 unnamed: Weight::ONE,
             };
             let figures = Figures::new(classes.len(), slow_over, longest);
@@ -135,9 +139,9 @@
                 unnamed: Weight::ONE.0,
             });
         }
-        let (replicas, drift) = replica_set(said)?;
+        let (replicas, drift) = replica_set(config)?;
         let seats = ReplicaConfiguration::stable(replicas);
-        let peers = said
+        let peers = config
             .peers
             .iter()
             .map(|peer| Peer::new(&peer.name))
@@ -150,42 +154,46 @@
             drift,
             pools: setups,
         };
-        let turns = Arc::new(Turns { members, pools });
+        let pools = Arc::new(PoolPermits { members, pools });
         // The fleet's clock began with its thread, which is yet to start: the part takes its first time as that.
-        let port = builder.add(PART, FleetSlots::new(0, setup), News(turns.clone()));
-        turns
+        let port = builder.add(PART, FleetSlots::new(0, setup), SlotEvents(pools.clone()));
+        pools
             .pools
             .iter()
-            .for_each(|(_, pool)| pool.ask_by(port.clone()));
-        Ok(Some(turns))
+            .for_each(|(_, pool)| pool.connect(port.clone()));
+        Ok(Some(pools))
     }
 
-    /// Has the fleet hear of use and wants, and those that waited for too long of it.
-    pub fn start(self: &Arc<Turns>) -> io::Result<()> {
-        let turns = Arc::downgrade(self);
+    /// Starts the thread that reports usage and demand and ends waits that are over.
+    ///
+    /// # Errors
+    ///
+    /// Where no thread can be had.
+    pub fn start(self: &Arc<PoolPermits>) -> io::Result<()> {
+        let pools = Arc::downgrade(self);
         let thread = thread::Builder::new()
             .name("turns".into())
             .stack_size(256 * 1024);
         thread.spawn(move || {
-            while let Some(turns) = turns.upgrade() {
-                turns.pools.iter().for_each(|(_, pool)| pool.beat());
-                drop(turns);
-                thread::sleep(BEAT);
+            while let Some(pools) = pools.upgrade() {
+                pools.pools.iter().for_each(|(_, pool)| pool.poll());
+                drop(pools);
+                thread::sleep(POLL_INTERVAL);
             }
         })?;
         Ok(())
     }
 
-    /// Weights as the file and the settings say now; what waits keeps its place and goes by them from here on.
-    pub fn reweigh(&self, said: &Said, tenants: &[(String, f64)]) -> usize {
-        let weights = weights(said, tenants);
+    /// Applies the weights of the file and the settings; requests that wait keep their place. How many weights there are.
+    pub fn update_weights(&self, config: &FleetConfig, tenants: &[(String, f64)]) -> usize {
+        let weights = weights(config, tenants);
         self.pools
             .iter()
-            .for_each(|(_, pool)| pool.reweigh(&weights));
+            .for_each(|(_, pool)| pool.update_weights(&weights));
         weights.len()
     }
 
-    /// It leaves: idle slots are given back at once, the others as they end.
+    /// This process shuts down: idle slots are released at once, the others as their attempts end.
     pub fn leave(&self) {
         self.pools.iter().for_each(|(_, pool)| pool.leave());
     }
@@ -197,8 +205,8 @@
             .for_each(|(_, pool)| pool.told(told.clone()));
     }
 
-    /// The pool that bounds an attempt: that of the fill's source, else of where it goes. One at the most, so that none
-    /// waits for one with another in hand.
+    /// The pool that bounds an attempt: that of the fill's source, else of its cache. One at most: no request waits for a slot
+    /// while it holds another.
     fn pool(&self, fetch: &Fetch) -> Option<(&Arc<Pool>, CacheId)> {
         let filled = (fetch.source != fetch.cache).then_some(fetch.source);
         filled.into_iter().chain([fetch.cache]).find_map(|at| {
@@ -209,7 +217,7 @@
     }
 }
 
-/// Another for each start: the time, and the seed where two start in one moment.
+/// A new incarnation for each start: from the time, the seed and the process id.
 fn life(seed: u64) -> u64 {
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
@@ -217,14 +225,14 @@
     (now.as_nanos() as u64 ^ seed.rotate_left(32) ^ std::process::id() as u64).max(1)
 }
 
-struct News(Arc<Turns>);
+struct SlotEvents(Arc<PoolPermits>);
 
-impl Sink<Told> for News {
+impl Sink<Told> for SlotEvents {
     fn told(&self, told: Told) {
         self.0.told(told);
     }
 
-    /// What is held runs out with its leases, and no more comes: the cap holds.
+    /// Leased slots expire and no more come: the pool's bound holds.
     fn gone(&self) {
         tracing::error!(
             "fleet: no more slots come; requests of pools are refused once those here run out"
@@ -232,16 +240,16 @@
     }
 }
 
-/// Wakes a request that waits for its turn: its client left.
-struct Cut(Sender<Word>);
+/// Wakes a request that waits for a slot when its client is gone.
+struct WakeOnCancel(Sender<Wakeup>);
 
-impl Cancellable for Cut {
+impl Cancellable for WakeOnCancel {
     fn cancel(&self) {
-        let _ = self.0.try_send(Word::Left);
+        let _ = self.0.try_send(Wakeup::ClientGone);
     }
 }
 
-impl AttemptPermits for Turns {
+impl AttemptPermits for PoolPermits {
     fn acquire(&self, attempt: &PermitRequest) -> Result<Option<Box<dyn Permit>>, Rejected> {
         let Some((pool, source)) = self.pool(attempt.fetch) else {
             return Ok(None);
@@ -257,31 +265,31 @@
             deadline: pool.at(attempt.deadline),
             repeat: attempt.attempt > 0,
         };
-        // Room for its turn and for its client's leave.
+        // Capacity for a slot and for its client's cancellation.
         let (tell, told) = bounded(2);
         let ticket = match pool.enter(&request, &tell) {
-            Asked::Now(used) => return Ok(Some(Box::new(TurnPlace::new(pool, used)))),
+            Asked::Now(used) => return Ok(Some(Box::new(PoolPermit::new(pool, used)))),
             Asked::Refused(wait) => return Err(pool.rejected(Duration::from_micros(wait))),
             Asked::Waits(ticket) => ticket,
         };
-        // A cancel that came before leaves it no turn.
+        // Cancelled before: it waits for nothing.
         let heard = match attempt
             .cancel
-            .register(attempt.attempt, Arc::new(Cut(tell)))
+            .register(attempt.attempt, Arc::new(WakeOnCancel(tell)))
         {
             true => told.recv_deadline(attempt.deadline).ok(),
             false => None,
         };
         attempt.cancel.unregister();
         match heard {
-            Some(Word::Go(used)) => Ok(Some(Box::new(TurnPlace::new(pool, used)))),
-            Some(Word::Late) => Err(pool.rejected(MAX_RETRY_AFTER)),
+            Some(Wakeup::Granted(used)) => Ok(Some(Box::new(PoolPermit::new(pool, used)))),
+            Some(Wakeup::TimedOut) => Err(pool.rejected(MAX_RETRY_AFTER)),
             _ => {
-                // It may have been told in this moment: then its slot comes back with the place.
-                if !pool.left(request.id, ticket) {
+                // A slot granted in this moment is released with its permit.
+                if !pool.abandon(request.id, ticket) {
                     told.try_iter().for_each(|word| match word {
-                        Word::Go(used) => drop(TurnPlace::new(pool, used)),
-                        Word::Late | Word::Left => {}
+                        Wakeup::Granted(used) => drop(PoolPermit::new(pool, used)),
+                        Wakeup::TimedOut | Wakeup::ClientGone => {}
                     });
                 }
                 Err(pool.rejected(MAX_RETRY_AFTER))
--- a/edge/proxy/src/turns/pool.rs
+++ b/edge/proxy/src/pool_permits/pool.rs
@@ -1,6 +1,6 @@
 //! One pool at this process: its queue and slots behind one lock, which is held for microseconds.
 
-use crate::turns::weights::{keyed, Weights};
+use crate::pool_permits::weights::{keyed, Weights};
 use crossbeam_channel::Sender;
 use foldmux::interface::Time;
 use foldmux_core::permits::Permit;
@@ -13,23 +13,26 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What one that waits is told.
-pub enum Word {
-    Go(InUse),
-    Late,
-    Left,
+/// What wakes a request that waits for a slot.
+pub enum Wakeup {
+    /// Its slot.
+    Granted(InUse),
+    /// It waited for too long.
+    TimedOut,
+    /// Its client is gone.
+    ClientGone,
 }
 
 struct State {
     local: Local,
-    waiting: HashMap<u64, Sender<Word>>,
+    waiting: HashMap<u64, Sender<Wakeup>>,
 }
 
 pub struct Pool {
     pub key: u64,
     pub by: By,
     began: Instant,
-    /// The longest wait that the settings let clients be told.
+    /// Longest Retry-After that the settings allow (us).
     longest: Time,
     state: Mutex<State>,
     port: OnceLock<Port<Ask>>,
@@ -51,7 +54,7 @@
         })
     }
 
-    pub fn ask_by(&self, port: Port<Ask>) {
+    pub fn connect(&self, port: Port<Ask>) {
         let _ = self.port.set(port);
     }
 
@@ -74,19 +77,19 @@
         }
     }
 
-    pub fn enter(&self, request: &Request, tell: &Sender<Word>) -> Asked {
+    pub fn enter(&self, request: &Request, tell: &Sender<Wakeup>) -> Asked {
         let mut state = self.state();
         let now = self.now();
         let asked = state.local.enter(now, request);
         if matches!(asked, Asked::Waits(_)) {
             state.waiting.insert(request.id, tell.clone());
         }
-        self.go_on(&mut state, now);
+        self.dispatch(&mut state, now);
         asked
     }
 
-    /// One waits no more; false where it was told meanwhile.
-    pub fn left(&self, id: u64, ticket: Ticket) -> bool {
+    /// A request waits no more; false where it was granted a slot meanwhile.
+    pub fn abandon(&self, id: u64, ticket: Ticket) -> bool {
         let mut state = self.state();
         state.waiting.remove(&id);
         state.local.leave(ticket)
@@ -96,21 +99,21 @@
         let mut state = self.state();
         let now = self.now();
         state.local.told(now, told);
-        self.go_on(&mut state, now);
+        self.dispatch(&mut state, now);
     }
 
-    pub fn beat(&self) {
+    pub fn poll(&self) {
         let mut state = self.state();
         let now = self.now();
         self.ask(state.local.uses(now));
-        self.go_on(&mut state, now);
+        self.dispatch(&mut state, now);
     }
 
-    pub fn reweigh(&self, weights: &Weights) {
+    pub fn update_weights(&self, weights: &Weights) {
         let mut state = self.state();
         let now = self.now();
         state.local.retune(now, weights, Weight::ONE);
-        self.go_on(&mut state, now);
+        self.dispatch(&mut state, now);
         let named = keyed(weights).collect();
         self.ask(Ask::Weights {
             pool: self.key,
@@ -127,22 +130,22 @@
         let mut state = self.state();
         let now = self.now();
         state.local.ended(now, used);
-        self.go_on(&mut state, now);
+        self.dispatch(&mut state, now);
     }
 
-    /// Whoever has its turn now is told, and the fleet what it gets back.
-    fn go_on(&self, state: &mut State, now: Time) {
+    /// Wakes the requests that have a slot or waited for too long, and returns released slots to the fleet.
+    fn dispatch(&self, state: &mut State, now: Time) {
         while let Some(then) = state.local.next(now) {
             let (id, word) = match then {
-                Then::Start(id, used) => (id, Word::Go(used)),
-                Then::Late(id) => (id, Word::Late),
+                Then::Start(id, used) => (id, Wakeup::Granted(used)),
+                Then::Late(id) => (id, Wakeup::TimedOut),
             };
             let unheard = match state.waiting.remove(&id) {
                 Some(tell) => tell.try_send(word).err().map(|e| e.into_inner()),
                 None => Some(word),
             };
-            // Guards against a slot that nobody would give back: whoever waited is gone.
-            if let Some(Word::Go(used)) = unheard {
+            // The request is gone: its slot would never be released.
+            if let Some(Wakeup::Granted(used)) = unheard {
                 state.local.ended(now, used);
             }
         }
@@ -153,8 +156,8 @@
             .for_each(|gave| self.ask(gave));
     }
 
-    /// An ask that finds no room is lost: the next beat says the same of use; a slot that was given back is the seats' once
-    /// its lease is over.
+    /// A command that finds the queue full is dropped: the next poll reports the same usage, and a released slot returns to
+    /// the fleet when its lease expires.
     fn ask(&self, ask: Ask) {
         self.port.get().into_iter().for_each(|port| {
             let _ = port.ask(ask.clone());
@@ -162,17 +165,17 @@
     }
 }
 
-/// A slot of a pool, until it is dropped.
-pub struct TurnPlace {
+/// A slot of a pool, released on drop.
+pub struct PoolPermit {
     pool: Arc<Pool>,
     used: Option<InUse>,
     until: Instant,
 }
 
-impl TurnPlace {
-    pub fn new(pool: &Arc<Pool>, used: InUse) -> TurnPlace {
+impl PoolPermit {
+    pub fn new(pool: &Arc<Pool>, used: InUse) -> PoolPermit {
         let until = pool.began + Duration::from_micros(used.until());
-        TurnPlace {
+        PoolPermit {
             pool: pool.clone(),
             used: Some(used),
             until,
@@ -180,13 +183,13 @@
     }
 }
 
-impl Permit for TurnPlace {
+impl Permit for PoolPermit {
     fn expires_at(&self) -> Instant {
         self.until
     }
 }
 
-impl Drop for TurnPlace {
+impl Drop for PoolPermit {
     fn drop(&mut self) {
         self.used
             .take()
--- a/edge/proxy/src/turns/pool_tests.rs
+++ b/edge/proxy/src/pool_permits/pool_tests.rs
@@ -35,7 +35,7 @@
     let Asked::Now(used) = pool.enter(&request(1, long), &tell) else {
         panic!("a slot is free")
     };
-    let first = TurnPlace::new(&pool, used);
+    let first = PoolPermit::new(&pool, used);
     let Asked::Waits(_) = pool.enter(&request(2, long), &tell) else {
         panic!("it waits")
     };
@@ -55,11 +55,11 @@
     drop(nobody);
     assert!(told.try_recv().is_err());
     drop(first);
-    let Ok(Word::Go(used)) = told.try_recv() else {
+    let Ok(Wakeup::Granted(used)) = told.try_recv() else {
         panic!("the next has its turn")
     };
     // The third is gone with its channel: its slot comes back at once.
-    drop(TurnPlace::new(&pool, used));
+    drop(PoolPermit::new(&pool, used));
     assert_eq!(pool.state().local.sizes(), [0, 0]);
     assert!(matches!(
         pool.enter(&request(5, long), &tell),
--- a/edge/proxy/src/reload.rs
+++ b/edge/proxy/src/reload.rs
@@ -164,7 +164,7 @@
             .fleet
             .ok_or_else(|| ReloadError::missing(operator_file, "fleet"))?;
         let config = config::read(self.files.config)?;
-        let count = fleet.reweigh(&setup, &config.decoded.tenants);
+        let count = fleet.update_weights(&setup, &config.decoded.tenants);
         Ok(count.map(|count| format!("{count} taken")))
     }
 }
--- a/edge/proxy/src/server/checked.rs
+++ b/edge/proxy/src/server/checked.rs
@@ -2,7 +2,7 @@
 
 use super::error::StartError;
 use crate::config::Config;
-use crate::fleet::{parts::Own, Fleet};
+use crate::fleet::{services::ProcessContext, Fleet};
 use crate::limits;
 use crate::reload::{client_classes, configured_classes, processor_classes};
 use crate::startup_settings::StartupSettings;
@@ -78,7 +78,7 @@
     members: &Arc<ServerList>,
 ) -> Result<Option<Fleet>, String> {
     let served = client_classes(classes);
-    let own = Own {
+    let context = ProcessContext {
         name: &config.name,
         decoded: &config.decoded,
         classes: served
@@ -86,9 +86,9 @@
             .map(|class| (&class.name, &class.place))
             .collect(),
         members,
-        open: config.bounds.open,
+        max_requests: config.bounds.open,
         memory_mb: config.limits.memory_mb as u64,
         seed: config.seed,
     };
-    Fleet::new(setup, &own)
+    Fleet::new(setup, &context)
 }
