--- a/edge/core/src/admission.rs
+++ b/edge/core/src/admission.rs
@@ -95,7 +95,7 @@
             while !cancel.is_client_gone() && Instant::now() < end {
                 thread::sleep(BACKOFF_POLL.min(end.saturating_duration_since(Instant::now())));
             }
-            !cancel.is_client_gone() && limits.is_within_repeat_window()
+            !cancel.is_client_gone() && limits.is_within_idempotency_window()
         }
     }
 }
--- a/edge/core/src/lifecycle.rs
+++ b/edge/core/src/lifecycle.rs
@@ -30,8 +30,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long beyond the deadline a request waits for the router's directive: the router's own check for overdue requests
-/// comes first.
+/// How long beyond the deadline a request waits for the router's directive. The router's own check for overdue requests comes
+/// first while half of the response slack and its 25 ms interval are shorter than this.
 const DIRECTIVE_GRACE: Duration = Duration::from_millis(30);
 
 /// Serves a request; `record` is its replicated record, where it has one.
--- a/edge/core/src/limits/request_limits.rs
+++ b/edge/core/src/limits/request_limits.rs
@@ -87,7 +87,7 @@
 
     /// Whether a retry may still be sent after its backoff: one that was decided within the window in which the origin drops
     /// repeats of a key must not arrive after it.
-    pub fn is_within_repeat_window(&self) -> bool {
+    pub fn is_within_idempotency_window(&self) -> bool {
         match (self.repeat(), self.first_sent_at) {
             (Some(RetrySafety::Keyed(_)), Some(sent_at)) => {
                 sent_at.elapsed() < self.repeat_window()
@@ -101,7 +101,7 @@
     pub fn tighten(&self, fetch: &mut Fetch) {
         let values = &self.resolved.values;
         fetch.timeout = values.attempt_timeout().within_us(fetch.timeout);
-        if let Some(deadline) = self.repeat_deadline() {
+        if let Some(deadline) = self.retry_deadline() {
             fetch.limit_send_before(deadline);
         }
         fetch.retention_rank = fetch
@@ -113,7 +113,7 @@
     }
 
     /// Before when a repeat of a request with an idempotency key must be sent (router time).
-    fn repeat_deadline(&self) -> Option<Time> {
+    fn retry_deadline(&self) -> Option<Time> {
         if !matches!(self.repeat(), Some(RetrySafety::Keyed(_))) {
             return None;
         }
--- a/edge/core/src/rejection.rs
+++ b/edge/core/src/rejection.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// The final response of a request that the core gives up: rejected where a retry is harmless, because no attempt may have
-/// executed or its class may be repeated anywhere; else failed.
+/// executed, or because its class may be repeated anywhere, which is known only where the request has limits; else failed.
 pub(crate) fn reject_or_fail(
     reason: Reason,
     retry_after: Duration,
--- a/edge/core/src/retry_after.rs
+++ b/edge/core/src/retry_after.rs
@@ -14,7 +14,7 @@
 /// The wait is at most this fraction of the shortest deadline, so that the client has time left for the retry.
 const DEADLINE_DIVISOR: Time = 10;
 
-/// Rejected for now: nothing of the request was executed by this proxy's doing, and a retry is harmless.
+/// Rejected for now; a retry is harmless: no attempt was executed, or the class may be repeated anywhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejected {
     /// How long the client should wait before it retries.
--- a/edge/fronts/extproc/src/next.rs
+++ b/edge/fronts/extproc/src/next.rs
@@ -71,7 +71,7 @@
             AttemptPermission::Now => return Ok(()),
             AttemptPermission::After(pause) if Instant::now() + pause < until => {
                 sleep(pause).await;
-                if limits.is_within_repeat_window() {
+                if limits.is_within_idempotency_window() {
                     return Ok(());
                 }
             }
--- a/edge/proxy/src/cover/class_policies.rs
+++ b/edge/proxy/src/cover/class_policies.rs
@@ -128,7 +128,7 @@
         lease: config.lease_ms * 1_000,
         drift,
         max_deadline: longest,
-        // Nothing of a seat's promises is on a disk: it is silent for a window after each start.
+        // Until `PersistentTakeover` has recovered its log; without one the replica abstains for a window after each start.
         state_recovered: false,
         max_records: bytes / 1024,
         max_record_bytes: bytes,
--- a/edge/proxy/src/cover/persistent.rs
+++ b/edge/proxy/src/cover/persistent.rs
@@ -79,7 +79,7 @@
 
     fn resume(&mut self, now: Time, log: Log, found: Recovered) {
         let (ms, count) = (found.votes_in / 1_000, found.kept.len());
-        tracing::info!("cover: this seat votes_at in {ms} ms, {count} records read back");
+        tracing::info!("cover: this seat speaks in {ms} ms, {count} records read back");
         self.takeover
             .recover(now, found.votes_in, found.kept.into_iter());
         self.log = LogState::Open(log);
--- a/edge/proxy/src/drain.rs
+++ b/edge/proxy/src/drain.rs
@@ -23,7 +23,7 @@
 const KILL_MARGIN: Duration = Duration::from_millis(250);
 /// From the last rejections to the deadline: they are written, and their clients read them.
 pub const ANSWER_MARGIN: Duration = Duration::from_millis(50);
-/// Longest wait for requests in flight after SIGTERM; SIGKILL follows.
+/// Longest drain. The platform's SIGKILL comes sooner, after 3.7 s at most; this bounds the exit where nobody kills.
 pub const MAX_DRAIN: Duration = Duration::from_secs(6);
 /// How often the end of the drain is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
--- a/edge/proxy/src/server.rs
+++ b/edge/proxy/src/server.rs
@@ -18,7 +18,7 @@
 //! | 0.8 s | Connections that never sent a request end. |
 //! | deadline - 0.05 s | The event loop has ended what is still in flight, so that clients can read it before the deadline. |
 //! | deadline | Clients that keep an idle connection open are no longer waited for. |
-//! | 6 s | The process exits with whatever is in flight; SIGKILL would follow. |
+//! | 6 s | The process exits with whatever is in flight, where no SIGKILL came. |
 //!
 //! The deadline is the longest request deadline in service, at most 3 s, plus 0.45 s: the platform sends SIGKILL 0.7 s
 //! after that request deadline, and 0.25 s are reserved for writing the last responses. The process exits as soon as
--- a/pure/hierarchy/src/health.rs
+++ b/pure/hierarchy/src/health.rs
@@ -7,7 +7,7 @@
 const BASE_EJECTION_US: u64 = 250_000;
 /// The longest ejection (us).
 const MAX_EJECTION_US: u64 = 4_000_000;
-/// Doublings after which an ejection grows no further.
+/// Bounds the shift; [`MAX_EJECTION_US`] is reached earlier.
 const MAX_DOUBLINGS: u32 = 8;
 /// Failures in a row that are tolerated on a connection that came up: a single reset is no sign of a fault.
 const TOLERATED_FAILURES: u32 = 1;
--- a/pure/hierarchy/src/slow_start.rs
+++ b/pure/hierarchy/src/slow_start.rs
@@ -15,7 +15,8 @@
 /// A share is spent by itself while it pays for so many fills; below that callers take turns.
 const MIN_FILLS_PER_SHARE: f64 = 2.0;
 
-/// The rule for all hubs (`parentFloor`, `parentCold`, `parentBreaksAt` and `rules.fall` of the platform).
+/// The rule for all hubs: `cold_start(...)` in the operator's file, with `use_percent` as `budget_ratio`. The proxy's rule for
+/// parents, by `parentFloor`, `parentCold` and `parentBreaksAt` of the settings, is the router's.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStart {
     /// Capacity at the start, as a part of the full rate.
--- a/pure/load-reports/src/probe_budget.rs
+++ b/pure/load-reports/src/probe_budget.rs
@@ -12,8 +12,8 @@
 const PROBES_PER_REQUEST: f64 = 0.05;
 /// One in so many probes that are not worth their price is sent, so that the estimate of their use can recover.
 const EXPLORATION_INTERVAL: u32 = 64;
-/// Weight of a new probe in the moving average of useful probes, and the average before the first one.
-const SMOOTH: f64 = 0.05;
+/// Weight of a new probe in the moving average of useful probes.
+const USEFUL_WEIGHT: f64 = 0.05;
 /// The average before the first probe.
 const INITIAL_USEFUL_RATIO: f64 = 0.25;
 
@@ -110,7 +110,7 @@
     /// A probe ended; `changes`: its response changes which server is selected.
     pub fn record_probe(&mut self, server: u32, changes: bool) {
         if self.in_flight.remove(&server).is_some() {
-            self.useful_ratio += SMOOTH * (changes as u8 as f64 - self.useful_ratio);
+            self.useful_ratio += USEFUL_WEIGHT * (changes as u8 as f64 - self.useful_ratio);
         }
     }
 
--- a/pure/load-reports/src/table.rs
+++ b/pure/load-reports/src/table.rs
@@ -10,7 +10,7 @@
 /// Lifetime of a report, in mean intervals between two reports: confidence falls to 0 over it.
 pub const LIFETIME_INTERVALS: f64 = 4.0;
 /// Weight of a new sample in the mean interval between two reports.
-const SMOOTH: f64 = 0.1;
+const INTERVAL_WEIGHT: f64 = 0.1;
 /// Relative load is bounded by this ratio and its inverse: a wrong or noisy report biases a selection and never makes it
 /// alone.
 const MAX_LOAD_RATIO: f64 = 4.0;
@@ -63,7 +63,7 @@
             }
             let between = now.saturating_sub(before.at) as f64;
             // A server without requests for long says nothing of how often it reports.
-            self.gap += SMOOTH * (between.min(LIFETIME_INTERVALS * self.gap) - self.gap);
+            self.gap += INTERVAL_WEIGHT * (between.min(LIFETIME_INTERVALS * self.gap) - self.gap);
             distrusted_until = before.distrusted_until;
         } else if self.entries.len() >= MAX_SERVERS {
             let oldest = self
--- a/pure/load-reports/src/tracker.rs
+++ b/pure/load-reports/src/tracker.rs
@@ -14,7 +14,7 @@
 /// Polls in the mean interval between two reports.
 const POLLS_PER_INTERVAL: f64 = 4.0;
 /// Weight of a new attempt in the ratio of attempts that were rejected or lost.
-const SMOOTH: f64 = 0.02;
+const LOSS_WEIGHT: f64 = 0.02;
 /// The send rate of a server is averaged over so many lifetimes of a report.
 const SEND_RATE_LIFETIMES: f64 = 2.0;
 
@@ -177,7 +177,7 @@
     /// An attempt ended; `refused`: rejected without effect; `lost`: timed out, reset, or answered with an error.
     pub fn record_completion(&mut self, now: Time, server: u32, refused: bool, lost: bool) {
         self.reports.record_completion(now, server, refused);
-        self.loss_rate += SMOOTH * ((refused || lost) as u8 as f64 - self.loss_rate);
+        self.loss_rate += LOSS_WEIGHT * ((refused || lost) as u8 as f64 - self.loss_rate);
     }
 
     /// A response carried a report. One of a server that is not listed is ignored.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -50,9 +50,9 @@
     pub latency_objective_stretch: f64,
     /// How long a client waits, all its attempts together.
     pub deadline: Time,
-    /// Value of a response in time, relative to the other classes.
+    /// Value of a response in time, relative to the other classes. Read by no rule.
     pub priority_weight: f64,
-    /// The part of the value that a response after the latency objective still has.
+    /// The part of the value that a response after the latency objective still has. Read by no rule.
     pub late_value_ratio: f64,
     /// How far attempts may be retried.
     pub retry_safety: RetrySafety,
@@ -134,13 +134,13 @@
 pub struct Settings {
     /// This router's index among all routers.
     pub index: u32,
-    /// Number of routers.
+    /// Number of routers. Read by no rule.
     pub router_count: u32,
     /// Index of this router's zone.
     pub zone: usize,
     /// The classes of requests.
     pub classes: Vec<Class>,
-    /// Number of routers by zone.
+    /// Number of routers by zone. Read by no rule.
     pub routers_by_zone: Vec<u32>,
     /// By zone: the zone of its hub. The hubs form a ring.
     pub hub_by_zone: Vec<usize>,
@@ -158,25 +158,25 @@
     pub direct_fetch: bool,
     /// Greatest rate of one response in KB per second; 0 where it is not known.
     pub client_kb_per_s: f64,
-    /// Members' weights are their links' capacities, in transfers at the greatest rate.
+    /// Members' weights are their links' capacities, in transfers at the greatest rate. Read by no rule.
     pub weights_known: bool,
     /// The member list must be subscribed to.
     pub subscribe_members: bool,
     /// Attempts can be cancelled.
     pub can_cancel: bool,
-    /// Hedged requests are allowed.
+    /// Hedged requests are allowed. Read by limits alone.
     pub may_hedge: bool,
     /// Most attempts of one request.
     pub max_attempts: u32,
-    /// Health checks are allowed.
+    /// Health checks are allowed. Read by no rule.
     pub may_health_check: bool,
-    /// Messages to peers are allowed.
+    /// Messages to peers are allowed. Read by no rule.
     pub may_message_peers: bool,
     /// Longest Retry-After that clients obey; none where rejections carry none.
     pub max_retry_after: Option<Time>,
     /// How long after its deadline a response still counts as in time.
     pub response_slack: Time,
-    /// How long a draining server still takes requests.
+    /// How long a draining server still takes requests. Read by no rule.
     pub drain_timeout: Time,
     /// Slow start of caches: the part of the full capacity at the start.
     pub cache_slow_start_ratio: f64,
@@ -192,11 +192,11 @@
     pub parent_slow_start_time: Time,
     /// The multiple of its present capacity over `overload_window` at which a parent fails.
     pub parent_overload_multiple: f64,
-    /// How long after a purge invalid copies may still be served without a penalty.
+    /// How long after a purge invalid copies may still be served without a penalty. Read by limits alone.
     pub purge_slack: Time,
     /// How long after a purge the last invalid copies are gone.
     pub purge_complete: Time,
-    /// The multiple of its capacity at which the origin stops for a while; 0 if it does not.
+    /// The multiple of its capacity at which the origin stops for a while; 0 if it does not. Read by no rule.
     pub origin_overload_multiple: f64,
 }
 
--- a/src/router.rs
+++ b/src/router.rs
@@ -157,6 +157,7 @@
             Event::Timer {
                 token: HOUSEKEEPING_TOKEN,
             } => self.on_housekeeping(now, out),
+            // No rule uses health checks or messages of peers.
             Event::Timer { .. } | Event::HealthChecked { .. } | Event::PeerMessage { .. } => {}
             Event::ClientDisconnected { id } => self.finish_request(id, out),
             Event::Shutdown { deadline } => self.on_shutdown(deadline),
--- a/src/router/cache_selection.rs
+++ b/src/router/cache_selection.rs
@@ -16,7 +16,8 @@
 const SPILL_UTILIZATION: f64 = 1.3;
 
 impl Router {
-    /// The cache for a request, if one of the zone may take it.
+    /// The cache for a request, if one of the zone may take it: one that is healthy, has not failed the request and has spare
+    /// capacity; else without the last condition, then with one of the first two, then any that may take it.
     pub(super) fn select_cache(&self, now: Time, request: &Request) -> Option<CacheId> {
         let candidates = self.caches_in_order(now, request);
         if self.settings.classes[request.class].bypass_cache {
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -42,7 +42,13 @@
         };
         if is_cacheable {
             plan = self.admit_fill(now, id, plan, &draws);
-            if !self.admit_attempt(&plan, is_first, &draws) {
+            let is_admitted = if is_first {
+                self.admit_first_attempt(&draws)
+            } else {
+                // A retry needs a source, as the cache's own copy was tried.
+                plan.has_source()
+            };
+            if !is_admitted {
                 return self.give_up(id, out);
             }
         }
@@ -138,14 +144,9 @@
         }
     }
 
-    /// Whether an attempt goes out. A first attempt needs capacity at the caches: where their links are overloaded, all
-    /// responses would be late. A retry needs a source, as the cache's own copy was tried.
-    fn admit_attempt(&self, plan: &Plan, is_first: bool, draws: &GateDraws) -> bool {
-        if is_first {
-            self.limits.cache.has_capacity(draws.concurrency, 1.0)
-        } else {
-            plan.has_source()
-        }
+    /// Whether a first attempt goes out: where the caches' links are overloaded, all responses would be late.
+    fn admit_first_attempt(&self, draws: &GateDraws) -> bool {
+        self.limits.cache.has_capacity(draws.concurrency, 1.0)
     }
 
     /// Mean transfer time over the cached classes that were seen (us).
--- a/src/router/feedback.rs
+++ b/src/router/feedback.rs
@@ -12,8 +12,8 @@
 
 /// A response is late for the caches' links from this part of the latency headroom on: overload shows before it hurts.
 const LATE_HEADROOM_RATIO: f64 = 0.5;
-/// Latency that a rejection by a source counts as, in longest latency objectives: two of them, and a faster source is
-/// preferred.
+/// Latency that a rejection by a source counts as, in longest latency objectives. Two in a row bring the mean near the longest
+/// objective, from which on another source is preferred.
 const REJECTION_LATENCY_OBJECTIVES: f64 = 5.0;
 
 /// The outcome of an attempt, as the estimates need it.
@@ -92,8 +92,8 @@
             || self.cache_status == CacheStatus::OriginFailed
     }
 
-    /// A rejection that may be the source's. Where the cache status is unknown it may as well be the cache's own, and then
-    /// counts for all sources alike.
+    /// A rejection that may be the source's. Without a cache status it may be the cache's own; such ones raise the latency of
+    /// all sources alike.
     fn is_rejected_fill(&self) -> bool {
         self.expected_fill() && self.is_status_unknown() && self.outcome == Outcome::Overloaded
     }
@@ -138,7 +138,7 @@
         if observation.outcome.is_responsive() {
             server.response_due = None;
         }
-        let is_sibling_query = attempt.plan.sibling_query.is_some();
+        let is_sibling_query = attempt.plan.sibling_query_timeout.is_some();
         let sample = match observation.outcome {
             Outcome::Served => HealthSample::Success,
             Outcome::ConnectFailed => HealthSample::Unreachable,
@@ -214,7 +214,7 @@
         }
         let is_late_fill = observation.is_late() && observation.is_filled();
         let is_slow_or_lost = is_late_fill || observation.is_lost();
-        if !is_slow_or_lost || !plan.has_source() || plan.sibling_query.is_some() {
+        if !is_slow_or_lost || !plan.has_source() || plan.sibling_query_timeout.is_some() {
             return;
         }
         if self.speaks_of_links(observation) {
@@ -297,7 +297,7 @@
 
     /// The gain of sibling queries.
     fn update_sibling_query_gain(&mut self, now: Time, observation: &Observation) {
-        if observation.attempt.plan.sibling_query.is_none() {
+        if observation.attempt.plan.sibling_query_timeout.is_none() {
             return;
         }
         let is_in_vain = observation.has_failed()
--- a/src/router/fetch.rs
+++ b/src/router/fetch.rs
@@ -27,7 +27,7 @@
         let request = self.requests.get_mut(&id).expect("the request is open");
         let number = request.attempts as u8;
         request.attempts += 1;
-        request.sibling_queried |= plan.sibling_query.is_some();
+        request.sibling_queried |= plan.sibling_query_timeout.is_some();
         self.attempts.insert((id, number), attempt);
     }
 
@@ -143,10 +143,11 @@
     }
 }
 
-/// How long to wait for an attempt; none where the client's patience is the only bound.
+/// How long to wait for an attempt (us). `None`, or 0 once the latency objective has passed: the request's deadline is the
+/// only bound.
 fn timeout(now: Time, request: &Request, class: &Class, plan: &Plan) -> Option<Time> {
-    if plan.sibling_query.is_some() {
-        return plan.sibling_query;
+    if plan.sibling_query_timeout.is_some() {
+        return plan.sibling_query_timeout;
     }
     // An attempt that may not be repeated is not abandoned.
     let may_be_abandoned = class.retry_safety == RetrySafety::Idempotent;
--- a/src/router/outcomes.rs
+++ b/src/router/outcomes.rs
@@ -36,7 +36,7 @@
         if self.has_attempts_in_flight(id) {
             return;
         }
-        if self.may_retry(id, &attempt, &report) {
+        if self.try_retry(id, &attempt, &report) {
             self.send_next_attempt(now, id, out);
         } else {
             self.give_up(id, out);
@@ -57,16 +57,17 @@
     }
 
     /// Whether a request is retried after a failure; takes a token of the retry budget if it is.
-    fn may_retry(&mut self, id: RequestId, attempt: &Attempt, report: &AttemptReport) -> bool {
+    fn try_retry(&mut self, id: RequestId, attempt: &Attempt, report: &AttemptReport) -> bool {
         let request = &self.requests[&id];
         let is_idempotent =
             self.settings.classes[request.class].retry_safety == RetrySafety::Idempotent;
         let is_miss = report.outcome == Outcome::Miss;
         let upper_tier_lacks_copy =
             attempt.plan.only_if_cached && attempt.has_upper_tier_source && is_miss;
-        let origin_failed = report.cache_status == CacheStatus::OriginFailed && is_idempotent;
+        let origin_would_fail_again =
+            report.cache_status == CacheStatus::OriginFailed && is_idempotent;
         let has_too_many_errors = request.errored_caches.len() >= MAX_ERRORS;
-        if upper_tier_lacks_copy || has_too_many_errors || origin_failed {
+        if upper_tier_lacks_copy || has_too_many_errors || origin_would_fail_again {
             return false;
         }
         if is_miss {
@@ -103,7 +104,7 @@
                 cache: plan.cache,
             });
         }
-        let is_slow_sibling = plan.sibling_query.is_some() && outcome == Outcome::TimedOut;
+        let is_slow_sibling = plan.sibling_query_timeout.is_some() && outcome == Outcome::TimedOut;
         // After a reset the cache may well have the object: the attempt was processed, its response was lost.
         let may_have_object = matches!(outcome, Outcome::Miss | Outcome::Reset);
         if !may_have_object && !is_source_fault && !is_slow_sibling {
--- a/src/router/requests.rs
+++ b/src/router/requests.rs
@@ -105,7 +105,7 @@
     /// The source responds only from what it has stored.
     pub(super) only_if_cached: bool,
     /// The attempt queries a sibling, with this timeout.
-    pub(super) sibling_query: Option<Time>,
+    pub(super) sibling_query_timeout: Option<Time>,
     /// The object table says that the cache has the object.
     pub(super) is_listed: bool,
     /// A stale copy is acceptable, as no fill is to be had.
--- a/src/router/slow_start.rs
+++ b/src/router/slow_start.rs
@@ -1,4 +1,5 @@
-//! Slow start: how much load a server that started lately may be sent.
+//! Slow start of caches and parents: how much load a server that started lately may be sent. Hubs have a rule of their own
+//! in `pure/hierarchy`.
 //!
 //! Inputs: the time since the server's start, the load that servers of its tier carry (transfer time per
 //! time), and what this router sent to it within the overload window. Unit: microseconds of transfer
@@ -16,7 +17,8 @@
 const ROTATION_PER_ROUTER: f64 = 0.618_034;
 /// Step of the rotation from one window to the next: the fractional part of the square root of 2.
 const ROTATION_PER_WINDOW: f64 = 0.414_214;
-/// Part of the offered load that the caches carry at least: every client sends three attempts at most.
+/// Part of the offered load that the caches carry at least: a client sends a request three times at most, so that a third of
+/// the load is first requests.
 const MIN_CARRIED_RATIO: f64 = 0.33;
 
 impl Router {
--- a/src/router/source_selection.rs
+++ b/src/router/source_selection.rs
@@ -58,7 +58,7 @@
                 return Some(Plan {
                     source,
                     only_if_cached: true,
-                    sibling_query: Some(timeout),
+                    sibling_query_timeout: Some(timeout),
                     ..plan
                 });
             }
