--- a/edge/proxy/src/load_reports.rs
+++ b/edge/proxy/src/load_reports.rs
@@ -5,7 +5,7 @@
 use foldmux_core::{EventLoop, EventLoopHandle, UpstreamClient};
 use foldmux_load_reports::{RouterLoadReports, Setup};
 use foldmux_upstream::probe::Prober;
-use foldmux_upstream::{Reporting, Upstream};
+use foldmux_upstream::{ReportingUpstream, Upstream};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -41,10 +41,10 @@
             load,
         })
     };
-    Ok(Box::new(Reporting {
+    Ok(Box::new(ReportingUpstream {
         upstream,
         fields: setup.fields,
-        hears: Box::new(on_report),
+        on_report: Box::new(on_report),
     }))
 }
 
@@ -63,7 +63,7 @@
         })
     };
     let prober = Prober::start(
-        upstream.members.clone(),
+        upstream.servers.clone(),
         upstream.pool.clone(),
         Arc::new(on_probe),
         setup.fields.clone(),
--- a/edge/proxy/src/server/decisions.rs
+++ b/edge/proxy/src/server/decisions.rs
@@ -64,10 +64,10 @@
     let connections = pool.clone();
     event_loop.on_incarnation_ended(move |former| connections.discard(former.member.cache));
     let upstream = Upstream {
-        members: servers.clone(),
+        servers: servers.clone(),
         pool: pool.clone(),
         clock: clock.clone(),
-        dial_time_out: Duration::from_micros(decoded.dial_time_out),
+        dial_timeout: Duration::from_micros(decoded.dial_time_out),
     };
     let reports = decoded.reports.clone();
     let upstream = load_reports::start(reports, settings, &mut event_loop, &handle, upstream)?;
--- a/edge/proxy/tests/common/dns_front.rs
+++ b/edge/proxy/tests/common/dns_front.rs
@@ -61,12 +61,12 @@
     );
     let router = Router::new(decoded.settings, 1);
     let (mut desk, handle) = EventLoop::new(router, clock.clone(), members.clone());
-    let dial_time_out = Duration::from_millis(400);
+    let dial_timeout = Duration::from_millis(400);
     let upstream = Upstream {
-        members: members.clone(),
+        servers: members.clone(),
         pool,
         clock: clock.clone(),
-        dial_time_out,
+        dial_timeout,
     };
     let buffers = BufferPool::new(4);
     let core = Core::new(CoreSetup {
--- a/edge/upstream/src/attempt.rs
+++ b/edge/upstream/src/attempt.rs
@@ -1,12 +1,11 @@
-//! One attempt, from a connection to the end of its answer.
+//! One attempt, from its connection to the end of its response.
 
-use crate::pool::Loan;
-use crate::proof::{dial_outcome, judge, outcome_of, Ended};
-use crate::{Hears, Upstream};
+use crate::pool::PooledConnection;
+use crate::proof::{dial_outcome, judge, outcome_of, AttemptResult};
+use crate::{OnReport, Upstream};
 use foldmux::interface::Outcome;
 use foldmux_core::attempt::{Attempt, Payload};
 use foldmux_core::cancellation::Cancellable;
-use foldmux_core::servers::Incarnation;
 use foldmux_http1::io::{is_quiet, write_all, Quiet, Unwritten};
 use foldmux_http1::read_response;
 use foldmux_sockets::stream::{self, Stop};
@@ -14,42 +13,48 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long the first bytes of a request may take to leave before what its head says is looked at again: well within the
-/// slack with which deadlines are passed on.
-const FRESH: Duration = Duration::from_millis(50);
+/// How long the first bytes of a request may wait to be written before its head is made anew: well within the slack with which
+/// deadlines are passed on.
+const HEAD_REFRESH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A connection that an attempt is on: shut, its reader wakes.
-struct Held(Arc<TcpStream>);
+/// The connection of an attempt; shutting it down wakes its reader.
+struct OpenConnection(Arc<TcpStream>);
 
-impl Cancellable for Held {
+impl Cancellable for OpenConnection {
     fn cancel(&self) {
         let _ = self.0.shutdown(Shutdown::Both);
     }
 }
 
-/// Why a request was not written whole.
-enum Unsent {
-    /// Its connection had been idle and is of no more use. No byte was written: another may be dialled.
+/// Why a request was not written completely.
+enum NotSent {
+    /// Its connection had been idle and can't be used any more. No byte was written: another may be dialled.
     Stale,
-    Ended(Outcome),
+    /// The attempt has ended.
+    Final(Outcome),
 }
 
 impl Upstream {
-    pub(crate) fn ended(
+    pub(crate) fn make_attempt(
         &self,
         attempt: &Attempt,
         buffer: &mut [u8],
-        hears: Hears,
+        on_report: OnReport,
     ) -> (Outcome, Option<Payload>) {
-        let Ended { outcome, got } = self.make(attempt, buffer, hears);
+        let AttemptResult { outcome, payload } = self.send_and_receive(attempt, buffer, on_report);
         attempt.cancel.unregister();
-        if got.is_none() && attempt.cancel.is_cancelled(attempt.target.attempt) {
-            return (called_off(outcome), None);
+        if payload.is_none() && attempt.cancel.is_cancelled(attempt.target.attempt) {
+            return (outcome_of_cancelled(outcome), None);
         }
-        (outcome, got)
+        (outcome, payload)
     }
 
-    fn make(&self, attempt: &Attempt, buffer: &mut [u8], hears: Hears) -> Ended {
+    fn send_and_receive(
+        &self,
+        attempt: &Attempt,
+        buffer: &mut [u8],
+        on_report: OnReport,
+    ) -> AttemptResult {
         let Attempt { fetch, target, .. } = attempt;
         let until = match fetch.timeout {
             0 => attempt.deadline,
@@ -58,100 +63,113 @@
                 .min(target.decided_at + Duration::from_micros(time)),
         };
         // No connection is opened to a cache that drains or is gone by now.
-        let Some(start) = target
+        let Some(incarnation) = target
             .cache
-            .filter(|start| self.members.accepts(fetch.cache, *start))
+            .filter(|incarnation| self.servers.accepts(fetch.cache, *incarnation))
         else {
-            return Ended::without(Outcome::NeverSent);
+            return AttemptResult::without(Outcome::NeverSent);
         };
-        let Some(mut loan) = self.pool.lend(fetch.cache, start) else {
-            return Ended::without(Outcome::NeverSent);
+        let Some(mut connection) = self.pool.acquire(fetch.cache, incarnation) else {
+            return AttemptResult::without(Outcome::NeverSent);
         };
         loop {
-            match self.send(attempt, &mut loan, until) {
+            match self.send(attempt, &mut connection, until) {
                 Ok(stream) => {
-                    return self.receive(attempt, start, &mut loan, &stream, buffer, until, hears)
+                    return self.receive(
+                        attempt,
+                        &mut connection,
+                        &stream,
+                        buffer,
+                        until,
+                        on_report,
+                    )
                 }
-                // Once at the most: the next is not an idle one.
-                Err(Unsent::Stale) => loan.renew(),
-                Err(Unsent::Ended(outcome)) => return Ended::without(outcome),
+                // At most once: the next connection is dialled.
+                Err(NotSent::Stale) => connection.reconnect(),
+                Err(NotSent::Final(outcome)) => return AttemptResult::without(outcome),
             }
         }
     }
 
-    /// Writes the request, on a connection where a cancel finds it.
+    /// Writes the request, on a connection that a cancellation can shut down.
     fn send(
         &self,
         attempt: &Attempt,
-        loan: &mut Loan,
+        connection: &mut PooledConnection,
         until: Instant,
-    ) -> Result<Arc<TcpStream>, Unsent> {
-        let never = || Unsent::Ended(Outcome::NeverSent);
-        let idle = loan.was_idle();
+    ) -> Result<Arc<TcpStream>, NotSent> {
+        let never_sent = || NotSent::Final(Outcome::NeverSent);
+        let idle = connection.was_idle();
         let stream = self
-            .connection(attempt, loan, until)
-            .map_err(Unsent::Ended)?;
-        if !held(attempt, &stream) {
-            return Err(never());
+            .connect(attempt, connection, until)
+            .map_err(NotSent::Final)?;
+        if !register_for_cancel(attempt, &stream) {
+            return Err(never_sent());
         }
-        // Guards against an answer to nobody's request, which would pass for the answer to this one.
+        // Bytes that are here before the request is written would be read as its response.
         match is_quiet(&stream) {
             Quiet::Yes => {}
-            // One that was just dialled has had no time to be spoken on.
+            // On one that was just dialled nothing can have been sent.
             Quiet::Unknown if !idle => {}
-            Quiet::No | Quiet::Unknown => return Err(unusable(idle)),
+            Quiet::No | Quiet::Unknown => return Err(connection_unusable(idle)),
         }
-        let (head, written) = self.begin(attempt, &stream, idle, until)?;
+        let (head, written) = self.write_head(attempt, &stream, idle, until)?;
         let body = attempt
             .request
             .body
             .as_ref()
             .map_or(&[][..], |(lease, n)| &lease[..*n]);
         let rest = write_all(&stream, &[&head.as_bytes()[written..], body], until);
-        rest.map_err(|Unwritten { cause, .. }| Unsent::Ended(outcome_of(cause)))?;
+        rest.map_err(|Unwritten { cause, .. }| NotSent::Final(outcome_of(cause)))?;
         Ok(stream)
     }
 
-    /// Writes the first bytes of the request; its head, and how much of it was written. What the head says, and all that must
-    /// hold for it to be sent, is looked at again where these bytes do not leave at once.
-    fn begin(
+    /// Writes the first bytes of the request. Returns its head, and how much of it was written. Where they can't be written at
+    /// once, the head is made anew and everything that must hold is checked again.
+    fn write_head(
         &self,
         attempt: &Attempt,
         stream: &TcpStream,
         idle: bool,
         until: Instant,
-    ) -> Result<(String, usize), Unsent> {
-        let never = || Unsent::Ended(Outcome::NeverSent);
+    ) -> Result<(String, usize), NotSent> {
+        let never_sent = || NotSent::Final(Outcome::NeverSent);
         loop {
-            // Dialling took time, and the list may have changed in it: here, just before the first byte, the cache
-            // and the source must still be allowed and be the starts that the module meant, with time left.
-            let head = self.head(attempt, until).ok_or_else(never)?;
-            // Whoever owns a covered request may have lost it in any of these waits.
+            // The endpoint list may have changed while dialling: right before the first byte, cache and source must still
+            // be the incarnations that the router chose, and accept requests, with time left.
+            let head = self.head(attempt, until).ok_or_else(never_sent)?;
+            // Ownership of the record may have been lost in any of these waits.
             if attempt.record.is_some_and(|record| !record.may_send()) {
-                return Err(never());
+                return Err(never_sent());
             }
-            match stream::write(stream, head.as_bytes(), until.min(Instant::now() + FRESH)) {
+            match stream::write(
+                stream,
+                head.as_bytes(),
+                until.min(Instant::now() + HEAD_REFRESH_INTERVAL),
+            ) {
                 Ok(written) => return Ok((head, written)),
                 Err(Stop::TimedOut | Stop::Failing(_))
                     if !attempt.cancel.is_cancelled(attempt.target.attempt) => {}
-                Err(Stop::TimedOut | Stop::Failing(_)) => return Err(never()),
-                Err(Stop::Over(_)) => return Err(unusable(idle)),
+                Err(Stop::TimedOut | Stop::Failing(_)) => return Err(never_sent()),
+                Err(Stop::Over(_)) => return Err(connection_unusable(idle)),
             }
         }
     }
 
-    /// The loan's connection; one that is dialled must come up while the request may still be sent. A cancel ends its dial.
-    fn connection(
+    /// The connection, dialled if need be while the request may still be sent. A cancellation ends the dial.
+    fn connect(
         &self,
         attempt: &Attempt,
-        loan: &mut Loan,
+        connection: &mut PooledConnection,
         until: Instant,
     ) -> Result<Arc<TcpStream>, Outcome> {
-        let time = self.time_to_begin(attempt, until);
+        let time = self.time_to_send(attempt, until);
         if time.is_zero() || attempt.cancel.is_cancelled(attempt.target.attempt) {
             return Err(Outcome::NeverSent);
         }
-        let dialled = loan.stream_while(time.min(self.dial_time_out), &|dial| held(attempt, dial));
+        let dialled = connection.stream_while(time.min(self.dial_timeout), &|dial| {
+            register_for_cancel(attempt, dial)
+        });
         dialled.map_err(|error| {
             let late = !attempt.fetch.may_send(self.clock.now());
             if late {
@@ -162,8 +180,8 @@
         })
     }
 
-    /// How long the request's first byte may still take.
-    fn time_to_begin(&self, attempt: &Attempt, until: Instant) -> Duration {
+    /// How long until the request's first byte must be written.
+    fn time_to_send(&self, attempt: &Attempt, until: Instant) -> Duration {
         let left = until.saturating_duration_since(Instant::now());
         match attempt.fetch.send_before {
             0 => left,
@@ -171,51 +189,52 @@
         }
     }
 
-    #[allow(clippy::too_many_arguments)]
+    /// Reads the response, and reports the load that it carries.
     fn receive(
         &self,
         attempt: &Attempt,
-        start: Incarnation,
-        loan: &mut Loan,
+        connection: &mut PooledConnection,
         stream: &TcpStream,
         buffer: &mut [u8],
         until: Instant,
-        hears: Hears,
-    ) -> Ended {
+        on_report: OnReport,
+    ) -> AttemptResult {
+        let incarnation = connection.incarnation();
         let response = read_response(stream, buffer, until);
-        // From here a cancel cuts nothing: the connection may be lent to another request.
+        // From here a cancellation must not shut the connection down: another request may use it.
         attempt.cancel.unregister();
         match response {
             Ok(response) => {
                 let load = response.load.clone();
                 load.into_iter()
-                    .for_each(|at| hears(attempt.fetch.cache, start, &buffer[at]));
-                loan.reusable = response.reusable;
+                    .for_each(|at| on_report(attempt.fetch.cache, incarnation, &buffer[at]));
+                connection.reusable = response.reusable;
                 judge(response, buffer, attempt.request.etag.as_deref())
             }
-            Err(broken) => Ended::without(outcome_of(broken)),
+            Err(broken) => AttemptResult::without(outcome_of(broken)),
         }
     }
 }
 
-/// Puts the attempt's connection where a cancel finds it; false if the cancel came first.
-fn held(attempt: &Attempt, stream: &Arc<TcpStream>) -> bool {
-    attempt
-        .cancel
-        .register(attempt.target.attempt, Arc::new(Held(stream.clone())))
+/// Registers the attempt's connection for cancellation; false if it was cancelled before.
+fn register_for_cancel(attempt: &Attempt, stream: &Arc<TcpStream>) -> bool {
+    attempt.cancel.register(
+        attempt.target.attempt,
+        Arc::new(OpenConnection(stream.clone())),
+    )
 }
 
-/// A connection that ended, or spoke, before a byte of the request was written: nothing ran.
-fn unusable(idle: bool) -> Unsent {
+/// A connection that ended, or carried bytes, before a byte of the request was written: nothing was processed.
+fn connection_unusable(idle: bool) -> NotSent {
     match idle {
-        true => Unsent::Stale,
-        false => Unsent::Ended(Outcome::ConnectFailed),
+        true => NotSent::Stale,
+        false => NotSent::Final(Outcome::ConnectFailed),
     }
 }
 
-/// The end of an attempt that was called off: what the shut socket gave is no news of the cache, but what is known never
-/// to have run stays known.
-fn called_off(outcome: Outcome) -> Outcome {
+/// The outcome of a cancelled attempt: the error of the closed socket says nothing of the cache, but what is known not to have
+/// been processed stays so.
+fn outcome_of_cancelled(outcome: Outcome) -> Outcome {
     match outcome {
         Outcome::ConnectFailed => Outcome::NeverSent,
         outcome if outcome.not_processed() => outcome,
--- a/edge/upstream/src/head.rs
+++ b/edge/upstream/src/head.rs
@@ -1,4 +1,4 @@
-//! The head of a request to a cache, written right before its first byte leaves.
+//! The head of a request to a cache, made right before its first byte is written. The platform's header names stand here.
 
 use crate::Upstream;
 use foldmux::interface::bound_ms;
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 impl Upstream {
-    /// The request's head, or none where it must not be sent any more.
+    /// The request's head, or `None` where it must not be sent any more.
     pub(crate) fn head(&self, attempt: &Attempt, until: Instant) -> Option<String> {
         let Attempt {
             request,
@@ -18,13 +18,13 @@
         } = attempt;
         let cache = target
             .cache
-            .filter(|start| self.members.accepts(fetch.cache, *start))?;
+            .filter(|incarnation| self.servers.accepts(fetch.cache, *incarnation))?;
         let mut source = None;
         if fetch.source != fetch.cache {
             target
                 .source
-                .filter(|start| self.members.accepts(fetch.source, *start))?;
-            source = Some(self.members.get(fetch.source)?.name);
+                .filter(|incarnation| self.servers.accepts(fetch.source, *incarnation))?;
+            source = Some(self.servers.get(fetch.source)?.name);
         }
         let wait = until.saturating_duration_since(Instant::now()).as_millis();
         if wait == 0 || !fetch.may_send(self.clock.now()) {
@@ -37,7 +37,7 @@
             part,
             ..
         } = request;
-        // Also where there is a body: the caches know no other method.
+        // Also with a body: the caches know no other method.
         let mut head = format!("GET /v2/q/{class_name}/{object:016x}/{part} HTTP/1.1\r\n");
         let mut field = |name: &str, value: &dyn std::fmt::Display| {
             let _ = write!(head, "{name}: {value}\r\n");
--- a/edge/upstream/src/lib.rs
+++ b/edge/upstream/src/lib.rs
@@ -1,8 +1,9 @@
-//! One attempt at a pop cache, a parent or the origin, over HTTP/1.1 with one request at a time.
+//! The upstream client: attempts at caches, parents and the origin over HTTP/1.1, one request at a time on a connection.
 //!
-//! Owns: the connections to them ([`pool`]), the attempt itself ([`attempt`]), what an answer proves and reports, and the
-//! probes ([`probe`]). May not: choose a cache, repeat an attempt, or hold anything of a request once its attempt has
-//! returned. It implements the core's [`UpstreamClient`].
+//! [`pool`] has the connections, `attempt` makes one attempt, `head` writes its request, `proof` says what its end proves, and
+//! [`probe`] sends health checks. It implements the core's [`UpstreamClient`]: it selects no server, retries nothing, and keeps
+//! nothing of a request once its attempt has returned.
+#![warn(missing_docs)]
 
 mod attempt;
 mod head;
@@ -20,35 +21,44 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// The upstream client.
 pub struct Upstream {
-    pub members: Arc<ServerList>,
+    /// Which servers accept requests.
+    pub servers: Arc<ServerList>,
+    /// The connections.
     pub pool: Arc<Pool>,
+    /// The router's clock.
     pub clock: Clock,
-    pub dial_time_out: Duration,
+    /// Bounds one dial.
+    pub dial_timeout: Duration,
 }
 
-/// The same where answers carry reports: their fields, and who hears them.
-pub struct Reporting {
+/// The upstream client where responses carry load reports.
+pub struct ReportingUpstream {
+    /// Makes the attempts.
     pub upstream: Upstream,
+    /// The fields of a report.
     pub fields: Fields,
-    pub hears: Box<dyn Fn(CacheId, Incarnation, Load) + Send + Sync>,
+    /// Receives each report with the incarnation that made it.
+    pub on_report: Box<dyn Fn(CacheId, Incarnation, Load) + Send + Sync>,
 }
 
-/// Hears what a start of a cache reported, as it stands in the answer.
-type Hears<'a> = &'a dyn Fn(CacheId, Incarnation, &[u8]);
+/// Receives the report of an incarnation of a cache, as the response carries it.
+type OnReport<'a> = &'a dyn Fn(CacheId, Incarnation, &[u8]);
 
 impl UpstreamClient for Upstream {
-    /// Makes the attempt and says how it ended; whatever it held is given back when this returns.
+    /// Makes the attempt; everything it held is released when this returns.
     fn attempt(&self, attempt: &Attempt, buffer: &mut [u8]) -> (Outcome, Option<Payload>) {
-        self.ended(attempt, buffer, &|_, _, _| ())
+        self.make_attempt(attempt, buffer, &|_, _, _| ())
     }
 }
 
-impl UpstreamClient for Reporting {
-    /// Whatever stands in the report, the answer is what it is.
+impl UpstreamClient for ReportingUpstream {
+    /// A report never changes the outcome.
     fn attempt(&self, attempt: &Attempt, buffer: &mut [u8]) -> (Outcome, Option<Payload>) {
-        self.upstream.ended(attempt, buffer, &|cache, start, load| {
-            (self.hears)(cache, start, self.fields.read(load));
-        })
+        self.upstream
+            .make_attempt(attempt, buffer, &|cache, incarnation, load| {
+                (self.on_report)(cache, incarnation, self.fields.read(load));
+            })
     }
 }
--- a/edge/upstream/src/pool/tests.rs
+++ b/edge/upstream/src/pool/tests.rs
@@ -10,7 +10,7 @@
 
 /// Lends and gives back a connection; the other side of it.
 fn give_back(pool: &Arc<Pool>, listener: &TcpListener, start: Incarnation) -> TcpStream {
-    let mut loan = pool.lend(CACHE, start).unwrap();
+    let mut loan = pool.acquire(CACHE, start).unwrap();
     assert!(loan.stream.is_none());
     loan.stream(Duration::from_secs(5)).unwrap();
     loan.reusable = true;
@@ -18,7 +18,7 @@
 }
 
 fn lends_idle(pool: &Arc<Pool>, start: Incarnation) -> bool {
-    pool.lend(CACHE, start).unwrap().stream.is_some()
+    pool.acquire(CACHE, start).unwrap().stream.is_some()
 }
 
 #[test]
@@ -61,9 +61,9 @@
     let pool = Pool::new(1, Duration::from_secs(60));
     let _far = give_back(&pool, &listener, start);
     // The only place goes to a request for another cache; while that is out there is none.
-    let loan = pool.lend(CacheId(2), start).unwrap();
+    let loan = pool.acquire(CacheId(2), start).unwrap();
     assert_eq!(pool.count(), (1, 0));
-    assert!(pool.lend(CACHE, start).is_none());
+    assert!(pool.acquire(CACHE, start).is_none());
     drop(loan);
     let _far = give_back(&pool, &listener, start);
     pool.discard(CACHE);
@@ -83,7 +83,7 @@
     };
     let pool = Pool::new(8, Duration::from_secs(60));
     let lent = |pool: &Arc<Pool>| {
-        let mut loan = pool.lend(CACHE, start).unwrap();
+        let mut loan = pool.acquire(CACHE, start).unwrap();
         loan.stream(Duration::from_secs(5)).unwrap();
         loan.reusable = true;
         loan
@@ -103,7 +103,9 @@
 
 /// The other side of each of three idle connections, in the order in which the pool took them back.
 fn three_idle(pool: &Arc<Pool>, listener: &TcpListener, start: Incarnation) -> Vec<TcpStream> {
-    let loans: Vec<Loan> = (0..3).map(|_| pool.lend(CACHE, start).unwrap()).collect();
+    let loans: Vec<PooledConnection> = (0..3)
+        .map(|_| pool.acquire(CACHE, start).unwrap())
+        .collect();
     let dialled = loans.into_iter().map(|mut loan| {
         loan.stream(Duration::from_secs(5)).unwrap();
         loan.reusable = true;
@@ -114,7 +116,7 @@
 
 /// The local address of the connection that is lent next.
 fn lent_next(pool: &Arc<Pool>, start: Incarnation) -> SocketAddr {
-    let mut loan = pool.lend(CACHE, start).unwrap();
+    let mut loan = pool.acquire(CACHE, start).unwrap();
     loan.reusable = true;
     let stream = loan.stream.as_ref().expect("an idle connection");
     stream.local_addr().unwrap()
@@ -146,7 +148,7 @@
             .idle
             .iter_mut()
             .zip(ages)
-            .for_each(|(kept, age)| kept.since = now + HOUR - age);
+            .for_each(|(kept, age)| kept.idle_since = now + HOUR - age);
     };
     let (settled, fresh) = (HOUR + SETTLED, Duration::ZERO);
     // A late second answer on the third would be seen by whoever takes it later.
@@ -182,14 +184,17 @@
         boot: 0,
         address: other.local_addr().unwrap(),
     };
-    let mut loans: Vec<Loan> = (0..3)
-        .map(|_| pool.lend(CacheId(2), live).expect("a place"))
+    let mut loans: Vec<PooledConnection> = (0..3)
+        .map(|_| pool.acquire(CacheId(2), live).expect("a place"))
         .collect();
     assert_eq!(pool.count(), (3, 0));
     assert!(loans
         .iter_mut()
         .all(|loan| loan.stream(Duration::from_secs(5)).is_ok()));
-    assert!(pool.lend(CacheId(2), live).is_none(), "all places are out");
+    assert!(
+        pool.acquire(CacheId(2), live).is_none(),
+        "all places are out"
+    );
     loans.truncate(1);
-    assert!(pool.lend(CACHE, start).is_some(), "one came back");
+    assert!(pool.acquire(CACHE, start).is_some(), "one came back");
 }
--- a/edge/upstream/src/probe.rs
+++ b/edge/upstream/src/probe.rs
@@ -1,5 +1,7 @@
-//! Probes: `GET /stats` where the settings name fields of reports, else `GET /ping`. Few at once, each bounded in time and
-//! bytes; none to a member that drains, is gone or is out by hand, and no word of one that came to be so meanwhile.
+//! Health checks: `GET /stats` where the settings name fields of load reports, else `GET /ping`.
+//!
+//! Few at once, each bounded in time and bytes. None is sent to a server that drains, is gone or in maintenance, and a result
+//! of one that came to be so meanwhile is dropped.
 
 use crate::pool::Pool;
 use crossbeam_channel::{bounded, Receiver, Sender};
@@ -14,103 +16,108 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Probes under way at once, and those that wait for a place; what is beyond is not sent.
-pub const PLACES: usize = 2;
-pub const QUEUE: usize = 4;
-/// Longest answer: its head, and as much again. Either sort has no body worth the name.
-const MOST: usize = 2 * MOST_HEAD;
+/// Most health checks in flight.
+pub const MAX_PROBES: usize = 2;
+/// Most health checks that wait; any more are not sent.
+pub const MAX_QUEUED_PROBES: usize = 4;
+/// Longest response (bytes): a head, and as much again for the body.
+const MAX_RESPONSE: usize = 2 * MOST_HEAD;
 const STACK: usize = 64 * 1024;
 
-/// Hears what a start of a member said to a probe: whether it is well, and its report; empty where it gave none.
-pub type Hears = Arc<dyn Fn(CacheId, Incarnation, bool, Load) + Send + Sync>;
+/// Receives the result of a health check: whether the server is healthy, and its load report, empty where it gave none.
+pub type OnProbeResult = Arc<dyn Fn(CacheId, Incarnation, bool, Load) + Send + Sync>;
 
-/// What probes need; each thread has its own handles on it.
+/// What health checks need; each thread has handles of its own.
 #[derive(Clone)]
-struct Means {
-    members: Arc<ServerList>,
+struct ProbeContext {
+    servers: Arc<ServerList>,
     pool: Arc<Pool>,
-    hears: Hears,
+    on_result: OnProbeResult,
     fields: Fields,
-    patience: Duration,
+    timeout: Duration,
 }
 
-/// Takes orders to probe and never waits; its threads end with it.
+/// Sends health checks from threads of its own, which end with it.
 pub struct Prober(Sender<(CacheId, Incarnation)>);
 
 impl Prober {
-    /// `patience`: the longest that one may take, its dial too.
+    /// Starts the threads. `timeout` bounds one health check, with its dial.
+    ///
+    /// # Errors
+    ///
+    /// Where no thread can be had.
     pub fn start(
-        members: Arc<ServerList>,
+        servers: Arc<ServerList>,
         pool: Arc<Pool>,
-        hears: Hears,
+        on_result: OnProbeResult,
         fields: Fields,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Prober, String> {
-        let (sender, orders) = bounded(QUEUE);
-        let means = Means {
-            members,
+        let (sender, requests) = bounded(MAX_QUEUED_PROBES);
+        let context = ProbeContext {
+            servers,
             pool,
-            hears,
+            on_result,
             fields,
-            patience,
+            timeout,
         };
-        for _ in 0..PLACES {
-            let (means, orders) = (means.clone(), orders.clone());
+        for _ in 0..MAX_PROBES {
+            let (context, requests) = (context.clone(), requests.clone());
             let thread = thread::Builder::new()
                 .name("probe".to_string())
                 .stack_size(STACK);
             thread
-                .spawn(move || serve(&means, &orders))
+                .spawn(move || serve(&context, &requests))
                 .map_err(|e| format!("thread probe: {e}"))?;
         }
         Ok(Prober(sender))
     }
 
-    /// Whether there was room for it.
-    pub fn order(&self, cache: CacheId, start: Incarnation) -> bool {
-        self.0.try_send((cache, start)).is_ok()
+    /// Queues a health check without waiting; false where the queue is full.
+    pub fn try_probe(&self, cache: CacheId, incarnation: Incarnation) -> bool {
+        self.0.try_send((cache, incarnation)).is_ok()
     }
 }
 
 impl ProbeSender for Prober {
-    fn probe(&self, cache: CacheId, start: Incarnation) {
-        self.order(cache, start);
+    fn probe(&self, cache: CacheId, incarnation: Incarnation) {
+        self.try_probe(cache, incarnation);
     }
 }
 
-fn serve(means: &Means, orders: &Receiver<(CacheId, Incarnation)>) {
-    let mut buffer = vec![0; MOST];
-    for (cache, start) in orders {
-        let heard = one(
-            means,
+fn serve(context: &ProbeContext, requests: &Receiver<(CacheId, Incarnation)>) {
+    let mut buffer = vec![0; MAX_RESPONSE];
+    for (cache, incarnation) in requests {
+        let result = probe_once(
+            context,
             cache,
-            start,
-            Instant::now() + means.patience,
+            incarnation,
+            Instant::now() + context.timeout,
             &mut buffer,
         );
-        // Guards against an answer that crossed a drain: it is of a process that takes no work any more.
-        if !means.members.accepts(cache, start) {
+        // The response may have crossed a drain or a restart.
+        if !context.servers.accepts(cache, incarnation) {
             continue;
         }
-        let (well, load) = heard.unwrap_or((false, Load::default()));
-        (means.hears)(cache, start, well, load);
+        let (healthy, load) = result.unwrap_or((false, Load::default()));
+        (context.on_result)(cache, incarnation, healthy, load);
     }
 }
 
-/// Whether the cache said that it is well, and its report; none where it gave no answer that can be read in time.
-fn one(
-    means: &Means,
+/// Whether the server is healthy, and its report; `None` without a readable response in time.
+fn probe_once(
+    context: &ProbeContext,
     cache: CacheId,
-    start: Incarnation,
+    incarnation: Incarnation,
     until: Instant,
     buffer: &mut [u8],
 ) -> Option<(bool, Load)> {
-    let Server { address, .. } = means.members.get_accepting(cache, Some(start))?;
-    let mut loan = means.pool.lend(cache, start)?;
-    let stream = loan.stream(means.patience).ok()?;
-    // Dialling took time, and the list may have changed in it.
-    means.members.get_accepting(cache, Some(start))?;
-    let path = if means.fields.is_empty() {
+    let Server { address, .. } = context.servers.get_accepting(cache, Some(incarnation))?;
+    let mut connection = context.pool.acquire(cache, incarnation)?;
+    let stream = connection.stream(context.timeout).ok()?;
+    // The endpoint list may have changed while dialling.
+    context.servers.get_accepting(cache, Some(incarnation))?;
+    let path = if context.fields.is_empty() {
         "ping"
     } else {
         "stats"
@@ -118,9 +125,9 @@
     let head = format!("GET /{path} HTTP/1.1\r\nHost: {address}\r\n\r\n");
     write_all(&stream, &[head.as_bytes()], until).ok()?;
     let response = read_response(&stream, buffer, until).ok()?;
-    loan.reusable = response.reusable;
+    connection.reusable = response.reusable;
     let load = response
         .load
-        .map_or(Load::default(), |at| means.fields.read(&buffer[at]));
+        .map_or(Load::default(), |at| context.fields.read(&buffer[at]));
     Some((response.status == 200, load))
 }
--- a/edge/upstream/tests/attempts.rs
+++ b/edge/upstream/tests/attempts.rs
@@ -31,14 +31,14 @@
 
 /// How an attempt ends that the module decided on while the cache was `before`, and that is made once it is `after`.
 fn attempt(upstream: &Upstream, before: Server, after: Option<Server>) -> Outcome {
-    upstream.members.apply(true, vec![before.clone()]);
+    upstream.servers.apply(true, vec![before.clone()]);
     let target = AttemptTarget {
         cache: Some(before.incarnation()),
         source: None,
         attempt: 0,
         decided_at: Instant::now(),
     };
-    upstream.members.apply(true, after.into_iter().collect());
+    upstream.servers.apply(true, after.into_iter().collect());
     let (request, cancel, fetch) = (request(), CancelHandle::new(RequestId(1)), fetch());
     let deadline = Instant::now() + Duration::from_secs(20);
     let made = Attempt {
@@ -57,10 +57,10 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     let upstream = Upstream {
-        members: Arc::new(ServerList::default()),
+        servers: Arc::new(ServerList::default()),
         pool: Pool::new(8, Duration::from_secs(60)),
         clock: Clock::default(),
-        dial_time_out: Duration::from_secs(5),
+        dial_timeout: Duration::from_secs(5),
     };
     let ready = |boot| line(at, MemberState::Ready, boot);
     listener.set_nonblocking(true).unwrap();
--- a/edge/upstream/tests/common/mod.rs
+++ b/edge/upstream/tests/common/mod.rs
@@ -48,12 +48,12 @@
             address: listener.local_addr().unwrap(),
         };
         let upstream = Upstream {
-            members: Arc::new(ServerList::default()),
+            servers: Arc::new(ServerList::default()),
             pool: Pool::new(8, Duration::from_secs(60)),
             clock: Clock::default(),
-            dial_time_out: 2 * PATIENCE,
+            dial_timeout: 2 * PATIENCE,
         };
-        upstream.members.apply(true, vec![listed.clone()]);
+        upstream.servers.apply(true, vec![listed.clone()]);
         Rig {
             listener: Some(listener),
             upstream,
--- a/edge/upstream/tests/probes.rs
+++ b/edge/upstream/tests/probes.rs
@@ -4,7 +4,7 @@
 use foldmux_core::servers::{Server, ServerList};
 use foldmux_load_reports::{Fields, Load};
 use foldmux_upstream::pool::Pool;
-use foldmux_upstream::probe::{Prober, PLACES, QUEUE};
+use foldmux_upstream::probe::{Prober, MAX_PROBES, MAX_QUEUED_PROBES};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver};
@@ -73,7 +73,10 @@
     /// Whether there was room for it.
     fn probe(&self, cache: u32) -> bool {
         let start = self.members.get(CacheId(cache)).unwrap().incarnation();
-        self.prober.as_ref().unwrap().order(CacheId(cache), start)
+        self.prober
+            .as_ref()
+            .unwrap()
+            .try_probe(CacheId(cache), start)
     }
 
     fn accept(&self) -> TcpStream {
@@ -174,11 +177,11 @@
     rig.list(1, MemberState::Ready);
     let taken = (0..40).filter(|_| rig.probe(1)).count();
     assert!(
-        (QUEUE..=PLACES + QUEUE).contains(&taken),
+        (MAX_QUEUED_PROBES..=MAX_PROBES + MAX_QUEUED_PROBES).contains(&taken),
         "{taken} were taken"
     );
-    let held: Vec<TcpStream> = (0..PLACES).map(|_| rig.accept()).collect();
-    assert!(rig.pool.count().0 <= PLACES);
+    let held: Vec<TcpStream> = (0..MAX_PROBES).map(|_| rig.accept()).collect();
+    assert!(rig.pool.count().0 <= MAX_PROBES);
     for _ in 0..taken {
         assert_eq!(
             rig.next(),
@@ -233,7 +236,7 @@
     // Out by hand is listed as draining.
     for state in [MemberState::Draining, MemberState::Gone] {
         rig.list(1, state);
-        rig.prober.as_ref().unwrap().order(CacheId(1), start);
+        rig.prober.as_ref().unwrap().try_probe(CacheId(1), start);
     }
     rig.listener.set_nonblocking(true).unwrap();
     let listener = rig.listener.try_clone().unwrap();
