--- a/edge/core/src/core.rs
+++ b/edge/core/src/core.rs
@@ -196,8 +196,8 @@
 
     /// Whether a server started so recently that it may be warming up at `now` (router time, µs).
     pub fn is_warming_up(&self, now: Time, server: &Server) -> bool {
-        let boot = server.member.started_at;
-        boot > 0 && now < boot + self.warm_up_us.load(Ordering::Relaxed)
+        let started_at = server.member.started_at;
+        started_at > 0 && now < started_at + self.warm_up_us.load(Ordering::Relaxed)
     }
 
     /// How many requests are open.
--- a/edge/core/src/delegated.rs
+++ b/edge/core/src/delegated.rs
@@ -54,12 +54,12 @@
 
 impl DelegatedRequest {
     /// Gives the request to the router, which sends its directives to `directives`; or `None` where `max` requests are
-    /// delegated already, which the router never hears of. `lease` is for how long (µs) the caller may use what it is
+    /// delegated already, which the router never hears of. `placement_ttl` is for how long (µs) the caller may use what it is
     /// told, 0 for one attempt.
     pub fn start(
         core: &Arc<Core>,
         request: &ClientRequest,
-        lease: Time,
+        placement_ttl: Time,
         directives: Box<dyn DirectiveSink>,
         max: usize,
     ) -> Option<DelegatedRequest> {
@@ -76,7 +76,7 @@
             return None;
         }
         core.event_loop.send(Command::Request {
-            request: request.to_router(cancel.id, lease, request.deadline()),
+            request: request.to_router(cancel.id, placement_ttl, request.deadline()),
             cancel,
             directives,
         });
@@ -184,14 +184,15 @@
 pub fn route_once<T>(
     core: &Arc<Core>,
     request: &ClientRequest,
-    lease: Time,
+    placement_ttl: Time,
     answer: impl FnOnce(&Route) -> T,
 ) -> Routing<T> {
     let Some(_open): Option<OpenRequest> = core.enter() else {
         return Routing::Overloaded;
     };
     let (sender, directives) = bounded(DIRECTIVE_CAPACITY);
-    let delegated = DelegatedRequest::start(core, request, lease, Box::new(sender), usize::MAX);
+    let delegated =
+        DelegatedRequest::start(core, request, placement_ttl, Box::new(sender), usize::MAX);
     let Some(mut delegated) = delegated else {
         return Routing::Overloaded;
     };
--- a/edge/core/src/event_loop.rs
+++ b/edge/core/src/event_loop.rs
@@ -182,16 +182,17 @@
             } => self.with_load_reports(cache, incarnation, |reports, now| {
                 reports.record_probe(now, cache, healthy, load)
             }),
-            Command::Topology { hubs, hub_of } => self.handle(Event::TopologyChanged {
-                parent_zones: hubs,
-                hub_by_zone: hub_of,
+            Command::Topology {
+                parent_zones,
+                hub_by_zone,
+            } => self.handle(Event::TopologyChanged {
+                parent_zones,
+                hub_by_zone,
             }),
             Command::Settings(settings) => self.router.retune(*settings),
-            Command::Invalidate { object, group, ago } => self.handle(Event::Purged {
-                object,
-                group,
-                age: ago,
-            }),
+            Command::Invalidate { object, group, age } => {
+                self.handle(Event::Purged { object, group, age })
+            }
         }
     }
 
--- a/edge/core/src/limits.rs
+++ b/edge/core/src/limits.rs
@@ -47,15 +47,15 @@
 }
 
 impl Limiter {
-    /// Enforces `table` at a proxy in `zone`; `repeats` says for each class whether it may be repeated.
+    /// Enforces `table` at a proxy in `zone`; `retry_safety_by_class` says for each class how far it may be retried.
     pub fn new(
         table: LimitSet,
         clock: Clock,
         zone: String,
-        repeats: Vec<RetrySafety>,
+        retry_safety_by_class: Vec<RetrySafety>,
     ) -> Arc<Limiter> {
         Arc::new(Limiter {
-            shared: Arc::new(Shared::new(&table, &zone, clock, repeats)),
+            shared: Arc::new(Shared::new(&table, &zone, clock, retry_safety_by_class)),
             zone,
         })
     }
--- a/edge/core/src/limits/request_limits.rs
+++ b/edge/core/src/limits/request_limits.rs
@@ -86,9 +86,9 @@
     }
 
     /// Whether a retry may still be sent after its backoff: one that was decided within the window in which the origin drops
-    /// repeats of a key must not arrive after it.
+    /// retries of a key must not arrive after it.
     pub fn is_within_idempotency_window(&self) -> bool {
-        match (self.repeat(), self.first_sent_at) {
+        match (self.retry_safety(), self.first_sent_at) {
             (Some(RetrySafety::Keyed(_)), Some(sent_at)) => {
                 sent_at.elapsed() < self.repeat_window()
             }
@@ -112,9 +112,9 @@
         }
     }
 
-    /// Before when a repeat of a request with an idempotency key must be sent (router time).
+    /// Before when a retry of a request with an idempotency key must be sent (router time).
     fn retry_deadline(&self) -> Option<Time> {
-        if !matches!(self.repeat(), Some(RetrySafety::Keyed(_))) {
+        if !matches!(self.retry_safety(), Some(RetrySafety::Keyed(_))) {
             return None;
         }
         let sent_at = self.first_sent_at?;
@@ -156,7 +156,7 @@
     pub fn retry_is_harmless(&self) -> bool {
         self.first_sent_at.is_none()
             || matches!(
-                self.repeat(),
+                self.retry_safety(),
                 Some(RetrySafety::Idempotent | RetrySafety::Keyed(KeyScope::All))
             )
     }
@@ -171,8 +171,8 @@
         max_retry_after(&self.resolved)
     }
 
-    fn repeat(&self) -> Option<&RetrySafety> {
-        self.shared.repeats.get(self.resolved.class)
+    fn retry_safety(&self) -> Option<&RetrySafety> {
+        self.shared.retry_safety_by_class.get(self.resolved.class)
     }
 
     fn repeat_window(&self) -> Duration {
--- a/edge/core/src/limits/shared.rs
+++ b/edge/core/src/limits/shared.rs
@@ -24,7 +24,7 @@
     state: Mutex<State>,
     pub(super) clock: Clock,
     /// Whether a request may be repeated, by class.
-    pub(super) repeats: Vec<RetrySafety>,
+    pub(super) retry_safety_by_class: Vec<RetrySafety>,
 }
 
 pub(super) struct State {
@@ -41,7 +41,7 @@
         table: &LimitSet,
         zone: &str,
         clock: Clock,
-        repeats: Vec<RetrySafety>,
+        retry_safety_by_class: Vec<RetrySafety>,
     ) -> Shared {
         let state = State {
             table: LimitTable::new(table, zone),
@@ -53,7 +53,7 @@
         Shared {
             state: Mutex::new(state),
             clock,
-            repeats,
+            retry_safety_by_class,
         }
     }
 
--- a/edge/core/src/messages.rs
+++ b/edge/core/src/messages.rs
@@ -47,8 +47,8 @@
         object: Option<ObjectId>,
         /// The group.
         group: u32,
-        /// How long ago (µs).
-        ago: Time,
+        /// Age of the newest copy that is invalid (µs).
+        age: Time,
     },
     /// Other settings, by a reload; their classes keep the indices of the old ones.
     Settings(Box<Settings>),
@@ -75,9 +75,9 @@
     /// The upper tiers of the cache hierarchy, as far as they concern this proxy.
     Topology {
         /// Zones of the hubs that this proxy's zone fills from, by preference.
-        hubs: Vec<usize>,
+        parent_zones: Vec<usize>,
         /// The hub of each zone.
-        hub_of: Vec<usize>,
+        hub_by_zone: Vec<usize>,
     },
 }
 
--- a/edge/core/src/request.rs
+++ b/edge/core/src/request.rs
@@ -51,7 +51,7 @@
     pub(crate) fn to_router(
         &self,
         id: RequestId,
-        lease: Time,
+        placement_ttl: Time,
         deadline: Instant,
     ) -> IncomingRequest {
         IncomingRequest {
@@ -62,7 +62,7 @@
             group: self.group,
             size_kb: self.size_kb,
             time_budget: micros_until(deadline),
-            placement_ttl: lease,
+            placement_ttl,
             required_group: self.required_group,
         }
     }
--- a/edge/core/src/servers.rs
+++ b/edge/core/src/servers.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Incarnation {
     /// When it started (router time, µs); 0 stands for long ago.
-    pub boot: Time,
+    pub started_at: Time,
     /// Where it listens.
     pub address: SocketAddr,
 }
@@ -31,7 +31,7 @@
     /// The incarnation that is listed.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation {
-            boot: self.member.started_at,
+            started_at: self.member.started_at,
             address: self.address,
         }
     }
@@ -118,18 +118,18 @@
         let servers = self.read();
         let updated: HashSet<CacheId> = update.iter().map(|server| server.member.cache).collect();
         let remains = |server: &&Server| !full && !updated.contains(&server.member.cache);
-        let mut latest_boot: HashMap<SocketAddr, Time> = HashMap::new();
+        let mut latest_start: HashMap<SocketAddr, Time> = HashMap::new();
         let present = update
             .iter()
             .filter(|server| server.member.state != MemberState::Gone);
         for server in present.chain(servers.values().filter(remains)) {
-            let boot = latest_boot.entry(server.address).or_default();
-            *boot = server.member.started_at.max(*boot);
+            let latest = latest_start.entry(server.address).or_default();
+            *latest = server.member.started_at.max(*latest);
         }
         let is_replaced = |server: &Server| {
-            latest_boot
+            latest_start
                 .get(&server.address)
-                .is_some_and(|boot| *boot > server.member.started_at)
+                .is_some_and(|latest| *latest > server.member.started_at)
         };
         let replaced: Vec<Server> = servers
             .values()
--- a/edge/proxy/src/check_config.rs
+++ b/edge/proxy/src/check_config.rs
@@ -113,7 +113,7 @@
     }
     if let Some(hierarchy) = operator.and_then(|operator| operator.hierarchy.as_ref()) {
         Zones::of(decoded)
-            .notice(&hierarchy.tree)
+            .topology_command(&hierarchy.tree)
             .map_err(CheckError::Hierarchy)?;
     }
     Ok(limits::account(decoded, &config.limits))
--- a/edge/proxy/src/cover/owned_record.rs
+++ b/edge/proxy/src/cover/owned_record.rs
@@ -15,8 +15,8 @@
     key: Key,
     term: u64,
     lease: Lease,
-    within: Option<u32>,
-    until: Instant,
+    required_group: Option<u32>,
+    deadline: Instant,
     number: AtomicU8,
     may_have_run: AtomicBool,
     /// Its answer is kept, or it was let go, or lost.
@@ -31,13 +31,14 @@
         record: &Record,
         proof: Proof,
         lease: Lease,
-        until: Instant,
+        deadline: Instant,
     ) -> ReplicatedRecord {
         let term = record.ballot.term;
-        let within = match proof {
+        let required_group = match proof {
             Proof::Repeatable {
-                only_group: within, ..
-            } => within,
+                only_group: required_group,
+                ..
+            } => required_group,
             Proof::NeverRan | Proof::NotRepeatable => None,
         };
         // Numbers go on from those of this term, if another client here had it first.
@@ -54,25 +55,25 @@
             key,
             term,
             lease,
-            within,
-            until,
+            required_group,
+            deadline,
             number: AtomicU8::new(number),
             may_have_run: AtomicBool::new(proof != Proof::NeverRan),
             closed: AtomicBool::new(false),
         }
     }
 
-    fn lost(&self) {
+    fn record_loss(&self) {
         self.closed.store(true, Ordering::SeqCst);
         self.client.counts.lost.fetch_add(1, Ordering::Relaxed);
     }
 
-    fn let_go(&self, over: bool) {
+    fn release(&self, abandoned: bool) {
         if !self.closed.swap(true, Ordering::SeqCst) {
             self.client.send(Command::Release {
                 key: self.key,
                 term: self.term,
-                abandoned: over,
+                abandoned,
             });
         }
     }
@@ -80,7 +81,7 @@
 
 impl OwnedRecord for ReplicatedRecord {
     fn required_group(&self) -> Option<u32> {
-        self.within
+        self.required_group
     }
 
     fn record_intent(&self, server: &Member) -> AttemptIntent {
@@ -89,7 +90,7 @@
         let group = self.class.repeat.key_group(server);
         let event = self
             .client
-            .call(self.until, |ticket| Command::BeginAttempt {
+            .call(self.deadline, |ticket| Command::BeginAttempt {
                 ticket,
                 key,
                 term,
@@ -100,7 +101,7 @@
             Some(Event::Committed { .. }) => AttemptIntent::Recorded,
             Some(Event::Rejected { .. }) => AttemptIntent::Declined,
             Some(_) => {
-                self.lost();
+                self.record_loss();
                 AttemptIntent::OwnershipLost
             }
             None => AttemptIntent::OwnershipLost,
@@ -149,7 +150,7 @@
             StoredResponse::NotModified => Answer::NotModified,
             StoredResponse::Failed => Answer::Failed,
         };
-        let event = self.client.call(self.until, |ticket| Command::Complete {
+        let event = self.client.call(self.deadline, |ticket| Command::Complete {
             ticket,
             key,
             term,
@@ -158,20 +159,20 @@
         let kept = matches!(event, Some(Event::Committed { .. }));
         match event {
             Some(Event::Committed { .. }) => self.closed.store(true, Ordering::SeqCst),
-            Some(_) => self.lost(),
+            Some(_) => self.record_loss(),
             None => {}
         }
         kept
     }
 
     fn abandon(&self) {
-        self.let_go(true);
+        self.release(true);
     }
 }
 
 impl Drop for ReplicatedRecord {
     /// Guards against a request that ends with nothing said of it: the next in line goes on with it.
     fn drop(&mut self) {
-        self.let_go(false);
+        self.release(false);
     }
 }
--- a/edge/proxy/src/hierarchy.rs
+++ b/edge/proxy/src/hierarchy.rs
@@ -67,7 +67,7 @@
     /// # Errors
     ///
     /// Where the tree can't be used here.
-    pub fn notice(&self, tree: &Tree) -> Result<Command, HierarchyError> {
+    pub fn topology_command(&self, tree: &Tree) -> Result<Command, HierarchyError> {
         let own = self.own_name();
         let own_location =
             location(tree, own).ok_or_else(|| HierarchyError::NoLocation(own.to_string()))?;
@@ -83,8 +83,8 @@
             }
         }
         Ok(Command::Topology {
-            hubs: self.hubs(tree, own_location)?,
-            hub_of,
+            parent_zones: self.hubs(tree, own_location)?,
+            hub_by_zone: hub_of,
         })
     }
 
@@ -128,11 +128,11 @@
         clock: Clock,
         event_loop: EventLoopHandle,
     ) -> Result<ActiveHierarchy, HierarchyError> {
-        let notice = zones.notice(&hierarchy.tree)?;
+        let command = zones.topology_command(&hierarchy.tree)?;
         let overlap = hierarchy.overlap_ms * 1_000;
         let versions = TopologyVersions::new(zones.own_name(), hierarchy.tree.clone(), overlap)
             .map_err(|refused| HierarchyError::Refused(refused.to_string()))?;
-        event_loop.send(notice);
+        event_loop.send(command);
         Ok(ActiveHierarchy {
             versions,
             zones,
@@ -148,8 +148,8 @@
     ///
     /// Where the tree can't be used here.
     pub fn reapply(&self) -> Result<(), HierarchyError> {
-        let notice = self.zones.notice(self.versions.current())?;
-        self.event_loop.send(notice);
+        let command = self.zones.topology_command(self.versions.current())?;
+        self.event_loop.send(command);
         Ok(())
     }
 
@@ -159,13 +159,13 @@
     ///
     /// Where the tree can't be used here; then nothing changes.
     pub fn replace(&mut self, hierarchy: &Hierarchy) -> Result<String, HierarchyError> {
-        let notice = self.zones.notice(&hierarchy.tree)?;
+        let command = self.zones.topology_command(&hierarchy.tree)?;
         let taken = self
             .versions
             .apply(self.clock.now(), hierarchy.tree.clone())
             .map_err(|refused| HierarchyError::Refused(refused.to_string()))?;
         if taken == Applied::New {
-            self.event_loop.send(notice);
+            self.event_loop.send(command);
         }
         let stamp = self.versions.current().version();
         Ok(format!("tree {stamp} is in service"))
--- a/edge/proxy/src/hierarchy/tests.rs
+++ b/edge/proxy/src/hierarchy/tests.rs
@@ -25,13 +25,16 @@
     let sound = tree(&format!(
         "{hubs}location(\"porvoo\", parents = [\"east\", \"south\"])"
     ));
-    match zones.notice(&sound) {
-        Ok(Command::Topology { hubs, hub_of }) => {
-            assert_eq!((hubs, hub_of), (vec![1, 0], vec![0, 1, 1, 1]))
+    match zones.topology_command(&sound) {
+        Ok(Command::Topology {
+            parent_zones,
+            hub_by_zone,
+        }) => {
+            assert_eq!((parent_zones, hub_by_zone), (vec![1, 0], vec![0, 1, 1, 1]))
         }
-        _ => panic!("no notice"),
+        _ => panic!("no command"),
     }
-    let without = zones.notice(&tree(hubs)).err().unwrap();
+    let without = zones.topology_command(&tree(hubs)).err().unwrap();
     assert_eq!(
         without.to_string(),
         "porvoo, this proxy's zone, is no location of the tree"
@@ -39,7 +42,11 @@
     let unknown =
         "hub(\"west\", parents = [\"archive\"])\nlocation(\"porvoo\", parents = [\"west\"])";
     assert_eq!(
-        zones.notice(&tree(unknown)).err().unwrap().to_string(),
+        zones
+            .topology_command(&tree(unknown))
+            .err()
+            .unwrap()
+            .to_string(),
         "the hub west is no zone of the settings"
     );
 }
--- a/edge/proxy/src/journal/events.rs
+++ b/edge/proxy/src/journal/events.rs
@@ -82,12 +82,12 @@
             (Some(Ok(object)), _) => Some(Command::Invalidate {
                 object: Some(object),
                 group: NO_GROUP,
-                ago,
+                age: ago,
             }),
             (None, Some(group)) => Some(Command::Invalidate {
                 object: None,
                 group: *group,
-                ago,
+                age: ago,
             }),
             _ => {
                 tracing::warn!(
--- a/edge/proxy/src/load_reports.rs
+++ b/edge/proxy/src/load_reports.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Starts health checks where they are configured, and returns the upstream client, which forwards the load reports of
-/// responses. Where the settings have neither, that is `upstream` unchanged: no thread, lock or notice is added.
+/// responses. Where the settings have neither, that is `upstream` unchanged: no thread, lock or command is added.
 ///
 /// # Errors
 ///
--- a/edge/upstream/src/pool/tests.rs
+++ b/edge/upstream/src/pool/tests.rs
@@ -25,7 +25,7 @@
 fn idle_connections_are_lent_for_one_start_and_only_while_they_are_quiet() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let start = Incarnation {
-        boot: 0,
+        started_at: 0,
         address: listener.local_addr().unwrap(),
     };
     let pool = Pool::new(8, Duration::from_secs(60));
@@ -36,7 +36,13 @@
     assert_eq!(pool.count(), (0, 0));
     drop(far);
     let _far = give_back(&pool, &listener, start);
-    assert!(!lends_idle(&pool, Incarnation { boot: 9, ..start }));
+    assert!(!lends_idle(
+        &pool,
+        Incarnation {
+            started_at: 9,
+            ..start
+        }
+    ));
     // Closed by the other side; an answer that nobody asked for.
     for speaks in [false, true] {
         let mut far = give_back(&pool, &listener, start);
@@ -55,7 +61,7 @@
 fn the_pool_bounds_all_connections_and_lets_go_of_what_is_old_or_discarded() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let start = Incarnation {
-        boot: 0,
+        started_at: 0,
         address: listener.local_addr().unwrap(),
     };
     let pool = Pool::new(1, Duration::from_secs(60));
@@ -78,7 +84,7 @@
 fn what_is_out_when_its_cache_drains_is_closed_when_it_comes_home() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let start = Incarnation {
-        boot: 0,
+        started_at: 0,
         address: listener.local_addr().unwrap(),
     };
     let pool = Pool::new(8, Duration::from_secs(60));
@@ -126,7 +132,7 @@
 fn a_connection_that_has_just_come_back_rests_while_another_one_is_idle() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let start = Incarnation {
-        boot: 0,
+        started_at: 0,
         address: listener.local_addr().unwrap(),
     };
     let pool = Pool::new(8, Duration::from_secs(60));
@@ -172,7 +178,7 @@
 fn idle_connections_to_caches_that_are_gone_give_their_places_to_whoever_asks() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let start = Incarnation {
-        boot: 0,
+        started_at: 0,
         address: listener.local_addr().unwrap(),
     };
     let pool = Pool::new(3, Duration::from_secs(60));
@@ -181,7 +187,7 @@
     drop((far, listener));
     let other = TcpListener::bind("127.0.0.1:0").unwrap();
     let live = Incarnation {
-        boot: 0,
+        started_at: 0,
         address: other.local_addr().unwrap(),
     };
     let mut loans: Vec<PooledConnection> = (0..3)
