--- a/edge/core/src/admission.rs
+++ b/edge/core/src/admission.rs
@@ -1,4 +1,5 @@
-//! What a request with limits waits for: its admission, and the backoff before an attempt. Neither outlasts its client.
+//! The waits of a request with limits: for its admission, and for the backoff before an attempt. Both end early when the
+//! client disconnects.
 
 use crate::cancellation::{CancelHandle, Cancellable};
 use crate::limits::{Admission, AttemptPermission, Limiter, QueueEnd, RequestLimits};
@@ -9,9 +10,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a request in its backoff may miss that its client is gone.
-const BACKOFF_POLL: Duration = Duration::from_millis(5);
-/// Events that a queued request may receive: the end of its wait, and its client's leave.
+/// Interval at which a request in backoff checks whether its client is gone.
+const BACKOFF_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Capacity of a queued request's channel: one event for the end of its wait, one for its client's disconnect.
 const EVENT_CAPACITY: usize = 2;
 
 /// Why a request was not admitted.
@@ -21,22 +22,27 @@
     ClientGone,
 }
 
-/// What wakes a queued request.
+/// Ends the wait of a queued request.
 enum QueueEvent {
     Ended(QueueEnd),
     ClientGone,
 }
 
 /// Wakes a queued request when its client is gone.
-struct QueuedRequest(Sender<QueueEvent>);
+struct QueueWaker(Sender<QueueEvent>);
 
-impl Cancellable for QueuedRequest {
+impl Cancellable for QueueWaker {
     fn cancel(&self) {
         let _ = self.0.try_send(QueueEvent::ClientGone);
     }
 }
 
-/// Admits a request to its limits, where there are any. A queued one waits as long as the limits say and its client stays.
+/// Admits a request under its limits, if it has any. A queued request waits until it is admitted, its queue timeout or
+/// `deadline` passes, or its client is gone.
+///
+/// # Errors
+///
+/// The request was not admitted, or its client is gone.
 pub(crate) fn admit(
     limiter: Option<&Limiter>,
     request: &ClientRequest,
@@ -47,7 +53,7 @@
         return Ok(None);
     };
     let (sender, events) = bounded(EVENT_CAPACITY);
-    let queued = Arc::new(QueuedRequest(sender.clone()));
+    let waker = Arc::new(QueueWaker(sender.clone()));
     let on_queue_end = Box::new(move |end| {
         let _ = sender.try_send(QueueEvent::Ended(end));
     });
@@ -56,8 +62,8 @@
         Admission::Admitted(limits) => Ok(Some(limits)),
         Admission::Rejected(rejected) => Err(NotAdmitted::Rejected(rejected)),
         Admission::Queued(mut limits, max_wait) => {
-            // No attempt is in flight yet, so only the client's leave can cancel number 0.
-            if !cancel.register(0, queued) {
+            // No attempt is in flight yet, so attempt number 0 is cancelled only if the client is gone.
+            if !cancel.register(0, waker) {
                 return Err(NotAdmitted::ClientGone);
             }
             let event = events.recv_deadline(deadline.min(Instant::now() + max_wait));
@@ -78,7 +84,8 @@
     }
 }
 
-/// Whether the attempt that the router decided may be made; returns after its backoff.
+/// Waits for the backoff of the attempt that the router decided on. Returns false if the attempt must not be made: the limits
+/// deny it, its backoff would end past `deadline`, the client is gone, or the idempotency window has passed.
 pub(crate) fn await_permission(
     limits: &mut RequestLimits,
     cancel: &CancelHandle,
@@ -93,7 +100,9 @@
                 return false;
             }
             while !cancel.is_client_gone() && Instant::now() < end {
-                thread::sleep(BACKOFF_POLL.min(end.saturating_duration_since(Instant::now())));
+                thread::sleep(
+                    BACKOFF_POLL_INTERVAL.min(end.saturating_duration_since(Instant::now())),
+                );
             }
             !cancel.is_client_gone() && limits.is_within_idempotency_window()
         }
--- a/edge/core/src/attempt.rs
+++ b/edge/core/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt, as the core hands it to the upstream client.
+//! The interface between the core and the upstream client, which makes the attempts.
 
 use crate::cancellation::CancelHandle;
 use crate::messages::AttemptTarget;
@@ -8,26 +8,26 @@
 use std::ops::Range;
 use std::time::Instant;
 
-/// An attempt that is to be made now.
+/// An attempt to be made now.
 pub struct Attempt<'a> {
     /// The request it belongs to.
     pub request: &'a ClientRequest,
     /// Cancels the attempt.
     pub cancel: &'a CancelHandle,
-    /// The attempt as the router decided it.
+    /// The router's decision.
     pub fetch: &'a Fetch,
-    /// The servers that the router meant.
+    /// The incarnations of the servers that the router chose.
     pub target: &'a AttemptTarget,
-    /// When the client gives up.
+    /// When the attempt must have ended.
     pub deadline: Instant,
-    /// Consulted right before the first byte is sent, where the request has a replicated record.
+    /// The request's replicated record, if it has one; consulted right before the first byte is sent.
     pub record: Option<&'a dyn OwnedRecord>,
 }
 
-/// What a successful response brought.
+/// The content of a successful response.
 #[derive(Debug, PartialEq)]
 pub enum Payload {
-    /// The body, at this range of the attempt's buffer.
+    /// The body, in this range of the attempt's buffer.
     Body(Range<usize>),
     /// The client's copy is current.
     NotModified,
@@ -35,8 +35,8 @@
 
 /// Makes attempts.
 pub trait UpstreamClient: Send + Sync {
-    /// Makes one attempt and waits for its end; the response is read into `buffer`. It registers what it waits for with the
-    /// attempt's [`CancelHandle`] and gives back all that it holds before it returns. The payload is there where the
-    /// attempt served the request.
+    /// Makes one attempt and blocks until it ends; the response is read into `buffer`. The implementation registers what it
+    /// waits for with the attempt's [`CancelHandle`], and releases everything it holds before it returns. The payload is
+    /// `Some` if the attempt served the request.
     fn attempt(&self, attempt: &Attempt, buffer: &mut [u8]) -> (Outcome, Option<Payload>);
 }
--- a/edge/core/src/attempt_history.rs
+++ b/edge/core/src/attempt_history.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request that did not serve it, for its line in the log.
+//! The failed attempts of one request, for its log line.
 
 use foldmux::interface::{CacheId, Outcome};
 use std::fmt;
@@ -8,7 +8,7 @@
     outcome: Outcome,
 }
 
-/// The attempts in their order. The settings bound how many there are.
+/// The failed attempts of a request in order. The settings limit how many attempts a request has.
 #[derive(Default)]
 pub(crate) struct AttemptHistory(Vec<FailedAttempt>);
 
--- a/edge/core/src/buffers.rs
+++ b/edge/core/src/buffers.rs
@@ -1,15 +1,15 @@
-//! Buffers of one size from one bounded pool. The pool makes them as they are first wanted, and pages that no response
-//! reached cost no memory.
+//! A bounded pool of buffers of one size. A buffer is allocated zeroed when it is first needed, so that pages no response has
+//! reached take up no physical memory.
 
 use std::ops::{Deref, DerefMut};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Size of a buffer (bytes): the longest object (240,000 bytes) with its head and trailers.
+/// Size of a buffer (bytes): holds the longest object (240,000 bytes) with its head and trailers.
 pub const BUFFER_SIZE: usize = 256 * 1024;
-/// Request bodies may use one of so many buffers.
+/// Request bodies may use one in this many buffers of the pool.
 const REQUEST_BODY_DIVISOR: usize = 4;
 
-/// The pool.
+/// A bounded pool of buffers.
 pub struct BufferPool {
     state: Mutex<State>,
     max: usize,
@@ -18,9 +18,9 @@
 #[derive(Default)]
 struct State {
     free: Vec<Box<[u8]>>,
-    /// Buffers made so far.
-    made: usize,
-    /// Buffers in use for request bodies.
+    /// Number of buffers allocated so far.
+    allocated: usize,
+    /// Number of buffers in use for request bodies.
     request_bodies: usize,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl BufferPool {
-    /// A pool of at most `max` buffers.
+    /// Creates a pool of at most `max` buffers.
     pub fn new(max: usize) -> Arc<BufferPool> {
         Arc::new(BufferPool {
             state: Mutex::default(),
@@ -39,13 +39,13 @@
         })
     }
 
-    /// A buffer for a response, or `None` where all are in use.
+    /// Acquires a buffer for a response; `None` if all are in use.
     pub fn acquire(self: &Arc<Self>) -> Option<Buffer> {
         self.take(Purpose::Response)
     }
 
-    /// A buffer for the body of a request. These may use a quarter of the pool, so that bodies that never arrive whole
-    /// can't keep all buffers from responses.
+    /// Acquires a buffer for a request body; `None` if none is free. Request bodies may use a quarter of the pool, so that
+    /// bodies that never arrive in full cannot take all buffers from the responses.
     pub fn acquire_for_request_body(self: &Arc<Self>) -> Option<Buffer> {
         self.take(Purpose::RequestBody)
     }
@@ -58,8 +58,8 @@
         }
         let bytes = match state.free.pop() {
             Some(bytes) => bytes,
-            None if state.made < self.max => {
-                state.made += 1;
+            None if state.allocated < self.max => {
+                state.allocated += 1;
                 vec![0; BUFFER_SIZE].into_boxed_slice()
             }
             None => return None,
@@ -72,10 +72,10 @@
         })
     }
 
-    /// How many buffers are in use.
+    /// Number of buffers in use.
     pub fn in_use(&self) -> usize {
         let state = self.state();
-        state.made - state.free.len()
+        state.allocated - state.free.len()
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -83,7 +83,7 @@
     }
 }
 
-/// A buffer in use; dropped, it returns to its pool.
+/// A buffer in use; returns to its pool on drop.
 pub struct Buffer {
     bytes: Box<[u8]>,
     purpose: Purpose,
--- a/edge/core/src/cancellation.rs
+++ b/edge/core/src/cancellation.rs
@@ -3,15 +3,15 @@
 use foldmux::interface::RequestId;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Something that a thread waits for on behalf of an attempt, such as its connection.
+/// Something that a thread blocks on for an attempt, such as its connection.
 pub trait Cancellable: Send + Sync {
-    /// Wakes the waiting thread at once.
+    /// Wakes the blocked thread at once.
     fn cancel(&self);
 }
 
-/// The cancellation handle of one request, shared between its thread and those that may cancel it.
+/// The cancellation handle of one request, shared by its thread and the threads that may cancel it.
 pub struct CancelHandle {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
     state: Mutex<State>,
 }
@@ -19,9 +19,9 @@
 #[derive(Default)]
 struct State {
     client_gone: bool,
-    /// Attempts up to this number are cancelled.
+    /// Attempts up to and including this number are cancelled.
     cancelled_through: Option<u8>,
-    /// What the attempt of this number waits for.
+    /// The attempt with this number blocks on this.
     waiting: Option<(u8, Arc<dyn Cancellable>)>,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl CancelHandle {
-    /// The handle of a request that nobody has cancelled.
+    /// Creates the handle of a request that is not cancelled.
     pub fn new(id: RequestId) -> Arc<CancelHandle> {
         Arc::new(CancelHandle {
             id,
@@ -49,12 +49,13 @@
         self.state().client_gone
     }
 
-    /// Whether this attempt was cancelled, or the client is gone.
+    /// Whether this attempt is cancelled, by itself or because the client is gone.
     pub fn is_cancelled(&self, attempt: u8) -> bool {
         self.state().is_cancelled(attempt)
     }
 
-    /// Registers what `attempt` waits for, so that a cancellation reaches it; false if the attempt is cancelled already.
+    /// Registers what `attempt` blocks on, so that a cancellation wakes it. Returns false, and registers nothing, if the
+    /// attempt is already cancelled.
     pub fn register(&self, attempt: u8, waiting: Arc<dyn Cancellable>) -> bool {
         let mut state = self.state();
         if state.is_cancelled(attempt) {
@@ -64,7 +65,7 @@
         true
     }
 
-    /// The attempt waits for nothing any more.
+    /// Removes the registration: the attempt no longer blocks.
     pub fn unregister(&self) {
         self.state().waiting = None;
     }
@@ -78,12 +79,12 @@
         }
     }
 
-    /// Cancels every attempt, present and future.
+    /// Cancels all attempts, including future ones.
     pub fn cancel_all(&self) {
         self.cancel_through(u8::MAX);
     }
 
-    /// Records that the client is gone, which cancels every attempt.
+    /// Records that the client is gone, which cancels all attempts.
     pub(crate) fn client_gone(&self) {
         let mut state = self.state();
         state.client_gone = true;
--- a/edge/core/src/clock.rs
+++ b/edge/core/src/clock.rs
@@ -1,4 +1,4 @@
-//! The router's clock: microseconds that only go forward. Unix timestamps become router times here and nowhere else.
+//! The router's clock: monotonic, in microseconds. Unix timestamps are converted to router times only here.
 
 use foldmux::interface::Time;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -9,49 +9,49 @@
 #[derive(Clone, Debug)]
 pub struct Clock {
     started_at: Instant,
-    /// Router time at `started_at`: the Unix time then, so that earlier timestamps have router times, too.
-    origin: Time,
+    /// Router time at `started_at`: the Unix time then, so that earlier timestamps have router times as well.
+    start_time: Time,
 }
 
 impl Default for Clock {
     fn default() -> Clock {
         Clock {
             started_at: Instant::now(),
-            origin: unix_us().max(1),
+            start_time: unix_us().max(1),
         }
     }
 }
 
 impl Clock {
-    /// The router time now (µs).
+    /// Returns the current router time (µs).
     pub fn now(&self) -> Time {
         self.at(Instant::now())
     }
 
-    /// The router time at `instant` (µs); that of the clock's start for any earlier one.
+    /// Returns the router time at `instant` (µs); an instant before the clock's start counts as its start.
     pub fn at(&self, instant: Instant) -> Time {
         let since_start = instant.saturating_duration_since(self.started_at);
-        self.origin + since_start.as_micros() as Time
+        self.start_time + since_start.as_micros() as Time
     }
 
-    /// The router time (µs) of a Unix timestamp in milliseconds; 0 stays 0, which stands for long ago.
+    /// Converts a Unix timestamp (ms) to a router time (µs). 0, which means long ago, stays 0.
     pub fn from_unix_ms(&self, timestamp_ms: u64) -> Time {
         if timestamp_ms == 0 {
             return 0;
         }
         let timestamp = timestamp_ms.saturating_mul(MICROS_PER_MILLI);
-        time_of(self.now(), unix_us(), timestamp)
+        router_time(self.now(), unix_us(), timestamp)
     }
 }
 
-/// The router time of a Unix timestamp (all in µs), by how long ago it is on the system's clock as that stands now: a step
-/// of that clock moves no router time. A timestamp of the future counts as now; the earliest result is 1.
-fn time_of(now: Time, unix_now: u64, timestamp: u64) -> Time {
+/// Converts a Unix timestamp to a router time (all in µs) by its age on the system clock. Only the age is used, so that a step
+/// of the system clock doesn't move the router time. A future timestamp counts as now; the result is at least 1.
+fn router_time(now: Time, unix_now: u64, timestamp: u64) -> Time {
     let age = unix_now.saturating_sub(timestamp);
     now.saturating_sub(age).max(1)
 }
 
-/// The Unix time (µs); a system clock before 1970 counts as 1970.
+/// Returns the Unix time (µs); a system clock before 1970 counts as 1970.
 fn unix_us() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/edge/core/src/core.rs
+++ b/edge/core/src/core.rs
@@ -1,4 +1,4 @@
-//! The core's public face: what all requests share, and where a front starts a request.
+//! [`Core`]: the state that all requests share, and the entry points by which fronts start requests.
 
 use crate::attempt::UpstreamClient;
 use crate::attempt_history::AttemptHistory;
@@ -27,7 +27,7 @@
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant};
 
-/// What a core is made of.
+/// The parts that a [`Core`] is built from.
 pub struct CoreSetup {
     /// The running event loop.
     pub event_loop: EventLoopHandle,
@@ -35,7 +35,7 @@
     pub clock: Clock,
     /// Buffers for responses and request bodies.
     pub buffers: Arc<BufferPool>,
-    /// The servers, as the event loop keeps them.
+    /// The list of servers that the event loop maintains.
     pub servers: Arc<ServerList>,
     /// Makes the attempts.
     pub upstream: Box<dyn UpstreamClient>,
@@ -43,11 +43,11 @@
     pub retry_after: Duration,
     /// How long after its start a server may still be warming up.
     pub warm_up: Duration,
-    /// Requests that may be open at once.
+    /// Maximum number of requests open at once.
     pub max_open: usize,
 }
 
-/// Takes requests from all fronts, up to a bound, and serves each on a thread of its own.
+/// Accepts requests from all fronts, up to a maximum number of open requests, and serves each on a thread of its own.
 pub struct Core {
     /// The router's clock.
     pub clock: Clock,
@@ -59,13 +59,13 @@
     pub servers: Arc<ServerList>,
     /// Counters of requests and attempts.
     pub metrics: Arc<Metrics>,
-    /// Bounds the log lines of requests that were not served.
+    /// Limits the rate of log lines for requests that were not served.
     pub unserved_log: LogThrottle,
-    /// Limits by class and route, where the operator's file has them.
+    /// Limits by class and route, if the operator's file has any.
     pub limiter: OnceLock<Arc<Limiter>>,
-    /// Replicated request records, where the operator's file has a fleet.
+    /// Replicated request records, if the operator's file has a fleet.
     pub records: OnceLock<Arc<dyn RequestRecords>>,
-    /// Concurrency pools, where the operator's file has any.
+    /// Concurrency pools, if the operator's file has any.
     pub permits: OnceLock<Arc<dyn AttemptPermits>>,
     upstream: Box<dyn UpstreamClient>,
     retry_after: RetryAfter,
@@ -73,13 +73,13 @@
     workers: Arc<WorkerPool<RequestJob>>,
     open: Arc<OpenRequests>,
     open_ids: Arc<OpenIds>,
-    /// Requests whose attempts others make; their fronts bound them.
+    /// Number of requests whose attempts their callers make; the fronts limit it.
     delegated: AtomicUsize,
     next_id: AtomicU64,
 }
 
 impl Core {
-    /// A core without limits, records and pools; set them before it serves.
+    /// Creates a core without limits, records and pools; set those that apply before it serves requests.
     pub fn new(setup: CoreSetup) -> Arc<Core> {
         let open = OpenRequests::new(setup.max_open);
         Arc::new(Core {
@@ -103,19 +103,20 @@
         })
     }
 
-    /// The handle of a new request.
+    /// Creates the cancellation handle of a new request, with the next request id.
     pub fn new_cancel_handle(&self) -> Arc<CancelHandle> {
         CancelHandle::new(RequestId(self.next_id.fetch_add(1, Ordering::Relaxed)))
     }
 
-    /// Starts a request, or rejects it at once where there is no room for it.
+    /// Starts a request. Fails it at once if another open request has its id; rejects it if too many requests are open or no
+    /// thread can be started.
     pub fn start(
         self: &Arc<Core>,
         request: ClientRequest,
         cancel: Arc<CancelHandle>,
         responder: Box<dyn Responder>,
     ) {
-        // Of two open requests under one id, a cache would take the second for the first.
+        // If two open requests had one id, a cache would take the second for a repeat of the first.
         let Some(claim) = self.open_ids.claim(request.via_id) else {
             self.services().record_completion(
                 &request,
@@ -124,14 +125,14 @@
             );
             return responder.respond(Response::Failed);
         };
-        let work = Work::Client(responder);
-        let started = self.start_job(claim, request, cancel, work);
+        let kind = JobKind::Client(responder);
+        let started = self.start_job(claim, request, cancel, kind);
         if let Err(NotStarted { job, reason }) = started {
             job.shed(reason);
         }
     }
 
-    /// Starts a request that was taken over; false where there is no room for it: then its record is released.
+    /// Starts a request that was taken over. Returns false, and releases its record, if it cannot be started.
     pub fn start_taken_over(
         self: &Arc<Core>,
         request: ClientRequest,
@@ -141,7 +142,7 @@
         let Some(claim) = self.open_ids.claim(request.via_id) else {
             return false;
         };
-        self.start_job(claim, request, cancel, Work::TakenOver(record))
+        self.start_job(claim, request, cancel, JobKind::TakenOver(record))
             .is_ok()
     }
 
@@ -150,14 +151,14 @@
         claim: IdClaim,
         request: ClientRequest,
         cancel: Arc<CancelHandle>,
-        work: Work,
+        kind: JobKind,
     ) -> Result<(), NotStarted<RequestJob>> {
         self.workers.start(RequestJob {
             core: self.clone(),
             claim,
             request,
             cancel,
-            work,
+            kind,
         })
     }
 
@@ -175,7 +176,7 @@
         }
     }
 
-    /// The client is gone: its attempt is cancelled, and the router hears of it.
+    /// Handles a client that disconnected or withdrew its request: cancels the attempt and informs the router.
     pub fn client_gone(&self, cancel: &CancelHandle) {
         cancel.client_gone();
         self.event_loop.send(Command::ClientGone(cancel.id));
@@ -186,8 +187,8 @@
         self.retry_after.get()
     }
 
-    /// Applies other settings: Retry-After of the core's own rejections, and how long after its start a server may be
-    /// warming up.
+    /// Applies reloaded settings: the Retry-After of the core's own rejections, and how long after its start a server may
+    /// still be warming up.
     pub fn update_settings(&self, retry_after: Duration, warm_up: Duration) {
         self.retry_after.set(retry_after);
         self.warm_up_us
@@ -200,66 +201,68 @@
         started_at > 0 && now < started_at + self.warm_up_us.load(Ordering::Relaxed)
     }
 
-    /// How many requests are open.
+    /// Number of open requests.
     pub fn open_requests(&self) -> usize {
         self.open.count()
     }
 
-    /// How many requests are delegated.
+    /// Number of delegated requests.
     pub fn delegated_requests(&self) -> usize {
         self.delegated.load(Ordering::SeqCst)
     }
 
-    /// How many requests each of `clients` may have open; `None` while there is room for all.
+    /// Maximum number of open requests for each of `clients` clients once 15/16 of the total are open; `None` below that.
     pub fn fair_share(&self, clients: usize) -> Option<usize> {
         let max = self.open.max();
         let is_nearly_full = self.open.count() >= max * 15 / 16;
         is_nearly_full.then(|| (max / clients.max(1)).max(1))
     }
 
-    /// Counts an open request that no worker thread serves; `None` where as many are open as may be.
-    pub(crate) fn enter(&self) -> Option<OpenRequest> {
-        self.open.enter()
+    /// Counts an open request that no worker thread serves; `None` if the maximum number of requests is open.
+    pub(crate) fn try_open(&self) -> Option<OpenRequest> {
+        self.open.try_open()
     }
 
-    /// Counts one more delegated request; returns how many there were.
+    /// Adds one to the number of delegated requests; returns the number before that.
     pub(crate) fn count_delegated(&self) -> usize {
         self.delegated.fetch_add(1, Ordering::SeqCst)
     }
 
+    /// Takes one off the number of delegated requests.
     pub(crate) fn uncount_delegated(&self) {
         self.delegated.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// Whom a request is served for.
-enum Work {
+/// Whether a request has a client at this process.
+enum JobKind {
+    /// From a client of this process, which gets the response.
     Client(Box<dyn Responder>),
-    /// A client of another process, which lost the request.
+    /// Taken over from another process; the response is only stored in the record.
     TakenOver(Box<dyn OwnedRecord>),
 }
 
-/// A request on its way to its thread.
+/// A request to be served on a worker thread.
 struct RequestJob {
     core: Arc<Core>,
     claim: IdClaim,
     request: ClientRequest,
     cancel: Arc<CancelHandle>,
-    work: Work,
+    kind: JobKind,
 }
 
 impl RequestJob {
-    /// Rejects the request before the router heard of it. One that was taken over has no client here: dropping its record
-    /// releases it.
+    /// Rejects the request before it reaches the router. A request that was taken over has no client here: its record is
+    /// released by being dropped.
     fn shed(self: Box<Self>, reason: Reason) {
         let RequestJob {
             core,
             claim: _claim,
             request,
-            work,
+            kind,
             ..
         } = *self;
-        let Work::Client(responder) = work else {
+        let JobKind::Client(responder) = kind else {
             return;
         };
         let services = core.services();
@@ -276,24 +279,24 @@
             claim: _claim,
             request,
             cancel,
-            work,
+            kind,
         } = self;
         let services = core.services();
-        match work {
-            Work::Client(responder) => match core.records.get() {
+        match kind {
+            JobKind::Client(responder) => match core.records.get() {
                 Some(records) => {
                     replicated::serve(&services, &**records, request, &cancel, responder)
                 }
                 None => serve(&services, request, &cancel, responder),
             },
-            Work::TakenOver(record) => {
+            JobKind::TakenOver(record) => {
                 replicated::serve_taken_over(&services, request, &cancel, &*record)
             }
         }
     }
 }
 
-/// Serves a request that has no replicated record.
+/// Serves a client's request without a replicated record.
 fn serve(
     services: &Services,
     request: ClientRequest,
--- a/edge/core/src/delegated.rs
+++ b/edge/core/src/delegated.rs
@@ -1,7 +1,7 @@
-//! A delegated request: its caller makes the attempts itself, where it is directed, and reports how they ended.
+//! Delegated requests, whose caller makes the attempts itself at the servers it is given, and reports their outcomes.
 //!
-//! [`DelegatedRequest`] is a state machine that never waits: its holder waits for directives and for the attempts' ends, and
-//! hands both in.
+//! [`DelegatedRequest`] is a state machine that never blocks: the front waits for the directives and for the outcomes of the
+//! attempts, and passes both in.
 
 use crate::core::Core;
 use crate::in_flight::InFlightAttempt;
@@ -15,24 +15,24 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Where an attempt goes, as the router decided it.
+/// The servers of an attempt that the router decided on.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// The cache to ask.
+    /// The cache that the attempt goes to.
     pub cache: Server,
-    /// Where a miss is filled from; `None` where it is not filled.
+    /// The server that a miss is filled from; `None` if a miss is not filled.
     pub source: Option<Server>,
     /// The attempt as the router decided it.
     pub fetch: Fetch,
     target: AttemptTarget,
 }
 
-/// What a directive means for the holder of a delegated request.
+/// What the front of a delegated request must do after a directive.
 #[derive(Debug)]
 pub enum Instruction {
     /// Make this attempt.
     Attempt(Box<Route>),
-    /// A server that the router chose takes no more work by now: another directive follows.
+    /// A server of the attempt no longer accepts work; wait for the next directive.
     AwaitNext,
     /// The request is rejected.
     Rejected(Rejected),
@@ -42,8 +42,8 @@
     ClientGone,
 }
 
-/// One delegated request. However it is dropped, the outcome of its attempt and the end of the request are reported, and it
-/// counts as delegated no longer.
+/// One delegated request. On drop, it reports the outcome of an attempt in flight and the end of the request, and no longer
+/// counts as delegated.
 pub struct DelegatedRequest {
     core: Arc<Core>,
     id: RequestId,
@@ -53,9 +53,9 @@
 }
 
 impl DelegatedRequest {
-    /// Gives the request to the router, which sends its directives to `directives`; or `None` where `max` requests are
-    /// delegated already, which the router never hears of. `placement_ttl` is for how long (µs) the caller may use what it is
-    /// told, 0 for one attempt.
+    /// Passes the request to the router, whose directives go to `directives`. Returns `None`, without telling the router, if
+    /// `max` requests are delegated already. The caller may use the route for `placement_ttl` (µs); 0 stands for a single
+    /// attempt.
     pub fn start(
         core: &Arc<Core>,
         request: &ClientRequest,
@@ -65,7 +65,7 @@
     ) -> Option<DelegatedRequest> {
         let is_full = core.count_delegated() >= max;
         let cancel = core.new_cancel_handle();
-        // From here on its drop takes it off the count.
+        // From here on, dropping it undoes the count.
         let delegated = DelegatedRequest {
             core: core.clone(),
             id: cancel.id,
@@ -83,8 +83,8 @@
         Some(delegated)
     }
 
-    /// Takes a directive. The servers of an attempt are checked once more, as the list may have changed since the router
-    /// chose them.
+    /// Processes a directive. Checks the servers of an attempt again, as the list may have changed since the router chose
+    /// them.
     pub fn take(&mut self, directive: Directive) -> Instruction {
         match directive {
             Directive::Attempt(fetch, target) => self.begin_attempt(fetch, target),
@@ -113,6 +113,7 @@
         }
     }
 
+    /// Returns the route of an attempt; `None` if it is too late to send it, or if one of its servers no longer accepts work.
     fn route(&self, fetch: Fetch, target: AttemptTarget) -> Option<Route> {
         let in_time = fetch.may_send(self.core.clock.now());
         let servers = &self.core.servers;
@@ -129,7 +130,7 @@
         })
     }
 
-    /// Whether a route that was kept for later may still be used.
+    /// Whether a route that the caller kept may still be used.
     pub fn is_current(&self, route: &Route) -> bool {
         let Route { fetch, target, .. } = route;
         if !fetch.may_send(self.core.clock.now()) {
@@ -142,15 +143,15 @@
         source_accepts && accepts(fetch.cache, target.cache)
     }
 
-    /// The route was handed to the caller: from here on the attempt may execute.
+    /// Records that the caller has the route: from here on, the attempt may execute.
     pub fn mark_sent(&mut self) {
         if let Some(in_flight) = &mut self.in_flight {
             in_flight.mark_sent();
         }
     }
 
-    /// Reports how the attempt in flight ended. `last`: no other attempt follows, whatever the router decides; else its next
-    /// directive follows.
+    /// Reports the outcome of the attempt in flight. If `last`, no other attempt follows, whatever the router decides;
+    /// otherwise, wait for its next directive.
     pub fn finish_attempt(&mut self, outcome: Outcome, last: bool) {
         if let Some(in_flight) = self.in_flight.take() {
             in_flight.finish(outcome, last);
@@ -167,27 +168,27 @@
     }
 }
 
-/// What became of a request that was to be routed once.
+/// The result of [`route_once`].
 pub enum Routing<T> {
-    /// It was routed.
+    /// The request was routed.
     To(T),
-    /// As many requests are open as may be; the router never heard of it.
+    /// The maximum number of requests is open; the router did not get the request.
     Overloaded,
     /// The router rejected it.
     Rejected,
-    /// The router failed it, or did not decide in time.
+    /// The router failed it, or made no decision before the deadline.
     Failed,
 }
 
-/// Routes a request whose attempt is never reported: the router decides, `answer` tells the client where to go, and the
-/// router learns nothing of how that ended.
+/// Routes a request whose outcome is never known: the router decides, `answer` makes the client's answer from the route, and
+/// the attempt is reported as cancelled at once. Blocks until the router has decided.
 pub fn route_once<T>(
     core: &Arc<Core>,
     request: &ClientRequest,
     placement_ttl: Time,
     answer: impl FnOnce(&Route) -> T,
 ) -> Routing<T> {
-    let Some(_open): Option<OpenRequest> = core.enter() else {
+    let Some(_open): Option<OpenRequest> = core.try_open() else {
         return Routing::Overloaded;
     };
     let (sender, directives) = bounded(DIRECTIVE_CAPACITY);
--- a/edge/core/src/event_loop.rs
+++ b/edge/core/src/event_loop.rs
@@ -1,7 +1,7 @@
 //! The event loop: one thread that owns the router, its timers and the table of open requests.
 //!
-//! It is fed by one bounded channel of [`Command`]s, and hands each action of the router to the request that it is for. It
-//! waits for nothing but that channel and its timers.
+//! It receives [`Command`]s over one bounded channel, and passes each action of the router to the request it concerns. It
+//! blocks on nothing but that channel and its timers.
 
 use crate::cancellation::CancelHandle;
 use crate::clock::Clock;
@@ -17,9 +17,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Commands that may wait for the event loop; beyond that their senders wait.
+/// Capacity of the command channel; senders block while it is full.
 const COMMAND_CAPACITY: usize = 4096;
-/// How long the loop waits for a command where no timer is set.
+/// How long the loop waits for a command when no timer is set.
 const IDLE_WAIT: Duration = Duration::from_secs(60);
 
 /// Sends commands to the event loop.
@@ -27,22 +27,22 @@
 pub struct EventLoopHandle(Sender<Command>);
 
 impl EventLoopHandle {
-    /// Sends a command; waits while the channel is full. The loop ends only with the process, so a command to a loop that is
-    /// gone has no meaning any more.
+    /// Sends a command; blocks while the channel is full. The loop ends only with the process, so a command to a loop that
+    /// has ended is dropped.
     pub fn send(&self, command: Command) {
         let _ = self.0.send(command);
     }
 }
 
-/// A request that the router knows.
-struct OpenRequest {
+/// Entry of the table of open requests.
+struct RequestEntry {
     cancel: Arc<CancelHandle>,
     directives: Box<dyn DirectiveSink>,
-    /// Attempts decided so far.
+    /// Number of attempts that the router has decided on.
     attempts: u8,
 }
 
-/// Load reports and health checks, where the settings have them.
+/// Load reports and health checks, if the settings have them.
 struct LoadReports {
     state: RouterLoadReports,
     probes: Option<Box<dyn ProbeSender>>,
@@ -56,26 +56,28 @@
     }
 }
 
+/// Called with the former entry of a server whose incarnation ended.
 type EndedHook = Box<dyn Fn(&Server) + Send>;
 
-/// The event loop, before it runs.
+/// The event loop; [`EventLoop::run`] runs it.
 pub struct EventLoop {
     router: Router,
     clock: Clock,
     commands: Receiver<Command>,
     servers: Arc<ServerList>,
     ended_hooks: Vec<EndedHook>,
-    open: HashMap<RequestId, OpenRequest>,
+    requests: HashMap<RequestId, RequestEntry>,
+    /// Due time (router time, µs) and token of each timer, the earliest first.
     timers: BinaryHeap<Reverse<(Time, u32)>>,
-    /// Reused from event to event.
+    /// Kept between events to reuse its allocation.
     actions: Vec<Action>,
     load_reports: Option<LoadReports>,
-    /// When every request must have its response, once the process shuts down.
+    /// When every request must have its response (router time, µs); `None` until the process shuts down.
     shutdown_deadline: Option<Time>,
 }
 
 impl EventLoop {
-    /// An event loop over this router, and the handle that feeds it.
+    /// Creates an event loop for this router, and a handle that sends commands to it.
     pub fn new(
         router: Router,
         clock: Clock,
@@ -88,7 +90,7 @@
             commands,
             servers,
             ended_hooks: Vec::new(),
-            open: HashMap::new(),
+            requests: HashMap::new(),
             timers: BinaryHeap::new(),
             actions: Vec::new(),
             load_reports: None,
@@ -97,13 +99,13 @@
         (event_loop, EventLoopHandle(sender))
     }
 
-    /// Calls `hook` with the former entry of each server whose incarnation takes no more work: it drains, is gone, or
-    /// started anew.
+    /// Registers a hook that is called with the former entry of each server whose incarnation no longer accepts work: the
+    /// server drains, is gone, restarted, or moved to another address.
     pub fn on_incarnation_ended(&mut self, hook: impl Fn(&Server) + Send + 'static) {
         self.ended_hooks.push(Box::new(hook));
     }
 
-    /// Keeps load reports in `state`, and sends health checks by `probes` where there are any.
+    /// Tracks load reports in `state`, and sends health checks through `probes`, if given.
     pub fn enable_load_reports(
         &mut self,
         state: RouterLoadReports,
@@ -112,11 +114,11 @@
         self.load_reports = Some(LoadReports { state, probes });
     }
 
-    /// Runs until every handle is gone.
+    /// Runs until every handle has been dropped.
     pub fn run(mut self) {
         loop {
             match self.commands.recv_timeout(self.until_next_timer()) {
-                Ok(command) => self.execute(command),
+                Ok(command) => self.execute_command(command),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
@@ -142,7 +144,7 @@
         }
     }
 
-    fn execute(&mut self, command: Command) {
+    fn execute_command(&mut self, command: Command) {
         match command {
             Command::Request {
                 request,
@@ -151,14 +153,14 @@
             } => self.open_request(request, cancel, directives),
             Command::Outcome(report) => self.handle(Event::Outcome(report)),
             Command::ClientGone(id) => {
-                if let Some(open) = self.open.get(&id) {
-                    open.directives.send(Directive::ClientGone);
+                if let Some(entry) = self.requests.get(&id) {
+                    entry.directives.send(Directive::ClientGone);
                     self.handle(Event::ClientDisconnected { id });
                 }
             }
             Command::RequestEnded(id) => {
-                // The router forgets a request by itself only with its final decision; of any other end it must hear.
-                if self.open.remove(&id).is_some() {
+                // The router removes a request by itself only at its final decision; of any other end it has to be told.
+                if self.requests.remove(&id).is_some() {
                     self.handle(Event::ClientDisconnected { id });
                 }
             }
@@ -171,7 +173,7 @@
                 cache,
                 incarnation,
                 load,
-            } => self.with_load_reports(cache, incarnation, |reports, now| {
+            } => self.apply_load_report(cache, incarnation, |reports, now| {
                 reports.record_report(now, cache, load)
             }),
             Command::ProbeResult {
@@ -179,7 +181,7 @@
                 incarnation,
                 healthy,
                 load,
-            } => self.with_load_reports(cache, incarnation, |reports, now| {
+            } => self.apply_load_report(cache, incarnation, |reports, now| {
                 reports.record_probe(now, cache, healthy, load)
             }),
             Command::Topology {
@@ -203,13 +205,13 @@
         directives: Box<dyn DirectiveSink>,
     ) {
         if cancel.is_client_gone() {
-            // The client left before this command arrived, and its `ClientGone` found no request to end.
+            // The client disconnected before this command arrived, and its `ClientGone` found no entry.
             directives.send(Directive::ClientGone);
             return;
         }
-        self.open.insert(
+        self.requests.insert(
             request.id,
-            OpenRequest {
+            RequestEntry {
                 cancel,
                 directives,
                 attempts: 0,
@@ -219,8 +221,8 @@
         self.handle(Event::Request(request));
     }
 
-    /// How long a request may be open (µs). One that was read before the shutdown began may arrive after it, with a deadline
-    /// beyond the end of the process.
+    /// Time (µs) until the shutdown deadline; unlimited while the process is not shutting down. A request that was read
+    /// before the shutdown began may be registered after it, with a deadline past the end of the process.
     fn time_to_shutdown(&self) -> Time {
         self.shutdown_deadline.map_or(Time::MAX, |deadline| {
             deadline.saturating_sub(self.clock.now())
@@ -236,9 +238,9 @@
         self.handle(Event::Members { full, members });
     }
 
-    /// Applies a load report, unless it is from an incarnation that takes no more work: it may have crossed the news of a
-    /// drain or restart.
-    fn with_load_reports(
+    /// Applies a load report, unless its incarnation no longer accepts work: the report may arrive after the server list
+    /// showed a drain or restart.
+    fn apply_load_report(
         &mut self,
         cache: CacheId,
         incarnation: Incarnation,
@@ -253,7 +255,7 @@
         }
     }
 
-    /// Gives the router an event; after a timer, also those that the load reports derive from the time.
+    /// Passes an event to the router; after a timer, also the events that the load reports derive from the current time.
     fn handle(&mut self, event: Event) {
         let now = self.clock.now();
         if let Some(reports) = &mut self.load_reports {
@@ -287,12 +289,12 @@
             if let Some(reports) = &mut self.load_reports {
                 reports.state.observe_action(now, &action);
             }
-            self.carry_out(now, action);
+            self.execute_action(now, action);
         }
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, now: Time, action: Action) {
+    fn execute_action(&mut self, now: Time, action: Action) {
         match action {
             Action::Fetch(fetch) => self.start_attempt(fetch),
             Action::Reject { id, retry_after } => {
@@ -301,8 +303,8 @@
             }
             Action::Fail { id } => self.finish(id, Directive::Fail),
             Action::Cancel { id, attempt } => {
-                if let Some(open) = self.open.get(&id) {
-                    open.cancel.cancel_through(attempt);
+                if let Some(entry) = self.requests.get(&id) {
+                    entry.cancel.cancel_through(attempt);
                 }
             }
             Action::StartTimer { after, token } => self.timers.push(Reverse((now + after, token))),
@@ -311,31 +313,31 @@
                     reports.probe(cache, self.servers.incarnation(cache));
                 }
             }
-            // This platform's settings allow no peers, and its server list is pushed.
+            // The settings allow no peers, and the server list arrives as commands, so there is nothing to subscribe to.
             Action::MessagePeers { .. } | Action::SubscribeMembers => {}
         }
     }
 
     fn start_attempt(&mut self, fetch: Fetch) {
-        let Some(open) = self.open.get_mut(&fetch.id) else {
+        let Some(entry) = self.requests.get_mut(&fetch.id) else {
             return;
         };
         let target = AttemptTarget {
             cache: self.servers.incarnation(fetch.cache),
             source: self.servers.incarnation(fetch.source),
-            attempt: open.attempts,
+            attempt: entry.attempts,
             decided_at: Instant::now(),
         };
-        open.attempts += 1;
-        open.directives.send(Directive::Attempt(fetch, target));
+        entry.attempts += 1;
+        entry.directives.send(Directive::Attempt(fetch, target));
     }
 
-    /// Gives a request its final directive. An attempt still in flight is cancelled, as its thread would otherwise hold the
-    /// response back until the attempt's own end.
+    /// Sends a request its final directive. An attempt still in flight is cancelled, as its thread would otherwise respond
+    /// only after the attempt ended.
     fn finish(&mut self, id: RequestId, directive: Directive) {
-        if let Some(open) = self.open.get(&id) {
-            open.cancel.cancel_all();
-            open.directives.send(directive);
+        if let Some(entry) = self.requests.get(&id) {
+            entry.cancel.cancel_all();
+            entry.directives.send(directive);
         }
     }
 }
--- a/edge/core/src/in_flight.rs
+++ b/edge/core/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! An attempt between the router's decision and the report of its outcome.
+//! An attempt from the router's decision to the report of its outcome.
 
 use crate::event_loop::EventLoopHandle;
 use crate::messages::{AttemptTarget, Command};
@@ -6,8 +6,8 @@
 use foldmux::interface::*;
 use std::sync::Arc;
 
-/// An attempt that the router counts as in flight until its outcome is reported. The drop reports one where nobody did, so
-/// that a panic in a request's thread cannot leave a server with an attempt that never ends.
+/// An attempt that the router counts as in flight until its outcome is reported. If no outcome was reported, the drop reports
+/// one, so that after a panic in a request's thread the router doesn't count its attempt as in flight forever.
 pub(crate) struct InFlightAttempt {
     event_loop: EventLoopHandle,
     metrics: Arc<Metrics>,
@@ -18,7 +18,7 @@
 }
 
 impl InFlightAttempt {
-    /// An attempt that was decided and not sent yet.
+    /// Creates an attempt that was decided on and is not sent yet.
     pub(crate) fn new(
         event_loop: &EventLoopHandle,
         metrics: &Arc<Metrics>,
@@ -34,18 +34,18 @@
         }
     }
 
-    /// From here on the attempt may execute.
+    /// Records that the attempt may execute from here on.
     pub(crate) fn mark_sent(&mut self) {
         self.unreported = Some(Outcome::Cancelled);
     }
 
-    /// Reports the outcome. `last`: the request makes no other attempt, whatever the router decides.
+    /// Reports the outcome. If `last`, the request makes no other attempt, whatever the router decides.
     pub(crate) fn finish(mut self, outcome: Outcome, last: bool) {
         self.unreported = None;
         self.report(outcome, last);
     }
 
-    /// Reports nothing: the router has given the attempt up by itself, and decided the next.
+    /// Ends the attempt without a report: the router gave it up by itself and has decided on the next.
     pub(crate) fn discard(mut self) {
         self.unreported = None;
     }
--- a/edge/core/src/lib.rs
+++ b/edge/core/src/lib.rs
@@ -1,9 +1,9 @@
-//! The core of the proxy, between its fronts and its upstream client. It knows no wire protocol.
+//! The core of the proxy, between its fronts and its upstream client. It is independent of wire protocols.
 //!
 //! A front reads a request from its client and hands the core a [`ClientRequest`] with a [`Responder`]. The request is served
-//! on a thread of its own, which asks the event loop for the router's decisions, has the [`UpstreamClient`] make the
-//! attempts, and responds once. Whoever makes the attempts itself holds a [`DelegatedRequest`](delegated::DelegatedRequest)
-//! instead.
+//! on a thread of its own, which gets the router's decisions from the event loop, has the [`UpstreamClient`] make the
+//! attempts, and responds exactly once. A front whose caller makes the attempts itself uses a
+//! [`DelegatedRequest`](delegated::DelegatedRequest) instead.
 //!
 //! ```text
 //! front -- Core::start --> worker thread -- Command::Request --> event loop (Router)
@@ -15,23 +15,23 @@
 //!
 //! # Modules
 //!
-//! Modules depend on those of the rows above theirs alone; within a row, on those to their left. No two depend on each other.
+//! A module depends only on modules of the rows above its own and on those to its left in its own row; there are no cycles.
 //!
 //! | layer | modules |
 //! | --- | --- |
 //! | basics | [`clock`], [`buffers`], [`cancellation`], [`servers`], [`reason`], [`retry_after`], [`log_throttle`], `attempt_history`, `open_requests` |
 //! | a request and its messages | [`request`], [`messages`], [`metrics`] |
-//! | what a request goes through | [`event_loop`], [`limits`], [`permits`], [`records`], [`attempt`], `admission`, `rejection`, `in_flight`, `request_end`, `workers` |
+//! | stages of a request | [`event_loop`], [`limits`], [`permits`], [`records`], [`attempt`], `admission`, `rejection`, `in_flight`, `request_end`, `workers` |
 //! | the life of a request | `services`, `lifecycle`, `replicated` |
-//! | the face of the crate | [`core`], [`delegated`] |
+//! | public interface | [`core`], [`delegated`] |
 //!
-//! Two rules have one owner each: `rejection` decides whether a request that the core gives up is rejected or failed, and
-//! [`retry_after`] how long a client is told to wait after the core's own rejections.
+//! Two rules are each implemented in one place: `rejection` decides whether a request that the core gives up is rejected or
+//! failed, and [`retry_after`] computes the Retry-After of the core's own rejections.
 //!
-//! # Bounds
+//! # Scope
 //!
-//! The core opens, reads and writes no socket. It depends on the router and on the state machines of limits and load reports
-//! alone.
+//! The core opens, reads and writes no sockets. In this workspace it depends only on the router and on the state machines of
+//! limits and load reports.
 #![warn(missing_docs)]
 
 mod admission;
--- a/edge/core/src/lifecycle.rs
+++ b/edge/core/src/lifecycle.rs
@@ -1,12 +1,12 @@
-//! The life of one request on its own thread, in phases: admit, decide, attempt, report, respond.
+//! The lifecycle of one request on its own thread, in phases: admit, decide, attempt, report, respond.
 //!
-//! [`run`] takes a request through all of them and returns its one final response:
+//! [`run`] takes a request through all phases and returns how it ended, with its final response if one is owed:
 //!
-//! 1. *admit*: a buffer for the response, and a place among the limits of its class;
-//! 2. *decide*: the router sends a directive;
-//! 3. *attempt*: whatever must hold before an attempt is acquired, and the upstream client makes it;
-//! 4. *report*: the outcome goes to the router, the limits and the record; without a response, back to 2;
-//! 5. *respond*: what the attempt brought, or the rejection or failure that ended the request.
+//! 1. *admit*: acquire a buffer for the response, and a concurrency slot under the limits of its class;
+//! 2. *decide*: receive a directive from the router;
+//! 3. *attempt*: acquire the permits that the attempt needs, and have the upstream client make it;
+//! 4. *report*: report the outcome to the router, the limits and the record; without a response, back to 2;
+//! 5. *respond*: return the attempt's response, or the rejection or failure that ended the request.
 
 use crate::admission::{admit, await_permission, NotAdmitted};
 use crate::attempt::{Attempt, Payload};
@@ -30,11 +30,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long beyond the deadline a request waits for the router's directive. The router's own check for overdue requests comes
-/// first while half of the response slack and its 25 ms interval are shorter than this.
+/// How long past its deadline a request waits for the router's directive. The router checks for overdue requests every 25 ms,
+/// and ends them before this wait does as long as half of the response slack plus that interval is shorter than this.
 const DIRECTIVE_GRACE: Duration = Duration::from_millis(30);
 
-/// Serves a request; `record` is its replicated record, where it has one.
+/// Serves a request; `record` is its replicated record, if it has one. Attempts that brought no response are added to
+/// `history`.
 pub(crate) fn run(
     services: &Services,
     request: &ClientRequest,
@@ -49,7 +50,7 @@
     ActiveRequest::new(services, request, cancel, record, history, admitted).serve()
 }
 
-/// What a request holds once it is admitted.
+/// The resources of an admitted request.
 struct Admitted {
     limits: Option<RequestLimits>,
     buffer: Buffer,
@@ -85,31 +86,34 @@
     }
 }
 
-/// What an attempt holds while it is made.
+/// The permits that an attempt holds while it is made.
 #[derive(Default)]
-struct Clearance {
+struct HeldPermits {
     permit: Option<Box<dyn Permit>>,
     fill: Option<FillPermit>,
 }
 
-/// Why an attempt that the router decided is not made.
-enum NotCleared {
+/// Why an attempt that the router decided on is skipped.
+enum SkipReason {
+    /// The limits of its class and route deny it.
     Limits,
+    /// Its concurrency pool granted no permit.
     NoPermit(Rejected),
-    /// Its record declined it; the router may decide on another.
+    /// The record declined it; the router may decide on another.
     Declined,
+    /// Another process owns the request now.
     OwnershipLost,
 }
 
-/// What follows an attempt.
+/// What the request does after a directive.
 enum NextStep {
     AwaitDirective,
     Respond(Payload),
     End(RequestEnd),
 }
 
-/// A request that the router knows. Its fields are dropped in their order: the event loop hears of the end before the
-/// request's place among the limits and its buffer are given back.
+/// A request that the router has received. Fields are dropped in declaration order: the event loop is told of the request's
+/// end before its concurrency slot and its buffer are released.
 struct ActiveRequest<'a> {
     _end: EndGuard<'a>,
     directives: Receiver<Directive>,
@@ -121,7 +125,7 @@
     record: Option<&'a dyn OwnedRecord>,
     history: &'a mut AttemptHistory,
     deadline: Instant,
-    /// Whether an attempt of this owner may have executed.
+    /// Whether an attempt by this process may have executed.
     may_have_executed: bool,
 }
 
@@ -190,30 +194,35 @@
             self.cancel.id,
             target,
         );
-        let mut clearance = Clearance::default();
-        match self.clear(&fetch, &target, &mut clearance) {
-            Ok(deadline) => self.send(in_flight, fetch, &target, clearance, deadline),
-            Err(not_cleared) => self.skip(in_flight, not_cleared),
+        let mut permits = HeldPermits::default();
+        match self.prepare(&fetch, &target, &mut permits) {
+            Ok(deadline) => self.send(in_flight, fetch, &target, permits, deadline),
+            Err(skip_reason) => self.skip(in_flight, skip_reason),
         }
     }
 
-    /// Acquires what the attempt needs into `clearance`, and returns when it must end.
-    fn clear(
+    /// Acquires the permits of the attempt into `held`, writes the attempt to the record, and returns when the attempt must
+    /// have ended.
+    ///
+    /// # Errors
+    ///
+    /// The attempt must not be made.
+    fn prepare(
         &mut self,
         fetch: &Fetch,
         target: &AttemptTarget,
-        clearance: &mut Clearance,
-    ) -> Result<Instant, NotCleared> {
+        held: &mut HeldPermits,
+    ) -> Result<Instant, SkipReason> {
         if let Some(limits) = &mut self.limits {
             let is_permitted = await_permission(limits, self.cancel, self.deadline);
-            clearance.fill = limits.acquire_fill(fetch);
-            if !is_permitted || clearance.fill.is_none() {
-                return Err(NotCleared::Limits);
+            held.fill = limits.acquire_fill(fetch);
+            if !is_permitted || held.fill.is_none() {
+                return Err(SkipReason::Limits);
             }
         }
         let mut deadline = self.deadline;
         if let Some(permits) = self.services.permits.get() {
-            clearance.permit = permits
+            held.permit = permits
                 .acquire(&PermitRequest {
                     request: self.request,
                     fetch,
@@ -221,19 +230,19 @@
                     attempt: target.attempt,
                     deadline,
                 })
-                .map_err(NotCleared::NoPermit)?;
+                .map_err(SkipReason::NoPermit)?;
         }
-        if let Some(permit) = &clearance.permit {
+        if let Some(permit) = &held.permit {
             deadline = deadline.min(permit.expires_at());
         }
         match self.record_intent(fetch) {
             AttemptIntent::Recorded => Ok(deadline),
-            AttemptIntent::Declined => Err(NotCleared::Declined),
-            AttemptIntent::OwnershipLost => Err(NotCleared::OwnershipLost),
+            AttemptIntent::Declined => Err(SkipReason::Declined),
+            AttemptIntent::OwnershipLost => Err(SkipReason::OwnershipLost),
         }
     }
 
-    /// The record must say where the attempt goes before its first byte leaves.
+    /// Writes the attempt's server to the record, which must happen before the first byte is sent.
     fn record_intent(&self, fetch: &Fetch) -> AttemptIntent {
         let Some(record) = self.record else {
             return AttemptIntent::Recorded;
@@ -244,17 +253,17 @@
         }
     }
 
-    /// The attempt is not made; unless its record alone declined it, the request ends here and nothing more is asked of the
-    /// router.
-    fn skip(&self, in_flight: InFlightAttempt, not_cleared: NotCleared) -> NextStep {
-        let (reason, retry_after) = match not_cleared {
-            NotCleared::Limits => (Reason::Limits, self.services.retry_after.get()),
-            NotCleared::NoPermit(rejected) => (Reason::NoPermit, rejected.retry_after),
-            NotCleared::Declined => {
+    /// Reports the attempt as never sent. Ends the request without another decision by the router, unless only the record
+    /// declined the attempt.
+    fn skip(&self, in_flight: InFlightAttempt, skip_reason: SkipReason) -> NextStep {
+        let (reason, retry_after) = match skip_reason {
+            SkipReason::Limits => (Reason::Limits, self.services.retry_after.get()),
+            SkipReason::NoPermit(rejected) => (Reason::NoPermit, rejected.retry_after),
+            SkipReason::Declined => {
                 in_flight.finish(Outcome::NeverSent, false);
                 return NextStep::AwaitDirective;
             }
-            NotCleared::OwnershipLost => {
+            SkipReason::OwnershipLost => {
                 in_flight.finish(Outcome::NeverSent, true);
                 return NextStep::End(RequestEnd::OwnershipLost);
             }
@@ -273,7 +282,7 @@
         mut in_flight: InFlightAttempt,
         mut fetch: Fetch,
         target: &AttemptTarget,
-        clearance: Clearance,
+        permits: HeldPermits,
         deadline: Instant,
     ) -> NextStep {
         if let Some(limits) = &self.limits {
@@ -293,8 +302,8 @@
         self.services
             .metrics
             .record_send(&self.request.class_name, outcome);
-        drop(clearance.fill);
-        drop(clearance.permit);
+        drop(permits.fill);
+        drop(permits.permit);
         self.report(outcome, payload.is_some(), sent_at);
         let is_last = payload.is_some() || self.cancel.is_client_gone();
         in_flight.finish(outcome, is_last);
@@ -307,7 +316,7 @@
         }
     }
 
-    /// Tells the record and the limits how the attempt ended.
+    /// Reports the attempt's outcome to the record and the limits.
     fn report(&mut self, outcome: Outcome, served: bool, sent_at: Instant) {
         if let Some(record) = self.record {
             record.record_outcome(outcome);
--- a/edge/core/src/limits.rs
+++ b/edge/core/src/limits.rs
@@ -1,7 +1,7 @@
-//! Limits by class and route, in service: concurrency limits with queues, retry budgets, fill limits.
+//! Enforces limits by class and route: concurrency limits with queues, retry budgets, fill limits.
 //!
-//! The table in service and the state that enforces it are behind one lock. Each request looks its limits up once and keeps
-//! them, whatever is loaded meanwhile; its place is given back when its [`RequestLimits`] is dropped.
+//! One lock guards the current table of limits and the state that enforces it. Each request looks up its limits once and keeps
+//! them across reloads; its concurrency slot is released when its [`RequestLimits`] is dropped.
 
 mod request_limits;
 mod shared;
@@ -21,33 +21,33 @@
 /// Enforces the limits.
 pub struct Limiter {
     shared: Arc<Shared>,
-    /// Where this proxy stands, as routes name it.
+    /// Zone of this proxy, by the name that routes use.
     zone: String,
 }
 
-/// The answer to a request that asks to be admitted.
+/// The result of [`Limiter::admit`].
 pub enum Admission {
-    /// No limits apply but the router's own.
+    /// Only the router's own limits apply.
     Unlimited,
     /// Admitted.
     Admitted(RequestLimits),
-    /// Queued for at most this long; the callback hears the end of it.
+    /// Queued for at most this long; the callback is called when the wait ends.
     Queued(RequestLimits, Duration),
     /// Not admitted, and not queued.
     Rejected(Rejected),
 }
 
-/// How many requests the limits count.
+/// Numbers of requests under limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Occupancy {
-    /// Admitted and not ended.
+    /// Requests that are admitted and have not ended.
     pub open: u64,
-    /// In a queue.
+    /// Requests that wait in a queue.
     pub queued: u64,
 }
 
 impl Limiter {
-    /// Enforces `table` at a proxy in `zone`; `retry_safety_by_class` says for each class how far it may be retried.
+    /// Creates a limiter that enforces `table` at a proxy in `zone`; `retry_safety_by_class` is indexed by class.
     pub fn new(
         table: LimitSet,
         clock: Clock,
@@ -60,13 +60,13 @@
         })
     }
 
-    /// Replaces all limits at once; requests that are open keep theirs.
+    /// Replaces all limits at once; open requests keep the limits they have.
     pub fn replace_table(&self, table: LimitSet) {
         self.shared.replace_table(&table, &self.zone);
     }
 
-    /// Admits or queues a request, by the limits of its class, caller and front. Where it is queued, `on_queue_end` is
-    /// called once: never after the [`RequestLimits`] is dropped.
+    /// Admits, queues or rejects a request by the limits of its class, caller and front. If it is queued, `on_queue_end` is
+    /// called at most once, and never after the [`RequestLimits`] is dropped.
     pub fn admit(
         &self,
         class: usize,
@@ -93,7 +93,8 @@
         expired
             .into_iter()
             .for_each(|on_queue_end| on_queue_end(QueueEnd::Rejected));
-        let limits = |is_open| RequestLimits::new(&self.shared, key, resolved.clone(), id, is_open);
+        let limits =
+            |has_slot| RequestLimits::new(&self.shared, key, resolved.clone(), id, has_slot);
         match admitted {
             PoolAdmission::Admitted => Admission::Admitted(limits(true)),
             PoolAdmission::Queued => {
@@ -106,11 +107,11 @@
         }
     }
 
-    /// Admits a request that cannot be queued; `None` where no limits apply.
+    /// Admits a request that cannot be queued; `None` if no limits apply.
     ///
     /// # Errors
     ///
-    /// Its limits have no free place.
+    /// Its limits have no free concurrency slot.
     pub fn try_admit(
         &self,
         class: usize,
@@ -127,7 +128,7 @@
         }
     }
 
-    /// How many requests are open and queued now.
+    /// Numbers of open and queued requests now.
     pub fn occupancy(&self) -> Occupancy {
         let occupancy = self.shared.state().admission.occupancy();
         Occupancy {
--- a/edge/core/src/limits/request_limits.rs
+++ b/edge/core/src/limits/request_limits.rs
@@ -1,4 +1,4 @@
-//! The limits of one request, and its place among them.
+//! The limits of one request, and its concurrency slot.
 
 use super::shared::{QueueEnd, Shared};
 use foldmux::interface::{Fetch, KeyScope, RetrySafety, Time};
@@ -8,32 +8,32 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The limits of one request and its place among them, from its admission until it is dropped.
+/// The limits of one request, and its concurrency slot or place in the queue. Both are released on drop.
 pub struct RequestLimits {
     shared: Arc<Shared>,
     key: LimitKey,
     resolved: Arc<ResolvedLimits>,
     id: u64,
-    /// Whether it has a place; else it is queued, or was granted one and has not taken it yet.
-    is_open: bool,
-    /// Attempts permitted so far.
+    /// Whether it has taken a concurrency slot; otherwise it is queued, or was granted a slot that it has not taken yet.
+    has_slot: bool,
+    /// Number of attempts permitted so far.
     attempts: u64,
     /// When the first attempt that may have executed was sent.
     first_sent_at: Option<Instant>,
 }
 
-/// Whether an attempt that the router decided may be made.
+/// Whether an attempt that the router decided on may be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptPermission {
     /// At once.
     Now,
     /// After this backoff.
     After(Duration),
-    /// No.
+    /// It may not be made.
     Denied,
 }
 
-/// The longest Retry-After that a client is told under these limits.
+/// The longest Retry-After that these limits allow.
 pub(super) fn max_retry_after(resolved: &ResolvedLimits) -> Duration {
     Duration::from_micros(resolved.values.max_retry_after_ms.saturating_mul(1_000))
 }
@@ -44,31 +44,31 @@
         key: LimitKey,
         resolved: Arc<ResolvedLimits>,
         id: u64,
-        is_open: bool,
+        has_slot: bool,
     ) -> RequestLimits {
         RequestLimits {
             shared: shared.clone(),
             key,
             resolved,
             id,
-            is_open,
+            has_slot,
             attempts: 0,
             first_sent_at: None,
         }
     }
 
-    /// The queued request takes the place that it was granted.
+    /// Takes the concurrency slot that the queued request was granted.
     pub fn take_grant(&mut self) {
         self.shared.state().granted.remove(&self.id);
-        self.is_open = true;
+        self.has_slot = true;
     }
 
-    /// When a request that arrived then must have its response.
+    /// Returns when a request that arrived at `arrived_at` must have its response.
     pub fn deadline(&self, arrived_at: Instant) -> Instant {
         arrived_at + Duration::from_millis(self.resolved.values.deadline_ms)
     }
 
-    /// Whether the next attempt may be made, and after which backoff.
+    /// Decides whether the next attempt may be made, and after which backoff. Counts a permitted attempt.
     pub fn permit_attempt(&mut self) -> AttemptPermission {
         let values = &self.resolved.values;
         let mut state = self.shared.state();
@@ -85,19 +85,19 @@
         }
     }
 
-    /// Whether a retry may still be sent after its backoff: one that was decided within the window in which the origin drops
-    /// retries of a key must not arrive after it.
+    /// Whether a retry may still be sent after its backoff. For a while the origin drops retries with a key that it has seen;
+    /// a retry that was decided on within that idempotency window must not arrive after it.
     pub fn is_within_idempotency_window(&self) -> bool {
         match (self.retry_safety(), self.first_sent_at) {
             (Some(RetrySafety::Keyed(_)), Some(sent_at)) => {
-                sent_at.elapsed() < self.repeat_window()
+                sent_at.elapsed() < self.idempotency_window()
             }
             (Some(RetrySafety::NonIdempotent), Some(_)) => false,
             _ => true,
         }
     }
 
-    /// Tightens what the router decided to what the limits allow.
+    /// Reduces the attempt's timeout, send deadline, retention rank and use of stale copies to what the limits allow.
     pub fn tighten(&self, fetch: &mut Fetch) {
         let values = &self.resolved.values;
         fetch.timeout = values.attempt_timeout().within_us(fetch.timeout);
@@ -112,16 +112,16 @@
         }
     }
 
-    /// Before when a retry of a request with an idempotency key must be sent (router time).
+    /// The time before which a retry of a request with an idempotency key must be sent (router time, µs).
     fn retry_deadline(&self) -> Option<Time> {
         if !matches!(self.retry_safety(), Some(RetrySafety::Keyed(_))) {
             return None;
         }
         let sent_at = self.first_sent_at?;
-        Some(self.shared.clock.at(sent_at + self.repeat_window()))
+        Some(self.shared.clock.at(sent_at + self.idempotency_window()))
     }
 
-    /// A permit for the attempt's fill, or `None` where its source has as many fills of the class as it may.
+    /// Acquires a permit for the attempt's fill; `None` if the fills of this class at its source have reached their maximum.
     pub fn acquire_fill(&self, fetch: &Fetch) -> Option<FillPermit> {
         let max = self.resolved.values.max_fills;
         if max == 0 || fetch.source == fetch.cache {
@@ -140,7 +140,8 @@
         admitted.then_some(FillPermit(Some(fill)))
     }
 
-    /// Records how an attempt ended that was sent at `sent_at`.
+    /// Records the end of an attempt that was sent at `sent_at`: whether it served the request, and whether it is known not to
+    /// have executed.
     pub fn record_attempt(&mut self, sent_at: Instant, served: bool, never_executed: bool) {
         if !never_executed {
             self.first_sent_at.get_or_insert(sent_at);
@@ -152,7 +153,7 @@
             .record_attempt(&self.key, elapsed, served);
     }
 
-    /// Whether the client may send the request again without executing it twice.
+    /// Whether a retry by the client is harmless: no attempt may have executed, or the class may be repeated at any server.
     pub fn retry_is_harmless(&self) -> bool {
         self.first_sent_at.is_none()
             || matches!(
@@ -161,7 +162,7 @@
             )
     }
 
-    /// A Retry-After within the limits.
+    /// Caps a Retry-After to what the limits allow.
     pub fn cap_retry_after(&self, retry_after: Duration) -> Duration {
         retry_after.min(self.max_retry_after())
     }
@@ -175,7 +176,7 @@
         self.shared.retry_safety_by_class.get(self.resolved.class)
     }
 
-    fn repeat_window(&self) -> Duration {
+    fn idempotency_window(&self) -> Duration {
         Duration::from_millis(self.resolved.values.idempotency_window_ms)
     }
 }
@@ -184,15 +185,15 @@
     fn drop(&mut self) {
         let mut state = self.shared.state();
         let now = self.shared.clock.now();
-        if !self.is_open && state.queued.remove(&self.id).is_some() {
-            // Still queued: its callback is dropped with its place in the queue.
+        if !self.has_slot && state.queued.remove(&self.id).is_some() {
+            // Still queued: its callback is dropped, and it leaves the queue.
             state.admission.cancel(&self.key, self.id);
             return;
         }
-        if !self.is_open && !state.granted.remove(&self.id) {
+        if !self.has_slot && !state.granted.remove(&self.id) {
             return;
         }
-        // It had a place, even if it never learnt of the grant.
+        // It had a slot, even if it was never told of the grant.
         let next = state
             .admission
             .release(now, &self.key)
@@ -207,13 +208,14 @@
     }
 }
 
+/// A fill that counts against the limit of its class at its source.
 struct Fill {
     shared: Arc<Shared>,
     source: u64,
     class: usize,
 }
 
-/// Permits one fill at a source, until it is dropped; holds nothing where fills are not limited.
+/// A permit for one fill at a source, released on drop; empty if fills are not limited.
 pub struct FillPermit(Option<Fill>);
 
 impl Drop for FillPermit {
--- a/edge/core/src/limits/shared.rs
+++ b/edge/core/src/limits/shared.rs
@@ -1,4 +1,4 @@
-//! The state that all requests with limits share.
+//! The state shared by all requests with limits.
 
 use crate::clock::Clock;
 use foldmux::interface::{RetrySafety, Time};
@@ -11,27 +11,30 @@
 /// How a request's wait in a queue ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueEnd {
-    /// It has a place.
+    /// It was granted a concurrency slot.
     Admitted,
-    /// It waited for too long, or its limits are gone.
+    /// It waited for too long, or its limits were removed.
     Rejected,
 }
 
 /// Called once, when a queued request's wait ends.
 pub type OnQueueEnd = Box<dyn FnOnce(QueueEnd) + Send>;
 
+/// The limiter's state, its clock and the retry safety of each class.
 pub(super) struct Shared {
     state: Mutex<State>,
     pub(super) clock: Clock,
-    /// Whether a request may be repeated, by class.
+    /// Whether a request may be executed again, by class.
     pub(super) retry_safety_by_class: Vec<RetrySafety>,
 }
 
+/// The current limits and the requests that they admitted or queued.
 pub(super) struct State {
     pub(super) table: LimitTable,
     pub(super) admission: AdmissionControl,
+    /// The callbacks of queued requests, by id.
     pub(super) queued: HashMap<u64, OnQueueEnd>,
-    /// Requests that were called back with a place, and have not taken it yet.
+    /// Requests that left the queue with a slot and have not taken it yet.
     pub(super) granted: HashSet<u64>,
     last_id: u64,
 }
@@ -64,7 +67,7 @@
     pub(super) fn replace_table(&self, table: &LimitSet, zone: &str) {
         let limit_table = LimitTable::new(table, zone);
         let mut state = self.state();
-        // Read under the lock: the admission control must see times in their order.
+        // Read under the lock, as the admission control must get times in ascending order.
         let now = self.clock.now();
         let replaced = state.admission.replace_limits(now, table);
         state.table = limit_table;
@@ -94,14 +97,14 @@
         self.last_id
     }
 
-    /// Grants a queued request its place; the callback is to be called without the lock.
+    /// Grants a queued request its slot and returns its callback, which must be called without the lock.
     pub(super) fn grant(&mut self, id: u64) -> Option<OnQueueEnd> {
         let on_queue_end = self.queued.remove(&id)?;
         self.granted.insert(id);
         Some(on_queue_end)
     }
 
-    /// The callbacks of requests that have been queued for too long.
+    /// Removes the requests that have been queued for too long and returns their callbacks.
     pub(super) fn take_expired(&mut self, now: Time) -> Vec<OnQueueEnd> {
         let expired = self.admission.expire(now);
         expired
--- a/edge/core/src/limits/tests.rs
+++ b/edge/core/src/limits/tests.rs
@@ -1,4 +1,4 @@
-//! Places that go to whoever waits, and tables that change in service.
+//! Concurrency slots passed on to queued requests, reloads of the table, and the idempotency window.
 
 use super::*;
 use foldmux::interface::{Fetch, Time};
@@ -9,9 +9,9 @@
 use std::sync::mpsc::channel;
 use std::time::Instant;
 
-fn table(places: u64) -> LimitSet {
+fn table(slots: u64) -> LimitSet {
     let layer = LimitOverrides {
-        concurrency: Some(ConcurrencyLimit::Fixed { max: places }),
+        concurrency: Some(ConcurrencyLimit::Fixed { max: slots }),
         queue_capacity: Some(4),
         queue_timeout_ms: Some(60_000),
         max_attempts: Some(2),
@@ -19,7 +19,7 @@
         attempt_timeout_ms: Some(200),
         ..LimitOverrides::default()
     };
-    let said = Located {
+    let overrides = Located {
         at: "f:1".into(),
         value: ClassOverrides {
             class: "formula-card".to_string(),
@@ -29,44 +29,50 @@
     LimitSet::new(
         &Account::default(),
         &LimitsFile {
-            classes: vec![said],
+            classes: vec![overrides],
             ..LimitsFile::default()
         },
     )
 }
 
 fn limiter() -> Arc<Limiter> {
-    let repeats = vec![
+    let retry_safety_by_class = vec![
         RetrySafety::Idempotent,
         RetrySafety::Idempotent,
         RetrySafety::Keyed(foldmux::interface::KeyScope::All),
     ];
-    Limiter::new(table(1), Clock::default(), "turku".into(), repeats)
+    Limiter::new(
+        table(1),
+        Clock::default(),
+        "turku".into(),
+        retry_safety_by_class,
+    )
 }
 
 fn occupancy(open: u64, queued: u64) -> Occupancy {
     Occupancy { open, queued }
 }
 
-fn held(entered: Admission) -> RequestLimits {
-    match entered {
-        Admission::Admitted(held) | Admission::Queued(held, _) => held,
-        _ => panic!("no place and no wait"),
+/// Returns the limits of a request that was admitted or queued.
+fn limits_of(admission: Admission) -> RequestLimits {
+    match admission {
+        Admission::Admitted(limits) | Admission::Queued(limits, _) => limits,
+        _ => panic!("the request was neither admitted nor queued"),
     }
 }
 
 #[test]
-fn a_place_goes_to_whoever_waits_also_when_it_was_granted_and_never_heard_of() {
+fn a_released_slot_goes_to_a_queued_request_also_if_its_grant_was_never_taken() {
     let limiter = limiter();
-    let (tell, told) = channel();
-    let enter = || {
-        let tell = tell.clone();
+    let (sender, queue_ends) = channel();
+    let admit = || {
+        let sender = sender.clone();
         limiter.admit(
             1,
             "",
             "msgpack",
             Box::new(move |end| {
-                let _ = tell.send(end);
+                let _ = sender.send(end);
             }),
         )
     };
@@ -75,20 +81,20 @@
             limiter.admit(0, "", "msgpack", Box::new(|_| ())),
             Admission::Unlimited
         ),
-        "no limits were set"
+        "no limits are set for class 0"
     );
-    let first = held(enter());
-    let (second, third) = (held(enter()), held(enter()));
+    let first = limits_of(admit());
+    let (second, third) = (limits_of(admit()), limits_of(admit()));
     assert_eq!(limiter.occupancy(), occupancy(1, 2));
     drop(first);
     assert_eq!(
-        (told.recv(), limiter.occupancy()),
+        (queue_ends.recv(), limiter.occupancy()),
         (Ok(QueueEnd::Admitted), occupancy(1, 1))
     );
-    // It had a place, and its client left before it heard of it.
+    // The second was granted a slot, and its client disconnected before it took the slot.
     drop(second);
     assert_eq!(
-        (told.recv(), limiter.occupancy()),
+        (queue_ends.recv(), limiter.occupancy()),
         (Ok(QueueEnd::Admitted), occupancy(1, 0))
     );
     drop(third);
@@ -96,9 +102,9 @@
 }
 
 #[test]
-fn another_table_holds_for_those_that_come_and_not_for_those_that_are_open() {
+fn a_reloaded_table_applies_to_new_requests_and_not_to_open_ones() {
     let limiter = limiter();
-    let mut old = held(limiter.admit(1, "", "dns", Box::new(|_| ())));
+    let mut open = limits_of(limiter.admit(1, "", "dns", Box::new(|_| ())));
     limiter.replace_table(LimitSet::new(&Account::default(), &LimitsFile::default()));
     assert!(matches!(
         limiter.admit(1, "", "dns", Box::new(|_| ())),
@@ -116,27 +122,27 @@
         only_if_cached: false,
         revalidate: true,
     };
-    old.tighten(&mut fetch);
+    open.tighten(&mut fetch);
     assert_eq!(
         (fetch.timeout, fetch.retention_rank, fetch.revalidate),
         (200_000, 1, true)
     );
     assert_eq!(
-        [0, 1, 2].map(|_| old.permit_attempt()),
+        [0, 1, 2].map(|_| open.permit_attempt()),
         [
             AttemptPermission::Now,
             AttemptPermission::Now,
             AttemptPermission::Denied
         ]
     );
-    drop(old);
+    drop(open);
     assert_eq!(limiter.occupancy(), occupancy(0, 0));
 }
 
 #[test]
-fn a_repeat_begins_within_the_window_of_its_limits_and_of_the_module() {
+fn a_retry_is_sent_within_the_idempotency_windows_of_its_limits_and_of_the_router() {
     const KEYED: usize = 2;
-    let repeats = vec![
+    let retry_safety_by_class = vec![
         RetrySafety::Idempotent,
         RetrySafety::Idempotent,
         RetrySafety::Keyed(foldmux::interface::KeyScope::All),
@@ -159,16 +165,16 @@
             ..LimitsFile::default()
         },
     );
-    let limiter = Limiter::new(table, clock.clone(), "turku".into(), repeats);
-    let bound = |class, never_ran, by| {
-        let mut held = held(limiter.admit(class, "", "msgpack", Box::new(|_| ())));
-        let began = Instant::now();
-        held.record_attempt(began, false, never_ran);
+    let limiter = Limiter::new(table, clock.clone(), "turku".into(), retry_safety_by_class);
+    let send_before = |class, never_executed, router_bound| {
+        let mut limits = limits_of(limiter.admit(class, "", "msgpack", Box::new(|_| ())));
+        let sent_at = Instant::now();
+        limits.record_attempt(sent_at, false, never_executed);
         let mut fetch = Fetch {
             id: foldmux::interface::RequestId(1),
             cache: foldmux::interface::CacheId(1),
             timeout: 0,
-            send_before: by,
+            send_before: router_bound,
             source: foldmux::interface::CacheId(1),
             retention_rank: 0,
             max_age: 0,
@@ -176,14 +182,18 @@
             only_if_cached: false,
             revalidate: false,
         };
-        held.tighten(&mut fetch);
-        (fetch.send_before, clock.at(began) + 2_000_000)
+        limits.tighten(&mut fetch);
+        (fetch.send_before, clock.at(sent_at) + 2_000_000)
     };
-    let (by, window) = bound(KEYED, false, 0);
-    assert_eq!(by, window);
-    let (by, window) = bound(KEYED, false, Time::MAX);
-    assert_eq!(by, window);
-    assert_eq!(bound(KEYED, false, 5).0, 5, "the earlier bound holds");
-    assert_eq!(bound(KEYED, true, 0).0, 0, "nothing ran");
-    assert_eq!(bound(0, false, 0).0, 0, "it may run again");
+    let (bound, window_end) = send_before(KEYED, false, 0);
+    assert_eq!(bound, window_end);
+    let (bound, window_end) = send_before(KEYED, false, Time::MAX);
+    assert_eq!(bound, window_end);
+    assert_eq!(
+        send_before(KEYED, false, 5).0,
+        5,
+        "the earlier bound applies"
+    );
+    assert_eq!(send_before(KEYED, true, 0).0, 0, "nothing executed");
+    assert_eq!(send_before(0, false, 0).0, 0, "the class is idempotent");
 }
--- a/edge/core/src/log_throttle.rs
+++ b/edge/core/src/log_throttle.rs
@@ -1,12 +1,12 @@
-//! Bounds how many log lines single requests or connections get: a token bucket. It counts the lines that it withholds, so
-//! that the log can say how many it left out.
+//! A token bucket that limits the rate of log lines about single requests or connections. It counts the lines that it
+//! withholds, so that the log can state how many were left out.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Lines that may be written at once after a quiet time: the first lines of a storm of failures tell what it is.
+/// Lines that may be written at once after a quiet period: the first lines of a burst of failures show what it is about.
 const BURST: u32 = 60;
-/// One more line is admitted in each such interval.
+/// Interval in which one more line is admitted.
 const REFILL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Decides which lines are written.
@@ -16,13 +16,13 @@
 
 struct State {
     tokens: u32,
-    /// Up to when tokens have been added.
+    /// The time up to which tokens have been added.
     refilled_at: Instant,
     withheld: u64,
 }
 
 impl LogThrottle {
-    /// A full bucket at `now`.
+    /// Creates a throttle with a full bucket at `now`.
     pub fn new(now: Instant) -> LogThrottle {
         LogThrottle {
             state: Mutex::new(State {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Whether a line is written now; else it is counted as withheld.
+    /// Whether a line may be written now; if not, counts it as withheld.
     pub fn admits(&self, now: Instant) -> bool {
         let mut state = self.state();
         state.refill(now);
@@ -45,7 +45,7 @@
         true
     }
 
-    /// How many lines were withheld since the last call.
+    /// Returns the number of lines withheld since the last call.
     pub fn take_withheld(&self) -> u64 {
         std::mem::take(&mut self.state().withheld)
     }
--- a/edge/core/src/log_throttle/tests.rs
+++ b/edge/core/src/log_throttle/tests.rs
@@ -1,7 +1,9 @@
+//! The rate limit of log lines about single requests.
+
 use super::*;
 
 #[test]
-fn a_storm_gets_its_first_lines_then_a_steady_rate_and_the_rest_is_counted() {
+fn a_burst_gets_its_first_lines_then_a_steady_rate_and_withheld_lines_are_counted() {
     let start = Instant::now();
     let throttle = LogThrottle::new(start);
     let written = (0..1_000).filter(|_| throttle.admits(start)).count();
@@ -9,7 +11,7 @@
         (written, throttle.take_withheld()),
         (BURST as usize, 1_000 - BURST as u64)
     );
-    // Two seconds of the storm, a line each millisecond.
+    // Two more seconds with one line per millisecond.
     let at = |ms| start + Duration::from_millis(ms);
     let written = (1..=2_000).filter(|ms| throttle.admits(at(*ms))).count();
     assert_eq!(
@@ -19,7 +21,7 @@
 }
 
 #[test]
-fn a_quiet_time_fills_the_bucket_and_no_further() {
+fn a_quiet_period_refills_the_bucket_to_its_capacity_only() {
     let start = Instant::now();
     let throttle = LogThrottle::new(start);
     (0..BURST).for_each(|_| assert!(throttle.admits(start)));
--- a/edge/core/src/messages.rs
+++ b/edge/core/src/messages.rs
@@ -1,4 +1,4 @@
-//! The messages between the event loop and everybody else: commands to it, directives from it to one request.
+//! The messages of the event loop: commands to it, and directives from it to one request.
 
 use crate::cancellation::CancelHandle;
 use crate::retry_after::Rejected;
@@ -9,12 +9,12 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Directives that may wait for one request: the router has at most one attempt and one final decision pending for it.
+/// Capacity of a request's directive channel: the router has at most one attempt and one final decision pending for it.
 pub const DIRECTIVE_CAPACITY: usize = 8;
 
-/// What the event loop is asked to do, or informed of.
+/// A command or notification for the event loop.
 pub enum Command {
-    /// A new request: the router decides, and `directives` receives what it decides.
+    /// A new request for the router to decide on.
     Request {
         /// The request.
         request: IncomingRequest,
@@ -27,16 +27,16 @@
     Outcome(AttemptReport),
     /// The client closed its connection or withdrew the request.
     ClientGone(RequestId),
-    /// The request is finished and takes no more directives.
+    /// The request has ended and takes no more directives.
     RequestEnded(RequestId),
-    /// The process shuts down.
+    /// The process is shutting down.
     Shutdown {
         /// When every open request must have its final response (router time, µs).
         deadline: Time,
     },
     /// The list of servers changed.
     Servers {
-        /// Whether `servers` is the whole list; else it has the entries that changed.
+        /// Whether `servers` is the whole list; otherwise it has only the entries that changed.
         full: bool,
         /// The entries.
         servers: Vec<Server>,
@@ -47,46 +47,46 @@
         object: Option<ObjectId>,
         /// The group.
         group: u32,
-        /// Age of the newest copy that is invalid (µs).
+        /// Age of the newest invalid copy (µs).
         age: Time,
     },
-    /// Other settings, by a reload; their classes keep the indices of the old ones.
+    /// Reloaded settings; the classes keep their indices.
     Settings(Box<Settings>),
     /// A response carried a load report.
     LoadReport {
-        /// The server that it came from.
+        /// The server that sent it.
         cache: CacheId,
-        /// Its incarnation.
+        /// The server's incarnation.
         incarnation: Incarnation,
-        /// What it reported.
+        /// The reported load.
         load: Load,
     },
     /// A health check ended.
     ProbeResult {
         /// The server that was checked.
         cache: CacheId,
-        /// Its incarnation.
+        /// The server's incarnation.
         incarnation: Incarnation,
-        /// Whether it is healthy.
+        /// Whether the server is healthy.
         healthy: bool,
-        /// What it reported; empty where it reported nothing.
+        /// The reported load; empty if none was reported.
         load: Load,
     },
-    /// The upper tiers of the cache hierarchy, as far as they concern this proxy.
+    /// The part of the cache hierarchy's upper tiers that this proxy uses.
     Topology {
-        /// Zones of the hubs that this proxy's zone fills from, by preference.
+        /// Zones of the hubs that this proxy's zone fills from, most preferred first.
         parent_zones: Vec<usize>,
         /// The hub of each zone.
         hub_by_zone: Vec<usize>,
     },
 }
 
-/// What the router decided for one request.
+/// The router's decision for one request.
 #[derive(Debug)]
 pub enum Directive {
     /// Make this attempt.
     Attempt(Fetch, AttemptTarget),
-    /// Reject the request.
+    /// Reject the request, with a Retry-After.
     Reject(Rejected),
     /// Fail the request.
     Fail,
@@ -94,7 +94,7 @@
     ClientGone,
 }
 
-/// The servers of an attempt as they were when the router chose them.
+/// The incarnations of an attempt's servers when the router chose them.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTarget {
     /// Incarnation of the cache that the attempt goes to; `None` if it was not listed.
@@ -103,13 +103,13 @@
     pub source: Option<Incarnation>,
     /// Number of the attempt within its request, from 0.
     pub attempt: u8,
-    /// When the router decided.
+    /// When the router decided on the attempt.
     pub decided_at: Instant,
 }
 
-/// Where a request receives its directives. The event loop never waits for it, so it buffers [`DIRECTIVE_CAPACITY`].
+/// Receives the directives of a request. Must buffer [`DIRECTIVE_CAPACITY`] directives, as the event loop never blocks on it.
 pub trait DirectiveSink: Send {
-    /// Hands over a directive without waiting.
+    /// Passes a directive on without blocking.
     fn send(&self, directive: Directive);
 }
 
@@ -119,9 +119,9 @@
     }
 }
 
-/// Sends health checks, where the settings have them.
+/// Sends health checks, if the settings have them.
 pub trait ProbeSender: Send {
-    /// Starts a health check of this incarnation of a server, or none where too many are under way; never waits. The
-    /// result reaches the event loop as [`Command::ProbeResult`].
+    /// Starts a health check of this incarnation of a server, unless too many are in progress; never blocks. The result
+    /// reaches the event loop as [`Command::ProbeResult`].
     fn probe(&self, cache: CacheId, incarnation: Incarnation);
 }
--- a/edge/core/src/metrics.rs
+++ b/edge/core/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Counters of responses and of how attempts ended: by class since the start, and in all since the log told them last.
+//! Counters of completed requests and of attempt outcomes: by class since the start, and in total since the last summary in
+//! the log.
 
 use crate::reason::{Reason, REASONS};
 use foldmux::interface::Outcome;
@@ -6,13 +7,13 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Classes counted by name: those of all settings since the start, as a reload adds to them.
+/// Maximum number of classes counted by name. Includes the classes of earlier settings, as a reload only adds to them.
 const MAX_CLASSES: usize = 256;
-/// Outcomes of attempts, which come first among the counters.
+/// Number of attempt outcomes, whose counters come first.
 const OUTCOMES: usize = 9;
 
-/// Names of the counters, as the log tells them. The outcomes of attempts come first, in the order of [`Outcome`]; then the
-/// completions of requests, in the order of [`Completion::counter`].
+/// Names of the counters in the log. The outcomes of attempts come first, in the order of [`Outcome`]; then the completions of
+/// requests, in the order of [`Completion::counter`].
 const COUNTER_NAMES: [&str; OUTCOMES + 6] = [
     "ok",
     "error",
@@ -31,25 +32,25 @@
     "unusable",
 ];
 
-/// How a request ended, from its client's side.
+/// How a request ended, as seen by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completion {
-    /// With the part that was asked for.
+    /// Responded with the requested part.
     Served,
     /// The client's copy was current.
     NotModified,
-    /// Rejected after the router took it.
+    /// Rejected after the router received it.
     Rejected(Reason),
-    /// Rejected before the router heard of it.
+    /// Rejected before the router received it.
     Shed(Reason),
     /// Failed.
     Failed(Reason),
-    /// The front could not use what the client sent.
+    /// The front could not process what the client sent.
     Malformed,
 }
 
 impl Completion {
-    /// Index of the counter in `COUNTER_NAMES`.
+    /// Returns the index of the counter in `COUNTER_NAMES`.
     fn counter(self) -> usize {
         OUTCOMES
             + match self {
@@ -62,7 +63,7 @@
             }
     }
 
-    /// Why the request was not served, where it was not.
+    /// Returns why the request was not served; `None` if it was.
     pub fn reason(self) -> Option<Reason> {
         match self {
             Completion::Served | Completion::NotModified => None,
@@ -95,7 +96,7 @@
     pub deferred: u64,
     /// Requests failed or malformed.
     pub errored: u64,
-    /// Attempts whose request was written whole.
+    /// Attempts whose request was written in full.
     pub sends: u64,
 }
 
@@ -122,20 +123,20 @@
 /// The counters.
 #[derive(Default)]
 pub struct Metrics {
-    /// By `COUNTER_NAMES`, since the log told them last.
+    /// Indexed like `COUNTER_NAMES`; since the last call of `take_summary`.
     counters: [AtomicU64; COUNTER_NAMES.len()],
-    /// By `REASONS`, since the log told them last.
+    /// Indexed like `REASONS`; since the last call of `take_reasons_summary`.
     reasons: [AtomicU64; REASONS.len()],
     classes: Mutex<Vec<ClassCounts>>,
 }
 
 impl Metrics {
-    /// Counts how an attempt ended.
+    /// Counts the outcome of an attempt.
     pub fn record_attempt(&self, outcome: Outcome) {
         self.counters[outcome as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts how a request of `class` ended; `None` where its class is not known.
+    /// Counts the completion of a request of `class`; `None` if its class is not known.
     pub fn record_completion(&self, class: Option<&Arc<str>>, completion: Completion) {
         self.counters[completion.counter()].fetch_add(1, Ordering::Relaxed);
         if let Some(reason) = completion.reason() {
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Counts an attempt of `class`, if its request was written whole.
+    /// Counts an attempt of `class`, if its request was written in full.
     pub fn record_send(&self, class: &Arc<str>, outcome: Outcome) {
         let was_sent = !matches!(
             outcome,
@@ -157,12 +158,12 @@
         }
     }
 
-    /// Has a class shown with zeros where nothing of it has ended yet.
+    /// Lists a class with zero counts until its first request ends.
     pub fn register_class(&self, class: &Arc<str>) {
         self.update_class(class, |_| {});
     }
 
-    /// Updates the counters of `class`; past `MAX_CLASSES` a new class is not counted.
+    /// Updates the counters of `class`; a new class beyond `MAX_CLASSES` is not counted.
     fn update_class(&self, class: &Arc<str>, update: impl FnOnce(&mut ClassCounts)) {
         let mut classes = self.classes.lock().unwrap_or_else(PoisonError::into_inner);
         let index = match classes.iter().position(|counts| *counts.class == **class) {
@@ -176,7 +177,7 @@
         update(&mut classes[index]);
     }
 
-    /// The counters by class since the start.
+    /// Returns the counters by class since the start.
     pub fn classes(&self) -> Vec<ClassCounts> {
         self.classes
             .lock()
@@ -184,18 +185,19 @@
             .clone()
     }
 
-    /// A line with what was counted since the last call, or `None` if nothing was.
+    /// Returns a line with the counts since the last call and resets them; `None` if all are zero.
     pub fn take_summary(&self) -> Option<String> {
         take_nonzero(self.counters.iter().zip(COUNTER_NAMES))
     }
 
-    /// A line with why requests were not served since the last call, or `None` if all were.
+    /// Returns a line with the reasons why requests were not served since the last call, and resets them; `None` if all were
+    /// served.
     pub fn take_reasons_summary(&self) -> Option<String> {
         take_nonzero(self.reasons.iter().zip(REASONS))
     }
 }
 
-/// Resets the counters and lists those that were not zero.
+/// Resets the counters and lists those that were not zero; `None` if all were zero.
 fn take_nonzero<'a, N: fmt::Display>(
     counters: impl Iterator<Item = (&'a AtomicU64, N)>,
 ) -> Option<String> {
--- a/edge/core/src/metrics/tests.rs
+++ b/edge/core/src/metrics/tests.rs
@@ -1,9 +1,9 @@
-//! The counters and their names.
+//! The counters, and their names in the log.
 
 use super::*;
 
 #[test]
-fn names_stand_beside_their_counts() {
+fn summaries_list_each_counter_under_its_own_name() {
     let metrics = Metrics::default();
     metrics.record_attempt(Outcome::Served);
     metrics.record_attempt(Outcome::Miss);
--- a/edge/core/src/open_requests.rs
+++ b/edge/core/src/open_requests.rs
@@ -1,10 +1,10 @@
-//! Bounds on open requests: how many there are at once, and one for each id of a client.
+//! Bounds on open requests: a maximum number at once, and at most one per client-assigned id.
 
 use std::collections::HashSet;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Counts open requests up to a maximum.
+/// The number of open requests, with a maximum.
 pub(crate) struct OpenRequests {
     count: AtomicUsize,
     max: usize,
@@ -18,9 +18,9 @@
         })
     }
 
-    /// Counts one more, or `None` where the maximum is reached.
-    pub(crate) fn enter(self: &Arc<Self>) -> Option<OpenRequest> {
-        // Counted before the comparison: dropping the guard takes it off again.
+    /// Counts one more open request; `None` if the maximum is reached.
+    pub(crate) fn try_open(self: &Arc<Self>) -> Option<OpenRequest> {
+        // Counted before the comparison; if the maximum is reached, dropping the guard undoes the count.
         let open = OpenRequest(self.clone());
         (self.count.fetch_add(1, Ordering::SeqCst) < self.max).then_some(open)
     }
@@ -34,7 +34,7 @@
     }
 }
 
-/// One open request, until it is dropped.
+/// Guard that counts as one open request until it is dropped.
 pub(crate) struct OpenRequest(Arc<OpenRequests>);
 
 impl Drop for OpenRequest {
@@ -43,12 +43,12 @@
     }
 }
 
-/// The clients' ids of open requests.
+/// The client-assigned ids of open requests.
 #[derive(Default)]
 pub(crate) struct OpenIds(Mutex<HashSet<u64>>);
 
 impl OpenIds {
-    /// Takes the id for one request, or `None` while another request has it.
+    /// Claims the id for one request; `None` if another open request has it.
     pub(crate) fn claim(self: &Arc<Self>, via_id: u64) -> Option<IdClaim> {
         let free = self.ids().insert(via_id);
         free.then(|| IdClaim {
@@ -62,7 +62,7 @@
     }
 }
 
-/// A client's id while the request under it is open.
+/// Guard that reserves a client-assigned id until it is dropped.
 pub(crate) struct IdClaim {
     ids: Arc<OpenIds>,
     via_id: u64,
--- a/edge/core/src/permits.rs
+++ b/edge/core/src/permits.rs
@@ -1,5 +1,5 @@
-//! Concurrency permits: a pool may bound how many attempts are in flight to a kind of server, over all proxies. Without
-//! pools no attempt waits.
+//! Concurrency permits: a pool may limit how many attempts are in flight to a kind of server, across all proxies. Without
+//! pools, no attempt waits.
 
 use crate::cancellation::CancelHandle;
 use crate::request::ClientRequest;
@@ -11,19 +11,19 @@
 pub struct PermitRequest<'a> {
     /// The request it belongs to.
     pub request: &'a ClientRequest,
-    /// The attempt as the router decided it.
+    /// The router's decision.
     pub fetch: &'a Fetch,
-    /// Cancels the wait for a permit.
+    /// Wakes the wait for a permit when the attempt is cancelled.
     pub cancel: &'a CancelHandle,
-    /// Number of the attempt within its request; a retry has one above 0.
+    /// Number of the attempt within its request, from 0; a retry has a number above 0.
     pub attempt: u8,
-    /// When the client gives up.
+    /// When the attempt must have ended.
     pub deadline: Instant,
 }
 
-/// Admits attempts to the pools. Called on the request's own thread, which may wait in it.
+/// Acquires permits from the pools.
 pub trait AttemptPermits: Send + Sync {
-    /// A permit for the attempt, or `None` where no pool bounds it.
+    /// Acquires a permit for the attempt; `None` if no pool limits it. Called on the request's own thread, which it may block.
     ///
     /// # Errors
     ///
@@ -31,8 +31,8 @@
     fn acquire(&self, attempt: &PermitRequest) -> Result<Option<Box<dyn Permit>>, Rejected>;
 }
 
-/// One permit of a pool. Dropped, it returns to the pool, which charges the time that it was held.
+/// One permit of a pool. On drop it returns to the pool, which charges the time that it was held.
 pub trait Permit: Send {
-    /// When the attempt under this permit must have ended.
+    /// Returns when an attempt with this permit must have ended.
     fn expires_at(&self) -> Instant;
 }
--- a/edge/core/src/records.rs
+++ b/edge/core/src/records.rs
@@ -1,5 +1,5 @@
-//! Replicated request records: what the core asks of whoever keeps them, so that another process can take a request over
-//! when this one is lost.
+//! The interface between the core and the replicated request records, which let another process take over a request when this
+//! process is lost.
 
 use crate::request::ClientRequest;
 use crate::retry_after::Rejected;
@@ -7,29 +7,29 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Keeps the replicated records of requests.
+/// Stores the replicated records of requests.
 pub trait RequestRecords: Send + Sync {
-    /// Acquires the request's record; waits for that until `deadline` at the longest. `ownership_lost`: this process had
-    /// acquired it before, and another owner replaced it.
+    /// Acquires the request's record; blocks until `deadline` at the latest. `ownership_lost` means that this process acquired
+    /// the record before and has been replaced by another owner.
     fn acquire(&self, request: &ClientRequest, deadline: Instant, ownership_lost: bool)
         -> Acquired;
 }
 
-/// Who serves a request whose record was asked for.
+/// The result of acquiring a request's record.
 pub enum Acquired {
-    /// The request has no record: it is served as if there were none.
+    /// The request has no record: it is served without one.
     NotReplicated,
-    /// This process, which owns the record.
+    /// This process owns the record and serves the request.
     Owned(Box<dyn OwnedRecord>),
-    /// Nobody: this is its stored response.
+    /// The request has a stored response.
     Stored(StoredResponse),
-    /// Nobody for now.
+    /// The request is rejected for now.
     Rejected(Rejected),
-    /// Nobody: no quorum in time, or the record says so.
+    /// The request has failed: no quorum in time, or its record stores a failure.
     Failed,
 }
 
-/// The one response of a request, as its record stores it.
+/// The only response of a request, as stored in its record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoredResponse {
     /// The body.
@@ -40,34 +40,34 @@
     Failed,
 }
 
-/// Whether an attempt may be made, now that its record was to be written.
+/// The result of writing an attempt to the record: whether it may be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptIntent {
-    /// It is recorded, and may be made.
+    /// The attempt is recorded and may be made.
     Recorded,
-    /// This attempt may not be made; another may.
+    /// This attempt may not be made, but another may.
     Declined,
-    /// Another process owns the request by now.
+    /// Another process owns the request now.
     OwnershipLost,
 }
 
-/// The record of a request that this process owns. Dropped without a stored response, it is released, and the next replica
-/// in line goes on.
+/// The record of a request that this process owns. If it is dropped without a stored response, it is released, and the next
+/// replica in order takes the request over.
 pub trait OwnedRecord: Send + Sync {
-    /// The only group of caches that may be asked, where an attempt may have executed.
+    /// Returns the only group of caches that attempts may go to, if an attempt may have executed.
     fn required_group(&self) -> Option<u32>;
-    /// Records that an attempt goes to this server; waits until that is replicated.
+    /// Records that an attempt goes to this server; blocks until that is replicated.
     fn record_intent(&self, server: &Member) -> AttemptIntent;
-    /// Whether the request may still be sent; consulted right before its first byte.
+    /// Whether the request may still be sent; called right before its first byte.
     fn may_send(&self) -> bool;
-    /// Sent with the attempt where the receiver understands it, which then rejects lower terms of the same key.
+    /// Returns the term to send with the attempt. A receiver that supports terms then rejects lower ones of the same key.
     fn term(&self) -> Option<u64>;
-    /// Records how the attempt ended.
+    /// Records the outcome of the attempt.
     fn record_outcome(&self, outcome: Outcome);
-    /// Whether an attempt may have executed, here or at an earlier owner.
+    /// Whether an attempt may have executed, made by this owner or an earlier one.
     fn may_have_executed(&self) -> bool;
-    /// Stores the response; false where it is not known to be stored: then no client may be given it.
+    /// Stores the response. Returns false if it is not known to be stored; then it must not be sent to any client.
     fn store_response(&self, response: StoredResponse) -> bool;
-    /// Ends the record without a response: nothing executed, its client was told to retry, and nobody need go on.
+    /// Ends the record without a response: nothing executed and the client is told to retry, so no replica need take over.
     fn abandon(&self);
 }
--- a/edge/core/src/rejection.rs
+++ b/edge/core/src/rejection.rs
@@ -1,6 +1,5 @@
-//! Whether a request that ends without being served is rejected or failed.
-//!
-//! This module owns that rule for what the core ends by itself; the router applies its own to what it gives up.
+//! Decides whether a request that the core gives up is rejected or failed. The router has its own rule for the requests that
+//! it gives up.
 
 use crate::limits::RequestLimits;
 use crate::metrics::Completion;
@@ -9,8 +8,9 @@
 use crate::retry_after::Rejected;
 use std::time::Duration;
 
-/// The final response of a request that the core gives up: rejected where a retry is harmless, because no attempt may have
-/// executed, or because its class may be repeated anywhere, which is known only where the request has limits; else failed.
+/// Returns the final response of a request that the core gives up. The request is rejected if a retry is harmless, either
+/// because no attempt may have executed, or because its class may be repeated at any server, which is known only if the
+/// request has limits; otherwise it fails.
 pub(crate) fn reject_or_fail(
     reason: Reason,
     retry_after: Duration,
@@ -28,7 +28,7 @@
     )
 }
 
-/// The final response of a request that the router rejected.
+/// Returns the final response of a request that the router rejected.
 pub(crate) fn rejected_by_router(
     Rejected { retry_after }: Rejected,
     limits: Option<&RequestLimits>,
@@ -39,6 +39,7 @@
     )
 }
 
+/// Caps the Retry-After to what the request's limits allow.
 fn cap(retry_after: Duration, limits: Option<&RequestLimits>) -> Rejected {
     Rejected {
         retry_after: limits.map_or(retry_after, |limits| limits.cap_retry_after(retry_after)),
--- a/edge/core/src/replicated.rs
+++ b/edge/core/src/replicated.rs
@@ -1,4 +1,4 @@
-//! Serving requests with a replicated record: the response is stored before any client is given it.
+//! Serves requests that have a replicated record: the response is stored in the record before it is sent to any client.
 
 use crate::attempt_history::AttemptHistory;
 use crate::cancellation::CancelHandle;
@@ -11,10 +11,10 @@
 use crate::services::Services;
 use std::sync::Arc;
 
-/// Room (bytes) before a stored body, where a front puts the head of its message.
+/// Space (bytes) left before a stored body, into which a front writes the head of its message.
 const HEAD_ROOM: usize = 256;
 
-/// Serves a request from the acquisition of its record to its response.
+/// Serves a client's request: acquires its record, serves the request or waits for its owner, and responds.
 pub(crate) fn serve(
     services: &Services,
     records: &dyn RequestRecords,
@@ -42,13 +42,13 @@
                 return responder.respond(response);
             }
             RequestEnd::ClientGone => return,
-            // Another process goes on with it, and this client waits for that one's response.
+            // Another process owns the request now; this client waits for the response of that one.
             RequestEnd::OwnershipLost => ownership_lost = true,
         }
     }
 }
 
-/// Serves a request that was taken over: its response is stored, and there is no client to give it to.
+/// Serves a request that was taken over: its response is stored, and there is no client to send it to.
 pub(crate) fn serve_taken_over(
     services: &Services,
     request: ClientRequest,
@@ -59,8 +59,8 @@
     run_owned(services, &request, cancel, record, &mut history);
 }
 
-/// Serves a request that this process owns, and stores its response. Ownership counts as lost where the response is not
-/// known to be stored.
+/// Serves a request that this process owns, and stores its response. If the response is not known to be stored, the request
+/// ends as [`RequestEnd::OwnershipLost`].
 fn run_owned(
     services: &Services,
     request: &ClientRequest,
@@ -76,7 +76,7 @@
         Response::Served(body) => StoredResponse::Served(body.buffer[body.range.clone()].into()),
         Response::NotModified => StoredResponse::NotModified,
         Response::Rejected(_) | Response::Failed if !record.may_have_executed() => {
-            // A retry begins anew, so nothing needs to be stored for it.
+            // Nothing executed, so a retry may be served like a new request and finds no stored response.
             record.abandon();
             return RequestEnd::Finished(completion, response);
         }
@@ -87,13 +87,13 @@
         return RequestEnd::OwnershipLost;
     }
     if is_failure {
-        // A rejection would invite a retry, which finds the stored failure.
+        // The record stores a failure, so the client gets one too: after a rejection it would retry and find the failure.
         return RequestEnd::failed(completion.reason().unwrap_or(Reason::Replicas));
     }
     RequestEnd::Finished(completion, response)
 }
 
-/// The response that the record stores, in a buffer of this process.
+/// Copies the stored response into a buffer and ends the request with it.
 fn respond_stored(
     services: &Services,
     request: &ClientRequest,
@@ -104,7 +104,7 @@
         StoredResponse::NotModified if request.etag.is_some() => {
             return RequestEnd::Finished(Completion::NotModified, Response::NotModified);
         }
-        // Stored for a client that held a copy, while this one holds none.
+        // `NotModified` was stored for a client that held a copy, while this one holds none.
         StoredResponse::NotModified | StoredResponse::Failed => {
             return RequestEnd::failed(Reason::Replicas)
         }
--- a/edge/core/src/request.rs
+++ b/edge/core/src/request.rs
@@ -1,4 +1,4 @@
-//! A client's request as a front hands it to the core, and the response that goes back.
+//! A client's request as a front passes it to the core, and its response.
 
 use crate::buffers::Buffer;
 use crate::retry_after::Rejected;
@@ -7,47 +7,48 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A request as a front read and validated it.
+/// A request that a front has read and validated.
 pub struct ClientRequest {
-    /// The client's id of the request (`Via-Id`).
+    /// Id that the client assigned to the request (`Via-Id`).
     pub via_id: u64,
-    /// Index of the class in the router's list. A reload gives it to another class only once nobody holds it.
+    /// Index of the class in the router's list. A reload reuses the index for another class only after all holders of this
+    /// `Arc` are gone.
     pub class: Arc<usize>,
     /// Name of the class.
     pub class_name: Arc<str>,
-    /// The object asked for.
+    /// The requested object.
     pub object: u64,
-    /// The part of the object asked for.
+    /// The requested part of the object.
     pub part: u32,
     /// The object's invalidation group.
     pub group: u32,
     /// Expected size of the response (kB).
     pub size_kb: f64,
-    /// Idempotency key, where the class has one.
+    /// Idempotency key, if the class has one.
     pub token: Option<String>,
     /// Entity tag of the copy that the client holds.
     pub etag: Option<String>,
-    /// The request's body: the buffer it is in, and its length (bytes).
+    /// The request body: its buffer, and its length (bytes).
     pub body: Option<(Buffer, usize)>,
     /// When the request arrived.
     pub arrived_at: Instant,
-    /// How long after `arrived_at` the client gives up.
+    /// Time from `arrived_at` until the client gives up.
     pub budget: Duration,
-    /// The front it came by, as limits name it.
+    /// The front that received it, by the name that limits use.
     pub front: &'static str,
-    /// The caller's proven identity, as limits name it.
+    /// The caller's authenticated identity, by the name that limits use.
     pub caller: Arc<str>,
-    /// The only group of caches that may be asked, where an attempt made elsewhere may have executed.
+    /// The only group of caches that attempts may go to, if an attempt by an earlier owner may have executed.
     pub required_group: Option<u32>,
 }
 
 impl ClientRequest {
-    /// When the client gives up.
+    /// Returns when the client gives up.
     pub fn deadline(&self) -> Instant {
         self.arrived_at + self.budget
     }
 
-    /// The request as the router takes it, with what is left of the time until `deadline`.
+    /// Converts the request for the router; its time budget is the time left until `deadline`.
     pub(crate) fn to_router(
         &self,
         id: RequestId,
@@ -78,15 +79,15 @@
 pub struct ResponseBody {
     /// The buffer.
     pub buffer: Buffer,
-    /// Where the body is in it.
+    /// Range of the body in the buffer.
     pub range: Range<usize>,
 }
 
 /// The final response to a request.
 pub enum Response {
-    /// The part that was asked for.
+    /// The requested part.
     Served(ResponseBody),
-    /// The copy that the client holds is current.
+    /// The client's copy is current.
     NotModified,
     /// Rejected for now.
     Rejected(Rejected),
@@ -94,18 +95,19 @@
     Failed,
 }
 
-/// Where a front takes the response. Dropped without one, it tells its client that the request failed.
+/// A front's receiver of the response. If it is dropped without a response, the front tells the client that the request
+/// failed.
 pub trait Responder: Send {
     /// Sends the response to the client.
     fn respond(self: Box<Self>, response: Response);
 }
 
-/// Taken off the time that a client waits: transfer of the request, transfer of the response, and the interval at which the
-/// router looks for overdue requests (25 ms). None of these shrinks with the client's wait, so that a fixed time is taken
-/// off and not a share of it.
+/// Subtracted from the time that a client waits: covers the transfer of the request and of the response, and the interval at
+/// which the router checks for overdue requests (25 ms). None of these depends on the client's wait, so the margin is fixed
+/// rather than a share of it.
 const TRANSFER_MARGIN: Duration = Duration::from_millis(30);
 
-/// How long a request may take here when its client waits for `wait`; at least a microsecond.
+/// Returns how long the proxy may take for a request whose client waits for `wait`; at least 1 µs.
 pub fn serving_budget(wait: Duration) -> Duration {
     wait.saturating_sub(TRANSFER_MARGIN)
         .max(Duration::from_micros(1))
--- a/edge/core/src/request_end.rs
+++ b/edge/core/src/request_end.rs
@@ -1,4 +1,4 @@
-//! How serving a request ends.
+//! The end of a request: its result, and the guard that reports it to the event loop.
 
 use crate::event_loop::EventLoopHandle;
 use crate::messages::Command;
@@ -14,16 +14,17 @@
     Finished(Completion, Response),
     /// The client is gone: no response is owed.
     ClientGone,
-    /// Another process owns the request by now.
+    /// Another process owns the request now.
     OwnershipLost,
 }
 
 impl RequestEnd {
+    /// Creates the end of a failed request.
     pub(crate) fn failed(reason: Reason) -> RequestEnd {
         RequestEnd::Finished(Completion::Failed(reason), Response::Failed)
     }
 
-    /// Rejected before the router heard of the request.
+    /// Creates the end of a request that was rejected before the router received it.
     pub(crate) fn shed(reason: Reason, rejected: Rejected) -> RequestEnd {
         RequestEnd::Finished(Completion::Shed(reason), Response::Rejected(rejected))
     }
@@ -35,7 +36,7 @@
     }
 }
 
-/// Tells the event loop of the request's end, however its thread leaves it.
+/// Reports the request's end to the event loop on drop, also if its thread panics.
 pub(crate) struct EndGuard<'a> {
     event_loop: &'a EventLoopHandle,
     id: RequestId,
--- a/edge/core/src/retry_after.rs
+++ b/edge/core/src/retry_after.rs
@@ -1,20 +1,19 @@
 //! How long a rejected client is told to wait before it retries (Retry-After).
 //!
-//! This module owns the wait of the core's own rejections, for requests that the router never saw. The router states a wait
-//! of its own with each rejection, and limits by class cap both
-//! ([`RequestLimits::cap_retry_after`](crate::limits::RequestLimits::cap_retry_after)).
+//! This module computes the wait of the core's own rejections. The router states its own wait with each rejection, and limits
+//! by class cap both ([`RequestLimits::cap_retry_after`](crate::limits::RequestLimits::cap_retry_after)).
 
 use foldmux::interface::{Settings, Time};
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Longest wait that the proxy states by itself: what is full frees capacity within the time of a few requests.
+/// Longest wait that the core states by itself. A full resource has free capacity again after the time of a few requests.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// The wait is at most this fraction of the shortest deadline, so that the client has time left for the retry.
+/// The wait is at most the shortest deadline divided by this, so that the client has time left for the retry.
 const DEADLINE_DIVISOR: Time = 10;
 
-/// Rejected for now; a retry is harmless: no attempt was executed, or the class may be repeated anywhere.
+/// Rejected for now. A retry is harmless: no attempt was executed, or the class may be repeated at any server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejected {
     /// How long the client should wait before it retries.
@@ -29,7 +28,7 @@
 
 impl std::error::Error for Rejected {}
 
-/// The wait of the core's own rejections under these settings; zero where they let clients be told none.
+/// Returns the wait of the core's own rejections under these settings; zero if the settings allow no Retry-After.
 pub fn own_retry_after(settings: &Settings) -> Duration {
     let shortest_deadline = settings
         .classes
@@ -37,15 +36,15 @@
         .map(|class| class.deadline)
         .min()
         .unwrap_or(0);
-    let Some(longest_told) = settings.max_retry_after else {
+    let Some(max_retry_after) = settings.max_retry_after else {
         return Duration::ZERO;
     };
     Duration::from_micros(shortest_deadline / DEADLINE_DIVISOR)
         .min(MAX_RETRY_AFTER)
-        .min(Duration::from_micros(longest_told))
+        .min(Duration::from_micros(max_retry_after))
 }
 
-/// The wait in service, which a reload replaces.
+/// The current wait, which a reload replaces.
 pub(crate) struct RetryAfter(AtomicU64);
 
 impl RetryAfter {
--- a/edge/core/src/servers.rs
+++ b/edge/core/src/servers.rs
@@ -1,29 +1,29 @@
-//! The servers that attempts may go to (pop caches, parents and the origin), as the journal last listed them: names,
-//! addresses, and what may be sent to. Only the event loop writes the list; everybody else reads it.
+//! The servers that attempts may go to (pop caches, parents and the origin), as the journal service last listed them: their
+//! names and addresses, and whether they accept work. Only the event loop writes the list; all other threads only read it.
 
 use foldmux::interface::{CacheId, Member, MemberState, Time};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::{Arc, PoisonError, RwLock, RwLockReadGuard};
 
-/// One entry of the list: what the router knows of the server, and what only its clients need.
+/// One entry of the list: the router's view of the server, and its name and address, which the router doesn't need.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// The entry as the router takes it.
+    /// The entry as the router sees it.
     pub member: Member,
     /// The server's name.
     pub name: Arc<str>,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
 }
 
-/// One incarnation of a server, from its start to its end, at one address. Attempts and idle connections are valid for one
-/// incarnation alone.
+/// One incarnation of a server: one run of its process at one address. Attempts and idle connections are valid only for the
+/// incarnation that they were made for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Incarnation {
-    /// When it started (router time, µs); 0 stands for long ago.
+    /// When it started (router time, µs); 0 means long ago.
     pub started_at: Time,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
 }
 
@@ -41,12 +41,12 @@
     }
 }
 
-/// How many servers are listed.
+/// Counts of the listed servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Census {
     /// All listed servers.
     pub listed: usize,
-    /// Those of them that are not to be used.
+    /// Listed servers that attempts must not use.
     pub unready: usize,
 }
 
@@ -61,17 +61,17 @@
         self.by_id.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The server of this id.
+    /// Returns the server with this id.
     pub fn get(&self, cache: CacheId) -> Option<Server> {
         self.read().get(&cache).cloned()
     }
 
-    /// The listed incarnation of a server.
+    /// Returns the listed incarnation of a server.
     pub fn incarnation(&self, cache: CacheId) -> Option<Incarnation> {
         self.read().get(&cache).map(Server::incarnation)
     }
 
-    /// The server of this name.
+    /// Returns the server with this name.
     pub fn by_name(&self, name: &str) -> Option<Server> {
         self.read()
             .get(&cache_id(name))
@@ -79,7 +79,7 @@
             .cloned()
     }
 
-    /// Counts the servers; those that `excluded` names count as unready, besides those that are not ready.
+    /// Counts the servers. Servers for whose name `excluded` returns true count as unready, like those that are not ready.
     pub fn census(&self, excluded: impl Fn(&str) -> bool) -> Census {
         let servers = self.read();
         let unready = servers
@@ -92,15 +92,16 @@
         }
     }
 
-    /// Whether new work may be sent to this incarnation, or name it as a source: it may have drained, ended or restarted
-    /// since it was chosen.
+    /// Whether new work may be sent to this incarnation, or use it as a source. It may have drained, ended or restarted since
+    /// it was chosen.
     pub fn accepts(&self, cache: CacheId, incarnation: Incarnation) -> bool {
         self.read()
             .get(&cache)
             .is_some_and(|server| server.is_ready() && server.incarnation() == incarnation)
     }
 
-    /// The server, if new work may be sent to this incarnation. One look-up, so that what is returned is what was checked.
+    /// Returns the server if new work may be sent to this incarnation. Checks and clones under one lock, so that the returned
+    /// entry is the one that was checked.
     pub fn get_accepting(
         &self,
         cache: CacheId,
@@ -111,9 +112,9 @@
         (Some(server.incarnation()) == incarnation).then(|| server.clone())
     }
 
-    /// Marks as gone whichever server lost its address to another that started later, whichever of them is listed first:
-    /// what one cache holds must not be asked of the one that replaced it. Servers that started at the same time, or at an
-    /// unknown one, may share an address.
+    /// Marks each server as gone whose address belongs to a server that started later, in whatever order the two are listed:
+    /// a request for what one cache holds must not reach the cache that replaced it. Servers that started at the same time,
+    /// or at an unknown time, may share an address. Returns the update with entries for the replaced servers added.
     pub fn resolve_address_conflicts(&self, full: bool, mut update: Vec<Server>) -> Vec<Server> {
         let servers = self.read();
         let updated: HashSet<CacheId> = update.iter().map(|server| server.member.cache).collect();
@@ -146,8 +147,8 @@
         update
     }
 
-    /// Applies an update and returns the former entries of servers whose incarnation takes no more work. `full`: a server
-    /// that the update doesn't list is gone.
+    /// Applies an update and returns the former entries of servers whose incarnation no longer accepts work. If `full`,
+    /// servers that the update doesn't list are removed.
     pub fn apply(&self, full: bool, update: Vec<Server>) -> Vec<Server> {
         let mut servers = self.by_id.write().unwrap_or_else(PoisonError::into_inner);
         let mut ended = Vec::new();
@@ -182,12 +183,13 @@
     server
 }
 
-/// FNV-1a, 32 bits.
+/// Offset basis of the 32-bit FNV-1a hash.
 const FNV_OFFSET: u32 = 0x811c_9dc5;
+/// Prime of the 32-bit FNV-1a hash.
 const FNV_PRIME: u32 = 0x0100_0193;
 
-/// The id of a server: the eight hex digits at the end of its name, as the platform gives them, else a hash of the name. Every
-/// proxy derives the same id, so that all of them place an object alike.
+/// Derives the id of a server from its name: the eight hex digits at its end, which the platform assigns, or else a hash of
+/// the name. Every proxy derives the same id, so that all proxies place an object on the same servers.
 pub fn cache_id(name: &str) -> CacheId {
     let suffix = name.rsplit('-').next().unwrap_or(name);
     let hex = (suffix.len() == 8)
--- a/edge/core/src/services.rs
+++ b/edge/core/src/services.rs
@@ -1,4 +1,4 @@
-//! What a request uses while it is served.
+//! The shared services that a request uses while it is served.
 
 use crate::attempt::UpstreamClient;
 use crate::attempt_history::AttemptHistory;
@@ -14,30 +14,30 @@
 use std::sync::{Arc, OnceLock};
 use std::time::Instant;
 
-/// References to what all requests share.
+/// References to the parts of [`Core`](crate::core::Core) that requests use.
 pub(crate) struct Services<'a> {
     pub(crate) event_loop: &'a EventLoopHandle,
     pub(crate) servers: &'a ServerList,
     pub(crate) buffers: &'a Arc<BufferPool>,
     pub(crate) upstream: &'a dyn UpstreamClient,
     pub(crate) metrics: &'a Arc<Metrics>,
-    /// Bounds the log lines of requests that were not served.
+    /// Limits the rate of log lines for requests that were not served.
     pub(crate) unserved_log: &'a LogThrottle,
     pub(crate) limiter: Option<&'a Limiter>,
-    /// Read at each attempt: the fleet starts after the fronts.
+    /// Read at each attempt, as the fleet, and with it the pools, starts after the fronts.
     pub(crate) permits: &'a OnceLock<Arc<dyn AttemptPermits>>,
     pub(crate) retry_after: &'a RetryAfter,
 }
 
 impl Services<'_> {
-    /// A rejection of the core's own.
+    /// Returns a rejection by the core itself.
     pub(crate) fn rejected(&self) -> Rejected {
         Rejected {
             retry_after: self.retry_after.get(),
         }
     }
 
-    /// Counts how a request ended. One that was not served gets a log line, as far as the throttle admits it.
+    /// Counts how a request ended. Logs a request that was not served, if the throttle admits the line.
     pub(crate) fn record_completion(
         &self,
         request: &ClientRequest,
--- a/edge/core/src/workers.rs
+++ b/edge/core/src/workers.rs
@@ -1,4 +1,4 @@
-//! The threads of requests: as many as are open at once, up to a bound, each used again for a while.
+//! The pool of worker threads: one thread per open request, up to a maximum, reused until it has been idle for a while.
 
 use crate::open_requests::{OpenRequest, OpenRequests};
 use crate::reason::Reason;
@@ -9,19 +9,19 @@
 use std::thread;
 use std::time::Duration;
 
-/// Stack of a request's thread (bytes); what it reads is in pooled buffers.
+/// Stack size of a worker thread (bytes); requests and responses are read into pooled buffers, not onto the stack.
 const STACK_SIZE: usize = 128 * 1024;
-/// How long a thread waits for another job before it ends: long compared to what starting a thread costs, and short enough
-/// that the threads of a burst are given back, as a machine bounds the threads of all its processes together.
+/// How long a thread waits for another job before it ends: long compared to the cost of starting a thread, and short enough
+/// that the threads of a burst soon end, as a machine limits the threads of all its processes together.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// What a worker thread runs.
 pub(crate) trait Job: Send + 'static {
-    /// Runs the job. A panic ends the job, and not its thread.
+    /// Runs the job. A panic ends the job, but not its thread.
     fn run(self);
 }
 
-/// A job that no thread took, and why.
+/// A job that could not be started, and why.
 pub(crate) struct NotStarted<J> {
     pub(crate) job: Box<J>,
     pub(crate) reason: Reason,
@@ -34,7 +34,7 @@
     }
 }
 
-/// A job on its way to a thread, with its place among the open requests.
+/// A job for a thread, with the guard that counts it as an open request.
 struct Assignment<J> {
     job: J,
     open: OpenRequest,
@@ -43,9 +43,9 @@
 /// A pool of worker threads.
 pub(crate) struct WorkerPool<J> {
     open: Arc<OpenRequests>,
-    /// Threads that wait for a job, each at a channel of its own; the last to finish is the first to go on. Hundreds of
-    /// threads at one channel would spin in turn for its lock, and on one core the thread that holds it might not run for
-    /// a second.
+    /// The channels of idle threads, one each; the thread that became idle last gets the next job. With hundreds of threads
+    /// on a single channel, all would spin for its lock, and on one core the thread that holds it might not run for a
+    /// second.
     idle: Mutex<Vec<Sender<Assignment<J>>>>,
 }
 
@@ -57,13 +57,17 @@
         })
     }
 
-    /// Gives the job to a thread, or back where there is no room for it.
+    /// Starts the job on an idle thread, or on a new one if none is idle.
+    ///
+    /// # Errors
+    ///
+    /// The maximum number of requests is open, or no thread could be started; the job is returned.
     pub(crate) fn start(self: &Arc<Self>, job: J) -> Result<(), NotStarted<J>> {
-        let Some(open) = self.open.enter() else {
+        let Some(open) = self.open.try_open() else {
             return Err(NotStarted::new(job, Reason::RequestsFull));
         };
         let idle = self.idle().pop();
-        // Where the machine gives no more threads, those that there are serve on.
+        // If no thread can be started, only this job is refused; the existing threads keep serving.
         let Ok(thread) = idle.map_or_else(|| self.spawn(), Ok) else {
             return Err(NotStarted::new(job, Reason::NoThread));
         };
@@ -76,7 +80,7 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a thread off the idle ones, so that it can end; false if it was given a job meanwhile.
+    /// Removes a thread from the idle list, so that it can end. Returns false if it was assigned a job in the meantime.
     fn retire(&self, thread: &Sender<Assignment<J>>) -> bool {
         let mut idle = self.idle();
         let index = idle.iter().position(|other| other.same_channel(thread));
@@ -94,7 +98,7 @@
         Ok(sender)
     }
 
-    /// The life of a worker thread: one job after the other, until none has come for a while.
+    /// The loop of a worker thread: runs one job after another until none has arrived for [`IDLE_TIMEOUT`].
     fn serve_jobs(&self, jobs: &Receiver<Assignment<J>>, own: &Sender<Assignment<J>>) {
         loop {
             let Assignment { job, open } = match jobs.recv_timeout(IDLE_TIMEOUT) {
@@ -102,7 +106,7 @@
                 Err(RecvTimeoutError::Timeout) if !self.retire(own) => continue,
                 Err(_) => return,
             };
-            // A job's drops give back all that it held, also where it panics.
+            // If the job panics, unwinding still drops and releases everything it held.
             let _ = catch_unwind(AssertUnwindSafe(|| job.run()));
             self.idle().push(own.clone());
             drop(open);
