--- a/edge/core/src/reason.rs
+++ b/edge/core/src/reason.rs
@@ -1,39 +1,39 @@
-//! Why a request was not served: one reason for each rejection and failure, logged with the request's id and counted.
+//! Why a request was not served. Each rejection and failure has one reason, which is logged with the request's id and counted.
 
 use std::fmt;
 
-/// Why a request was rejected, failed, or could not be used.
+/// Why a request was rejected or failed, or could not be processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The router decided so.
+    /// The router rejected or failed it.
     Router,
-    /// The limits of its class and route allow no more.
+    /// The limits of its class and route were reached.
     Limits,
-    /// No permit of its concurrency pool came in time.
+    /// Its concurrency pool granted no permit in time.
     NoPermit,
-    /// As many requests are open as may be.
+    /// The maximum number of requests is open.
     RequestsFull,
-    /// The machine gives no more threads.
+    /// No more threads could be started.
     NoThread,
     /// All response buffers are in use.
     NoBuffer,
     /// All buffers for request bodies are in use.
     NoRequestBodyBuffer,
-    /// Its connection has as many open requests as it may.
+    /// Its connection has the maximum number of open requests.
     ConnectionFull,
-    /// The process shuts down before the request could have its response.
+    /// The process is shutting down and could not respond in time.
     ShuttingDown,
     /// Another request with the same id is open.
     IdInUse,
-    /// The deadline passed without a decision of the router.
+    /// The deadline passed without a decision by the router.
     NoDecision,
-    /// The replicas of its record decided so, or store a failure for it.
+    /// The replicas of its record rejected or failed it, or store a failure for it.
     Replicas,
     /// It ended without a response.
     Unfinished,
-    /// The external processor decided so.
+    /// The external processor rejected or failed it.
     Processor,
-    /// What the client sent can't be used.
+    /// The front could not process what the client sent.
     BadRequest,
 }
 
@@ -59,21 +59,21 @@
 impl fmt::Display for Reason {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         out.write_str(match self {
-            Reason::Router => "decided by the module",
+            Reason::Router => "decided by the router",
             Reason::Limits => "limits by class",
-            Reason::NoPermit => "no turn at its pool",
-            Reason::RequestsFull => "all places for requests taken",
+            Reason::NoPermit => "no permit from its pool",
+            Reason::RequestsFull => "too many open requests",
             Reason::NoThread => "no thread",
-            Reason::NoBuffer => "no buffer",
+            Reason::NoBuffer => "no response buffer",
             Reason::NoRequestBodyBuffer => "no buffer for its body",
-            Reason::ConnectionFull => "too many open on its connection",
-            Reason::ShuttingDown => "the process leaves",
+            Reason::ConnectionFull => "too many open requests on its connection",
+            Reason::ShuttingDown => "the process is shutting down",
             Reason::IdInUse => "its id is in use",
             Reason::NoDecision => "no decision in time",
             Reason::Replicas => "replicas of its record",
-            Reason::Unfinished => "ended without an answer",
+            Reason::Unfinished => "ended without a response",
             Reason::Processor => "external processor",
-            Reason::BadRequest => "not usable",
+            Reason::BadRequest => "invalid request",
         })
     }
 }
