--- a/edge/core/tests/closing.rs
+++ b/edge/core/tests/closing.rs
@@ -1,4 +1,4 @@
-//! The end of the process against its requests: what must be answered by then is, once.
+//! Shutdown: every open request gets exactly one response by the deadline.
 
 mod common;
 
@@ -7,47 +7,50 @@
 use foldmux_core::messages::Command;
 
 #[test]
-fn a_request_that_is_registered_after_the_end_was_decided_is_answered_by_then() {
-    let rig = Rig::new();
-    // It was read before that, with its client's whole time, which is longer than the test's.
-    rig.core.event_loop.send(Command::Shutdown {
-        deadline: rig.core.clock.now(),
+fn a_request_registered_after_the_shutdown_began_is_rejected_by_the_deadline() {
+    let harness = Harness::new();
+    // The front read it before the shutdown, with the client's full budget, which is longer than the test's timeout.
+    harness.core.event_loop.send(Command::Shutdown {
+        deadline: harness.core.clock.now(),
     });
-    let (_, heard) = rig.ask(1);
-    assert_eq!(hears(&heard), Heard::Refused);
-    rig.open(0);
-    assert!(rig.began.try_recv().is_err(), "nothing is sent for it");
+    let (_, reply) = harness.send_request(1);
+    assert_eq!(await_reply(&reply), Reply::Rejected);
+    harness.await_open(0);
+    assert!(
+        harness.started.try_recv().is_err(),
+        "no attempt starts for it"
+    );
 }
 
 #[test]
-fn an_answer_that_was_read_as_its_request_is_given_up_is_its_one_answer() {
-    let rig = Rig::new();
-    let (cancel, heard) = rig.ask(1);
-    assert_eq!(rig.begins(), 1);
-    rig.core.event_loop.send(Command::Shutdown {
-        deadline: rig.core.clock.now(),
+fn a_response_that_was_read_while_its_request_is_given_up_is_its_only_response() {
+    let harness = Harness::new();
+    let (cancel, reply) = harness.send_request(1);
+    assert_eq!(harness.next_attempt(), 1);
+    harness.core.event_loop.send(Command::Shutdown {
+        deadline: harness.core.clock.now(),
     });
-    until("its attempt is cancelled", || cancel.is_cancelled(0));
-    // It was read whole before the call-off could cut it.
-    rig.end(Outcome::Served);
-    assert_eq!(hears(&heard), Heard::Same);
-    rig.open(0);
-    assert!(heard.recv().is_err(), "no second answer");
-    assert!(rig.began.try_recv().is_err());
+    wait_until("its attempt is cancelled", || cancel.is_cancelled(0));
+    // The response was read in full before the cancellation took effect.
+    harness.end_attempt(Outcome::Served);
+    assert_eq!(await_reply(&reply), Reply::Served);
+    harness.await_open(0);
+    assert!(reply.recv().is_err(), "no second response");
+    assert!(harness.started.try_recv().is_err());
 }
 
 #[test]
-fn an_attempt_whose_time_is_over_as_its_request_is_given_up_is_the_last() {
-    let rig = Rig::new();
-    let (cancel, heard) = rig.ask(1);
-    assert_eq!(rig.begins(), 1);
-    rig.core.event_loop.send(Command::Shutdown {
-        deadline: rig.core.clock.now(),
+fn an_attempt_that_times_out_while_its_request_is_given_up_is_the_last() {
+    let harness = Harness::new();
+    let (cancel, reply) = harness.send_request(1);
+    assert_eq!(harness.next_attempt(), 1);
+    harness.core.event_loop.send(Command::Shutdown {
+        deadline: harness.core.clock.now(),
     });
-    until("its attempt is cancelled", || cancel.is_cancelled(0));
-    rig.end(Outcome::TimedOut);
-    assert_eq!(hears(&heard), Heard::Refused);
-    rig.open(0);
-    assert!(heard.recv().is_err(), "no second answer");
-    assert!(rig.began.try_recv().is_err());
+    wait_until("its attempt is cancelled", || cancel.is_cancelled(0));
+    harness.end_attempt(Outcome::TimedOut);
+    assert_eq!(await_reply(&reply), Reply::Rejected);
+    harness.await_open(0);
+    assert!(reply.recv().is_err(), "no second response");
+    assert!(harness.started.try_recv().is_err());
 }
--- a/edge/core/tests/common/mod.rs
+++ b/edge/core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Requests at a core whose attempts the test ends one by one.
+//! A harness that serves requests with a core whose attempts the test ends one by one.
 #![allow(dead_code)]
 
 use foldmux::interface::{CacheId, Member, MemberState, Outcome};
@@ -27,82 +27,89 @@
 "domain":{"originKind":2,"midKind":1,"siblings":"any","notesGiven":"none","clientKbPerS":5000.0,"direct":false,
 "hubOf":[0,0],"passOn":[false],"instancesByZone":[0,1],"parentFloor":0.1,"parentCold":21000000,
 "parentBreaksAt":2.0,"purgeSlack":1000000,"purgeDone":6000000}}"#;
-/// Longer than anything takes; it ends a test that waits for what never comes.
-pub const PATIENCE: Duration = Duration::from_secs(30);
-/// A client's wait, over all bounds of the tests: no wait here ends by the request's own time.
+/// Longer than any step takes; a test that waits for something that never happens fails after it.
+pub const TIMEOUT: Duration = Duration::from_secs(30);
+/// A client's wait, longer than all timeouts of the tests, so that no wait in a test ends because of the request's deadline.
 const BUDGET: Duration = Duration::from_secs(80);
 
-/// How an attempt ends, as the test says.
-pub enum End {
+/// How the test ends an attempt.
+pub enum AttemptEnd {
     With(Outcome),
     Panic,
 }
 
-/// Tells of each attempt, and ends it as the test says.
-struct Scripted {
-    began: Sender<u64>,
-    ends: Mutex<Receiver<End>>,
+/// Reports the start of each attempt by its request's id, and ends it as the test says.
+struct ScriptedUpstream {
+    started: Sender<u64>,
+    ends: Mutex<Receiver<AttemptEnd>>,
 }
 
-impl UpstreamClient for Scripted {
+impl UpstreamClient for ScriptedUpstream {
     fn attempt(&self, attempt: &Attempt, _: &mut [u8]) -> (Outcome, Option<Payload>) {
-        self.began.send(attempt.request.via_id).unwrap();
+        self.started.send(attempt.request.via_id).unwrap();
         let end = self
             .ends
             .lock()
             .unwrap()
-            .recv_timeout(PATIENCE)
-            .expect("an end");
+            .recv_timeout(TIMEOUT)
+            .expect("the test ends the attempt");
         match end {
-            End::With(outcome) => (
+            AttemptEnd::With(outcome) => (
                 outcome,
                 (outcome == Outcome::Served).then_some(Payload::NotModified),
             ),
-            End::Panic => panic!("planted in an attempt"),
+            AttemptEnd::Panic => panic!("planted in an attempt"),
         }
     }
 }
 
-/// What became of a request's reply.
+/// What a request's responder received.
 #[derive(Debug, PartialEq)]
-pub enum Heard {
-    Same,
-    Refused,
+pub enum Reply {
+    Served,
+    Rejected,
     Failed,
-    /// It was dropped: nothing is said, or by the front alone.
-    Nothing,
+    /// The responder was dropped without a response.
+    Dropped,
 }
 
-struct Told(Sender<Heard>, bool);
+/// Sends the reply to the test. `has_responded` is false until a response arrives.
+struct ReplySender {
+    replies: Sender<Reply>,
+    has_responded: bool,
+}
 
-impl Responder for Told {
+impl Responder for ReplySender {
     fn respond(mut self: Box<Self>, response: Response) {
-        self.1 = true;
-        let heard = match response {
-            Response::Served(_) | Response::NotModified => Heard::Same,
-            Response::Rejected(_) => Heard::Refused,
-            Response::Failed => Heard::Failed,
+        self.has_responded = true;
+        let reply = match response {
+            Response::Served(_) | Response::NotModified => Reply::Served,
+            Response::Rejected(_) => Reply::Rejected,
+            Response::Failed => Reply::Failed,
         };
-        let _ = self.0.send(heard);
+        let _ = self.replies.send(reply);
     }
 }
 
-impl Drop for Told {
+impl Drop for ReplySender {
     fn drop(&mut self) {
-        if !self.1 {
-            let _ = self.0.send(Heard::Nothing);
+        if !self.has_responded {
+            let _ = self.replies.send(Reply::Dropped);
         }
     }
 }
 
-pub struct Rig {
+/// A running core with three caches, a parent and an origin.
+pub struct Harness {
     pub core: Arc<Core>,
-    pub began: Receiver<u64>,
-    pub ends: Sender<End>,
+    /// Ids of the requests whose attempts have started.
+    pub started: Receiver<u64>,
+    /// Ends the attempts in flight, one for each value.
+    pub ends: Sender<AttemptEnd>,
 }
 
-impl Rig {
-    pub fn new() -> Rig {
+impl Harness {
+    pub fn new() -> Harness {
         let decoded = foldmux_settings::parse(SETTINGS).unwrap();
         let (clock, servers) = (Clock::default(), Arc::new(ServerList::default()));
         let (event_loop, handle) = EventLoop::new(
@@ -133,10 +140,10 @@
             full: true,
             servers: all,
         });
-        let ((told, began), (ends, ended)) = (channel(), channel());
-        let upstream = Box::new(Scripted {
-            began: told,
-            ends: Mutex::new(ended),
+        let ((started_sender, started), (ends, ends_receiver)) = (channel(), channel());
+        let upstream = Box::new(ScriptedUpstream {
+            started: started_sender,
+            ends: Mutex::new(ends_receiver),
         });
         let core = Core::new(CoreSetup {
             event_loop: handle,
@@ -152,23 +159,27 @@
             .stack_size(512 * 1024)
             .spawn(move || event_loop.run())
             .unwrap();
-        Rig { core, began, ends }
+        Harness {
+            core,
+            started,
+            ends,
+        }
     }
 
-    /// So many places, a queue of long patience, and a pause between attempts that outlasts the test.
-    pub fn limit(&self, places: u64) -> Arc<Limiter> {
-        self.limit_to(places, 80_000)
+    /// Sets limits with `slots` concurrency slots, a queue with a long timeout, and a backoff that outlasts the test.
+    pub fn set_limits(&self, slots: u64) -> Arc<Limiter> {
+        self.set_limits_with_deadline(slots, 80_000)
     }
 
-    /// With a time for the whole request (ms), which may be shorter than the pause.
-    pub fn limit_to(&self, places: u64, deadline_ms: u64) -> Arc<Limiter> {
+    /// Like [`Harness::set_limits`], with a deadline of the request (ms), which may be shorter than the backoff.
+    pub fn set_limits_with_deadline(&self, slots: u64, deadline_ms: u64) -> Arc<Limiter> {
         let layer = LimitOverrides {
             deadline_ms: Some(deadline_ms),
             max_attempts: Some(4),
             backoff_base_ms: Some(60_000),
             backoff_max_ms: Some(60_000),
             jitter_percent: Some(0.0),
-            concurrency: Some(ConcurrencyLimit::Fixed { max: places }),
+            concurrency: Some(ConcurrencyLimit::Fixed { max: slots }),
             queue_capacity: Some(4),
             queue_timeout_ms: Some(60_000),
             ..LimitOverrides::default()
@@ -184,13 +195,18 @@
                 ..LimitsFile::default()
             },
         );
-        let repeats = vec![foldmux::interface::RetrySafety::Idempotent];
-        let limiter = Limiter::new(table, self.core.clock.clone(), "edge".into(), repeats);
+        let retry_safety_by_class = vec![foldmux::interface::RetrySafety::Idempotent];
+        let limiter = Limiter::new(
+            table,
+            self.core.clock.clone(),
+            "edge".into(),
+            retry_safety_by_class,
+        );
         assert!(self.core.limiter.set(limiter.clone()).is_ok());
         limiter
     }
 
-    pub fn ask(&self, via_id: u64) -> (Arc<CancelHandle>, Receiver<Heard>) {
+    pub fn send_request(&self, via_id: u64) -> (Arc<CancelHandle>, Receiver<Reply>) {
         let request = ClientRequest {
             via_id,
             class: Arc::new(0),
@@ -208,24 +224,30 @@
             caller: "".into(),
             required_group: None,
         };
-        let (told, heard) = channel();
+        let (replies, reply) = channel();
         let cancel = self.core.new_cancel_handle();
-        self.core
-            .start(request, cancel.clone(), Box::new(Told(told, false)));
-        (cancel, heard)
+        let responder = Box::new(ReplySender {
+            replies,
+            has_responded: false,
+        });
+        self.core.start(request, cancel.clone(), responder);
+        (cancel, reply)
     }
 
-    pub fn begins(&self) -> u64 {
-        self.began.recv_timeout(PATIENCE).expect("an attempt")
+    /// Waits for the start of an attempt and returns its request's id.
+    pub fn next_attempt(&self) -> u64 {
+        self.started
+            .recv_timeout(TIMEOUT)
+            .expect("an attempt starts")
     }
 
-    pub fn end(&self, outcome: Outcome) {
-        self.ends.send(End::With(outcome)).unwrap();
+    pub fn end_attempt(&self, outcome: Outcome) {
+        self.ends.send(AttemptEnd::With(outcome)).unwrap();
     }
 
-    /// Waits until so many requests are open, and no more buffers are out than that.
-    pub fn open(&self, count: usize) {
-        until("what a request held is back", || {
+    /// Waits until `count` requests are open and as many buffers are in use.
+    pub fn await_open(&self, count: usize) {
+        wait_until("ended requests have released their buffers", || {
             (self.core.open_requests(), self.core.buffers.in_use()) == (count, count)
         });
     }
@@ -235,14 +257,16 @@
     Occupancy { open, queued }
 }
 
-pub fn until(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+/// Waits until `holds` returns true; panics with `what` after [`TIMEOUT`].
+pub fn wait_until(what: &str, holds: impl Fn() -> bool) {
+    let end = Instant::now() + TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < end, "never: {what}");
+        assert!(Instant::now() < end, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(1));
     }
 }
 
-pub fn hears(heard: &Receiver<Heard>) -> Heard {
-    heard.recv_timeout(PATIENCE).expect("the reply's end")
+/// Waits for the reply to a request.
+pub fn await_reply(reply: &Receiver<Reply>) -> Reply {
+    reply.recv_timeout(TIMEOUT).expect("a reply")
 }
--- a/edge/core/tests/limits.rs
+++ b/edge/core/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits in the life of real requests: reloaded in the middle of a storm, nothing is lost and nothing is doubled.
+//! Limits that are reloaded under load: every request gets exactly one response, and no request has two attempts at once.
 
 use foldmux::interface::{CacheId, Member, MemberState, Outcome};
 use foldmux::Router;
@@ -21,7 +21,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Nobody holds a place, and nobody waits for one.
+/// No request is open and none is queued.
 const IDLE: Occupancy = Occupancy { open: 0, queued: 0 };
 const SETTINGS: &str = r#"{"index":0,"balancers":1,"locality":1,"dcs":["hub","edge"],
 "kinds":["box","parent","origin"],"classes":[{"name":"mix-video","slo":500000,"hardLimit":5000000,
@@ -33,37 +33,39 @@
 "hubOf":[0,0],"passOn":[false,false,true],"instancesByZone":[0,1],"parentFloor":0.1,"parentCold":21000000,
 "parentBreaksAt":2.0,"purgeSlack":1000000,"purgeDone":6000000}}"#;
 
-/// Boxes that fail in every way, by turns; they look at what must never come.
+/// Servers whose attempts end with varying outcomes; counts attempts that overlap with another of the same request.
 #[derive(Default)]
-struct Boxes {
-    /// By the request's id: attempts that are running.
+struct FlakyServers {
+    /// Number of running attempts by request id.
     running: Mutex<HashMap<u64, u64>>,
-    together: AtomicU64,
-    turn: AtomicU64,
+    /// Number of attempts that started while another of their request was running.
+    overlapping: AtomicU64,
+    /// Number of attempts so far; it determines the outcome of the next.
+    attempts: AtomicU64,
 }
 
-struct Shared(Arc<Boxes>);
+struct FlakyUpstream(Arc<FlakyServers>);
 
-impl UpstreamClient for Shared {
+impl UpstreamClient for FlakyUpstream {
     fn attempt(&self, attempt: &Attempt, _: &mut [u8]) -> (Outcome, Option<Payload>) {
-        let (boxes, id) = (&self.0, attempt.request.via_id);
+        let (servers, id) = (&self.0, attempt.request.via_id);
         {
-            let mut running = boxes.running.lock().unwrap();
+            let mut running = servers.running.lock().unwrap();
             let now = running.entry(id).or_default();
             *now += 1;
-            boxes
-                .together
+            servers
+                .overlapping
                 .fetch_add((*now > 1) as u64, Ordering::SeqCst);
         }
-        let turn = boxes.turn.fetch_add(1, Ordering::SeqCst);
-        thread::sleep(Duration::from_micros(200 + turn % 5 * 300));
-        boxes
+        let number = servers.attempts.fetch_add(1, Ordering::SeqCst);
+        thread::sleep(Duration::from_micros(200 + number % 5 * 300));
+        servers
             .running
             .lock()
             .unwrap()
             .entry(id)
             .and_modify(|now| *now -= 1);
-        match turn % 7 {
+        match number % 7 {
             0 | 1 => (Outcome::Error, None),
             2 => (Outcome::ConnectFailed, None),
             3 => (Outcome::Reset, None),
@@ -72,10 +74,10 @@
     }
 }
 
-/// Counts its answers.
-struct Counted(Sender<(u64, bool)>, u64);
+/// Reports each response by its request's id, and whether the request was served.
+struct ReportingResponder(Sender<(u64, bool)>, u64);
 
-impl Responder for Counted {
+impl Responder for ReportingResponder {
     fn respond(self: Box<Self>, response: Response) {
         self.0
             .send((self.1, matches!(response, Response::NotModified)))
@@ -83,13 +85,13 @@
     }
 }
 
-fn table(places: u64, attempts: u64, queue: u64) -> LimitSet {
+fn table(slots: u64, attempts: u64, queue: u64) -> LimitSet {
     let layer = LimitOverrides {
         max_attempts: Some(attempts),
         backoff_base_ms: Some(1),
         backoff_max_ms: Some(4),
         jitter_percent: Some(50.0),
-        concurrency: Some(ConcurrencyLimit::Fixed { max: places }),
+        concurrency: Some(ConcurrencyLimit::Fixed { max: slots }),
         queue_capacity: Some(queue),
         queue_timeout_ms: Some(200),
         retry_budget: Some("b".into()),
@@ -121,10 +123,10 @@
 
 const REQUESTS: u64 = 3_000;
 
-/// A core in service whose attempts `boxes` make, and its limits.
-fn start_core(boxes: Arc<Boxes>) -> (Arc<Core>, Arc<Limiter>) {
+/// Starts a core whose attempts go to `flaky`, with limits.
+fn start_core(flaky: Arc<FlakyServers>) -> (Arc<Core>, Arc<Limiter>) {
     let decoded = foldmux_settings::parse(SETTINGS).unwrap();
-    let repeats = decoded
+    let retry_safety_by_class = decoded
         .settings
         .classes
         .iter()
@@ -160,7 +162,7 @@
         full: true,
         servers: all,
     });
-    let upstream = Box::new(Shared(boxes));
+    let upstream = Box::new(FlakyUpstream(flaky));
     let core = Core::new(CoreSetup {
         event_loop: handle,
         clock: clock.clone(),
@@ -171,7 +173,7 @@
         warm_up: Duration::ZERO,
         max_open: 180,
     });
-    let limiter = Limiter::new(table(8, 3, 60), clock, "edge".into(), repeats);
+    let limiter = Limiter::new(table(8, 3, 60), clock, "edge".into(), retry_safety_by_class);
     assert!(core.limiter.set(limiter.clone()).is_ok());
     thread::Builder::new()
         .stack_size(512 * 1024)
@@ -201,18 +203,18 @@
 }
 
 #[test]
-fn a_reload_in_the_middle_of_a_storm_loses_nothing_and_doubles_nothing() {
-    let boxes = Arc::new(Boxes::default());
-    let (core, limiter) = start_core(boxes.clone());
-    let (told, answers) = channel();
-    let asking = {
+fn reloads_under_load_lose_and_duplicate_no_response() {
+    let flaky = Arc::new(FlakyServers::default());
+    let (core, limiter) = start_core(flaky.clone());
+    let (sender, responses) = channel();
+    let requests = {
         let core = core.clone();
         thread::spawn(move || {
             for id in 1..=REQUESTS {
                 core.start(
                     request(id),
                     core.new_cancel_handle(),
-                    Box::new(Counted(told.clone(), id)),
+                    Box::new(ReportingResponder(sender.clone(), id)),
                 );
                 if id.is_multiple_of(8) {
                     thread::sleep(Duration::from_millis(1));
@@ -220,17 +222,17 @@
             }
         })
     };
-    // Wider, narrower, none at all, and back, as the answers come.
-    let (mut seen, mut served, mut turn) = (HashMap::<u64, u64>::new(), 0, 0u64);
+    // As the responses arrive, the limits are reloaded in turn: wide, none, the first again, and narrow.
+    let (mut seen, mut served, mut received) = (HashMap::<u64, u64>::new(), 0, 0u64);
     while seen.len() < REQUESTS as usize {
-        let (id, was_served) = answers
+        let (id, was_served) = responses
             .recv_timeout(Duration::from_secs(30))
-            .expect("an answer");
+            .expect("a response");
         *seen.entry(id).or_default() += 1;
         served += was_served as u64;
-        turn += 1;
-        if turn.is_multiple_of(20) {
-            match turn / 20 % 4 {
+        received += 1;
+        if received.is_multiple_of(20) {
+            match received / 20 % 4 {
                 0 => limiter.replace_table(table(2, 2, 10)),
                 1 => limiter.replace_table(table(30, 4, 60)),
                 2 => limiter
@@ -239,12 +241,12 @@
             }
         }
     }
-    asking.join().unwrap();
-    assert!(seen.values().all(|count| *count == 1), "one answer each");
+    requests.join().unwrap();
+    assert!(seen.values().all(|count| *count == 1), "one response each");
     assert_eq!(
-        boxes.together.load(Ordering::SeqCst),
+        flaky.overlapping.load(Ordering::SeqCst),
         0,
-        "two attempts at once"
+        "two attempts of one request at once"
     );
     assert!(served > REQUESTS / 10, "{served}");
     let end = Instant::now() + Duration::from_secs(30);
--- a/edge/core/tests/members.rs
+++ b/edge/core/tests/members.rs
@@ -1,4 +1,5 @@
-//! Which incarnation of a server is returned while the list changes at the same moment.
+//! Look-ups in the server list while another thread changes it: the returned incarnation is the one that was checked. With two
+//! separate look-ups, the entry could be replaced between the check and the copy.
 
 use foldmux::interface::{CacheId, Member, MemberState, Time};
 use foldmux_core::servers::{Server, ServerList};
@@ -6,18 +7,18 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 const CACHE: CacheId = CacheId(1);
-/// How often the list changes under the reader.
+/// Number of changes of the list during the look-ups.
 const CHANGES: Time = 200_000;
 
-/// Incarnations of the server, each at an address of its own.
-fn incarnation(boot: Time) -> Server {
+/// Returns an incarnation of the server. Incarnations with odd and even start times have different addresses.
+fn incarnation(started_at: Time) -> Server {
     let member = Member {
         cache: CACHE,
         state: MemberState::Ready,
-        started_at: boot,
+        started_at,
         ..Member::default()
     };
-    let address = SocketAddr::from(([127, 0, 0, 1], 7_000 + boot as u16 % 2));
+    let address = SocketAddr::from(([127, 0, 0, 1], 7_000 + started_at as u16 % 2));
     Server {
         member,
         name: "s-00000001".into(),
@@ -26,18 +27,18 @@
 }
 
 #[test]
-fn the_server_that_is_returned_is_the_incarnation_that_was_accepted() {
+fn get_accepting_returns_the_incarnation_that_it_checked() {
     let servers = ServerList::default();
-    let over = AtomicBool::new(false);
-    let meant = incarnation(0).incarnation();
+    let is_done = AtomicBool::new(false);
+    let expected = incarnation(0).incarnation();
     std::thread::scope(|scope| {
         scope.spawn(|| {
             (0..CHANGES).for_each(|n| drop(servers.apply(true, vec![incarnation(n % 2)])));
-            over.store(true, Ordering::SeqCst);
+            is_done.store(true, Ordering::SeqCst);
         });
-        while !over.load(Ordering::SeqCst) {
-            if let Some(server) = servers.get_accepting(CACHE, Some(meant)) {
-                assert_eq!(server.incarnation(), meant);
+        while !is_done.load(Ordering::SeqCst) {
+            if let Some(server) = servers.get_accepting(CACHE, Some(expected)) {
+                assert_eq!(server.incarnation(), expected);
             }
         }
     });
--- a/edge/core/tests/threads.rs
+++ b/edge/core/tests/threads.rs
@@ -1,4 +1,4 @@
-//! The threads of requests: as many as are open at once, given back once a burst is over, and none is lost to that.
+//! Worker threads: one per open request. They end after a burst, and the next burst is still served in full.
 
 mod common;
 
@@ -7,8 +7,8 @@
 
 const BURST: u64 = 12;
 
-/// Threads of requests in this process.
-fn threads() -> u64 {
+/// Number of worker threads in this process.
+fn worker_threads() -> u64 {
     let tasks = std::fs::read_dir("/proc/self/task").unwrap();
     let names =
         tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("comm")).ok());
@@ -16,19 +16,23 @@
 }
 
 #[test]
-fn the_threads_of_a_burst_are_given_back_and_the_next_burst_is_served() {
-    let rig = Rig::new();
+fn the_threads_of_a_burst_end_and_the_next_burst_is_served() {
+    let harness = Harness::new();
     for first in [1, 1_001] {
-        let replies: Vec<_> = (first..first + BURST).map(|via| rig.ask(via).1).collect();
-        // Each waits in its one attempt at this moment.
+        let replies: Vec<_> = (first..first + BURST)
+            .map(|via| harness.send_request(via).1)
+            .collect();
+        // Each request waits in its only attempt now.
         for _ in 0..BURST {
-            rig.begins();
+            harness.next_attempt();
         }
-        assert_eq!(threads(), BURST, "one for each request that is open");
-        (0..BURST).for_each(|_| rig.end(Outcome::Served));
-        assert!(replies.iter().all(|reply| hears(reply) == Heard::Same));
-        until("all threads are given back", || {
-            threads() == 0 && rig.core.open_requests() == 0
+        assert_eq!(worker_threads(), BURST, "one per open request");
+        (0..BURST).for_each(|_| harness.end_attempt(Outcome::Served));
+        assert!(replies
+            .iter()
+            .all(|reply| await_reply(reply) == Reply::Served));
+        wait_until("all threads have ended", || {
+            worker_threads() == 0 && harness.core.open_requests() == 0
         });
     }
 }
