--- a/edge/core/src/delegated.rs
+++ b/edge/core/src/delegated.rs
@@ -180,13 +180,13 @@
     Failed,
 }
 
-/// Routes a request whose outcome is never known: the router decides, `answer` makes the client's answer from the route, and
-/// the attempt is reported as cancelled at once. Blocks until the router has decided.
+/// Routes a request whose outcome is never known: the router decides, `make_response` makes the client's response from the
+/// route, and the attempt is reported as cancelled at once. Blocks until the router has decided.
 pub fn route_once<T>(
     core: &Arc<Core>,
     request: &ClientRequest,
     placement_ttl: Time,
-    answer: impl FnOnce(&Route) -> T,
+    make_response: impl FnOnce(&Route) -> T,
 ) -> Routing<T> {
     let Some(_open): Option<OpenRequest> = core.try_open() else {
         return Routing::Overloaded;
@@ -203,9 +203,9 @@
         };
         match delegated.take(directive) {
             Instruction::Attempt(route) => {
-                let answer = answer(&route);
+                let response = make_response(&route);
                 delegated.finish_attempt(Outcome::Cancelled, true);
-                return Routing::To(answer);
+                return Routing::To(response);
             }
             Instruction::AwaitNext => {}
             Instruction::Rejected(_) => return Routing::Rejected,
--- a/edge/core/src/messages.rs
+++ b/edge/core/src/messages.rs
@@ -41,13 +41,13 @@
         /// The entries.
         servers: Vec<Server>,
     },
-    /// Cached objects were invalidated.
+    /// Cached objects were purged.
     Invalidate {
         /// The object; `None` for the whole group.
         object: Option<ObjectId>,
         /// The group.
         group: u32,
-        /// Age of the newest invalid copy (µs).
+        /// Age of the newest purged copy (µs).
         age: Time,
     },
     /// Reloaded settings; the classes keep their indices.
--- a/edge/core/src/request.rs
+++ b/edge/core/src/request.rs
@@ -20,7 +20,7 @@
     pub object: u64,
     /// The requested part of the object.
     pub part: u32,
-    /// The object's invalidation group.
+    /// The object's purge group.
     pub group: u32,
     /// Expected size of the response (kB).
     pub size_kb: f64,
