--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,7 +1,9 @@
-//! The types between a host and its router: settings, events and actions. No decision is made here.
+//! The types that a host and its router exchange: settings, events and actions. No decision is made
+//! here.
 //!
-//! A host (the proxy's event loop, a simulator) feeds a [`Router`](crate::Router) one [`Event`] at
-//! a time and carries out the [`Action`]s that come back. All times are in microseconds.
+//! A host (the proxy's event loop, a simulator) passes one [`Event`] at a time to a
+//! [`Router`](crate::Router) and carries out the [`Action`]s that it returns. All times are in
+//! microseconds.
 
 mod actions;
 mod events;
@@ -22,6 +24,6 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CacheId(pub u32);
 
-/// Identifies an object, whatever part of it is requested.
+/// Identifies an object as a whole, independently of the requested part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ObjectId(pub u64);
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -1,20 +1,20 @@
-//! Actions: what a router asks its host to do.
+//! Actions: what a router tells its host to do.
 
 use super::{CacheId, RequestId, Time};
 
-/// What the host is to do, in the order given.
+/// An instruction to the host. Actions are carried out in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt to a cache (or, where fetches are direct, to a parent or the origin).
+    /// Send an attempt to a cache, or with direct fetches to a parent or the origin.
     Fetch(Fetch),
-    /// Final result: rejected; the client may retry without harm.
+    /// Final result: rejected. The client can retry safely.
     Reject {
         /// The request that ends.
         id: RequestId,
-        /// The wait to advise; 0 advises none.
+        /// The Retry-After to send to the client; 0 sends none.
         retry_after: Time,
     },
-    /// Final result: failed; an attempt may have been processed.
+    /// Final result: failed. An attempt may have been processed.
     Fail {
         /// The request that ends.
         id: RequestId,
@@ -26,11 +26,11 @@
         /// The attempt's number within the request.
         attempt: u8,
     },
-    /// Deliver [`Event::Timer`](super::Event::Timer) with this token after a while.
+    /// Deliver [`Event::Timer`](super::Event::Timer) with `token` once `after` has elapsed.
     StartTimer {
-        /// How long from now.
+        /// Delay from now.
         after: Time,
-        /// Comes back with the event.
+        /// Returned with the event.
         token: u32,
     },
     /// Check the health of a server.
@@ -59,22 +59,24 @@
     /// The moment before which the first byte must be sent; 0 sets no bound. A retry of a request with an
     /// idempotency key is safe only while the caches remember the key.
     pub send_before: Time,
-    /// The server that a miss is filled from; equal to `cache`, nothing is filled.
+    /// The server that a miss is filled from. If it equals `cache`, nothing is filled.
     pub source: CacheId,
     /// Retention priority of the copy, 1 to 3; 0 stores none.
     pub retention_rank: u8,
-    /// The greatest age of an acceptable copy; 0 leaves it to the class's freshness lifetime.
+    /// The maximum age of an acceptable copy; 0 leaves it to the class's freshness lifetime.
     pub max_age: Time,
-    /// Join a fill of the same object that is under way.
+    /// Join a fill of the same object that is already in progress (request collapsing).
     pub collapse: bool,
-    /// The source responds only from what it has stored.
+    /// The source responds only with a stored copy.
     pub only_if_cached: bool,
-    /// Serve a stale copy and revalidate it in the background.
+    /// Serve a stale copy and revalidate it in the background (stale-while-revalidate).
     pub revalidate: bool,
 }
 
-/// A bound in milliseconds, as the wire formats carry it; none where `time` is 0. Rounded down, as a copy must not be
-/// older than the router allowed, but to 1 at least, as 0 means no bound on the wire.
+/// Converts a bound to milliseconds, as the wire formats carry it; `None` if `time` is 0.
+///
+/// Rounds down, as a copy must not be older than the router allowed, but to at least 1, as 0 means no bound on the
+/// wire.
 pub fn bound_ms(time: Time) -> Option<Time> {
     (time > 0).then(|| (time / 1000).max(1))
 }
@@ -85,7 +87,7 @@
         self.send_before == 0 || now < self.send_before
     }
 
-    /// Bounds the first byte by `deadline` too; the earlier bound holds.
+    /// Also requires that the first byte is sent before `deadline`; the earlier bound applies.
     pub fn limit_send_before(&mut self, deadline: Time) {
         self.send_before = if self.send_before == 0 {
             deadline
@@ -94,7 +96,7 @@
         };
     }
 
-    /// The wire names of the flags that are set, joined by `+`; empty where none is.
+    /// The wire names of the flags that are set, joined by `+`; empty if none is set.
     pub fn flags(&self) -> String {
         let flags = [
             (self.collapse, "coalesce"),
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,15 +1,15 @@
-//! Events: what a host tells its router.
+//! Events: what a host reports to its router.
 
 use super::{CacheId, ObjectId, RequestId, Time};
 
-/// What the member list says of a server.
+/// State of a server in the member list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum MemberState {
     /// Takes requests.
     Ready,
-    /// Shuts down gracefully: takes no new requests.
+    /// Shuts down gracefully and takes no new requests.
     Draining,
-    /// Is listed no more.
+    /// No longer listed.
     #[default]
     Gone,
 }
@@ -29,7 +29,7 @@
     pub state: MemberState,
     /// Its relative capacity.
     pub weight: f64,
-    /// When its process started; 0 means long ago.
+    /// When its process started; 0 means long ago, with no slow start.
     pub started_at: Time,
 }
 
@@ -40,7 +40,7 @@
     Served,
     /// The server responded with an error.
     Error,
-    /// The server rejected the attempt, as it is overloaded.
+    /// The server rejected the attempt because it is overloaded.
     Overloaded,
     /// No response within the timeout.
     TimedOut,
@@ -52,7 +52,7 @@
     Cancelled,
     /// Nothing was sent.
     NeverSent,
-    /// The server was asked for a stored copy and has none.
+    /// The attempt asked for a stored copy and there is none.
     Miss,
 }
 
@@ -65,7 +65,7 @@
         )
     }
 
-    /// Whether the server was heard of, if only by the end of its process: it does not hang.
+    /// Whether the outcome shows that the server does not hang: it responded, or its connection was closed.
     pub fn is_responsive(self) -> bool {
         !matches!(
             self,
@@ -74,10 +74,10 @@
     }
 }
 
-/// How a response came about, where the deployment's caches say so.
+/// How a cache produced a response, if the deployment's caches report it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheStatus {
-    /// Not stated.
+    /// Not reported.
     Unknown,
     /// From a stored copy.
     Hit,
@@ -85,7 +85,7 @@
     Filled,
     /// Filled by the source from the origin.
     FilledByOrigin,
-    /// Joined a fill that was under way.
+    /// Joined a fill that was already in progress.
     Collapsed,
     /// From a stale copy.
     Stale,
@@ -95,14 +95,14 @@
     SourceFailed,
     /// The source was asked for a stored copy and has none.
     SourceMissed,
-    /// The cache had no slot for a fill.
+    /// The cache had no free slot for a fill.
     NoFillSlot,
     /// The origin failed.
     OriginFailed,
 }
 
 impl CacheStatus {
-    /// Whether the cache was healthy, but its source was not, or lacked the object.
+    /// Whether the cache was healthy, but its source or the origin failed, rejected the fill or lacked the object.
     pub fn is_source_fault(self) -> bool {
         matches!(
             self,
@@ -117,7 +117,7 @@
 /// A client's request for one part of an object.
 #[derive(Clone, Debug)]
 pub struct IncomingRequest {
-    /// Chosen by the host; must not be that of an open request.
+    /// Chosen by the host; must differ from the ids of all open requests.
     pub id: RequestId,
     /// Index into [`Settings::classes`](super::Settings::classes).
     pub class: usize,
@@ -127,15 +127,15 @@
     pub part: u32,
     /// The cache tag (surrogate key) of the object, by which it may be purged.
     pub group: u32,
-    /// Size of the response in KB; 0 where it is not known.
+    /// Size of the response in KB; 0 if it is not known.
     pub size_kb: f64,
     /// How long until the client gives up.
     pub time_budget: Time,
-    /// How long the client may use the selected cache on its own, unseen by the router; 0 where the host makes the
+    /// How long the client may send requests to the selected cache itself, without the router; 0 if the host sends the
     /// attempts.
     pub placement_ttl: Time,
-    /// The only key group that may be asked ([`RetrySafety::key_group`](super::RetrySafety::key_group)), where an
-    /// attempt that this router did not make may have been processed.
+    /// The only key group ([`RetrySafety::key_group`](super::RetrySafety::key_group)) that attempts may go to. Set if
+    /// an attempt that this router did not make may have been processed.
     pub required_group: Option<u32>,
 }
 
@@ -144,31 +144,31 @@
 pub struct AttemptReport {
     /// The attempt's request.
     pub id: RequestId,
-    /// The attempt's number: a request's fetches count from 0.
+    /// The attempt's number within the request, from 0.
     pub attempt: u8,
     /// How it ended.
     pub outcome: Outcome,
-    /// How the response came about.
+    /// How the response was produced.
     pub cache_status: CacheStatus,
     /// Time from the action to the outcome.
     pub elapsed: Time,
-    /// Whether the request has ended, by this outcome or before.
+    /// Whether the request has ended, with this outcome or before it.
     pub last: bool,
 }
 
-/// What happened.
+/// An input to the router.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The member list, or changes of it.
+    /// The member list, or changes to it.
     Members {
-        /// The list is complete: who is not named is gone.
+        /// The list is complete: servers that are not in it are gone.
         full: bool,
         /// All members, or those that changed.
         members: Vec<Member>,
     },
-    /// The topology of the hierarchy changed; attempts in flight end as they began.
+    /// The topology of the hierarchy changed. Attempts in flight keep their sources.
     TopologyChanged {
-        /// Zones whose parents may be the source of this zone's fills.
+        /// Zones whose parents may fill this zone's caches.
         parent_zones: Vec<usize>,
         /// By zone: the zone of its hub.
         hub_by_zone: Vec<usize>,
@@ -181,7 +181,7 @@
     Outcome(AttemptReport),
     /// A streamed response has begun.
     ResponseStarted {
-        /// The request that is being answered.
+        /// The request that the response belongs to.
         id: RequestId,
     },
     /// A timer expired.
@@ -207,23 +207,23 @@
         /// The message, opaque to the host.
         message: Vec<u8>,
     },
-    /// The client is gone; no response is owed any more.
+    /// The client disconnected and needs no response.
     ClientDisconnected {
         /// The client's request.
         id: RequestId,
     },
-    /// The process shuts down gracefully: every open request has its final result by then.
+    /// The process shuts down gracefully; every open request must have its final result by `deadline`.
     Shutdown {
         /// When the process ends.
         deadline: Time,
     },
     /// Copies older than `age` were invalidated.
     Purged {
-        /// The invalidated object; all of the group where none is named.
+        /// The invalidated object; `None` invalidates all objects of the group.
         object: Option<ObjectId>,
         /// The cache tag of the invalidated objects.
         group: u32,
-        /// How long ago the valid copies' content left the origin at the earliest.
+        /// The maximum age of a valid copy, counted from when its content left the origin.
         age: Time,
     },
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! foldmux decides, for a request router in front of edge caches, which cache a request goes to
 //! and what a miss there is filled from: a sibling cache, a parent or the origin.
 //!
-//! A host feeds a [`Router`] what happens, with its own clock, and carries out the actions that come
-//! back. The router does no input or output, reads no clock and starts no thread.
+//! A host passes events to a [`Router`], with the time of its own clock, and carries out the actions
+//! that the router returns. The router does no I/O, reads no clock and starts no thread.
 //!
 //! ```
 //! use foldmux::interface::*;
@@ -51,8 +51,8 @@
 //! assert_eq!((fetch.cache, fetch.source), (CacheId(7), CacheId(9)));
 //! ```
 //!
-//! Time is in microseconds. Events of one moment are handed over one by one; the actions must be
-//! carried out in the order given. See [`interface`] for what each means.
+//! Times are in microseconds. Simultaneous events are passed one by one, and actions must be carried
+//! out in the order given. [`interface`] describes each event and action.
 
 #![warn(missing_docs)]
 
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,16 +1,16 @@
-//! The router: its state, and which rule takes an event.
+//! The router: its state, and the dispatch of events to the rules.
 //!
-//! The path of a request, one module a rule:
+//! The path of a request, with one module for each rule:
 //!
-//! 1. `requests` takes it in; `cache_selection` and `source_selection` plan an attempt: the
-//!    cache it goes to and the server that a miss is filled from. Servers qualify by `members`,
-//!    `outliers`, `slow_start` and `retry_safety`; a sibling is asked first where
-//!    `sibling_query` says that it pays.
-//! 2. `dispatch` holds the plan against the admission gates (`admission`) and the concurrency
-//!    limits (`concurrency`); `fetch` sends it, within the bounds on the age of a copy
+//! 1. `requests` accepts it; `cache_selection` and `source_selection` plan an attempt: the cache it
+//!    goes to and the server that a miss is filled from. `members`, `outliers`, `slow_start` and
+//!    `retry_safety` decide which servers are eligible; a sibling is queried first if
+//!    `sibling_query` expects that to save time.
+//! 2. `dispatch` checks the plan against the admission gates (`admission`) and the concurrency
+//!    limits (`concurrency`); `fetch` sends the attempt, with bounds on the age of a copy
 //!    (`purges`) and on the time.
-//! 3. `outcomes` takes its outcome: `feedback` updates every estimate; then the request ends,
-//!    is retried within the retry budget (`retry_budget`), or is given up (`rejection`).
+//! 3. `outcomes` handles the attempt's outcome: `feedback` updates every estimate; then the request
+//!    ends, is retried within the retry budget (`retry_budget`), or is given up (`rejection`).
 //!
 //! `docs/decision-rules.md` lists the rules with their inputs and settings.
 
@@ -56,45 +56,45 @@
 /// Weight of a new sample in the moving averages of latencies and loss rates.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// Decides where each request goes and what fills a miss, from the events of its host.
+/// Decides from the events of its host where each request goes and what fills a miss.
 ///
-/// It is deterministic: the same settings, seed and events give the same actions.
+/// A router is deterministic: the same settings, seed and events give the same actions.
 pub struct Router {
     settings: Settings,
     rng: SeededRng,
-    /// Whether the first event was seen: the periodic timer runs from then on.
+    /// Whether the first event was handled; the periodic timer runs from then on.
     running: bool,
     servers: BTreeMap<CacheId, Server>,
-    /// Listed servers that may be selected; siblings are those of the nearest hubs only.
+    /// Listed servers that may be selected. Of the siblings, only those of the nearest hubs.
     tiers: ByTier<Vec<CacheId>>,
-    /// Zones whose parents may be the source of a fill; all, where no topology was announced.
+    /// Zones whose parents may be the source of a fill; `None` allows all, until a topology is announced.
     parent_zones: Option<Vec<usize>>,
     requests: BTreeMap<RequestId, Request>,
     /// Attempts in flight, by request and number.
     attempts: BTreeMap<(RequestId, u8), Attempt>,
-    /// Which of the zone's caches holds an object, as far as this router saw.
+    /// Which of the zone's caches holds an object, as far as this router knows.
     object_table: ObjectTable,
-    /// Placements that clients may still use on their own: until when, and the load of each (us). They outlive a
-    /// server's restart, as their holders do not hear of it.
+    /// Placements that clients may still use without the router: by cache, their expiry times and the load of each
+    /// (us). They are kept when a server restarts, as their holders are not told of it.
     placements: BTreeMap<CacheId, SlidingWindow>,
     purges: PurgeLog,
-    /// By class: mean transfer time (us), the load that an attempt counts as; 0 until one is known.
+    /// Mean transfer time by class (us), which is the load that an attempt counts as; 0 until one is known.
     mean_transfer_time: Vec<f64>,
     load: Load,
     sibling_query_gain: SiblingQueryGain,
     limits: ConcurrencyLimits,
     gates: FillGates,
-    /// Part of the attempts without a fill that got no response.
+    /// Ratio of the attempts without a fill that got no response.
     no_response_rate: f64,
-    /// Part of the parents' fills that were lost.
+    /// Ratio of the parents' fills that were lost.
     parent_loss_rate: f64,
-    /// Failure rate of each tier's servers together.
+    /// Failure rate of all servers of a tier together.
     tier_failure_rate: ByTier<f64>,
     retry_budget: RetryBudget,
 }
 
 impl Router {
-    /// A router that knows no servers yet. `seed` seeds all its random draws.
+    /// Creates a router that knows no servers yet. `seed` seeds all its random draws.
     pub fn new(settings: Settings, seed: u64) -> Router {
         Router {
             sibling_query_gain: SiblingQueryGain::new(&settings),
@@ -122,7 +122,7 @@
 
     /// Replaces all settings at once.
     ///
-    /// A class that open requests have must keep its index. An index with other rules than before is another class, whose
+    /// A class with open requests must keep its index. If the rules at an index change, it counts as a new class, whose
     /// transfer times are not known yet.
     pub fn retune(&mut self, settings: Settings) {
         let unchanged =
@@ -139,7 +139,7 @@
         self.settings = settings;
     }
 
-    /// Takes one event at `now` and appends the actions to `out`, to be carried out in their order.
+    /// Handles one event at `now` and appends the resulting actions to `out`, in the order to carry them out in.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         if !self.running {
             self.start(out);
@@ -157,7 +157,7 @@
             Event::Timer {
                 token: HOUSEKEEPING_TOKEN,
             } => self.on_housekeeping(now, out),
-            // No rule uses health checks or messages of peers.
+            // No rule uses health checks or messages from peers.
             Event::Timer { .. } | Event::HealthChecked { .. } | Event::PeerMessage { .. } => {}
             Event::ClientDisconnected { id } => self.finish_request(id, out),
             Event::Shutdown { deadline } => self.on_shutdown(deadline),
@@ -177,7 +177,7 @@
         }
     }
 
-    /// A random number below `bound`, or 0 if that is 0.
+    /// A random number below `bound`, or 0 if `bound` is 0.
     fn random_below(&mut self, bound: u64) -> u64 {
         self.rng.next_u64() % bound.max(1)
     }
--- a/src/router/admission.rs
+++ b/src/router/admission.rs
@@ -1,26 +1,27 @@
-//! Admission gates: which part of the fills a router lets through on each path.
+//! Admission gates: the ratio of fills that a router admits on each path.
 //!
-//! Inputs: the requests that want the path, and its late and failed uses. Unit: accepted part of the
-//! requests, 0 to 1. A gate is AIMD control of a ratio: it closes by a part with each late or failed use
-//! and opens a little with each request that wants it.
+//! Inputs: the requests for the path, and its late and failed uses. Unit: accepted ratio of the requests,
+//! 0 to 1. Each late or failed use lowers the ratio by a constant factor, each request for the
+//! path raises it by a smaller one.
 
 use super::SAMPLE_WEIGHT;
 use crate::interface::{Tier, Time};
 
-/// Part of the accepted ratio that a late or failed use takes off.
+/// Relative decrease of the accepted ratio by a late or failed use.
 const DECREASE_RATIO: f64 = 0.25;
-/// Part of the accepted ratio that a request adds: a gate stays open while fewer than a seventh of its uses fail.
+/// Relative increase of the accepted ratio by a request: a gate stays open while fewer than a seventh of its uses fail.
 const INCREASE_RATIO: f64 = 0.04;
-/// Least accepted ratio: enough to see a recovery.
+/// Minimum accepted ratio: enough to notice a recovery.
 const MIN_ACCEPT_RATIO: f64 = 0.02;
-/// Steps are smaller above this many requests per second: outcomes of attempts that were in flight together say the same.
+/// Above this many requests per second steps are smaller, as outcomes of attempts that were in flight together carry
+/// the same information.
 const FULL_STEP_REQUESTS_PER_SECOND: f64 = 3.0;
-/// Mean time between requests that a gate starts with, and the longest that it counts (s).
+/// Initial mean time between requests, and the longest time that counts towards the mean (s).
 const MAX_INTERARRIVAL_SECONDS: f64 = 1.0;
-/// Draws of [`AdmissionGate::admit`] are below this.
+/// Upper bound (exclusive) of the random draws for [`AdmissionGate::admit`].
 pub(super) const DRAW_RANGE: u64 = 1 << 32;
 
-/// A path that accepts a part of the requests that want it.
+/// Admits a varying ratio of the requests for a path.
 #[derive(Clone, Copy)]
 pub(super) struct AdmissionGate {
     accept_ratio: f64,
@@ -40,12 +41,13 @@
 }
 
 impl AdmissionGate {
-    /// Part of a full step that one request makes.
+    /// Size of one step, as a ratio of a full step.
     fn step_scale(&self) -> f64 {
         (self.mean_interarrival * FULL_STEP_REQUESTS_PER_SECOND).min(1.0)
     }
 
-    /// Whether a request is let through, by its random draw below [`DRAW_RANGE`]; opens the gate by one step.
+    /// Whether a request is admitted, given its random draw below [`DRAW_RANGE`]. Raises the accepted ratio by one
+    /// step.
     pub(super) fn admit(&mut self, now: Time, draw: u64) -> bool {
         let interarrival = now.saturating_sub(self.last_request) as f64 / 1e6;
         self.mean_interarrival +=
@@ -56,7 +58,7 @@
         (draw as f64) < accept_ratio * DRAW_RANGE as f64
     }
 
-    /// Closes the gate by one step, after a late or failed use.
+    /// Lowers the accepted ratio by one step, after a late or failed use.
     pub(super) fn decrease(&mut self) {
         let kept = 1.0 - DECREASE_RATIO * self.step_scale();
         self.accept_ratio = (self.accept_ratio * kept).max(MIN_ACCEPT_RATIO);
@@ -66,11 +68,11 @@
 /// The gates of a router's fills.
 #[derive(Default)]
 pub(super) struct FillGates {
-    /// All fills of the zone: the caches' links.
+    /// All fills of the zone; protects the caches' links.
     pub(super) zone: AdmissionGate,
     /// Fills from parents.
     pub(super) parents: AdmissionGate,
-    /// Fills straight from the origin.
+    /// Fills directly from the origin.
     pub(super) origin: AdmissionGate,
 }
 
--- a/src/router/cache_selection.rs
+++ b/src/router/cache_selection.rs
@@ -2,8 +2,8 @@
 //!
 //! Inputs: the object table, the rendezvous order of the caches for the object, and each cache's state. A
 //! request goes to the cache that holds its object, else to the object's home, the first in rendezvous
-//! order; the next in that order takes over where those are loaded, warming up beyond their budget,
-//! unhealthy, or have failed the request.
+//! order. If these are loaded, unhealthy, over their slow-start budget, or have failed the request, the
+//! next cache in that order is used.
 
 use super::requests::Request;
 use super::server::Server;
@@ -11,13 +11,15 @@
 use crate::interface::{CacheId, Tier, Time};
 use foldmux_stats::rendezvous_rank;
 
-/// Utilization from which a cache is passed over for the next one: one popular object or a slow link must not delay
-/// what other caches could serve.
+/// Utilization from which a cache is skipped for the next one: one popular object or a slow link must not delay what
+/// other caches could serve.
 const SPILL_UTILIZATION: f64 = 1.3;
 
 impl Router {
-    /// The cache for a request, if one of the zone may take it: one that is healthy, has not failed the request and has spare
-    /// capacity; else without the last condition, then with one of the first two, then any that may take it.
+    /// The cache for a request, or `None` if no cache of the zone may take it.
+    ///
+    /// Prefers a cache that is healthy, has not failed the request and has spare capacity; then one that meets the
+    /// first two conditions; then one that meets either of them; then any that may take the request.
     pub(super) fn select_cache(&self, now: Time, request: &Request) -> Option<CacheId> {
         let candidates = self.caches_in_order(now, request);
         if self.settings.classes[request.class].bypass_cache {
@@ -41,7 +43,7 @@
             .copied()
     }
 
-    /// The caches that may take a request: the holder of its object first, the others in rendezvous order.
+    /// The caches that may take a request: first the holder of its object, then the others in rendezvous order.
     fn caches_in_order(&self, now: Time, request: &Request) -> Vec<CacheId> {
         let holder = self.object_table.holder(now, request.key);
         let mut caches: Vec<CacheId> = self.tiers[Tier::OwnCache]
@@ -59,7 +61,7 @@
     fn may_take(&self, now: Time, request: &Request, cache: CacheId) -> bool {
         let server = &self.servers[&cache];
         let load = self.mean_transfer_time[request.class];
-        // How often a client uses its placement is not seen here: a cache that is warming up gets none.
+        // The router does not see how often a client uses its placement, so a cache that is warming up gets none.
         let may_be_placed = request.placement_ttl.is_none() || !self.is_warming_up(now, server);
         server.is_ready()
             && may_be_placed
@@ -67,7 +69,7 @@
             && self.is_safe_at(now, request, cache)
     }
 
-    /// The least loaded of the healthy caches, for requests that are never stored and so have no home.
+    /// The least loaded of the healthy caches. For requests that are never stored: they have no home.
     fn least_loaded(
         &self,
         now: Time,
--- a/src/router/concurrency.rs
+++ b/src/router/concurrency.rs
@@ -1,29 +1,29 @@
-//! Concurrency limits: how many attempts a router has in flight.
+//! Concurrency limits: how many attempts a router may have in flight.
 //!
-//! Inputs: attempts in flight, and which of them were late. Unit: attempts. A limit is AIMD control: it
-//! falls with each late attempt and rises with each one in time, so that the same part of them is late
-//! whatever part of the traffic the router has. There is no limit before the first late attempt.
+//! Inputs: attempts in flight, and which of them were late. Unit: attempts. A limit falls with each late
+//! attempt and rises with each attempt in time, by constant steps, so that the ratio of late attempts
+//! does not depend on the router's share of the traffic. There is no limit before the first late attempt.
 
 use super::requests::Attempt;
 
-/// What a late attempt takes off a limit.
+/// Decrease of a limit by a late attempt.
 const DECREASE_STEP: f64 = 0.6;
-/// What an attempt in time adds to a limit that is in use: a seventh of the attempts may be late.
+/// Increase of a limit that is in use by an attempt in time: in balance, a seventh of the attempts are late.
 const INCREASE_STEP: f64 = 0.1;
-/// Least limit.
+/// Minimum limit.
 const MIN_LIMIT: f64 = 0.5;
-/// Square roots of the limit that may be in flight beyond it: one router's few attempts come in bursts, those of all
-/// routers together do not.
+/// Attempts that may be in flight beyond the limit, as a multiple of its square root: the few attempts of one router
+/// come in bursts, those of all routers together do not.
 const BURST_ROOTS: f64 = 2.0;
 /// Resolution of the random rounding of a limit to whole attempts.
 const ROUNDING_STEPS: u64 = 1024;
 
-/// How an attempt counts for its limit.
+/// How the outcome of an attempt affects its limit.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Timing {
     Late,
     InTime,
-    /// Says nothing of the limit.
+    /// Leaves the limit unchanged.
     NotCounted,
 }
 
@@ -37,17 +37,17 @@
     }
 }
 
-/// An AIMD limit of the attempts in flight.
+/// An adaptive limit on the attempts in flight.
 #[derive(Default)]
 pub(super) struct ConcurrencyLimit {
-    /// No limit if none.
+    /// `None` if there is no limit.
     limit: Option<f64>,
     in_flight: f64,
 }
 
 impl ConcurrencyLimit {
-    /// Whether one more may be sent where `usable_ratio` of the limit may be used. The random draw rounds the limit to
-    /// whole attempts.
+    /// Whether one more attempt may be sent if only `usable_ratio` of the limit may be used. The random draw rounds the
+    /// limit to whole attempts.
     pub(super) fn has_capacity(&self, draw: u64, usable_ratio: f64) -> bool {
         let capacity = self
             .limit
@@ -66,7 +66,7 @@
         self.in_flight += 1.0;
     }
 
-    /// Takes an attempt out of those in flight and adapts the limit.
+    /// Removes an attempt from those in flight and adapts the limit.
     pub(super) fn record_completion(&mut self, timing: Timing) {
         match timing {
             Timing::Late => {
@@ -89,7 +89,8 @@
         self.in_flight -= 1.0;
     }
 
-    /// Gives back what late attempts take off that would have been late anyway: this part of all.
+    /// Offsets the decreases by attempts that are late for reasons unrelated to this limit; `unrelated_loss_rate` is
+    /// their ratio of all attempts.
     pub(super) fn compensate(&mut self, unrelated_loss_rate: f64) {
         self.limit = self
             .limit
@@ -97,7 +98,7 @@
     }
 }
 
-/// The limits of a router's attempts, by how far they may reach.
+/// The limits of a router's attempts, by whether they may reach the origin.
 #[derive(Default)]
 pub(super) struct ConcurrencyLimits {
     /// Attempts that caches and the parents' stored copies answer.
@@ -107,7 +108,7 @@
 }
 
 impl ConcurrencyLimits {
-    /// Counts an attempt that is sent; those that bypass the cache are not limited.
+    /// Counts a sent attempt; attempts that bypass the cache are not limited.
     pub(super) fn record_send(&mut self, attempt: &Attempt) {
         if attempt.may_reach_origin {
             self.origin.record_send();
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -1,9 +1,9 @@
-//! Dispatch: whether the planned attempt goes out, with its fill, without it, or not at all.
+//! Dispatch: whether the planned attempt is sent with its fill, without it, or not at all.
 //!
-//! One step a gate: the zone's fill gate (a jam of fills on the caches' links), the gate of the upper
-//! tier and the limit of fills that may reach the origin, and last the limit of attempts at caches.
-//! A fill that is held back becomes an attempt at stored copies; what none of these can answer is
-//! rejected at once.
+//! The gates are checked in this order: the zone's fill gate (against too many fills on the caches'
+//! links), the gate of the upper tier together with the limit of fills that may reach the origin, and
+//! the limit of attempts at caches. Where a fill is not admitted, the attempt asks for stored copies
+//! only; a request that these cannot answer is rejected without further attempts.
 
 use super::admission::DRAW_RANGE;
 use super::requests::Plan;
@@ -26,8 +26,9 @@
         };
         let is_cacheable = !self.settings.classes[request.class].bypass_cache;
         let is_first = request.attempts == 0;
-        let is_spent = request.attempts >= self.settings.max_attempts || now >= request.deadline;
-        let plan = if is_spent {
+        let is_exhausted =
+            request.attempts >= self.settings.max_attempts || now >= request.deadline;
+        let plan = if is_exhausted {
             None
         } else {
             self.plan_attempt(now, id)
@@ -55,7 +56,7 @@
         self.send(now, id, plan, out);
     }
 
-    /// The plan with the fill that the gates admit, if any.
+    /// The plan, reduced to the fill that the gates admit, if any.
     fn admit_fill(&mut self, now: Time, id: RequestId, plan: Plan, draws: &GateDraws) -> Plan {
         if plan.has_source() && !self.gates.zone.admit(now, draws.zone_gate) {
             return Plan {
@@ -85,7 +86,7 @@
         if self.gates.upper_tier(tier).admit(now, draw) && has_capacity {
             return plan;
         }
-        let bypass = self.origin_past_parents(now, id, &plan, tier);
+        let bypass = self.origin_bypassing_parents(now, id, &plan, tier);
         if let Some(origin) = bypass {
             if self.gates.origin.admit(now, draw) && has_capacity {
                 return Plan {
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Whether the limit of fills that may reach the origin admits one more. Short transfers come first when it is
-    /// nearly used up: more requests are answered for what the origin and the links carry.
+    /// Whether the limit of fills that may reach the origin admits one more. Near the limit, short transfers are
+    /// preferred: the same load on the origin and the links then answers more requests.
     fn origin_limit_admits(&self, id: RequestId, draw: u64) -> bool {
         let mean = self.mean_cached_transfer_time();
         let transfer_time = self.requests[&id].transfer_time;
@@ -117,9 +118,9 @@
         self.limits.origin.has_capacity(draw, usable_ratio)
     }
 
-    /// The origin, in place of the parents that the gates hold a fill back from: what parents lose must not be rejected
+    /// The origin, for a fill that the gates do not admit to the parents: fills that parents lose must not be rejected
     /// while the origin has capacity.
-    fn origin_past_parents(
+    fn origin_bypassing_parents(
         &self,
         now: Time,
         id: RequestId,
@@ -132,8 +133,8 @@
         self.origin_instead_of_parents(now, &self.requests[&id])
     }
 
-    /// Who is asked for a stored copy when a fill is held back: a parent for its own, instead of the origin a sibling.
-    /// So a slow or stopped origin can recover.
+    /// The server that is asked for a stored copy if a fill is not admitted: the parent itself; in place of
+    /// the origin a sibling, or else the cache alone. This lets a slow or stopped origin recover.
     fn stored_copy_source(&self, now: Time, id: RequestId, plan: &Plan, tier: Tier) -> CacheId {
         match tier {
             Tier::Origin if plan.is_listed => plan.cache,
@@ -144,12 +145,12 @@
         }
     }
 
-    /// Whether a first attempt goes out: where the caches' links are overloaded, all responses would be late.
+    /// Whether a first attempt is sent: with the caches' links overloaded, all responses would be late.
     fn admit_first_attempt(&self, draws: &GateDraws) -> bool {
         self.limits.cache.has_capacity(draws.concurrency, 1.0)
     }
 
-    /// Mean transfer time over the cached classes that were seen (us).
+    /// Mean transfer time of the cached classes that have had requests (us).
     fn mean_cached_transfer_time(&self) -> f64 {
         let cached = self
             .mean_transfer_time
--- a/src/router/feedback.rs
+++ b/src/router/feedback.rs
@@ -1,4 +1,4 @@
-//! Feedback: what one outcome says to each estimate. One method an estimate.
+//! Feedback: how an outcome updates the estimates, with one method for each estimate.
 
 use super::capacity::ObservedTransfer;
 use super::concurrency::Timing;
@@ -10,13 +10,14 @@
     AttemptReport, CacheStatus, CacheStatusDetail, MemberState, Outcome, Tier, Time,
 };
 
-/// A response is late for the caches' links from this part of the latency headroom on: overload shows before it hurts.
+/// Ratio of the latency headroom above which a response counts as late: overload is noticed before objectives are
+/// missed.
 const LATE_HEADROOM_RATIO: f64 = 0.5;
-/// Latency that a rejection by a source counts as, in longest latency objectives. Two in a row bring the mean near the longest
-/// objective, from which on another source is preferred.
+/// Latency that a rejection by a source counts as, in multiples of the longest latency objective. Two in a row bring
+/// the mean near the longest objective, above which another source is preferred.
 const REJECTION_LATENCY_OBJECTIVES: f64 = 5.0;
 
-/// The outcome of an attempt, as the estimates need it.
+/// An attempt and its outcome, as input to the estimates.
 struct Observation<'a> {
     attempt: &'a Attempt,
     outcome: Outcome,
@@ -56,13 +57,13 @@
         self.cache_status == CacheStatus::Unknown
     }
 
-    /// The cache had the object, by its word or else by the object table's.
+    /// The cache had the object, according to its cache status or else to the object table.
     fn is_hit(&self) -> bool {
         self.cache_status == CacheStatus::Hit
             || (self.is_status_unknown() && self.attempt.plan.is_listed)
     }
 
-    /// Served from a fill, by the cache's word or else because the object table did not list the object.
+    /// Served from a fill, according to the cache status or else because the object table did not list the object.
     fn is_filled(&self) -> bool {
         let states_fill = matches!(
             self.cache_status,
@@ -92,14 +93,14 @@
             || self.cache_status == CacheStatus::OriginFailed
     }
 
-    /// A rejection that may be the source's. Without a cache status it may be the cache's own; such ones raise the latency of
-    /// all sources alike.
+    /// A rejection that may be the source's. Without a cache status it may be the cache's own; those raise the latency
+    /// of all sources alike.
     fn is_rejected_fill(&self) -> bool {
         self.expected_fill() && self.is_status_unknown() && self.outcome == Outcome::Overloaded
     }
 
-    /// The source is to blame. One that lacks the object, or whose origin failed, is healthy.
-    fn blames_source(&self) -> bool {
+    /// The source failed. A source that lacks the object, or whose origin failed, is healthy.
+    fn counts_against_source(&self) -> bool {
         match self.cache_status {
             CacheStatus::Unknown => self.expected_fill() && self.has_failed(),
             CacheStatus::SourceMissed | CacheStatus::OriginFailed => false,
@@ -170,7 +171,7 @@
         }
     }
 
-    /// The concurrency limits, and the part of the attempts without a fill that get no response.
+    /// The concurrency limits, and the ratio of the attempts without a fill that get no response.
     fn update_limits(&mut self, observation: &Observation) {
         let attempt = observation.attempt;
         if attempt.may_reach_origin {
@@ -190,8 +191,9 @@
         }
     }
 
-    /// The limit of fills that may reach the origin. Only what misses the objective is late here: fills from a distant
-    /// parent need most of it when nothing is overloaded, and what is rejected for them would never be stored.
+    /// The limit of fills that may reach the origin. Only a response that misses its objective counts as late here:
+    /// fills from a distant parent need most of that time even without overload, and an object whose fills were
+    /// rejected for that would never be stored.
     fn update_origin_limit(&mut self, observation: &Observation) {
         let is_served_fill = observation.is_served() && !observation.is_hit();
         let timing = if observation.is_timeout() || is_served_fill {
@@ -200,16 +202,16 @@
             Timing::NotCounted
         };
         self.limits.origin.record_completion(timing);
-        // Responses that are lost without a fill are lost with one too, and say nothing of the origin.
+        // The same ratio of responses is lost without a fill, so these losses are not due to the origin.
         self.limits.origin.compensate(self.no_response_rate);
     }
 
-    /// The admission gates: each late or lost use closes the gate of the path that it speaks of.
+    /// The admission gates: each late or lost use lowers the gate of the path that it is due to.
     fn update_gates(&mut self, observation: &Observation) {
         let attempt = observation.attempt;
         let plan = &attempt.plan;
         if observation.is_late() && observation.is_hit() {
-            // Stored copies come late too: the caches' links are overloaded, and fills would add to it.
+            // Even stored copies are late: the caches' links are overloaded, and fills would add load.
             self.gates.zone.decrease();
         }
         let is_late_fill = observation.is_late() && observation.is_filled();
@@ -217,7 +219,7 @@
         if !is_slow_or_lost || !plan.has_source() || plan.sibling_query_timeout.is_some() {
             return;
         }
-        if self.speaks_of_links(observation) {
+        if self.is_due_to_links(observation) {
             self.gates.zone.decrease();
         } else {
             let tier = self.tier_of(plan.source);
@@ -228,9 +230,9 @@
         }
     }
 
-    /// Whether a slow or lost fill is due to the caches' links rather than to its source: the source had a stored copy, or
-    /// the cache had no slot for a fill.
-    fn speaks_of_links(&self, observation: &Observation) -> bool {
+    /// Whether a slow or lost fill is due to the caches' links rather than to its source: the source had a stored copy,
+    /// or the cache had no free slot for a fill.
+    fn is_due_to_links(&self, observation: &Observation) -> bool {
         let is_from_stored_copy = observation.cache_status == CacheStatus::Filled
             && self.settings.cache_status_detail == CacheStatusDetail::All;
         !observation.attempt.has_upper_tier_source
@@ -239,7 +241,7 @@
             || observation.cache_status == CacheStatus::NoFillSlot
     }
 
-    /// The part of the parents' fills that are lost.
+    /// The ratio of the parents' fills that are lost.
     fn update_parent_loss_rate(&mut self, observation: &Observation) {
         let plan = &observation.attempt.plan;
         let is_parent_fill = self.tier_of(plan.source) == Tier::Parent
@@ -283,7 +285,7 @@
         if is_filled && tier == Tier::Parent {
             self.load.parents.served.add(now, observation.attempt.load);
         }
-        if is_filled || observation.blames_source() {
+        if is_filled || observation.counts_against_source() {
             let sample = if is_filled {
                 HealthSample::Success
             } else {
@@ -300,13 +302,13 @@
         if observation.attempt.plan.sibling_query_timeout.is_none() {
             return;
         }
-        let is_in_vain = observation.has_failed()
+        let is_unsuccessful = observation.has_failed()
             || matches!(observation.outcome, Outcome::Overloaded | Outcome::Miss);
         let result = if observation.is_filled() {
             QueryResult::Filled {
                 saved: self.upper_tier_latency(now) - observation.latency,
             }
-        } else if is_in_vain {
+        } else if is_unsuccessful {
             QueryResult::NotFilled {
                 lost: observation.elapsed,
             }
@@ -317,7 +319,7 @@
         self.sibling_query_gain.record(result, longest_objective);
     }
 
-    /// The object table: a miss takes an entry out, a response that is stored puts one in.
+    /// The object table: a miss removes an entry, a response that is stored adds one.
     fn update_object_table(&mut self, now: Time, observation: &Observation) {
         let attempt = observation.attempt;
         let cache = attempt.plan.cache;
--- a/src/router/fetch.rs
+++ b/src/router/fetch.rs
@@ -1,19 +1,19 @@
-//! Sending an attempt: the bounds on its copy's age and on its time, the action, and the accounting.
+//! Sending of attempts: the bounds on the copy's age and on the time, the action, and the accounting.
 
 use super::requests::{Attempt, Plan, Request};
 use super::Router;
 use crate::interface::{Action, CacheId, Class, Fetch, RequestId, RetrySafety, Tier, Time};
 
-/// Taken off the age that a copy may have after a purge (us): purges are delivered in batches of this length.
+/// Subtracted from the age that a copy may have after a purge (us): purges are delivered in batches of this length.
 const PURGE_AGE_MARGIN_US: Time = 5_000;
-/// Timeout of an attempt, as a multiple of the time left until the latency objective: a response after that is worth
-/// little, and a server that takes attempts and answers none is noticed.
+/// Timeout of an attempt, as a multiple of the time left until the latency objective: a later response is worth little,
+/// and the timeout detects a server that accepts attempts but never responds.
 const TIMEOUT_MULTIPLE: Time = 2;
-/// Most sends and placements of one server that are counted, far more than any slow-start budget allows.
+/// Maximum number of sends, and of placements, counted for one server: far more than any slow-start budget allows.
 const MAX_COUNTED_SENDS: usize = 4_096;
-/// Retention rank of a copy that is not stored.
+/// Retention rank of a response that is not to be stored.
 const RANK_NOT_STORED: u8 = 0;
-/// Retention rank of an object's first copy in the zone; one that is known to be stored already ranks one above.
+/// Retention rank of an object's first copy in the zone. An object that is known to be stored already ranks one higher.
 const RANK_FIRST_COPY: u8 = 1;
 
 impl Router {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The greatest age of an acceptable copy: within its freshness lifetime, and from after a purge.
+    /// The maximum age of an acceptable copy: within its freshness lifetime, and newer than a purge.
     fn max_age(
         &self,
         now: Time,
@@ -59,7 +59,7 @@
     ) -> Option<Time> {
         // At least 1, as 0 sets no bound.
         let since_purge = valid_from.map(|at| now.saturating_sub(at + PURGE_AGE_MARGIN_US).max(1));
-        // A stale copy is better than a fill while many fills are in flight.
+        // While many fills are in flight, a stale copy is preferred to another fill.
         let accepts_stale = plan.accepts_stale || self.limits.origin.is_busy();
         let lifetime = if accepts_stale {
             class.freshness_lifetime + class.stale_while_revalidate
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Counts an attempt at its cache, and at its source where a fill is likely.
+    /// Counts an attempt at its cache, and at its source if a fill is likely.
     fn count_send(&mut self, now: Time, id: RequestId, attempt: &Attempt) {
         let plan = &attempt.plan;
         let request = &self.requests[&id];
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Counts load that a server is sent now, or may be sent by a client until a placement expires.
+    /// Counts the load of an attempt at a server, and that of a placement until it expires.
     fn count_load(&mut self, now: Time, cache: CacheId, load: f64, placed_until: Option<Time>) {
         if let Some(server) = self.servers.get_mut(&cache) {
             let window_start = now.saturating_sub(self.settings.overload_window);
@@ -143,13 +143,13 @@
     }
 }
 
-/// How long to wait for an attempt (us). `None`, or 0 once the latency objective has passed: the request's deadline is the
-/// only bound.
+/// How long to wait for an attempt (us). With `None`, or 0 after the latency objective has passed, the request's
+/// deadline is the only bound.
 fn timeout(now: Time, request: &Request, class: &Class, plan: &Plan) -> Option<Time> {
     if plan.sibling_query_timeout.is_some() {
         return plan.sibling_query_timeout;
     }
-    // An attempt that may not be repeated is not abandoned.
+    // An attempt that must not be repeated is not abandoned.
     let may_be_abandoned = class.retry_safety == RetrySafety::Idempotent;
     may_be_abandoned.then(|| TIMEOUT_MULTIPLE * request.objective_at.saturating_sub(now))
 }
--- a/src/router/housekeeping.rs
+++ b/src/router/housekeeping.rs
@@ -1,4 +1,4 @@
-//! Periodic work: requests past their deadline, and the usual number of servers.
+//! Periodic work: ends overdue requests and decays the usual numbers of ready servers.
 
 use super::requests::Request;
 use super::Router;
@@ -23,7 +23,8 @@
         self.decay_usual_ready(HOUSEKEEPING_INTERVAL_US);
     }
 
-    /// Ends the requests whose timeout at the deadline never came: their clients are still owed a result in time.
+    /// Ends the requests whose attempts were not reported as timed out by the deadline: each client must get a result
+    /// within the response slack.
     fn end_overdue_requests(&mut self, now: Time, out: &mut Vec<Action>) {
         let slack = self.settings.response_slack / 2;
         let is_overdue =
--- a/src/router/load.rs
+++ b/src/router/load.rs
@@ -1,4 +1,4 @@
-//! Offered and served load, and the usual number of servers that carry it.
+//! Offered and served load, and the usual number of servers that serve it.
 //!
 //! Unit: microseconds of transfer time per microsecond, that is, concurrent transfers at full rate.
 
@@ -6,14 +6,14 @@
 use crate::interface::{Settings, Tier, Time};
 use foldmux_stats::DecayingRate;
 
-/// Least time constant of the averages (us); else that of the longest slow start, so that the load before a restart is
-/// still known until the server is warm.
+/// Minimum time constant of the averages (us). It is otherwise the duration of the longest slow start, so that the load
+/// before a restart is still known until the server is warm.
 const MIN_TIME_CONSTANT_US: Time = 1_000_000;
 
 /// The load of one tier of the hierarchy.
 pub(super) struct TierLoad {
     pub(super) served: DecayingRate,
-    /// Servers that usually are ready: follows a rise at once, a fall slowly.
+    /// Usual number of ready servers: follows a rise at once, a fall slowly.
     pub(super) usual_ready: f64,
 }
 
@@ -58,7 +58,7 @@
         load.parents.usual_ready = load.parents.usual_ready.max(parents);
     }
 
-    /// Moves the usual numbers of ready servers towards the present ones, after `interval`.
+    /// Moves the usual numbers of ready servers towards the present ones, for an elapsed `interval`.
     pub(super) fn decay_usual_ready(&mut self, interval: Time) {
         let time_constant = time_constant(&self.settings);
         let caches = self.ready_in(Tier::OwnCache);
@@ -71,7 +71,7 @@
         load.parents.usual_ready = decayed(load.parents.usual_ready, parents);
     }
 
-    /// Number of listed servers of a tier that are ready; a draining one is not part of what is usual.
+    /// Number of selectable servers of a tier that are ready; draining ones do not count.
     fn ready_in(&self, tier: Tier) -> f64 {
         self.tiers[tier]
             .iter()
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -1,4 +1,4 @@
-//! Membership: which servers are listed, and in which tier each stands.
+//! Membership: which servers are listed, and the tier of each.
 
 use super::server::Server;
 use super::tiers::ByTier;
@@ -6,7 +6,7 @@
 use crate::interface::{CacheId, Member, MemberState, Tier};
 
 impl Router {
-    /// Takes the member list, or changes of it.
+    /// Applies the member list, or changes to it.
     pub(super) fn on_members(&mut self, full: bool, members: Vec<Member>) {
         if full {
             self.remove_unlisted(&members);
@@ -18,7 +18,7 @@
         self.raise_usual_ready();
     }
 
-    /// Takes another topology of the hierarchy.
+    /// Applies a new topology of the hierarchy.
     pub(super) fn on_topology(&mut self, parent_zones: Vec<usize>, hub_by_zone: Vec<usize>) {
         self.parent_zones = Some(parent_zones);
         self.settings.hub_by_zone = hub_by_zone;
@@ -47,7 +47,7 @@
             .get(&cache)
             .is_some_and(|server| server.member.started_at == member.started_at);
         if is_gone || !is_same_process {
-            // A new process starts with an empty cache, and nothing known of the former one holds for it.
+            // A new process starts with an empty cache, and no estimate of the former one applies to it.
             self.remove_server(cache);
         }
         if !is_gone {
@@ -60,8 +60,8 @@
         self.object_table.remove_cache(cache);
     }
 
-    /// Sorts the servers into tiers. Done when the list changes, so that the work of a request does not grow with the
-    /// fleet.
+    /// Sorts the servers into tiers. Done when the list or the topology changes, so that the cost of a request does not
+    /// grow with the fleet.
     fn rebuild_tiers(&mut self) {
         let settings = &self.settings;
         let nearest_hub = self
@@ -88,7 +88,7 @@
         });
     }
 
-    /// The tier of a server; that of the own caches where the server is listed no more.
+    /// The tier of a server; [`Tier::OwnCache`] for a server that is no longer listed.
     pub(super) fn tier_of(&self, cache: CacheId) -> Tier {
         self.servers
             .get(&cache)
--- a/src/router/object_table.rs
+++ b/src/router/object_table.rs
@@ -1,14 +1,15 @@
-//! The object table: which of the zone's caches holds an object, as far as this router saw.
+//! The object table: which of the zone's caches holds an object, as far as this router knows.
 //!
-//! Input: successful responses. An entry lasts about as long as a cache keeps an object that is not used.
+//! Input: successful responses. An entry lasts about as long as a cache keeps an unused object.
 
 use super::requests::{ObjectKey, PartKey};
 use crate::interface::{CacheId, Time};
 use hashlink::LinkedHashMap;
 
-/// How long an entry lasts (us); each use renews it.
+/// Lifetime of an entry since its last use (us).
 const ENTRY_TTL_US: Time = 10_000_000;
-/// Most entries, far more than a zone's caches fill within a lifetime. The one longest unused goes first.
+/// Maximum number of entries, far more than a zone's caches fill within one lifetime. The least recently used is
+/// evicted first.
 const MAX_ENTRIES: usize = 16_384;
 
 #[derive(Clone, Copy)]
@@ -18,7 +19,7 @@
     expires_at: Time,
 }
 
-/// Entries in the order of their expiry, as all last equally long.
+/// Entries in the order of their expiry, as all have the same lifetime.
 #[derive(Default)]
 pub(super) struct ObjectTable(LinkedHashMap<PartKey, Entry>);
 
@@ -44,7 +45,7 @@
             .is_some_and(|(_, entry)| entry.expires_at <= now)
     }
 
-    /// The cache that holds an object.
+    /// The cache that is known to hold an object.
     pub(super) fn holder(&self, now: Time, key: PartKey) -> Option<CacheId> {
         self.0
             .get(&key)
--- a/src/router/outcomes.rs
+++ b/src/router/outcomes.rs
@@ -1,8 +1,8 @@
-//! Outcomes: what follows for the request when one of its attempts ends.
+//! Outcomes: what happens to a request when one of its attempts ends.
 //!
-//! 1. Every estimate is updated (`feedback`), whether the request is still open or not.
-//! 2. A response ends the request, and counts its errors elsewhere against the servers.
-//! 3. Else the request remembers what failed it, and is given up or retried.
+//! 1. Every estimate is updated (`feedback`), even if the request has already ended.
+//! 2. A response ends the request, and its earlier errors are counted against their servers.
+//! 3. Otherwise the request records the failure, and is given up or retried.
 
 use super::requests::{Attempt, PossiblyProcessed, Request};
 use super::Router;
@@ -11,11 +11,11 @@
     RetrySafety, Time,
 };
 
-/// A request that so many caches answer with an error is at fault itself.
+/// Number of caches that respond with an error after which the request itself is considered faulty.
 const MAX_ERRORS: usize = 2;
 
 impl Router {
-    /// Takes the outcome of an attempt; one that is not in flight is ignored.
+    /// Handles the outcome of an attempt; the report of an attempt that is not in flight is ignored.
     pub(super) fn on_outcome(&mut self, now: Time, report: AttemptReport, out: &mut Vec<Action>) {
         let id = report.id;
         let Some(attempt) = self.attempts.remove(&(id, report.attempt)) else {
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Counts the errors of a request against their servers once it was served elsewhere: an error that every cache gives,
-    /// such as to a malformed request, is no server's fault.
+    /// Counts the errors of a request against their servers once the request is served elsewhere: an error that every
+    /// cache returns, such as for a malformed request, is no server's fault.
     fn confirm_errors(&mut self, now: Time, id: RequestId) {
         let errored: Vec<CacheId> = self
             .requests
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Whether a request is retried after a failure; takes a token of the retry budget if it is.
+    /// Whether a request is retried after a failure. If so, takes a token from the retry budget, except after a miss.
     fn try_retry(&mut self, id: RequestId, attempt: &Attempt, report: &AttemptReport) -> bool {
         let request = &self.requests[&id];
         let is_idempotent =
@@ -71,7 +71,7 @@
             return false;
         }
         if is_miss {
-            // A look at stored copies is no load that a retry would repeat.
+            // A lookup of stored copies is no load that a retry would repeat.
             return true;
         }
         if !self.retry_budget.has_token() || (is_idempotent && self.is_overload(request, report)) {
@@ -81,8 +81,8 @@
         true
     }
 
-    /// Whether an outcome shows an overload, which retries would keep up. Where responses do not state their cache status,
-    /// it may be the source that is overloaded, and another one is tried once.
+    /// Whether an outcome shows an overload, which retries would prolong. If responses do not report their full cache
+    /// status, it may be the source that is overloaded, so another source is tried once.
     fn is_overload(&self, request: &Request, report: &AttemptReport) -> bool {
         let is_certain =
             self.settings.cache_status_detail == CacheStatusDetail::All || request.attempts > 1;
@@ -91,7 +91,7 @@
 }
 
 impl Request {
-    /// Remembers what an attempt that was not served says for the next one.
+    /// Records what an unsuccessful attempt means for the next one.
     fn record_failure(&mut self, attempt: &Attempt, report: &AttemptReport) {
         let plan = &attempt.plan;
         let (outcome, is_source_fault) = (report.outcome, report.cache_status.is_source_fault());
@@ -105,7 +105,7 @@
             });
         }
         let is_slow_sibling = plan.sibling_query_timeout.is_some() && outcome == Outcome::TimedOut;
-        // After a reset the cache may well have the object: the attempt was processed, its response was lost.
+        // After a reset the cache may have the object: the attempt may have been processed and only its response lost.
         let may_have_object = matches!(outcome, Outcome::Miss | Outcome::Reset);
         if !may_have_object && !is_source_fault && !is_slow_sibling {
             self.failed_servers.push(plan.cache);
--- a/src/router/outliers.rs
+++ b/src/router/outliers.rs
@@ -1,10 +1,10 @@
 //! Outlier detection: which servers are ejected from ordinary traffic, and until when.
 //!
 //! Input: the outcome of each attempt at a server, or of each fill from it. Unit: failure rate, 0 to 1,
-//! as moving averages of the server and of all servers of its tier. A server is ejected that fails
-//! more than its tier does: what a whole tier has in common (a failing origin, lost responses) is no
-//! reason to leave one of its servers for another. Being overloaded is not a failure: with its server
-//! ejected, what that has cached would be filled elsewhere once more.
+//! as moving averages of the server and of all servers of its tier. A server is ejected if it fails more
+//! than its tier: failures that a whole tier has in common (a failing origin, lost responses) are no
+//! reason to prefer one of its servers to another. Overload is not a failure: if an overloaded server
+//! were ejected, the objects that it has cached would be filled again elsewhere.
 
 use super::server::Server;
 use super::Router;
@@ -14,18 +14,19 @@
 const SERVER_OUTCOME_WEIGHT: f64 = 0.15;
 /// Weight of a new outcome in the failure rate of a tier.
 const TIER_OUTCOME_WEIGHT: f64 = 0.03;
-/// Failure rate above the tier's from which a server is ejected: far above stray errors, below the rate of a server of
-/// which every second response is an error.
+/// Excess of a server's failure rate over its tier's above which it is ejected: far above sporadic errors, below the
+/// rate of a server that fails every second attempt.
 const EJECTION_THRESHOLD: f64 = 0.3;
-/// How long a server is ejected (us). Short, so that a recovery is seen; after it one attempt at a time is a trial.
+/// Duration of an ejection (us). It is short, so that a recovery is noticed; afterwards one attempt at a time is sent
+/// as a trial.
 const EJECTION_US: Time = 1_000_000;
 
-/// What an outcome says of a server's health.
+/// What an outcome shows of a server's health.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum HealthSample {
     Success,
     Failure,
-    /// No connection: ejects at once.
+    /// No connection could be established: the server is ejected at once.
     Unreachable,
 }
 
@@ -37,7 +38,8 @@
 }
 
 impl FailureRecord {
-    /// Updates the rates of the server and of its tier, and ejects the server where it fails more than its tier.
+    /// Updates the failure rates of the server and of its tier, and ejects the server if it is unreachable or an
+    /// outlier.
     pub(super) fn record_outcome(
         &mut self,
         now: Time,
@@ -64,8 +66,8 @@
 }
 
 impl Router {
-    /// Whether a server may take ordinary traffic: not ejected, with at most one attempt in flight while its failure rate
-    /// is still too high, and not silent past the time of a response that is due.
+    /// Whether a server may take ordinary traffic: it is not ejected, it has nothing in flight if its failure rate is
+    /// still too high, and no response of it is overdue.
     pub(super) fn is_healthy(&self, now: Time, server: &Server) -> bool {
         let tier_failure_rate = self.tier_failure_rate[self.settings.tier(&server.member)];
         let is_idle = server.in_flight + server.fills_in_flight == 0;
@@ -74,7 +76,7 @@
         !server.failures.is_ejected(now) && may_try && !is_silent
     }
 
-    /// Whether a cache may be the source of what it has stored.
+    /// Whether a cache may fill other caches from its stored copies.
     pub(super) fn can_serve_fills(&self, now: Time, server: &Server) -> bool {
         server.is_ready() && self.is_healthy(now, server) && !self.is_warming_up(now, server)
     }
--- a/src/router/purges.rs
+++ b/src/router/purges.rs
@@ -1,15 +1,15 @@
 //! Purges: which copies are invalid, and how old a copy may be after a purge.
 //!
-//! Input: purges of an object or of a group (cache tag). Unit: the moment at which a valid copy left the
-//! origin at the earliest. Caches drop invalid copies within `purge_complete`; until then the router
-//! bounds the age of what it accepts.
+//! Input: purges of an object or of a group (cache tag). Unit: the earliest time at which a valid copy can
+//! have left the origin. Caches drop invalid copies within `purge_complete`; until then the router bounds
+//! the age of the copies that it accepts.
 
 use super::requests::{ObjectKey, PartKey};
 use super::Router;
 use crate::interface::{ObjectId, Time};
 use std::collections::BTreeMap;
 
-/// Most purges that are remembered one by one; beyond them everything counts as purged.
+/// Maximum number of purges that are recorded individually; beyond it, everything counts as purged.
 const MAX_PURGES: usize = 4_096;
 /// The group number that stands for all groups.
 const ALL_GROUPS: u32 = u32::MAX;
@@ -33,9 +33,9 @@
 
 #[derive(Clone, Copy)]
 struct Purge {
-    /// A valid copy left the origin at this moment at the earliest.
+    /// Copies that left the origin before this time are invalid.
     valid_from: Time,
-    /// When the purge is complete everywhere and forgotten.
+    /// When the purge is complete everywhere; its entry is then dropped.
     expires_at: Time,
 }
 
@@ -59,7 +59,7 @@
         known.expires_at = known.expires_at.max(purge.expires_at);
     }
 
-    /// When a valid copy left the origin at the earliest, if a purge applies.
+    /// The earliest time at which a valid copy can have left the origin, if a purge applies.
     pub(super) fn valid_from(&self, now: Time, key: PartKey, group: u32) -> Option<Time> {
         let scopes = [
             PurgeScope::Object(key.object()),
@@ -76,12 +76,12 @@
 }
 
 impl Router {
-    /// Invalidates what an object or a group has in the object table, and bounds the age of its copies.
+    /// Removes an object or a group from the object table, and bounds the age of its copies.
     pub(super) fn on_purge(&mut self, now: Time, object: Option<ObjectId>, group: u32, age: Time) {
         let object = object.map(ObjectKey::of);
         let purge = Purge {
             valid_from: now.saturating_sub(age),
-            // Twice the time that the caches take, as the event may come late.
+            // Twice the time that the caches take, as the event may be delayed.
             expires_at: now + 2 * self.settings.purge_complete,
         };
         let scope = object.map_or(PurgeScope::of_group(group), PurgeScope::Object);
--- a/src/router/rejection.rs
+++ b/src/router/rejection.rs
@@ -1,16 +1,16 @@
-//! The end of a request: cancellation of what is in flight, rejection or failure, and the advised wait.
+//! The end of a request: rejection or failure, Retry-After, and cancellation of attempts in flight.
 //!
-//! A request that gets no response is rejected where its client may retry without harm, else it fails.
-//! A rejection carries a Retry-After (us) between a least wait and twice that, so that rejected clients
-//! do not come back together.
+//! A request that gets no response is rejected if its client can retry safely, else it fails. A rejection
+//! carries a random Retry-After (us) between a minimum and twice the minimum, so that rejected clients do
+//! not all retry at the same time.
 
 use super::requests::Request;
 use super::Router;
 use crate::interface::{Action, Class, KeyScope, RequestId, RetrySafety, Time};
 
-/// Least wait that is advised with a rejection (us).
+/// Minimum Retry-After of a rejection (us).
 const MIN_RETRY_AFTER_US: Time = 200_000;
-/// The least wait is at most this part of the class's deadline.
+/// Divisor of a class's deadline: the minimum Retry-After is at most the deadline divided by it.
 const RETRY_AFTER_DEADLINE_DIVISOR: Time = 10;
 
 impl Router {
@@ -42,7 +42,7 @@
             && !self.has_attempts_in_flight(id)
     }
 
-    /// Forgets a request that has its final result, and cancels its attempts in flight.
+    /// Drops a request that has its final result, and cancels its attempts in flight.
     pub(super) fn finish_request(&mut self, id: RequestId, out: &mut Vec<Action>) {
         self.requests.remove(&id);
         if !self.settings.can_cancel {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Whether a client's retry cannot be processed a second time, wherever it goes.
+/// Whether a client's retry is safe at any cache, even if an attempt was processed.
 fn may_be_retried_anywhere(class: &Class) -> bool {
     matches!(
         class.retry_safety,
--- a/src/router/requests.rs
+++ b/src/router/requests.rs
@@ -1,17 +1,17 @@
-//! The state of a request and of its attempts, and how a request is taken in.
+//! The state of a request and of its attempts, and the acceptance of new requests.
 
 use super::Router;
 use crate::interface::{
     Action, CacheId, Class, IncomingRequest, ObjectId, RequestId, Settings, Time,
 };
 
-/// Low bits of a [`PartKey`] that identify the object; the part's number is above them.
+/// Number of low bits of a [`PartKey`] that identify the object; the part's number is in the bits above.
 const OBJECT_BITS: u32 = 52;
 const OBJECT_MASK: u64 = (1 << OBJECT_BITS) - 1;
 /// Weight of a request's transfer time in the mean of its class.
 const TRANSFER_TIME_WEIGHT: f64 = 0.01;
 
-/// Identifies a part of an object: what caches store.
+/// Identifies a part of an object, the unit that caches store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct PartKey(pub(super) u64);
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Identifies an object, whatever the part.
+/// Identifies an object as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ObjectKey(u64);
 
@@ -43,7 +43,7 @@
     pub(super) cache: CacheId,
 }
 
-/// An open request: it has no final result yet.
+/// An open request: one without a final result.
 #[derive(Default)]
 pub(super) struct Request {
     /// Index of its class.
@@ -53,20 +53,21 @@
     pub(super) group: u32,
     /// Time that the response takes at full rate (us).
     pub(super) transfer_time: f64,
-    /// The moment of its latency objective.
+    /// The time until which a response meets the latency objective.
     pub(super) objective_at: Time,
     pub(super) deadline: Time,
-    /// Attempts that were sent.
+    /// Number of attempts sent.
     pub(super) attempts: u32,
-    /// How long its client may use the selected cache on its own; none: the host makes the attempts.
+    /// How long its client may use the selected cache without the router; `None` if the host sends the attempts.
     pub(super) placement_ttl: Option<Time>,
-    /// The only key group that may be asked, where an attempt that another made may have been processed.
+    /// The only key group that attempts may go to; set if an attempt that this router did not make may have been
+    /// processed.
     pub(super) required_group: Option<u32>,
-    /// Whether a sibling was queried.
+    /// Whether a sibling query was sent.
     pub(super) sibling_queried: bool,
     /// Whether the response has begun.
     pub(super) response_started: bool,
-    /// Caches and sources that failed it.
+    /// Caches and sources that failed the request.
     pub(super) failed_servers: Vec<CacheId>,
     /// Caches that responded with an error.
     pub(super) errored_caches: Vec<CacheId>,
@@ -96,19 +97,19 @@
     }
 }
 
-/// Where the next attempt goes.
+/// The plan of an attempt: its cache, and the source of a miss.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Plan {
     pub(super) cache: CacheId,
-    /// The server that a miss is filled from; the cache itself: nothing is filled.
+    /// The server that a miss is filled from. If it equals `cache`, nothing is filled.
     pub(super) source: CacheId,
-    /// The source responds only from what it has stored.
+    /// The source responds only with a stored copy.
     pub(super) only_if_cached: bool,
-    /// The attempt queries a sibling, with this timeout.
+    /// The timeout of a sibling query; `None` if the attempt is not one.
     pub(super) sibling_query_timeout: Option<Time>,
     /// The object table says that the cache has the object.
     pub(super) is_listed: bool,
-    /// A stale copy is acceptable, as no fill is to be had.
+    /// A stale copy is acceptable, as a fill was not admitted.
     pub(super) accepts_stale: bool,
 }
 
@@ -135,24 +136,24 @@
     pub(super) group: u32,
     /// Time that the response takes at full rate (us).
     pub(super) transfer_time: f64,
-    /// The load that it counts as: the mean transfer time of its class (us).
+    /// The load that the attempt counts as: the mean transfer time of its class (us).
     pub(super) load: f64,
     /// Its source is a parent or the origin.
     pub(super) has_upper_tier_source: bool,
-    /// Its source is likely to be asked and may fetch from the origin.
+    /// A fill is likely and its source may fetch from the origin.
     pub(super) may_reach_origin: bool,
     /// Attempts in flight at the cache when it was sent.
     pub(super) concurrency_at_send: u32,
     pub(super) sent_at: Time,
     /// Its class is cached.
     pub(super) is_cacheable: bool,
-    /// Longest latency beyond the transfer time that meets the objective (us); below 0 if none does.
+    /// Longest latency beyond the transfer time that meets the objective (us); negative if none does.
     pub(super) latency_headroom: f64,
 }
 
 impl Router {
-    /// Takes a request in and sends its first attempt. One of an unknown class, or with the id of an open request, is
-    /// ignored.
+    /// Accepts a request and sends its first attempt. A request of an unknown class, or with the id of an open request,
+    /// is ignored.
     pub(super) fn on_request(
         &mut self,
         now: Time,
--- a/src/router/retry_budget.rs
+++ b/src/router/retry_budget.rs
@@ -1,13 +1,13 @@
-//! The retry budget: a token bucket that keeps retries from doubling a load.
+//! The retry budget: a token bucket that keeps retries from multiplying the load.
 //!
-//! Each request adds a part of a token, each retry takes a whole one. Unit: retries.
+//! Each request adds a fraction of a token, each retry takes a whole one. Unit: retries.
 
-/// Tokens that a request adds: the retries per request in the long run.
+/// Tokens that a request adds: the ratio of retries to requests in the long run.
 const TOKENS_PER_REQUEST: f64 = 0.25;
-/// Most tokens that are saved up.
+/// Capacity of the bucket.
 const MAX_TOKENS: f64 = 30.0;
 
-/// The retries that may be sent.
+/// The number of retries that may be sent, as tokens.
 pub(super) struct RetryBudget {
     tokens: f64,
 }
@@ -29,7 +29,7 @@
         self.tokens >= 1.0
     }
 
-    /// Takes the token of a retry. Call it only after [`has_token`](Self::has_token).
+    /// Takes the token of a retry. Must be called only if [`has_token`](Self::has_token) returns true.
     pub(super) fn take_token(&mut self) {
         self.tokens -= 1.0;
     }
--- a/src/router/retry_safety.rs
+++ b/src/router/retry_safety.rs
@@ -1,15 +1,15 @@
-//! Retry safety: where a request may go without being processed twice.
+//! Retry safety: which servers a request may go to without being processed twice.
 //!
 //! Inputs: the class's [`RetrySafety`], the first attempt that may have been processed, and the key group
-//! that the host requires. A keyed request may be repeated only where its key is remembered, and only
-//! while it is.
+//! that the host requires. A keyed request may be repeated only at caches that share a memory of its
+//! idempotency key, and only while they remember it.
 
 use super::requests::Request;
 use super::Router;
 use crate::interface::{CacheId, RetrySafety, Time};
 
 impl Router {
-    /// Whether an attempt at this server cannot make the request be processed a second time.
+    /// Whether an attempt at this server cannot cause the request to be processed a second time.
     pub(super) fn is_safe_at(&self, now: Time, request: &Request, cache: CacheId) -> bool {
         self.is_in_required_group(request, cache) && self.is_safe_retry(now, request, cache)
     }
@@ -28,16 +28,17 @@
         let Some(first) = request.first_possibly_processed else {
             return true;
         };
-        let (Some(then), Some(next)) = (self.servers.get(&first.cache), self.servers.get(&cache))
+        let (Some(earlier), Some(next)) =
+            (self.servers.get(&first.cache), self.servers.get(&cache))
         else {
-            // A server that is listed no more cannot be told to share a memory of keys.
+            // The key group of a server that is no longer listed is not known.
             return class.retry_safety == RetrySafety::Idempotent;
         };
         match class.retry_safety {
             RetrySafety::Idempotent => true,
             RetrySafety::NonIdempotent => false,
             keyed => {
-                keyed.same_key_group(&then.member, &next.member)
+                keyed.same_key_group(&earlier.member, &next.member)
                     && now < first.sent_at + class.idempotency_window
             }
         }
--- a/src/router/server.rs
+++ b/src/router/server.rs
@@ -5,19 +5,19 @@
 use crate::interface::{Member, MemberState, Time};
 use foldmux_stats::{SlidingWindow, SmoothedSample};
 
-/// How long a latency counts that was not observed again (us).
+/// How long an observed latency is used without a new observation (us).
 const LATENCY_TTL_US: Time = 2_000_000;
 
-/// The state of one server. A restarted server starts anew.
+/// The state of one server, discarded when the server restarts.
 #[derive(Default)]
 pub(super) struct Server {
     pub(super) member: Member,
     /// Attempts in flight at it.
     pub(super) in_flight: u32,
-    /// Attempts in flight elsewhere that it is likely to fill.
+    /// Attempts in flight at other servers that this server is likely to fill.
     pub(super) fills_in_flight: u32,
     pub(super) failures: FailureRecord,
-    /// When the first attempt that was sent since its last response should have been answered.
+    /// When the response to the first attempt since the server's last response is due.
     pub(super) response_due: Option<Time>,
     /// Latency of its fills beyond the transfer time (us).
     pub(super) fill_latency: SmoothedSample,
@@ -31,12 +31,12 @@
         self.member.state == MemberState::Ready
     }
 
-    /// Its fill latency beyond the transfer time (us), if observed lately.
+    /// Its fill latency beyond the transfer time (us), if observed recently.
     pub(super) fn recent_fill_latency(&self, now: Time) -> Option<f64> {
         self.fill_latency.get(now, LATENCY_TTL_US)
     }
 
-    /// Whether fills from it took less than `bound` (us) lately, or none was observed.
+    /// Whether its recent fill latency is below `bound` (us); true if none was observed.
     pub(super) fn is_faster_than(&self, now: Time, bound: f64) -> bool {
         self.recent_fill_latency(now)
             .is_none_or(|latency| latency < bound)
--- a/src/router/sibling_query.rs
+++ b/src/router/sibling_query.rs
@@ -1,32 +1,32 @@
 //! The sibling query: whether a sibling cache is asked for its stored copy before a parent is.
 //!
 //! Inputs: the time left until the latency objective, the parents' fill latency, the retry budget, and the
-//! gain of earlier queries. Unit: microseconds. A query must leave time for a fill from a parent after
-//! it, and must have paid of late.
+//! gain of earlier queries. Unit: microseconds. A query is sent only if it leaves time for a fill from a
+//! parent after it, and if recent queries saved time on average.
 
 use super::requests::Request;
 use super::{Router, SAMPLE_WEIGHT};
 use crate::interface::{CacheId, Settings, SiblingFills, Tier, Time};
 use foldmux_stats::{mix, rendezvous_rank};
 
-/// Gain that is assumed before the first query: part of the shortest latency objective.
+/// Gain that is assumed before the first query, as a ratio of the shortest latency objective.
 const INITIAL_GAIN_RATIO: f64 = 0.2 / 4.0;
-/// Time that a transfer takes in the ordinary case, as a multiple of its time at full rate.
+/// Time that a transfer usually takes, as a multiple of its time at full rate.
 const TRANSFER_STRETCH: f64 = 1.25;
-/// One miss in so many queries a sibling although queries do not pay, so that a change is seen.
+/// While queries do not save time, one miss in this many still queries a sibling, so that a change is noticed.
 const EXPLORATION_INTERVAL: u64 = 16;
-/// Attempts that a query and the fill after it need.
+/// Number of attempts that a query and the fill after it need.
 const ATTEMPTS_NEEDED: u32 = 2;
 
 /// How a query ended.
 pub(super) enum QueryResult {
-    /// The sibling filled the miss, so much sooner than a parent would have (us).
+    /// The sibling filled the miss; `saved` is the time gained over a fill from a parent (us).
     Filled { saved: f64 },
-    /// The query took so long in vain (us).
+    /// The query took `lost` (us) and gave no fill.
     NotFilled { lost: f64 },
 }
 
-/// Mean time that a query saves over a fill from a parent, successes and failures together (us).
+/// Mean time that a query saves over a fill from a parent, including unsuccessful queries (us).
 pub(super) struct SiblingQueryGain(f64);
 
 impl SiblingQueryGain {
@@ -35,8 +35,8 @@
         SiblingQueryGain(INITIAL_GAIN_RATIO * shortest_objective)
     }
 
-    /// Counts a query. None counts for more than the longest latency objective: one sibling that hangs must not end
-    /// the queries.
+    /// Records a query. Its gain or loss is capped at the longest latency objective, so that one sibling that hangs
+    /// does not end the queries.
     pub(super) fn record(&mut self, result: QueryResult, longest_objective: f64) {
         let gain = match result {
             QueryResult::Filled { saved } => saved,
@@ -46,14 +46,14 @@
         self.0 += SAMPLE_WEIGHT * (bounded - self.0);
     }
 
-    fn pays(&self) -> bool {
+    fn saves_time(&self) -> bool {
         self.0 > 0.0
     }
 }
 
 impl Router {
-    /// The sibling to query: the object's home in a neighbouring zone, of the nearest hub. A sibling that is warming up is
-    /// not queried, as a query is load too.
+    /// The sibling to query: the object's home in another zone of the nearest hub. A sibling that is warming up is not
+    /// queried, as a query is load too.
     pub(super) fn sibling_for(&self, now: Time, request: &Request) -> Option<CacheId> {
         if self.settings.sibling_fills != SiblingFills::Any {
             return None;
@@ -70,8 +70,8 @@
         home.filter(|&cache| !request.has_failed_at(cache))
     }
 
-    /// The timeout of a sibling query, if one is to be made: there are attempts, time and retry budget for a fill from a
-    /// parent after it, and queries pay.
+    /// The timeout of a sibling query, if one is to be sent: enough attempts, time and retry budget remain for a fill
+    /// from a parent after it, and queries save time or one is due for exploration.
     pub(super) fn sibling_query_timeout(
         &self,
         now: Time,
@@ -91,6 +91,6 @@
             return None;
         }
         let explores = draw.is_multiple_of(EXPLORATION_INTERVAL);
-        (self.sibling_query_gain.pays() || explores).then_some(timeout as Time)
+        (self.sibling_query_gain.saves_time() || explores).then_some(timeout as Time)
     }
 }
--- a/src/router/slow_start.rs
+++ b/src/router/slow_start.rs
@@ -1,28 +1,28 @@
-//! Slow start of caches and parents: how much load a server that started lately may be sent. Hubs have a rule of their own
-//! in `pure/hierarchy`.
+//! Slow start of caches and parents: how much load may be sent to a server that started recently. Hubs have a separate
+//! rule in `pure/hierarchy`.
 //!
-//! Inputs: the time since the server's start, the load that servers of its tier carry (transfer time per
-//! time), and what this router sent to it within the overload window. Unit: microseconds of transfer
-//! time within the window. A server in slow start fails under a multiple of its present capacity; each
-//! router keeps to its own part of that budget, whoever else sends to the server.
+//! Inputs: the time since the server's start, the load that servers of its tier carry (us of transfer time
+//! per us), and the load that this router sent to it within the overload window. Unit: microseconds of
+//! transfer time within the window. A server in slow start fails at a multiple of its present capacity;
+//! each router keeps to its own share of that budget, without knowledge of the other routers.
 
 use super::load::TierLoad;
 use super::server::Server;
 use super::Router;
 use crate::interface::Time;
 
-/// Part of the budget that is used: the capacity is inferred, and other routers may send more than their part.
+/// Ratio of the budget that is used: the capacity is an estimate, and other routers may exceed their share.
 const BUDGET_SAFETY_RATIO: f64 = 0.6;
-/// Step of the rotation from one router to the next: the fractional part of the golden ratio spreads them evenly.
+/// Step of the rotation from one router to the next: multiples of the golden ratio's fractional part are spread evenly.
 const ROTATION_PER_ROUTER: f64 = 0.618_034;
 /// Step of the rotation from one window to the next: the fractional part of the square root of 2.
 const ROTATION_PER_WINDOW: f64 = 0.414_214;
-/// Part of the offered load that the caches carry at least: a client sends a request three times at most, so that a third of
-/// the load is first requests.
+/// Minimum ratio of the offered load that the caches are assumed to carry: a client sends a request at most three
+/// times, so at least a third of the load is first requests.
 const MIN_CARRIED_RATIO: f64 = 0.33;
 
 impl Router {
-    /// Whether one more attempt of this load (us) keeps within this router's part of a server's slow-start budget.
+    /// Whether one more attempt of this load (us) stays within this router's share of a server's slow-start budget.
     pub(super) fn within_slow_start_budget(&self, now: Time, server: &Server, load: f64) -> bool {
         let settings = &self.settings;
         let member = &server.member;
@@ -33,7 +33,7 @@
         if is_over || member.kind == settings.origin_kind {
             return true;
         }
-        let capacity = self.capacity_of_one(now, is_parent);
+        let capacity = self.capacity_per_server(now, is_parent);
         let from = slow_start.initial_ratio;
         let ramp = from + (1.0 - from) * age as f64 / slow_start.duration.max(1) as f64;
         let budget = slow_start.overload_multiple
@@ -41,15 +41,16 @@
             * capacity
             * settings.overload_window as f64
             * BUDGET_SAFETY_RATIO;
-        // A budget of less than one request is taken in rotation, so that over all routers nothing is lost to rounding.
+        // Routers whose budget is less than one request use it in rotation, so that none of the total is lost to
+        // rounding.
         let rotation = settings.index as f64 * ROTATION_PER_ROUTER
             + (now / settings.overload_window.max(1)) as f64 * ROTATION_PER_WINDOW;
-        self.load_sent_lately(now, server) + load * rotation.fract() < budget
+        self.recent_load(now, server) + load * rotation.fract() < budget
     }
 
-    /// The load that one cache or parent carries (us of transfer time per us): what is served, as rejected load is no
-    /// capacity, over the usual number of servers, as those that are left carry more.
-    fn capacity_of_one(&self, now: Time, is_parent: bool) -> f64 {
+    /// The mean load that one cache or parent carries (us of transfer time per us): the served load, as rejected load
+    /// shows no capacity, divided by the usual number of servers, as the remaining servers carry more during an outage.
+    fn capacity_per_server(&self, now: Time, is_parent: bool) -> f64 {
         let TierLoad {
             served,
             usual_ready,
@@ -58,7 +59,7 @@
         } else {
             &self.load.caches
         };
-        // A router that is new, or whose zone restarted whole, goes by the load that it is offered.
+        // A new router, or one whose whole zone restarted, relies on the offered load.
         let least = if is_parent {
             0.0
         } else {
@@ -67,9 +68,10 @@
         served.per_us(now).max(least) / usual_ready.max(1.0)
     }
 
-    /// What was sent to a server within the overload window, and what clients may still send it on their own (us).
-    fn load_sent_lately(&self, now: Time, server: &Server) -> f64 {
-        // A client may use its placement at any moment until it expires.
+    /// The load sent to a server within the overload window, and the load that placements still allow clients to send
+    /// (us).
+    fn recent_load(&self, now: Time, server: &Server) -> f64 {
+        // A client may use its placement at any time until it expires.
         let placed = self
             .placements
             .get(&server.member.cache)
--- a/src/router/source_selection.rs
+++ b/src/router/source_selection.rs
@@ -1,22 +1,22 @@
 //! Source selection: which server a miss is filled from.
 //!
 //! Inputs: the object table, each server's state and fill latency (us). In order of preference: the cache
-//! of the zone that holds the object, a sibling that is queried, a parent, the origin.
+//! of the zone that holds the object, a sibling (by a query), a parent, the origin.
 
 use super::requests::{Plan, Request};
 use super::Router;
 use crate::interface::{CacheId, RequestId, SiblingFills, Tier, Time};
 use foldmux_stats::{mean, rendezvous_rank};
 
-/// Fill latency that is assumed where none was observed: part of the shortest latency objective.
+/// Fill latency that is assumed before any is observed, as a ratio of the shortest latency objective.
 const INITIAL_LATENCY_RATIO: f64 = 0.2;
-/// Greatest fill latency at which the origin has capacity for what the parents reject: part of the shortest latency
-/// objective.
+/// Fill latency below which the origin is assumed to have capacity for fills that parents reject, as a ratio of the
+/// shortest latency objective.
 const SPARE_ORIGIN_LATENCY_RATIO: f64 = 0.5;
-/// Loss rate of the parents above which the origin takes what they reject. Below it, late fills may be due to the links,
-/// which a fill from the origin uses as well.
+/// Loss rate of the parents above which the origin takes the fills that they reject. Below it, late fills may be due to
+/// the links, which a fill from the origin uses as well.
 const PARENT_LOSS_THRESHOLD: f64 = 0.05;
-/// Parents that are compared by their latency.
+/// Number of parents that are compared by their latency.
 const PARENT_CHOICES: usize = 2;
 
 impl Router {
@@ -30,7 +30,8 @@
         }
     }
 
-    /// Where no cache of the zone may take a request: straight to a parent or the origin, if that is allowed.
+    /// Plans an attempt directly at a parent or the origin, if the settings allow it and no cache of the zone may take
+    /// the request.
     fn plan_direct(&self, now: Time, request: &Request) -> Option<Plan> {
         let server = self
             .select_upper_tier(now, request, false)
@@ -67,7 +68,7 @@
         Some(Plan { source, ..plan })
     }
 
-    /// Whether the holder of an object, another cache of the zone, may fill it.
+    /// Whether another cache of the zone, which holds the object, may be the source of the fill.
     fn can_fill(&self, now: Time, request: &Request, cache: CacheId, holder: CacheId) -> bool {
         holder != cache
             && !request.has_failed_at(holder)
@@ -92,10 +93,10 @@
 
     /// The parent or the origin that a miss is filled from.
     ///
-    /// Of the first two parents in rendezvous order, the one with the lower fill latency: by that order an object's fills
-    /// meet at few parents, each of which asks the origin once. A parent slower than the longest latency objective gives
-    /// no class its response in time, so the origin takes its place, lest the last parent that is left, rejecting or
-    /// overloaded, gets all fills.
+    /// Chooses of the first two parents in rendezvous order the one with the lower fill latency. With this order an
+    /// object's fills go to few parents, each of which asks the origin once. A parent slower than the longest latency
+    /// objective cannot serve any class in time, so the origin is used instead; otherwise the last remaining parent,
+    /// rejecting or overloaded, would get all fills.
     fn select_upper_tier(&self, now: Time, request: &Request, is_listed: bool) -> Option<CacheId> {
         let is_open = |cache: &&CacheId| self.may_fill(now, request, **cache, is_listed);
         let [_, longest_objective] = self.settings.latency_objectives();
@@ -124,7 +125,7 @@
             let rank = rendezvous_rank(request.key.0, parent.0 as u64);
             (rank, parent)
         });
-        // A parent that was not observed lately counts as average, so that one slow spell does not keep it out for good.
+        // A parent without recent observations counts as average, so that a slow period does not exclude it forever.
         let average = self.upper_tier_latency(now);
         let latency = |parent: &CacheId| {
             self.servers[parent]
@@ -141,8 +142,8 @@
     fn may_fill(&self, now: Time, request: &Request, cache: CacheId, is_listed: bool) -> bool {
         let server = &self.servers[&cache];
         let load = self.mean_transfer_time[request.class];
-        // Fills that are not counted here, as they are unlikely or made by the client's own use of a placement, are kept
-        // from a server that is warming up.
+        // The budget does not count fills that are unlikely or that a client causes by using its placement, so a server
+        // that is warming up gets none of these.
         let is_uncounted = is_listed || request.placement_ttl.is_some();
         server.is_ready()
             && self.within_slow_start_budget(now, server, load)
@@ -161,7 +162,8 @@
             })
     }
 
-    /// The origin, for fills that the parents reject: where parents lose fills and the origin is not known to lag.
+    /// The origin, for fills that are not admitted to the parents: if parents lose fills and the origin is not known to
+    /// be slow.
     pub(super) fn origin_instead_of_parents(
         &self,
         now: Time,
--- a/src/router/tiers.rs
+++ b/src/router/tiers.rs
@@ -8,7 +8,7 @@
 pub(super) struct ByTier<T>([T; Tier::COUNT]);
 
 impl<T> ByTier<T> {
-    /// The value of each tier by `value_of`.
+    /// Computes the value of each tier with `value_of`.
     pub(super) fn from_fn(value_of: impl FnMut(Tier) -> T) -> ByTier<T> {
         ByTier(Tier::ALL.map(value_of))
     }
