--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small front for the tests: it feeds a router and keeps what it says.
+//! A host for tests: it passes events to a router and returns the resulting actions.
 #![allow(dead_code)]
 
 use foldmux::interface::*;
@@ -10,9 +10,10 @@
 pub const PARENT: usize = 1;
 pub const ORIGIN: usize = 2;
 
-/// Zones 0 and 1 are hubs, 2 and 3 hold caches. Class 0 is kept, class 1 is a single-shot write.
+/// Zones 0 and 1 are hubs, zones 2 and 3 hold caches. Class 0 is cacheable and idempotent; class 1 is a non-idempotent
+/// write that bypasses the cache.
 pub fn settings() -> Settings {
-    let kept = Class {
+    let cacheable = Class {
         latency_objective: 400 * MS,
         latency_objective_stretch: 2.0,
         deadline: 3 * SECOND,
@@ -28,13 +29,13 @@
         latency_objective_stretch: 0.0,
         retry_safety: RetrySafety::NonIdempotent,
         bypass_cache: true,
-        ..kept.clone()
+        ..cacheable.clone()
     };
     Settings {
         index: 0,
         router_count: 2,
         zone: 2,
-        classes: vec![kept, write],
+        classes: vec![cacheable, write],
         routers_by_zone: vec![0, 0, 1, 1],
         hub_by_zone: vec![0, 1, 0, 0],
         parent_kind: Some(PARENT),
@@ -80,81 +81,83 @@
     }
 }
 
-/// Own caches 10 to 13, the neighbour's 20 to 22, parents 30 and 31, origin 40.
+/// Caches 10 to 13 of the own zone, siblings 20 to 22, parents 30 and 31, and the origin 40.
 pub fn members() -> Vec<Member> {
     members_of(4, 3, 2)
 }
 
-/// So many own caches from 10 on, the neighbour's from 20, parents from 30, and the origin 40.
-pub fn members_of(own: u32, others: u32, parents: u32) -> Vec<Member> {
+/// `own` caches of the own zone from 10 on, `siblings` from 20 on, `parents` from 30 on, and the origin 40.
+pub fn members_of(own: u32, siblings: u32, parents: u32) -> Vec<Member> {
     let mut all: Vec<Member> = (0..own).map(|k| member(10 + k, 2, 0)).collect();
-    all.extend((0..others).map(|k| member(20 + k, 3, 0)));
+    all.extend((0..siblings).map(|k| member(20 + k, 3, 0)));
     all.extend((0..parents).map(|k| member(30 + k, k as usize % 2, PARENT)));
     all.push(member(40, 0, ORIGIN));
     all
 }
 
-/// `zones` locations of `each` caches behind two hubs, `parents` parents and an origin.
-pub fn fleet(zones: u32, each: u32, parents: u32) -> (Settings, Vec<Member>) {
+/// `zones` zones of `caches_per_zone` caches behind two hubs, `parents` parents and an origin.
+pub fn fleet(zones: u32, caches_per_zone: u32, parents: u32) -> (Settings, Vec<Member>) {
     let mut list: Vec<Member> = Vec::new();
     for zone in 0..zones {
-        list.extend((0..each).map(|k| member(1_000 + zone * 100 + k, 2 + zone as usize, 0)));
+        list.extend(
+            (0..caches_per_zone).map(|k| member(1_000 + zone * 100 + k, 2 + zone as usize, 0)),
+        );
     }
     list.extend((0..parents).map(|k| member(10 + k, k as usize % 2, PARENT)));
     list.push(member(9, 0, ORIGIN));
     let mut by_zone = vec![0, 0];
     by_zone.extend((0..zones).map(|_| 5));
-    let hub_of = (0..zones + 2).map(|z| (z % 2) as usize).collect();
+    let hub_by_zone = (0..zones + 2).map(|z| (z % 2) as usize).collect();
     (
         Settings {
             router_count: zones * 5,
             routers_by_zone: by_zone,
-            hub_by_zone: hub_of,
+            hub_by_zone,
             ..settings()
         },
         list,
     )
 }
 
-/// Settings in which nothing stands above but the origin, and pages are fresh for 12 s and good for 30 s more.
-pub fn stale_pages() -> Settings {
-    let mut choice = Settings {
+/// Settings without parents, in which copies are fresh for 12 s and may be served stale for 30 s more.
+pub fn settings_with_short_freshness() -> Settings {
+    let mut config = Settings {
         cache_status_detail: CacheStatusDetail::None,
         parent_kind: None,
         max_attempts: 6,
         ..settings()
     };
-    choice.classes[0].freshness_lifetime = 12 * SECOND;
-    choice.classes[0].stale_while_revalidate = 30 * SECOND;
-    choice.drain_timeout = 2 * SECOND;
-    (choice.cache_overload_multiple, choice.overload_window) = (2.0, 1_500 * MS);
-    choice
+    config.classes[0].freshness_lifetime = 12 * SECOND;
+    config.classes[0].stale_while_revalidate = 30 * SECOND;
+    config.drain_timeout = 2 * SECOND;
+    (config.cache_overload_multiple, config.overload_window) = (2.0, 1_500 * MS);
+    config
 }
 
-pub struct Front {
+pub struct TestHost {
     pub router: Router,
     pub now: Time,
-    pub next: u64,
+    pub last_id: u64,
 }
 
-impl Front {
-    pub fn new(settings: Settings, members: Vec<Member>) -> Front {
-        let mut front = Front {
+impl TestHost {
+    pub fn new(settings: Settings, members: Vec<Member>) -> TestHost {
+        let mut host = TestHost {
             router: Router::new(settings, 7),
             now: START,
-            next: 0,
+            last_id: 0,
         };
-        front.event(Event::Members {
+        host.event(Event::Members {
             full: true,
             members,
         });
-        front
+        host
     }
 
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.router.handle(self.now, event, &mut out);
-        out.retain(|a| !matches!(a, Action::StartTimer { .. }));
+        out.retain(|action| !matches!(action, Action::StartTimer { .. }));
         out
     }
 
@@ -178,8 +181,8 @@
         size_kb: f64,
         budget: Time,
     ) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let id = RequestId(self.next);
+        self.last_id += 1;
+        let id = RequestId(self.last_id);
         let object = ObjectId(object);
         let event = Event::Request(IncomingRequest {
             id,
@@ -200,9 +203,9 @@
         fetch: &Fetch,
         attempt: u8,
         outcome: Outcome,
-        note: CacheStatus,
+        cache_status: CacheStatus,
     ) -> Vec<Action> {
-        self.outcome_after(fetch, attempt, outcome, note, 60 * MS)
+        self.outcome_after(fetch, attempt, outcome, cache_status, 60 * MS)
     }
 
     pub fn outcome_after(
@@ -210,7 +213,7 @@
         fetch: &Fetch,
         attempt: u8,
         outcome: Outcome,
-        note: CacheStatus,
+        cache_status: CacheStatus,
         elapsed: Time,
     ) -> Vec<Action> {
         let last = outcome == Outcome::Served;
@@ -219,26 +222,26 @@
             id,
             attempt,
             outcome,
-            cache_status: note,
+            cache_status,
             elapsed,
             last,
         }))
     }
 
-    /// One request, served at once as `note` says; gives the fetch that was made.
-    pub fn serve(&mut self, object: u64, note: CacheStatus) -> Fetch {
+    /// Sends a request whose first attempt is served with `cache_status`, and returns that attempt.
+    pub fn serve_request(&mut self, object: u64, cache_status: CacheStatus) -> Fetch {
         let (_, actions) = self.request(0, object);
         let fetch = only_fetch(&actions);
         self.now += 60 * MS;
-        self.outcome(&fetch, 0, Outcome::Served, note);
+        self.outcome(&fetch, 0, Outcome::Served, cache_status);
         fetch
     }
 
-    pub fn change(&mut self, cache: u32, change: impl Fn(&mut Member)) -> Vec<Action> {
+    pub fn change_member(&mut self, cache: u32, change: impl Fn(&mut Member)) -> Vec<Action> {
         let mut member = members()
             .into_iter()
             .find(|m| m.cache.0 == cache)
-            .expect("a member");
+            .expect("the cache is a member");
         change(&mut member);
         self.event(Event::Members {
             full: false,
@@ -250,9 +253,9 @@
 pub fn fetches(actions: &[Action]) -> Vec<Fetch> {
     actions
         .iter()
-        .filter_map(|a| {
-            if let Action::Fetch(f) = a {
-                Some(f.clone())
+        .filter_map(|action| {
+            if let Action::Fetch(fetch) = action {
+                Some(fetch.clone())
             } else {
                 None
             }
@@ -262,41 +265,44 @@
 
 pub fn only_fetch(actions: &[Action]) -> Fetch {
     let all = fetches(actions);
-    assert_eq!(all.len(), 1, "one attempt in {actions:?}");
+    assert_eq!(all.len(), 1, "expected one attempt: {actions:?}");
     all[0].clone()
 }
 
-pub fn finals(actions: &[Action]) -> usize {
+pub fn final_results(actions: &[Action]) -> usize {
     actions
         .iter()
-        .filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. }))
+        .filter(|action| matches!(action, Action::Reject { .. } | Action::Fail { .. }))
         .count()
 }
 
-/// Requests `n` new objects whose fills end with this outcome, where fills of stored copies succeed; counts the fills that
-/// may reach the origin, and those of stored copies only.
-pub fn fill_with_fault(
-    front: &mut Front,
+/// Requests `n` new objects. Fills that may reach the origin end with `outcome`, fills from stored copies succeed.
+/// Returns the number of each.
+pub fn fill_new_objects(
+    host: &mut TestHost,
     from: u64,
     n: u64,
     outcome: Outcome,
-    note: CacheStatus,
+    cache_status: CacheStatus,
 ) -> (u64, u64) {
-    let (mut deep, mut shallow) = (0, 0);
+    let (mut unrestricted, mut cached_only) = (0, 0);
     for object in from..from + n {
-        front.now += 300 * MS;
-        let (_, actions) = front.request(0, object);
-        for fetch in fetches(&actions).iter().filter(|f| f.source != f.cache) {
-            deep += !fetch.only_if_cached as u64;
-            shallow += fetch.only_if_cached as u64;
-            let (outcome, note) = if fetch.only_if_cached {
+        host.now += 300 * MS;
+        let (_, actions) = host.request(0, object);
+        for fetch in fetches(&actions)
+            .iter()
+            .filter(|fetch| fetch.source != fetch.cache)
+        {
+            unrestricted += !fetch.only_if_cached as u64;
+            cached_only += fetch.only_if_cached as u64;
+            let (outcome, cache_status) = if fetch.only_if_cached {
                 (Outcome::Served, CacheStatus::Filled)
             } else {
-                (outcome, note)
+                (outcome, cache_status)
             };
-            front.now += 20 * MS;
-            front.outcome(fetch, 0, outcome, note);
+            host.now += 20 * MS;
+            host.outcome(fetch, 0, outcome, cache_status);
         }
     }
-    (deep, shallow)
+    (unrestricted, cached_only)
 }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,4 +1,5 @@
-//! The hard cases of a deployment without parents, whose classes go stale in seconds. Drawn settings: tests/settings.rs.
+//! Difficult cases of a deployment without parents whose copies go stale within seconds. `tests/settings` covers
+//! generated settings.
 mod common;
 use common::*;
 use foldmux::interface::*;
@@ -6,170 +7,176 @@
 #[test]
 fn a_non_idempotent_request_whose_connection_breaks_is_retried_only_where_nothing_was_written() {
     let list = members_of(4, 0, 0);
-    // Before the write: proof that nothing ran. During or after it: it may have run.
-    for (end, again) in [
+    // Broken before anything was written, the request was certainly not processed; afterwards it may have been.
+    for (outcome, is_retried) in [
         (Outcome::ConnectFailed, true),
         (Outcome::NeverSent, true),
         (Outcome::Reset, false),
     ] {
-        let mut front = Front::new(stale_pages(), list.clone());
-        let first = only_fetch(&front.request(1, 7).1);
-        let next = front.outcome(&first, 0, end, CacheStatus::Unknown);
-        assert_eq!(fetches(&next).len(), again as usize, "{end:?}: {next:?}");
+        let mut host = TestHost::new(settings_with_short_freshness(), list.clone());
+        let first = only_fetch(&host.request(1, 7).1);
+        let next = host.outcome(&first, 0, outcome, CacheStatus::Unknown);
+        assert_eq!(
+            fetches(&next).len(),
+            is_retried as usize,
+            "{outcome:?}: {next:?}"
+        );
         assert_eq!(
             matches!(next[..], [Action::Fail { .. }]),
-            !again,
-            "{end:?}: failed, not refused"
+            !is_retried,
+            "{outcome:?}: failed, not rejected"
         );
     }
 }
 
 #[test]
 fn a_purge_of_most_groups_at_once_bounds_every_request_within_stale_while_revalidate() {
-    let mut front = Front::new(stale_pages(), members_of(4, 3, 0));
+    let mut host = TestHost::new(settings_with_short_freshness(), members_of(4, 3, 0));
     for k in 0..60 {
-        front.serve(k, CacheStatus::Unknown);
+        host.serve_request(k, CacheStatus::Unknown);
     }
     for group in 0..32 {
-        front.event(Event::Purged {
+        host.event(Event::Purged {
             object: None,
             group,
             age: 100 * MS,
         });
     }
     for k in 0..60 {
-        front.now += 20 * MS;
-        for fetch in fetches(&front.request(0, k).1) {
+        host.now += 20 * MS;
+        for fetch in fetches(&host.request(0, k).1) {
             assert!(
                 fetch.max_age >= 1 && fetch.max_age <= 100 * MS + 20 * MS * (k + 1),
                 "{k}: {}",
                 fetch.max_age
             );
-            front.outcome(&fetch, 0, Outcome::Served, CacheStatus::Unknown);
+            host.outcome(&fetch, 0, Outcome::Served, CacheStatus::Unknown);
         }
     }
 }
 
 #[test]
 fn a_zone_of_one_cache_keeps_serving_while_it_is_replaced() {
-    let mut front = Front::new(stale_pages(), members_of(1, 3, 0));
+    let mut host = TestHost::new(settings_with_short_freshness(), members_of(1, 3, 0));
     for k in 0..40 {
-        assert_eq!(front.serve(k, CacheStatus::Unknown).cache.0, 10);
+        assert_eq!(host.serve_request(k, CacheStatus::Unknown).cache.0, 10);
     }
     let gone = Member {
         state: MemberState::Gone,
         ..member(10, 2, 0)
     };
-    front.event(Event::Members {
+    host.event(Event::Members {
         full: false,
         members: vec![gone],
     });
     assert_eq!(
-        finals(&front.request(0, 1).1),
+        final_results(&host.request(0, 1).1),
         1,
-        "nobody may take it: answered at once"
+        "no cache may take it: rejected at once"
     );
-    let boot = front.now;
-    front.event(Event::Members {
+    let started_at = host.now;
+    host.event(Event::Members {
         full: false,
         members: vec![Member {
-            started_at: boot,
+            started_at,
             ..member(11, 2, 0)
         }],
     });
     let mut sent = 0;
     for k in 100..400 {
-        front.now += 40 * MS;
-        for fetch in fetches(&front.request_of(0, k, 500.0).1) {
+        host.now += 40 * MS;
+        for fetch in fetches(&host.request_of(0, k, 500.0).1) {
             assert_eq!(fetch.cache.0, 11);
             sent += 1;
-            front.outcome(&fetch, 0, Outcome::Served, CacheStatus::Unknown);
+            host.outcome(&fetch, 0, Outcome::Served, CacheStatus::Unknown);
         }
     }
-    assert!(sent > 30, "the cold cache has its share: {sent}");
+    assert!(sent > 30, "the new cache is used: {sent}");
 }
 
 #[test]
 fn replacing_all_caches_of_a_zone_within_twenty_seconds_leaves_no_attempt_at_a_removed_one() {
-    let mut front = Front::new(stale_pages(), members_of(5, 3, 0));
+    let mut host = TestHost::new(settings_with_short_freshness(), members_of(5, 3, 0));
     let mut listed: Vec<u32> = (10..15).collect();
-    let (mut served, mut asked) = (0, 0);
+    let (mut served, mut requested) = (0, 0);
     for k in 0..500u64 {
-        front.now += 40 * MS;
+        host.now += 40 * MS;
         if k % 100 == 50 {
-            let (old, new, boot) = (listed.remove(0), 50 + k as u32 / 100, front.now);
+            let (old, new, started_at) = (listed.remove(0), 50 + k as u32 / 100, host.now);
             let drained = Member {
                 state: MemberState::Draining,
                 ..member(old, 2, 0)
             };
             let started = Member {
-                started_at: boot,
+                started_at,
                 ..member(new, 2, 0)
             };
-            front.event(Event::Members {
+            host.event(Event::Members {
                 full: false,
                 members: vec![drained, started],
             });
             listed.push(new);
         }
-        asked += 1;
-        for fetch in fetches(&front.request(0, k % 80).1) {
-            assert!(listed.contains(&fetch.cache.0), "{} went", fetch.cache.0);
+        requested += 1;
+        for fetch in fetches(&host.request(0, k % 80).1) {
+            assert!(
+                listed.contains(&fetch.cache.0),
+                "{} was removed",
+                fetch.cache.0
+            );
             served += 1;
-            front.outcome(&fetch, 0, Outcome::Served, CacheStatus::Unknown);
+            host.outcome(&fetch, 0, Outcome::Served, CacheStatus::Unknown);
         }
     }
-    assert!(served * 10 > asked * 8, "{served} of {asked}");
+    assert!(served * 10 > requested * 8, "{served} of {requested}");
 }
 
 #[test]
 fn objects_of_twenty_one_times_the_size_do_not_close_the_gates_for_others() {
-    let mut front = Front::new(stale_pages(), members_of(4, 3, 0));
-    let mut refused = 0;
+    let mut host = TestHost::new(settings_with_short_freshness(), members_of(4, 3, 0));
+    let mut rejected = 0;
     for k in 0..600u64 {
-        front.now += 30 * MS;
-        let huge = k % 40 == 0;
-        let (_, actions) = front.request_of(0, 1_000 + k, if huge { 500.0 * 21.0 } else { 500.0 });
-        refused += finals(&actions);
+        host.now += 30 * MS;
+        let is_large = k % 40 == 0;
+        let (_, actions) =
+            host.request_of(0, 1_000 + k, if is_large { 500.0 * 21.0 } else { 500.0 });
+        rejected += final_results(&actions);
         for fetch in fetches(&actions) {
-            // The link carries each at its pace: a huge one takes 21 times as long, and is in time.
-            let work = if huge { 21 * 50 * MS } else { 50 * MS };
-            front.outcome_after(
+            // The link transfers each at full rate: a large one takes 21 times as long and still meets its objective.
+            let transfer_time = if is_large { 21 * 50 * MS } else { 50 * MS };
+            host.outcome_after(
                 &fetch,
                 0,
                 Outcome::Served,
                 CacheStatus::Unknown,
-                work + 60 * MS,
+                transfer_time + 60 * MS,
             );
         }
     }
-    assert_eq!(
-        refused, 0,
-        "nothing is turned away for being beside a large one"
-    );
+    assert_eq!(rejected, 0, "requests rejected beside large transfers");
 }
 
 #[test]
 fn a_copy_at_the_end_of_stale_while_revalidate_is_requested_and_its_miss_is_retried() {
-    let mut front = Front::new(stale_pages(), members_of(4, 3, 0));
+    let mut host = TestHost::new(settings_with_short_freshness(), members_of(4, 3, 0));
     for k in 0..20 {
-        front.serve(k, CacheStatus::Unknown);
+        host.serve_request(k, CacheStatus::Unknown);
     }
-    // Fills are late, so that few may be out: older copies will do, to the very edge and not beyond.
+    // Late fills lower the limit of fills: stale copies are then accepted, up to the maximum age.
     for first in (100..160)
-        .flat_map(|k| fetches(&front.request(0, k).1))
+        .flat_map(|k| fetches(&host.request(0, k).1))
         .collect::<Vec<_>>()
     {
         let fills = match first.source.0 {
             40 => vec![(first, 0)],
-            // The sibling that was asked first has none.
-            _ => fetches(&front.outcome(&first, 0, Outcome::Miss, CacheStatus::Unknown))
+            // The sibling that is queried first has no copy.
+            _ => fetches(&host.outcome(&first, 0, Outcome::Miss, CacheStatus::Unknown))
                 .into_iter()
                 .map(|f| (f, 1))
                 .collect(),
         };
         for (fill, attempt) in fills {
-            front.outcome_after(
+            host.outcome_after(
                 &fill,
                 attempt,
                 Outcome::TimedOut,
@@ -178,29 +185,30 @@
             );
         }
     }
-    front.now += 2 * SECOND;
-    let (edge, mut asked) = (42 * SECOND, 0);
+    host.now += 2 * SECOND;
+    let (longest_age, mut requested) = (42 * SECOND, 0);
     for k in 0..20 {
-        let (_, actions) = front.request(0, k);
+        let (_, actions) = host.request(0, k);
         for fetch in fetches(&actions) {
-            assert!(fetch.max_age <= edge, "{} us", fetch.max_age);
-            asked += (fetch.max_age == edge) as u32;
-            // By the cache's clock it is 1 ms too old: a miss never ran, and the request goes on or is refused.
-            let next = front.outcome(&fetch, 0, Outcome::Miss, CacheStatus::Unknown);
-            let refused = matches!(next[..], [Action::Reject { .. }]);
-            assert!(refused || fetches(&next).len() == 1, "{next:?}");
-            assert!(fetches(&next).iter().all(|f| f.max_age <= edge));
+            assert!(fetch.max_age <= longest_age, "{} us", fetch.max_age);
+            requested += (fetch.max_age == longest_age) as u32;
+            // The copy is too old by the cache's clock. A miss was not processed, so the request is retried or
+            // rejected.
+            let next = host.outcome(&fetch, 0, Outcome::Miss, CacheStatus::Unknown);
+            let rejected = matches!(next[..], [Action::Reject { .. }]);
+            assert!(rejected || fetches(&next).len() == 1, "{next:?}");
+            assert!(fetches(&next).iter().all(|f| f.max_age <= longest_age));
         }
     }
-    assert!(asked > 0, "copies past their fresh time are asked for");
-    // With a purge since, the edge is the purge's.
-    front.event(Event::Purged {
+    assert!(requested > 0, "stale copies are requested");
+    // After a purge, the purge sets the maximum age.
+    host.event(Event::Purged {
         object: None,
         group: 5,
         age: 100 * MS,
     });
-    front.now += 10 * MS;
-    for fetch in (0..20).flat_map(|k| fetches(&front.request(0, k).1)) {
+    host.now += 10 * MS;
+    for fetch in (0..20).flat_map(|k| fetches(&host.request(0, k).1)) {
         assert!(
             (1..=110 * MS).contains(&fetch.max_age),
             "{} us",
@@ -209,47 +217,48 @@
     }
 }
 
-/// What is out at a small world of caches that hold what was filled, and an origin of some latency.
-struct World {
-    front: Front,
-    held: std::collections::HashSet<(u32, u64)>,
-    out: Vec<(Time, Fetch, u8, Outcome)>,
+/// A simulation of caches that store what was filled, and of an origin with a given latency.
+struct Simulation {
+    host: TestHost,
+    stored: std::collections::HashSet<(u32, u64)>,
+    in_flight: Vec<(Time, Fetch, u8, Outcome)>,
     objects: std::collections::HashMap<RequestId, u64>,
 }
 
-impl World {
-    /// Asks for an object, and plays what is due until the next 20 ms; how the requests that ended meanwhile went.
+impl Simulation {
+    /// Requests an object and delivers the outcomes due within the next 20 ms. Returns the object of each request that
+    /// ended meanwhile, and whether it was served.
     fn step(&mut self, object: u64, origin: Time) -> Vec<(u64, bool)> {
         let mut ended = Vec::new();
-        let (id, actions) = self.front.request(0, object);
+        let (id, actions) = self.host.request(0, object);
         self.objects.insert(id, object);
         self.carry_out(&actions, 0, origin, &mut ended);
-        let until = self.front.now + 20 * MS;
-        while let Some(at) = (0..self.out.len())
-            .min_by_key(|&k| self.out[k].0)
-            .filter(|&k| self.out[k].0 <= until)
+        let until = self.host.now + 20 * MS;
+        while let Some(at) = (0..self.in_flight.len())
+            .min_by_key(|&k| self.in_flight[k].0)
+            .filter(|&k| self.in_flight[k].0 <= until)
         {
-            let (due, fetch, attempt, outcome) = self.out.swap_remove(at);
-            self.front.now = self.front.now.max(due);
+            let (due, fetch, attempt, outcome) = self.in_flight.swap_remove(at);
+            self.host.now = self.host.now.max(due);
             let object = self.objects[&fetch.id];
-            let took = if fetch.source.0 == 40 && outcome == Outcome::Served {
+            let elapsed = if fetch.source.0 == 40 && outcome == Outcome::Served {
                 origin
             } else {
                 60 * MS
             };
             let next =
-                self.front
-                    .outcome_after(&fetch, attempt, outcome, CacheStatus::Unknown, took);
+                self.host
+                    .outcome_after(&fetch, attempt, outcome, CacheStatus::Unknown, elapsed);
             match outcome {
                 Outcome::Served => {
-                    self.held.insert((fetch.cache.0, object));
+                    self.stored.insert((fetch.cache.0, object));
                     ended.push((object, true));
                 }
                 _ => self.carry_out(&next, attempt + 1, origin, &mut ended),
             }
         }
-        self.front.now = until;
-        self.front.event(Event::Timer { token: 1 });
+        self.host.now = until;
+        self.host.event(Event::Timer { token: 1 });
         ended
     }
 
@@ -263,19 +272,23 @@
         for action in actions {
             match action {
                 Action::Fetch(fetch) => {
-                    let held = self
-                        .held
+                    let stored = self
+                        .stored
                         .contains(&(fetch.cache.0, self.objects[&fetch.id]));
-                    let (took, how) = match (held, fetch.source.0) {
+                    let (elapsed, outcome) = match (stored, fetch.source.0) {
                         (true, _) => (60 * MS, Outcome::Served),
                         (_, 40) => (origin, Outcome::Served),
                         _ => (10 * MS, Outcome::Miss),
                     };
-                    let out_of_time = fetch.timeout > 0 && took > fetch.timeout;
-                    let how = if out_of_time { Outcome::TimedOut } else { how };
-                    let took = if out_of_time { fetch.timeout } else { took };
-                    self.out
-                        .push((self.front.now + took, fetch.clone(), attempt, how));
+                    let out_of_time = fetch.timeout > 0 && elapsed > fetch.timeout;
+                    let outcome = if out_of_time {
+                        Outcome::TimedOut
+                    } else {
+                        outcome
+                    };
+                    let elapsed = if out_of_time { fetch.timeout } else { elapsed };
+                    self.in_flight
+                        .push((self.host.now + elapsed, fetch.clone(), attempt, outcome));
                 }
                 Action::Reject { id, .. } | Action::Fail { id } => {
                     ended.push((self.objects[id], false))
@@ -289,45 +302,49 @@
 #[test]
 fn with_an_origin_five_times_slower_and_no_parent_stored_copies_are_served_and_fills_do_not_pile_up(
 ) {
-    let front = Front::new(stale_pages(), members_of(4, 3, 0));
-    let mut world = World {
-        front,
-        held: Default::default(),
-        out: Vec::new(),
+    let host = TestHost::new(settings_with_short_freshness(), members_of(4, 3, 0));
+    let mut simulation = Simulation {
+        host,
+        stored: Default::default(),
+        in_flight: Vec::new(),
         objects: Default::default(),
     };
     let mut new = 1_000_000;
-    // Two of three ask for one of 60 objects, the third for a new one.
-    let mut spell = |world: &mut World, steps: u64, origin: Time| {
-        let (mut hot, mut cold, mut most) = ([0; 2], [0; 2], 0);
+    // Two of three requests are for one of 60 objects, the third is for a new one.
+    let mut run_steps = |simulation: &mut Simulation, steps: u64, origin: Time| {
+        let (mut known, mut unknown, mut most_fills) = ([0; 2], [0; 2], 0);
         for k in 0..steps {
             new += (k % 3 == 0) as u64;
             let object = if k % 3 == 0 { new } else { k * 7 % 60 };
-            for (object, served) in world.step(object, origin) {
-                let count = if object < 60 { &mut hot } else { &mut cold };
+            for (object, served) in simulation.step(object, origin) {
+                let count = if object < 60 {
+                    &mut known
+                } else {
+                    &mut unknown
+                };
                 count[served as usize] += 1;
             }
-            most = most.max(
-                world
-                    .out
+            most_fills = most_fills.max(
+                simulation
+                    .in_flight
                     .iter()
                     .filter(|o| o.1.source.0 == 40 && o.3 != Outcome::Miss)
                     .count(),
             );
         }
-        let part = |[not, served]: [u64; 2]| served as f64 / (not + served).max(1) as f64;
-        (part(hot), part(cold), most)
+        let served_ratio = |[not, served]: [u64; 2]| served as f64 / (not + served).max(1) as f64;
+        (served_ratio(known), served_ratio(unknown), most_fills)
     };
-    let before = spell(&mut world, 1_000, 150 * MS);
-    let slow = spell(&mut world, 900, 5 * 150 * MS);
-    let after = spell(&mut world, 1_000, 150 * MS);
+    let before = run_steps(&mut simulation, 1_000, 150 * MS);
+    let slow = run_steps(&mut simulation, 900, 5 * 150 * MS);
+    let after = run_steps(&mut simulation, 1_000, 150 * MS);
     println!(
-        "served of what is held, of what is new, most fills out: {before:?}, slow {slow:?}, after {after:?}"
+        "served of known objects, of new objects, most fills in flight: {before:?}, slow {slow:?}, after {after:?}"
     );
     assert!(before.0 > 0.95 && before.1 > 0.9, "{before:?}");
-    assert!(slow.0 > 0.9, "what is held is served on: {slow:?}");
+    assert!(slow.0 > 0.9, "stored copies are still served: {slow:?}");
     assert!(
         after.1 > 0.5,
-        "and fills come back with the origin: {after:?}"
+        "fills resume once the origin recovers: {after:?}"
     );
 }
--- a/tests/fetch_bounds.rs
+++ b/tests/fetch_bounds.rs
@@ -1,11 +1,11 @@
-//! The bounds on one attempt: the age of a copy, and before when the first byte of a repeat must leave.
+//! The bounds on an attempt: the age of a copy, and the time before which a retry must be sent.
 
 mod common;
 
 use common::*;
 use foldmux::interface::*;
 
-/// How long the caches remember a keyed request.
+/// How long the caches remember an idempotency key.
 const WINDOW: Time = 2 * SECOND;
 
 #[test]
@@ -19,8 +19,8 @@
 
 #[test]
 fn the_earlier_send_bound_holds_and_excludes_its_own_moment() {
-    let mut front = Front::new(settings(), members());
-    let (_, actions) = front.request(0, 1);
+    let mut host = TestHost::new(settings(), members());
+    let (_, actions) = host.request(0, 1);
     let mut fetch = only_fetch(&actions);
     assert_eq!(fetch.send_before, 0);
     assert!([0, START, Time::MAX].iter().all(|now| fetch.may_send(*now)));
@@ -34,45 +34,49 @@
     assert_eq!([399, 400].map(|now| fetch.may_send(now)), [true, false]);
 }
 
-/// The bounds on the first bytes of a request's attempts, where `repeat` says what may follow and the first ended so.
-fn bounds(repeat: RetrySafety, first_end: Outcome) -> (Time, Option<Time>) {
-    let mut choice = settings();
-    choice.classes[1] = Class {
-        retry_safety: repeat,
+/// The `send_before` of a request's first attempt, which ends with `first_outcome`, and of its retry, if any.
+fn bounds(retry_safety: RetrySafety, first_outcome: Outcome) -> (Time, Option<Time>) {
+    let mut config = settings();
+    config.classes[1] = Class {
+        retry_safety,
         idempotency_window: WINDOW,
-        ..choice.classes[1].clone()
+        ..config.classes[1].clone()
     };
-    let mut front = Front::new(choice, members());
-    let sent = front.now;
-    let (_, actions) = front.request(1, 5);
+    let mut host = TestHost::new(config, members());
+    let sent = host.now;
+    let (_, actions) = host.request(1, 5);
     let first = only_fetch(&actions);
-    front.now += 300 * MS;
-    let then = front.outcome(&first, 0, first_end, CacheStatus::Unknown);
+    host.now += 300 * MS;
+    let next = host.outcome(&first, 0, first_outcome, CacheStatus::Unknown);
     assert_eq!(sent, START);
     (
         first.send_before,
-        fetches(&then).first().map(|fetch| fetch.send_before),
+        fetches(&next).first().map(|fetch| fetch.send_before),
     )
 }
 
 #[test]
 fn a_keyed_retry_must_be_sent_while_the_caches_remember_the_key() {
     let keyed = RetrySafety::Keyed(KeyScope::All);
-    for may_have_run in [Outcome::Reset, Outcome::TimedOut, Outcome::Cancelled] {
+    for possibly_processed in [Outcome::Reset, Outcome::TimedOut, Outcome::Cancelled] {
         assert_eq!(
-            bounds(keyed, may_have_run),
+            bounds(keyed, possibly_processed),
             (0, Some(START + WINDOW)),
-            "{may_have_run:?}"
+            "{possibly_processed:?}"
         );
     }
-    for never_ran in [Outcome::ConnectFailed, Outcome::NeverSent] {
-        assert_eq!(bounds(keyed, never_ran), (0, Some(0)), "{never_ran:?}");
+    for not_processed in [Outcome::ConnectFailed, Outcome::NeverSent] {
+        assert_eq!(
+            bounds(keyed, not_processed),
+            (0, Some(0)),
+            "{not_processed:?}"
+        );
     }
     assert_eq!(
         bounds(RetrySafety::Idempotent, Outcome::Reset),
         (0, Some(0))
     );
-    // One that may not be repeated gets one attempt.
+    // A request that must not be repeated gets one attempt.
     assert_eq!(
         bounds(RetrySafety::NonIdempotent, Outcome::Reset),
         (0, None)
--- a/tests/formats/bytes.rs
+++ b/tests/formats/bytes.rs
@@ -1,4 +1,4 @@
-//! Fixtures of binary formats: a line `name: hex` for each value.
+//! Fixtures of binary formats: files with a line `name: hex` for each value.
 
 #[path = "text.rs"]
 pub mod text;
--- a/tests/formats/postcard.rs
+++ b/tests/formats/postcard.rs
@@ -1,4 +1,4 @@
-//! Fixtures of formats that are encoded by postcard: the order of fields and variants is the format.
+//! Fixtures of formats that are encoded with postcard, where the order of fields and variants is the format.
 
 #[path = "bytes.rs"]
 mod bytes;
--- a/tests/formats/text.rs
+++ b/tests/formats/text.rs
@@ -1,6 +1,6 @@
 //! Fixtures of stored and sent formats: files with a line `name: text` for each value.
 //!
-//! `WRITE_FIXTURES=1 cargo test -p CRATE` writes them anew, for a format that changes on purpose.
+//! After an intended change of a format, `WRITE_FIXTURES=1 cargo test -p CRATE` rewrites its files.
 
 use std::fmt::Debug;
 use std::fs;
@@ -9,7 +9,7 @@
 ///
 /// # Panics
 ///
-/// Where a line is missing, surplus, in another place, or differs.
+/// Panics if a line is missing, surplus, out of order or different.
 pub fn check<T: Debug>(
     path: &str,
     values: &[(&str, T)],
@@ -25,8 +25,8 @@
     }
     let file = fs::read_to_string(path).expect("the fixtures can be read");
     let lines: Vec<&str> = file.lines().collect();
-    for (now, line) in written.iter().zip(&lines) {
-        assert_eq!(now, line, "{path}: the format has changed");
+    for (encoded, line) in written.iter().zip(&lines) {
+        assert_eq!(encoded, line, "{path}: the format has changed");
     }
     assert_eq!(written.len(), lines.len(), "{path}: one line for a value");
     for ((name, value), line) in values.iter().zip(lines) {
--- a/tests/large_fleet/odd.rs
+++ b/tests/large_fleet/invalid_settings.rs
@@ -1,47 +1,47 @@
-//! Settings and lists that say nothing, or what can't be: no panic, and each request has its one answer.
+//! Invalid settings and member lists: the router does not panic, and each request gets one final result.
 
 use super::*;
 
 type Change = fn(&mut Settings);
 
-/// Rates, times and shares of 0, below 0 and no number.
-const ODD: [(&str, Change); 16] = [
-    ("no pace", |s| s.client_kb_per_s = 0.0),
-    ("a pace below 0", |s| s.client_kb_per_s = -5.0),
-    ("a pace that is no number", |s| s.client_kb_per_s = f64::NAN),
-    ("no fall window", |s| s.overload_window = 0),
-    ("no time to warm", |s| {
+/// Rates, times and ratios that are 0, negative or NaN.
+const INVALID: [(&str, Change); 16] = [
+    ("transfer rate of 0", |s| s.client_kb_per_s = 0.0),
+    ("negative transfer rate", |s| s.client_kb_per_s = -5.0),
+    ("transfer rate of NaN", |s| s.client_kb_per_s = f64::NAN),
+    ("overload window of 0", |s| s.overload_window = 0),
+    ("slow-start time of 0", |s| {
         (s.cache_slow_start_time, s.parent_slow_start_time) = (0, 0)
     }),
-    ("nothing borne while cold", |s| {
+    ("slow-start ratio of 0", |s| {
         (s.cache_slow_start_ratio, s.parent_slow_start_ratio) = (0.0, 0.0)
     }),
-    ("multiples of 0", |s| {
+    ("overload multiples of 0", |s| {
         (s.cache_overload_multiple, s.parent_overload_multiple) = (0.0, 0.0)
     }),
-    ("multiples below 0", |s| {
+    ("negative overload multiples", |s| {
         (s.cache_overload_multiple, s.parent_overload_multiple) = (-1.0, -1.0)
     }),
-    ("multiples that are no number", |s| {
+    ("overload multiples of NaN", |s| {
         (s.cache_overload_multiple, s.parent_overload_multiple) = (f64::NAN, f64::NAN)
     }),
-    ("aims of 0", |s| {
+    ("latency objectives of 0", |s| {
         s.classes
             .iter_mut()
             .for_each(|c| (c.latency_objective, c.latency_objective_stretch) = (0, 0.0))
     }),
-    ("worth below 0", |s| {
+    ("negative weights and late values of NaN", |s| {
         s.classes
             .iter_mut()
             .for_each(|c| (c.priority_weight, c.late_value_ratio) = (-1.0, f64::NAN))
     }),
-    ("no routers told", |s| {
+    ("no routers", |s| {
         (s.router_count, s.routers_by_zone, s.index) = (0, Vec::new(), 0)
     }),
-    ("an index beyond them", |s| s.index = u32::MAX),
-    ("no hubs told", |s| s.hub_by_zone = Vec::new()),
-    ("no wait after a refusal", |s| s.max_retry_after = Some(0)),
-    ("no slack", |s| {
+    ("router index out of range", |s| s.index = u32::MAX),
+    ("no hubs", |s| s.hub_by_zone = Vec::new()),
+    ("Retry-After of 0", |s| s.max_retry_after = Some(0)),
+    ("slack times of 0", |s| {
         (
             s.response_slack,
             s.drain_timeout,
@@ -53,14 +53,14 @@
 
 #[test]
 fn settings_of_0_below_0_or_nan_fail_no_request_and_never_panic() {
-    for (what, change) in ODD {
-        let (mut choice, mut list) = fleet(4, 3, 2);
-        change(&mut choice);
-        let told = fronts(&choice, 12, 4).into_iter().map(|s| {
+    for (name, change) in INVALID {
+        let (mut config, mut list) = fleet(4, 3, 2);
+        change(&mut config);
+        let router_configs = router_settings(&config, 12, 4).into_iter().map(|s| {
             let mut one = Settings {
                 index: s.index,
                 zone: s.zone,
-                ..choice.clone()
+                ..config.clone()
             };
             change(&mut one);
             one
@@ -68,32 +68,32 @@
         list.iter_mut()
             .enumerate()
             .for_each(|(n, m)| m.weight = [0.0, -1.0, f64::NAN, f64::INFINITY][n % 4]);
-        let mut world = World::new(told.collect(), &list, 20.0);
-        world.objects = 50;
-        let mut fails = |s: &Sent| match s.fetch.id.0 % 7 {
+        let mut simulation = Simulation::new(router_configs.collect(), &list, 20.0);
+        simulation.object_count = 50;
+        let mut fails = |s: &SentAttempt| match s.fetch.id.0 % 7 {
             0 => (Outcome::TimedOut, 400 * MS),
             1 => (Outcome::Overloaded, MS),
-            _ => calm(s),
+            _ => healthy(s),
         };
-        world.run(2 * SECOND, &mut fails);
-        // A cold one comes, all copies go void, one leaves.
-        for front in 0..12 {
-            let boot = world.now;
-            let cold = Member {
-                started_at: boot,
+        simulation.run(2 * SECOND, &mut fails);
+        // A cache joins, all copies are purged, another cache leaves.
+        for router in 0..12 {
+            let started_at = simulation.now;
+            let newcomer = Member {
+                started_at,
                 weight: -1.0,
                 ..member(1_050, 2, 0)
             };
-            world.tell(
-                front,
+            simulation.deliver(
+                router,
                 Event::Members {
                     full: false,
-                    members: vec![cold],
+                    members: vec![newcomer],
                 },
                 &mut fails,
             );
-            world.tell(
-                front,
+            simulation.deliver(
+                router,
                 Event::Purged {
                     object: None,
                     group: 5,
@@ -105,8 +105,8 @@
                 state: MemberState::Gone,
                 ..member(1_000, 2, 0)
             };
-            world.tell(
-                front,
+            simulation.deliver(
+                router,
                 Event::Members {
                     full: false,
                     members: vec![gone],
@@ -114,9 +114,13 @@
                 &mut fails,
             );
         }
-        world.run(6 * SECOND, &mut fails);
-        let before = world.now - 4 * SECOND;
-        assert_eq!(world.owed(before), 0, "{what}: requests without an answer");
-        assert!(world.asked > 1_500, "{what}");
+        simulation.run(6 * SECOND, &mut fails);
+        let before = simulation.now - 4 * SECOND;
+        assert_eq!(
+            simulation.unanswered_before(before),
+            0,
+            "{name}: requests without a final result"
+        );
+        assert!(simulation.request_count > 1_500, "{name}");
     }
 }
--- a/tests/large_fleet/main.rs
+++ b/tests/large_fleet/main.rs
@@ -1,21 +1,23 @@
-//! A hundred routers in virtual time, each on its own: returns to a cache that was out, handshakes, shares of what is
-//! cold, judging from few answers, lists that change. Assertions are on what all do together.
+//! A hundred independent routers in virtual time: recovery of ejected caches, connection attempts to failed ones, load
+//! on servers in slow start, ejection after few outcomes, changing member lists. Assertions are on the total of all
+//! routers.
 #[path = "../common/mod.rs"]
 mod common;
-mod judging;
-mod lists;
-mod odd;
-mod returns;
-mod shares;
-#[path = "../common/world.rs"]
-mod world;
+mod ejection;
+mod invalid_settings;
+mod member_lists;
+mod recovery;
+mod shared_load;
+#[path = "../common/simulation.rs"]
+mod simulation;
 
 use common::*;
 use foldmux::interface::*;
-use world::*;
+use simulation::*;
 
-/// New objects: siblings hold nothing, parents fill in 100 ms, the origin in 90 ms; 50 ms of sending on top.
-fn calm(sent: &Sent) -> (Outcome, Time) {
+/// Outcomes of requests for new objects: siblings have no copies, parents fill in 100 ms and the origin in 90 ms, and
+/// the transfer takes another 50 ms.
+fn healthy(sent: &SentAttempt) -> (Outcome, Time) {
     match sent.fetch.source.0 {
         9 => (Outcome::Served, 140 * MS),
         10..14 if !sent.fetch.only_if_cached => (Outcome::Served, 150 * MS),
@@ -24,8 +26,8 @@
     }
 }
 
-/// The most of these times within one window, and their number.
-fn busiest(times: &[Time], window: Time) -> (usize, usize) {
+/// The maximum number of `times` within one window, and their total number.
+fn busiest_window(times: &[Time], window: Time) -> (usize, usize) {
     let within = |from: &Time| {
         times
             .iter()
--- a/tests/request_model/main.rs
+++ b/tests/request_model/main.rs
@@ -1,6 +1,7 @@
-//! The table of requests against a plain one: whatever comes in whatever order - outcomes late, twice or never, members that
-//! go, clients that leave, a router that starts anew - each request is answered once, an attempt is numbered from 0 and
-//! goes to a listed server, and no effect is risked twice.
+//! Checks the router's request state against a simple model over generated events in any order: outcomes that are late,
+//! duplicated or missing, members that leave, clients that disconnect, a restart of the router. Each request gets one
+//! final result, attempts are numbered from 0 and go to listed servers, and no non-idempotent request can be processed
+//! twice.
 #[path = "../common/mod.rs"]
 mod common;
 mod steps;
@@ -12,53 +13,56 @@
 use std::collections::{BTreeMap, BTreeSet};
 use steps::{step, Step};
 
-struct Open {
+struct OpenRequest {
     class: usize,
     deadline: Time,
-    started: bool,
+    response_started: bool,
     attempts: u8,
-    may_have_run: bool,
+    possibly_processed: bool,
 }
 
-struct Table {
-    front: Front,
+struct Model {
+    host: TestHost,
     members: Vec<Member>,
-    open: BTreeMap<RequestId, Open>,
-    out: BTreeSet<(RequestId, u8)>,
+    open: BTreeMap<RequestId, OpenRequest>,
+    in_flight: BTreeSet<(RequestId, u8)>,
     ended: BTreeSet<RequestId>,
 }
 
-impl Table {
-    fn new() -> Table {
-        let (open, out, ended) = Default::default();
-        Table {
-            front: Front::new(settings(), members()),
+impl Model {
+    fn new() -> Model {
+        let (open, in_flight, ended) = Default::default();
+        Model {
+            host: TestHost::new(settings(), members()),
             members: members(),
             open,
-            out,
+            in_flight,
             ended,
         }
     }
 
-    /// Only one that is out, and is known to be, is told of.
-    fn has_out(&self, id: RequestId) -> bool {
-        self.out.range((id, 0)..=(id, u8::MAX)).next().is_some()
+    /// Whether an attempt of the request is in flight.
+    fn has_attempts_in_flight(&self, id: RequestId) -> bool {
+        self.in_flight
+            .range((id, 0)..=(id, u8::MAX))
+            .next()
+            .is_some()
     }
 
-    fn acts(&mut self, actions: Vec<Action>) {
+    fn apply(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Fetch(fetch) => {
-                    let out = self.has_out(fetch.id);
+                    let in_flight = self.has_attempts_in_flight(fetch.id);
                     let request = self
                         .open
                         .get_mut(&fetch.id)
-                        .expect("an attempt for one that is not open");
-                    let single = settings().classes[request.class].retry_safety
+                        .expect("the attempt's request is open");
+                    let non_idempotent = settings().classes[request.class].retry_safety
                         == RetrySafety::NonIdempotent;
                     assert!(
-                        !single || !out && !request.may_have_run,
-                        "an effect is risked twice"
+                        !non_idempotent || !in_flight && !request.possibly_processed,
+                        "a non-idempotent request may be processed twice"
                     );
                     let listed = |cache| {
                         self.members
@@ -69,27 +73,32 @@
                         listed(fetch.cache) && listed(fetch.source),
                         "{fetch:?} is not listed"
                     );
-                    assert!(self.out.insert((fetch.id, request.attempts)));
+                    assert!(self.in_flight.insert((fetch.id, request.attempts)));
                     request.attempts += 1;
                     assert!(u32::from(request.attempts) <= settings().max_attempts);
                 }
                 Action::Reject { id, .. } => {
-                    let out = self.has_out(id);
-                    let request = self.open.remove(&id).expect("refused, and not open");
-                    let single = settings().classes[request.class].retry_safety
+                    let in_flight = self.has_attempts_in_flight(id);
+                    let request = self.open.remove(&id).expect("the rejected request is open");
+                    let non_idempotent = settings().classes[request.class].retry_safety
                         == RetrySafety::NonIdempotent;
                     assert!(
-                        !single || !out && !request.may_have_run,
-                        "refused, and it may have run"
+                        !non_idempotent || !in_flight && !request.possibly_processed,
+                        "rejected, but it may have been processed"
                     );
-                    assert!(self.ended.insert(id), "two answers");
+                    assert!(self.ended.insert(id), "two final results");
                 }
                 Action::Fail { id } => {
-                    assert!(self.open.remove(&id).is_some(), "failed, and not open");
-                    assert!(self.ended.insert(id), "two answers");
+                    assert!(
+                        self.open.remove(&id).is_some(),
+                        "the failed request is not open"
+                    );
+                    assert!(self.ended.insert(id), "two final results");
                 }
                 Action::Cancel { id, attempt } => {
-                    assert!(self.out.contains(&(id, attempt)) && !self.open.contains_key(&id));
+                    assert!(
+                        self.in_flight.contains(&(id, attempt)) && !self.open.contains_key(&id)
+                    );
                 }
                 Action::StartTimer { .. }
                 | Action::HealthCheck { .. }
@@ -99,34 +108,37 @@
         }
     }
 
-    /// One that is open has something out, or has just been answered: none is forgotten.
+    /// Every open request has an attempt in flight.
     fn check(&self) {
         for id in self.open.keys() {
-            assert!(self.has_out(*id), "{id:?} waits for nothing");
+            assert!(
+                self.has_attempts_in_flight(*id),
+                "{id:?} has no attempt in flight"
+            );
         }
     }
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Ask {
+            Step::Request {
                 class,
                 object,
                 budget,
             } => self.request(class, object, budget),
-            Step::Ended {
+            Step::AttemptEnded {
                 which,
                 outcome,
-                note,
-            } => self.end_attempt(which, outcome, note),
-            Step::Stray {
+                cache_status,
+            } => self.end_attempt(which, outcome, cache_status),
+            Step::UnknownAttempt {
                 id,
                 attempt,
                 outcome,
             } => self.report_unknown(RequestId(id), attempt, outcome),
-            Step::Started(which) => self.start_response(which),
-            Step::Gone(which) => self.disconnect(which),
-            Step::Pass(time) => self.pass(time),
-            Step::Member { which, state } => self.change_member(which, state),
+            Step::ResponseStarted(which) => self.start_response(which),
+            Step::ClientDisconnected(which) => self.disconnect(which),
+            Step::AdvanceTime(time) => self.advance_time(time),
+            Step::MemberChanged { which, state } => self.change_member(which, state),
             Step::Purged(object) => {
                 self.event(Event::Purged {
                     object: Some(ObjectId(object)),
@@ -139,37 +151,41 @@
     }
 
     fn event(&mut self, event: Event) {
-        let actions = self.front.event(event);
-        self.acts(actions);
+        let actions = self.host.event(event);
+        self.apply(actions);
     }
 
     fn request(&mut self, class: usize, object: u64, budget: Time) {
-        let id = RequestId(self.front.next + 1);
-        let deadline = self.front.now + budget;
-        let open = Open {
+        let id = RequestId(self.host.last_id + 1);
+        let deadline = self.host.now + budget;
+        let open = OpenRequest {
             class,
             deadline,
-            started: false,
+            response_started: false,
             attempts: 0,
-            may_have_run: false,
+            possibly_processed: false,
         };
         self.open.insert(id, open);
-        let (_, actions) = self.front.request_for(class, object, 500.0, budget);
-        self.acts(actions);
+        let (_, actions) = self.host.request_for(class, object, 500.0, budget);
+        self.apply(actions);
     }
 
     fn end_attempt(&mut self, which: usize, outcome: Outcome, cache_status: CacheStatus) {
-        let Some(&(id, attempt)) = self.out.iter().nth(which % self.out.len().max(1)) else {
+        let Some(&(id, attempt)) = self
+            .in_flight
+            .iter()
+            .nth(which % self.in_flight.len().max(1))
+        else {
             return;
         };
-        self.out.remove(&(id, attempt));
+        self.in_flight.remove(&(id, attempt));
         let last = outcome == Outcome::Served;
         if let Some(request) = self.open.get_mut(&id) {
-            request.may_have_run |= !outcome.not_processed();
+            request.possibly_processed |= !outcome.not_processed();
         }
-        // What is served answers its client, if it was not answered before.
+        // A served attempt ends its request, unless that has ended before.
         if last && self.open.remove(&id).is_some() {
-            assert!(self.ended.insert(id), "two answers");
+            assert!(self.ended.insert(id), "two final results");
         }
         self.event(Event::Outcome(AttemptReport {
             id,
@@ -183,7 +199,7 @@
 
     /// Reports an attempt that is not in flight.
     fn report_unknown(&mut self, id: RequestId, attempt: u8, outcome: Outcome) {
-        if self.out.contains(&(id, attempt)) {
+        if self.in_flight.contains(&(id, attempt)) {
             return;
         }
         let report = AttemptReport {
@@ -195,9 +211,9 @@
             last: false,
         };
         assert_eq!(
-            self.front.event(Event::Outcome(report)),
+            self.host.event(Event::Outcome(report)),
             [],
-            "for what is not out"
+            "the report of an unknown attempt is ignored"
         );
     }
 
@@ -212,7 +228,10 @@
         let Some(id) = self.open_request(which) else {
             return;
         };
-        self.open.get_mut(&id).expect("it is open").started = true;
+        self.open
+            .get_mut(&id)
+            .expect("the request is open")
+            .response_started = true;
         self.event(Event::ResponseStarted { id });
     }
 
@@ -224,15 +243,15 @@
         self.event(Event::ClientDisconnected { id });
     }
 
-    fn pass(&mut self, time: Time) {
-        self.front.now += time;
+    fn advance_time(&mut self, time: Time) {
+        self.host.now += time;
         self.event(Event::Timer { token: 1 });
-        let (now, slack) = (self.front.now, settings().response_slack);
-        let late = self
+        let (now, slack) = (self.host.now, settings().response_slack);
+        let overdue = self
             .open
             .values()
-            .find(|open| !open.started && now >= open.deadline + slack);
-        assert!(late.is_none(), "an answer is overdue");
+            .find(|open| !open.response_started && now >= open.deadline + slack);
+        assert!(overdue.is_none(), "a request is overdue");
     }
 
     fn change_member(&mut self, which: usize, state: MemberState) {
@@ -245,12 +264,12 @@
     }
 
     fn restart(&mut self) {
-        let (now, next) = (self.front.now, self.front.next);
-        *self = Table {
+        let (now, next) = (self.host.now, self.host.last_id);
+        *self = Model {
             members: self.members.clone(),
-            ..Table::new()
+            ..Model::new()
         };
-        (self.front.now, self.front.next) = (now, next);
+        (self.host.now, self.host.last_id) = (now, next);
         self.event(Event::Members {
             full: true,
             members: self.members.clone(),
@@ -265,10 +284,10 @@
     fn each_request_has_one_result_and_none_is_processed_twice(
         steps in prop::collection::vec(step(), 1..150),
     ) {
-        let mut table = Table::new();
+        let mut model = Model::new();
         for step in steps {
-            table.step(step);
-            table.check();
+            model.step(step);
+            model.check();
         }
     }
 }
--- a/tests/request_model/steps.rs
+++ b/tests/request_model/steps.rs
@@ -1,4 +1,4 @@
-//! The generated steps.
+//! The generated steps of the model test.
 
 use crate::common::*;
 use foldmux::interface::*;
@@ -6,27 +6,27 @@
 
 #[derive(Clone, Debug)]
 pub enum Step {
-    Ask {
+    Request {
         class: usize,
         object: u64,
         budget: Time,
     },
-    /// Of one that is out, by its place; it stays unknown where it is lost.
-    Ended {
+    /// An attempt in flight ends; `which` selects it.
+    AttemptEnded {
         which: usize,
         outcome: Outcome,
-        note: CacheStatus,
+        cache_status: CacheStatus,
     },
-    /// Word of one that ended before, or never was.
-    Stray {
+    /// A report for an attempt that ended before or was never sent.
+    UnknownAttempt {
         id: u64,
         attempt: u8,
         outcome: Outcome,
     },
-    Started(usize),
-    Gone(usize),
-    Pass(Time),
-    Member {
+    ResponseStarted(usize),
+    ClientDisconnected(usize),
+    AdvanceTime(Time),
+    MemberChanged {
         which: usize,
         state: MemberState,
     },
@@ -51,7 +51,7 @@
     ])
 }
 
-fn note() -> impl Strategy<Value = CacheStatus> {
+fn cache_status() -> impl Strategy<Value = CacheStatus> {
     use CacheStatus::*;
     prop::sample::select(vec![
         Unknown,
@@ -72,14 +72,15 @@
     ]);
     prop_oneof![
         8 => (0..2usize, 0..6u64, 1..4_000 * MS)
-            .prop_map(|(class, object, budget)| Step::Ask { class, object, budget }),
-        8 => (any::<usize>(), outcome(), note())
-            .prop_map(|(which, outcome, note)| Step::Ended { which, outcome, note }),
-        1 => (0..40u64, 0..4u8, outcome()).prop_map(|(id, attempt, outcome)| Step::Stray { id, attempt, outcome }),
-        1 => any::<usize>().prop_map(Step::Started),
-        1 => any::<usize>().prop_map(Step::Gone),
-        4 => prop_oneof![1..50 * MS, 1..2_000 * MS].prop_map(Step::Pass),
-        2 => (any::<usize>(), state).prop_map(|(which, state)| Step::Member { which, state }),
+            .prop_map(|(class, object, budget)| Step::Request { class, object, budget }),
+        8 => (any::<usize>(), outcome(), cache_status())
+            .prop_map(|(which, outcome, cache_status)| Step::AttemptEnded { which, outcome, cache_status }),
+        1 => (0..40u64, 0..4u8, outcome())
+            .prop_map(|(id, attempt, outcome)| Step::UnknownAttempt { id, attempt, outcome }),
+        1 => any::<usize>().prop_map(Step::ResponseStarted),
+        1 => any::<usize>().prop_map(Step::ClientDisconnected),
+        4 => prop_oneof![1..50 * MS, 1..2_000 * MS].prop_map(Step::AdvanceTime),
+        2 => (any::<usize>(), state).prop_map(|(which, state)| Step::MemberChanged { which, state }),
         1 => (0..6u64).prop_map(Step::Purged),
         1 => Just(Step::Restart),
     ]
--- a/tests/settings/main.rs
+++ b/tests/settings/main.rs
@@ -1,8 +1,9 @@
-//! Whatever the settings say, the rules hold: tenants or none, any classes and effects, short deadlines, costs of 0.
+//! Checks the router's rules for generated settings: with or without tenants, any classes and retry safety, short
+//! deadlines, costs of 0.
 #[path = "../common/mod.rs"]
 mod common;
-mod drawn;
-mod extreme;
+mod extremes;
+mod generated;
 mod rules;
 
 use common::*;
@@ -25,21 +26,24 @@
     #![proptest_config(config(26))]
 
     #[test]
-    fn whatever_the_settings_say_the_rules_hold(
-        drawn in drawn::drawn(), own in 0u32..6, others in 0u32..5, parents in 0u32..4,
+    fn the_rules_hold_for_any_settings(
+        generated in generated::generated_settings(), own in 0u32..6, siblings in 0u32..5, parents in 0u32..4,
         steps in prop::collection::vec(steps(), 50..400),
     ) {
-        let choice = drawn.settings();
-        let mut list = members_of(own, others, if choice.parent_kind.is_some() { parents } else { 0 });
+        let config = generated.settings();
+        let mut list = members_of(own, siblings, if config.parent_kind.is_some() { parents } else { 0 });
         list.iter_mut().for_each(|m| m.cell = (m.cache.0 % 2) as u16);
-        let mut model = Model::new(choice, list.clone());
-        let bare = foldmux_settings::parse(&drawn.bare).expect("no tenants, no costs").settings;
-        let mut plain = Model::new(bare, list);
+        let mut model = Model::new(config, list.clone());
+        let without_tenants = foldmux_settings::parse(&generated.without_tenants)
+            .expect("settings without tenants and costs are valid")
+            .settings;
+        let mut plain = Model::new(without_tenants, list);
         for (wait, step) in steps {
-            let [actions, same] = [&mut model, &mut plain].map(|m| m.step(wait, step.clone()).unwrap_or_default());
+            let [actions, plain_actions] =
+                [&mut model, &mut plain].map(|m| m.step(wait, step.clone()).unwrap_or_default());
             model.check(&actions)?;
-            plain.check(&same)?;
-            prop_assert_eq!(actions, same, "tenants and costs change no choice of server");
+            plain.check(&plain_actions)?;
+            prop_assert_eq!(actions, plain_actions, "tenants and costs change no decision");
         }
         model.end()?;
     }
--- a/tests/slow_start_fleet/main.rs
+++ b/tests/slow_start_fleet/main.rs
@@ -1,89 +1,95 @@
-//! Cold caches and parents under 20 to 30 routers of one zone, each of which may send less than one request in the window
-//! of the settings. Of all sends together, one may get no more than N + 2 x root of N + 2 in any window, N being what the
-//! settings allow it then.
+//! Caches and parents in slow start under the load of 20 to 30 routers of one zone, each of which may send less than
+//! one request per overload window. All routers together may send a server at most N + 2 * sqrt(N) + 2 requests in any
+//! window, where N is the number that the settings allow at that time.
 #[path = "../common/mod.rs"]
 mod common;
 mod fleet;
 #[allow(dead_code)]
-#[path = "../common/world.rs"]
-mod world;
+#[path = "../common/simulation.rs"]
+mod simulation;
 
 use common::*;
 use fleet::*;
 use foldmux::interface::*;
 
-/// Every draw of settings under even and uneven traffic: all windows that broke the bound.
-fn broken(target: Target, draws: &[Draw]) -> Vec<String> {
-    let mut broken = Vec::new();
-    for draw in draws {
+/// Simulates all parameters with even and uneven traffic and returns the results that exceed the bound.
+fn violations(target: Target, all_parameters: &[Parameters]) -> Vec<String> {
+    let mut violations = Vec::new();
+    for parameters in all_parameters {
         for uneven in [false, true] {
-            let played = play(
+            let sent_load = simulate(
                 target,
-                &Play {
-                    draw: *draw,
+                &Scenario {
+                    parameters: *parameters,
                     uneven,
-                    told: draw.routers,
+                    configured_routers: parameters.routers,
                 },
             );
-            println!("{target:?} uneven {uneven} {draw:?}: {played}");
-            if played.worst.is_some_and(|worst| worst.over > 0.0) {
-                broken.push(format!("{target:?} uneven {uneven} {draw:?}: {played}"));
+            println!("{target:?} uneven {uneven} {parameters:?}: {sent_load}");
+            if sent_load.worst.is_some_and(|worst| worst.excess > 0.0) {
+                violations.push(format!(
+                    "{target:?} uneven {uneven} {parameters:?}: {sent_load}"
+                ));
             }
         }
     }
-    broken
+    violations
 }
 
 #[test]
-fn caches_in_slow_start_bear_the_load_of_all_routers() {
-    let broken = broken(Target::Cache, &DRAWS);
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+fn caches_in_slow_start_are_not_overloaded_by_all_routers_together() {
+    let violations = violations(Target::Cache, &PARAMETERS);
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 #[test]
-fn parents_in_slow_start_bear_the_fills_of_all_routers() {
-    let broken = broken(Target::Parent, &DRAWS);
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+fn parents_in_slow_start_are_not_overloaded_by_all_routers_together() {
+    let violations = violations(Target::Parent, &PARAMETERS);
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// Where each router sees a request in two windows at least: with fewer, the turns of those that may send pass unused.
+/// Only with at least one request per router in two windows: with fewer, routers have no request when it is their turn.
 #[test]
 fn caches_in_slow_start_are_used_as_they_warm_up() {
-    let seen = |draw: &Draw| draw.rate * draw.window as f64 / SECOND as f64;
-    for draw in DRAWS.iter().filter(|draw| seen(draw) >= 0.5) {
-        let played = play(
+    let seen = |parameters: &Parameters| parameters.rate * parameters.window as f64 / SECOND as f64;
+    for parameters in PARAMETERS
+        .iter()
+        .filter(|parameters| seen(parameters) >= 0.5)
+    {
+        let sent_load = simulate(
             Target::Cache,
-            &Play {
-                draw: *draw,
+            &Scenario {
+                parameters: *parameters,
                 uneven: true,
-                told: draw.routers,
+                configured_routers: parameters.routers,
             },
         );
-        assert!(played.sent > 0, "{draw:?}: {played}");
+        assert!(sent_load.sent > 0, "{parameters:?}: {sent_load}");
     }
 }
 
-/// The number that the settings tell is not used: what a router may send follows from what it is asked for and sees served.
+/// A router's share of the slow-start budget follows from its offered and served load, not from the configured number
+/// of routers.
 #[test]
 fn the_configured_number_of_routers_changes_nothing() {
-    for draw in &DRAWS {
-        let told = |told| {
-            play(
+    for parameters in &PARAMETERS {
+        let simulate_with = |configured_routers| {
+            simulate(
                 Target::Cache,
-                &Play {
-                    draw: *draw,
+                &Scenario {
+                    parameters: *parameters,
                     uneven: true,
-                    told,
+                    configured_routers,
                 },
             )
         };
-        let right = told(draw.routers);
+        let expected = simulate_with(parameters.routers);
         for wrong in [1, 5, 300] {
             assert_eq!(
-                told(wrong),
-                right,
-                "{wrong} told of {}: {draw:?}",
-                draw.routers
+                simulate_with(wrong),
+                expected,
+                "{wrong} configured of {}: {parameters:?}",
+                parameters.routers
             );
         }
     }
