--- a/edge/proxy/src/fleet/services.rs
+++ b/edge/proxy/src/fleet/services.rs
@@ -36,7 +36,7 @@
 #[derive(Default)]
 pub struct PreparedServices {
     cover: Option<(PreparedCover, Port<foldmux_takeover::Command>)>,
-    relay: Option<(JournalRelay, Port<foldmux_relay::Ask>)>,
+    relay: Option<(JournalRelay, Port<foldmux_relay::Command>)>,
     pools: Option<Arc<PoolPermits>>,
     descriptions: Vec<String>,
 }
@@ -159,7 +159,7 @@
     /// Hands over at once what other processes can continue.
     pub fn leave(&self) {
         self.cover.iter().for_each(RunningCover::leave);
-        self.relay.iter().for_each(|relay| relay.readers.leave());
+        self.relay.iter().for_each(|relay| relay.readers.drain());
         self.pools.iter().for_each(|pools| pools.leave());
     }
 
--- a/edge/proxy/src/journal.rs
+++ b/edge/proxy/src/journal.rs
@@ -87,7 +87,10 @@
         let Some(entries) = following(&feed.entries, 0) else {
             return false;
         };
-        let Some(last) = entries.last().filter(|last| last.pos == feed.last()) else {
+        let Some(last) = entries
+            .last()
+            .filter(|last| last.pos == feed.last_position())
+        else {
             return false;
         };
         let has_snapshot = |entry: &&Entry| entry.hosts.as_ref().is_some_and(|list| list.snapshot);
@@ -108,7 +111,7 @@
         else {
             return self.apply_entries(entries, None);
         };
-        entries.iter().for_each(|entry| readers.count(entry));
+        entries.iter().for_each(|entry| readers.record(entry));
         let mut newest_index = newest_index.lock().unwrap_or_else(PoisonError::into_inner);
         self.apply_entries(entries, Some(&mut newest_index));
     }
--- a/edge/proxy/src/journal/poll.rs
+++ b/edge/proxy/src/journal/poll.rs
@@ -3,7 +3,7 @@
 use super::request::{PollError, PollRequest, MAX_RESPONSE, RESPONSE_TIMEOUT};
 use super::service::{JournalService, Location};
 use super::{EventBatch, JournalClient};
-use crate::backoff::{Backoff, LONGEST as MAX_BACKOFF};
+use crate::backoff::{Backoff, MAX_DELAY as MAX_BACKOFF};
 use foldmux_event_stream::StreamReaders;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -76,11 +76,11 @@
             // Without a pause this would spin where the service does not hold requests for as long as they ask.
             Ok(Polled::NoEvents) if asked.elapsed() < max_wait / 2 => {
                 self.report_fed();
-                let pause = backoff.failed();
+                let pause = backoff.next_delay();
                 self.service.sleep_unless_moved(location.moves, pause);
             }
             Ok(_) => {
-                backoff.well();
+                backoff.reset();
                 self.report_fed();
             }
             // A poll that was ended by a move says nothing of the service.
@@ -89,14 +89,14 @@
                     .service
                     .sleep_unless_moved(location.moves, Duration::ZERO) =>
             {
-                backoff.well()
+                backoff.reset()
             }
             Err(error) => {
-                let pause = backoff.failed();
+                let pause = backoff.next_delay();
                 tracing::warn!("journal service: {error}; asking again in {pause:?}");
                 self.service.close_connection();
                 if let Some(readers) = &self.shared {
-                    readers.unfed();
+                    readers.on_source_failure();
                 }
                 self.service.sleep_unless_moved(location.moves, pause);
             }
@@ -106,21 +106,21 @@
     /// After a while without polls, what there is now is requested at once.
     fn next_wait(&self, backoff: &mut Backoff) -> Duration {
         let shared = self.shared.as_ref();
-        match shared.is_some_and(|readers| readers.gate.pass()) {
+        match shared.is_some_and(|readers| readers.gate.wait_until_open()) {
             true => Duration::ZERO,
-            false => backoff.hold(MAX_WAIT),
+            false => backoff.poll_wait(MAX_WAIT),
         }
     }
 
     /// Whether another process of the site reads the service now.
     fn is_gate_shut(&self) -> bool {
         let shared = self.shared.as_ref();
-        shared.is_some_and(|readers| readers.gate.shut())
+        shared.is_some_and(|readers| readers.gate.is_closed())
     }
 
     fn report_fed(&self) {
         if let Some(readers) = &self.shared {
-            readers.fed();
+            readers.on_source_answer();
         }
     }
 
@@ -149,7 +149,7 @@
         if std::mem::take(&mut self.restart) {
             return self.apply_restart(feed);
         }
-        let (last, applied) = (feed.last(), self.client.position);
+        let (last, applied) = (feed.last_position(), self.client.position);
         if last < applied {
             self.restart = true;
             return Err(PollError::Outdated { last, applied });
@@ -166,7 +166,7 @@
 
     /// Applies all events from 1, where the feed has them.
     fn apply_restart(&mut self, feed: &EventBatch) -> Result<Polled, PollError> {
-        if feed.last() == 0 {
+        if feed.last_position() == 0 {
             // The service started anew and has no events yet: the endpoint list stays until it has.
             self.restart = true;
             return Ok(Polled::NoEvents);
--- a/edge/proxy/src/journal_relay.rs
+++ b/edge/proxy/src/journal_relay.rs
@@ -1,5 +1,5 @@
-//! The journal relayed by site: this process's relay state machine, its own subscription, and the long poll that it serves to
-//! the site. Off unless the operator's file names the stream.
+//! The journal relayed by site: the relay state machine of this process, its own subscription, and the long
+//! poll that it serves to the site. Off unless the operator's file names the stream.
 
 use crate::backoff::Backoff;
 use crate::fleet::replica_set::replica_set;
@@ -9,7 +9,7 @@
 use foldmux_fleet::Port;
 use foldmux_fronts::listen::named;
 use foldmux_operator::{Fleet, Slow, Stream, StreamFirst};
-use foldmux_relay::{Ask, First, Relay, Setup};
+use foldmux_relay::{Command, Relay, RelayConfig, StartPosition};
 use foldmux_replicas::Peer;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,10 +20,10 @@
 pub const JOURNAL: &str = "journal";
 /// The number of the relay's state machine in frames.
 pub const PART: u8 = 2;
-/// Events that one subscriber may be sent ahead of what it acknowledged; a response of the journal holds some hundred at a
-/// busy start.
+/// Most events that one subscriber may be sent beyond those it acknowledged. A response of the journal holds
+/// some hundred at a busy start.
 const MAX_EVENTS_AHEAD: u64 = 256;
-/// How long a relay keeps its role at least before it gives it up for slowness.
+/// The least time for which a relay keeps its role before it gives it up for slowness.
 const MIN_RELAY_TENURE: Duration = Duration::from_secs(10);
 
 /// The relay of the journal in this process.
@@ -36,8 +36,8 @@
 }
 
 impl JournalRelay {
-    /// The relay, its state machine for the fleet's thread and the sink of its events; `None` where the file does not name the
-    /// journal.
+    /// The relay, its state machine for the fleet's thread and the sink of its notifications; `None` where
+    /// the file does not name the journal.
     ///
     /// # Errors
     ///
@@ -54,10 +54,10 @@
         let incarnation = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |d| d.as_micros() as u64);
-        let setup = Setup {
-            me: Peer::new(name),
-            life: incarnation,
-            places: (config.peers.iter())
+        let relay_config = RelayConfig {
+            own: Peer::new(name),
+            incarnation,
+            locations: (config.peers.iter())
                 .map(|peer| {
                     (
                         Peer::new(&peer.name),
@@ -69,22 +69,22 @@
             drift,
             lease: config.lease_ms * 1_000,
             streams: vec![stream(journal)],
-            readers: journal.readers as usize,
-            fed: config.peers.len(),
-            hold: MIN_RELAY_TENURE.as_micros() as u64,
+            max_readers: journal.readers as usize,
+            max_followers: config.peers.len(),
+            min_tenure: MIN_RELAY_TENURE.as_micros() as u64,
             seed,
         };
         let readers = StreamReaders::new(JOURNAL, MAX_EVENTS_AHEAD);
         let sink = RelaySink(readers.clone());
-        // Until its subscription has events the process reads the source, as one without a fleet does.
-        readers.gate.without(true);
+        // Until its subscription has events, the process reads the source like one without a fleet.
+        readers.gate.set_awaiting_events(true);
         Ok(Some((
             JournalRelay {
                 readers,
                 serve_address: journal.serve,
                 max_connections: journal.readers as usize - 1,
             },
-            Relay::new(setup, 0),
+            Relay::new(relay_config, 0),
             sink,
         )))
     }
@@ -95,8 +95,13 @@
     /// # Errors
     ///
     /// Where a thread or a socket can't be had.
-    pub fn start(&self, port: Port<Ask>, journal: JournalClient, seed: u64) -> Result<(), String> {
-        self.readers.begin(port);
+    pub fn start(
+        &self,
+        port: Port<Command>,
+        journal: JournalClient,
+        seed: u64,
+    ) -> Result<(), String> {
+        self.readers.attach(port);
         if let Some(on) = self.serve_address {
             let served = serve::serve(&self.readers, on, self.max_connections);
             let on = served.map_err(|e| format!("stream journal: listening on {on}: {e}"))?;
@@ -110,49 +115,50 @@
     }
 }
 
-fn stream(config: &Stream) -> foldmux_relay::Stream {
-    foldmux_relay::Stream {
+fn stream(config: &Stream) -> foldmux_relay::StreamConfig {
+    foldmux_relay::StreamConfig {
         name: config.name.as_str().into(),
-        slow: match config.slow {
-            Slow::All => foldmux_relay::Slow::All,
-            Slow::Latest => foldmux_relay::Slow::Latest,
-            Slow::Skip => foldmux_relay::Slow::Skip,
+        slow_readers: match config.slow {
+            Slow::All => foldmux_relay::SlowReaderPolicy::Disconnect,
+            Slow::Latest => foldmux_relay::SlowReaderPolicy::Conflate,
+            Slow::Skip => foldmux_relay::SlowReaderPolicy::Skip,
         },
-        first: match config.first {
-            StreamFirst::Whole => First::Whole,
-            StreamFirst::Ring => First::Ring,
-            StreamFirst::Live => First::Live,
+        start: match config.first {
+            StreamFirst::Whole => StartPosition::Snapshot,
+            StreamFirst::Ring => StartPosition::Buffered,
+            StreamFirst::Live => StartPosition::Live,
         },
         // The journal numbers events for each reader by itself.
-        shared: config.name != JOURNAL,
-        patience: config.patience_ms * 1_000,
-        window: config.window_ms * 1_000,
-        items: config.items as usize,
-        bytes: config.kb as usize * 1024,
-        keys: config.items as usize,
-        ahead: MAX_EVENTS_AHEAD,
+        shared_numbering: config.name != JOURNAL,
+        silence_timeout: config.patience_ms * 1_000,
+        snapshot_window: config.window_ms * 1_000,
+        max_items: config.items as usize,
+        max_bytes: config.kb as usize * 1024,
+        max_keys: config.items as usize,
+        max_unacknowledged: MAX_EVENTS_AHEAD,
     }
 }
 
-/// Applies the events of the site's relay for as long as the process runs; the source is read by `journal` itself.
+/// Applies the events of the site's relay for as long as the process runs. The source itself is read by the
+/// client's own thread.
 fn follow(readers: &Arc<StreamReaders>, journal: &JournalClient, mut backoff: Backoff) {
     loop {
-        if let Ok(mut reading) = readers.read(0) {
-            while let Ok(entries) = reading.next(Instant::now() + Duration::from_secs(1)) {
+        if let Ok(mut subscription) = readers.subscribe(0) {
+            while let Ok(entries) = subscription.receive(Instant::now() + Duration::from_secs(1)) {
                 journal.apply_relayed(&entries);
-                // What is missing here is not missing at the source.
+                // What is missing from the relayed stream is available at the source.
                 if entries.iter().any(|entry| entry.lost.is_some()) {
-                    readers.gate.once();
+                    readers.gate.request_one_read();
                 }
                 if !entries.is_empty() {
-                    readers.gate.without(false);
-                    backoff.well();
+                    readers.gate.set_awaiting_events(false);
+                    backoff.reset();
                 }
-                reading.took(reading.after);
+                subscription.acknowledge(subscription.position);
                 journal.pool.sweep();
             }
         }
-        readers.gate.without(true);
-        thread::sleep(backoff.failed());
+        readers.gate.set_awaiting_events(true);
+        thread::sleep(backoff.next_delay());
     }
 }
--- a/hub/src/purges.rs
+++ b/hub/src/purges.rs
@@ -34,15 +34,21 @@
     let (mut pos, mut buffer) = (0, vec![0; ANSWER]);
     let mut link = None;
     loop {
-        let polled = poll(&mut link, address, pos, backoff.hold(WAIT), &mut buffer);
+        let polled = poll(
+            &mut link,
+            address,
+            pos,
+            backoff.poll_wait(WAIT),
+            &mut buffer,
+        );
         let Some(hub) = hub.upgrade() else { return };
         if hub.leaving.load(Ordering::SeqCst) {
             return;
         }
         match polled.and_then(|feed| take(&hub, &feed, &mut pos)) {
-            Ok(()) => backoff.well(),
+            Ok(()) => backoff.reset(),
             Err(why) => {
-                let wait = backoff.failed();
+                let wait = backoff.next_delay();
                 tracing::warn!("journal service: {why}; asking again in {wait:?}");
                 link = None;
                 drop(hub);
--- a/hub/src/purges/tests.rs
+++ b/hub/src/purges/tests.rs
@@ -9,7 +9,7 @@
     for nth in 1..6 {
         asks.iter_mut()
             .zip(&mut hubs)
-            .for_each(|(at, hub)| *at += hub.failed());
+            .for_each(|(at, hub)| *at += hub.next_delay());
         let within = |at: &Duration| {
             let window = *at..*at + Duration::from_millis(10);
             asks.iter().filter(|ask| window.contains(ask)).count()
--- a/pure/relay/src/context.rs
+++ b/pure/relay/src/context.rs
@@ -1,60 +1,62 @@
-//! What the pieces of the part need of it while one thing is dealt with.
+//! The state that all branches of a process share while they handle an input.
 
 use crate::messages::Message;
-use crate::types::{Setup, Stream, Told};
+use crate::types::{Notification, RelayConfig, StreamConfig};
 use foldmux_replicas::{Effect, Peer, Time};
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
 
-/// What is the process's, over all branches.
-pub struct Shared {
-    pub setup: Setup,
-    /// Those that members say are gone: a hint. Only processes that the file names are remembered.
+/// The state of the process that belongs to no single branch.
+pub struct Context {
+    pub config: RelayConfig,
+    /// Peers that the membership reports as dead. This is a hint. Only configured peers are kept, so the map
+    /// is bounded.
     pub dead: BTreeMap<Peer, ()>,
-    pub leaving: bool,
+    pub draining: bool,
     nonce: u64,
-    draws: Xoshiro256PlusPlus,
-    pub out: Vec<Effect<Message, Told>>,
+    rng: Xoshiro256PlusPlus,
+    pub effects: Vec<Effect<Message, Notification>>,
 }
 
-impl Shared {
-    pub fn new(setup: Setup) -> Shared {
-        let draws = Xoshiro256PlusPlus::seed_from_u64(setup.seed);
-        Shared {
+impl Context {
+    pub fn new(config: RelayConfig) -> Context {
+        let rng = Xoshiro256PlusPlus::seed_from_u64(config.seed);
+        Context {
             dead: BTreeMap::new(),
-            leaving: false,
-            nonce: setup.life,
-            draws,
-            out: Vec::new(),
-            setup,
+            draining: false,
+            nonce: config.incarnation,
+            rng,
+            effects: Vec::new(),
+            config,
         }
     }
 
     pub fn send(&mut self, to: &Peer, message: Message) {
-        self.out.push(Effect::Send {
+        self.effects.push(Effect::Send {
             to: to.clone(),
             message,
         });
     }
 
-    pub fn tell(&mut self, told: Told) {
-        self.out.push(Effect::Emit(told));
+    pub fn emit(&mut self, notification: Notification) {
+        self.effects.push(Effect::Emit(notification));
     }
 
-    /// Greater than any before it, in this life and in earlier ones.
-    pub fn nonce(&mut self) -> u64 {
+    /// A number greater than any before it, in this run of the process and in earlier ones.
+    pub fn next_nonce(&mut self) -> u64 {
         self.nonce += 1;
         self.nonce
     }
 
-    /// Evenly between the two.
-    pub fn draw(&mut self, from: Time, to: Time) -> Time {
-        self.draws.random_range(from..=to.max(from))
+    /// A time drawn evenly from this range.
+    pub fn random_between(&mut self, from: Time, to: Time) -> Time {
+        self.rng.random_range(from..=to.max(from))
     }
 }
 
-/// A beat comes three times within the patience; a second relay is given as long before the source itself is asked.
-pub fn beat(stream: &Stream) -> Time {
-    (stream.patience / 3).max(1)
+/// The time between two heartbeats: a third of the silence timeout. A second relay is given as long to answer
+/// before a process reads the source itself.
+pub fn heartbeat_interval(stream: &StreamConfig) -> Time {
+    (stream.silence_timeout / 3).max(1)
 }
--- a/pure/relay/src/election.rs
+++ b/pure/relay/src/election.rs
@@ -1,6 +1,8 @@
-//! Who relays a branch. The one that holds a lease at the branch's seats; without one, whoever is first in line of those that
-//! seem alive tries for it. ReplicaSet only break ties: readers keep their own places, so that two relays cost a stream at
-//! the source and no promise.
+//! The election of a branch's relay. The relay is the process that holds a lease from the branch's replicas;
+//! without one, the first candidate that seems alive requests it.
+//!
+//! The lease only breaks ties. Readers keep their own positions, so a second relay costs one more stream at
+//! the source and breaks no guarantee.
 
 use crate::types::Branch;
 use foldmux_replicas::{
@@ -8,10 +10,10 @@
 };
 use std::collections::BTreeMap;
 
-/// Who may relay a branch, next first, and who is passed over for now.
+/// The processes that may relay a branch, in order of preference, and those that are excluded for now.
 pub struct Candidates {
     ranked: Vec<Peer>,
-    shunned: BTreeMap<Peer, Time>,
+    excluded: BTreeMap<Peer, Time>,
 }
 
 impl Candidates {
@@ -22,24 +24,24 @@
             .collect();
         Candidates {
             ranked,
-            shunned: BTreeMap::new(),
+            excluded: BTreeMap::new(),
         }
     }
 
-    pub fn has(&self, peer: &Peer) -> bool {
+    pub fn contains(&self, peer: &Peer) -> bool {
         self.ranked.contains(peer)
     }
 
-    /// Passes over a peer until then. Only those in line are remembered, so that this is bounded.
-    pub fn shun(&mut self, peer: &Peer, until: Time) {
-        if self.has(peer) {
-            let own = self.shunned.entry(peer.clone()).or_insert(until);
-            *own = until.max(*own);
+    /// Excludes a peer until this time. Only candidates are recorded, so the map is bounded.
+    pub fn exclude(&mut self, peer: &Peer, until: Time) {
+        if self.contains(peer) {
+            let current = self.excluded.entry(peer.clone()).or_insert(until);
+            *current = until.max(*current);
         }
     }
 
-    pub fn shunned(&self, now: Time, peer: &Peer) -> bool {
-        self.shunned.get(peer).is_some_and(|until| now < *until)
+    pub fn is_excluded(&self, now: Time, peer: &Peer) -> bool {
+        self.excluded.get(peer).is_some_and(|until| now < *until)
     }
 
     pub fn rank(&self, peer: &Peer) -> usize {
@@ -49,125 +51,126 @@
             .unwrap_or(usize::MAX)
     }
 
-    /// The first that is not passed over, not among `but`, and seems alive.
-    pub fn next(&self, now: Time, dead: &BTreeMap<Peer, ()>, but: &[&Peer]) -> Option<&Peer> {
+    /// The first candidate that is not excluded, not among `except` and not reported dead.
+    pub fn next(&self, now: Time, dead: &BTreeMap<Peer, ()>, except: &[&Peer]) -> Option<&Peer> {
         let fits = |peer: &&Peer| {
-            !self.shunned(now, peer)
+            !self.is_excluded(now, peer)
                 && !dead.contains_key(*peer)
-                && !but.iter().any(|other| other == peer)
+                && !except.iter().any(|other| other == peer)
         };
         self.ranked.iter().find(fits)
     }
 }
 
-/// A relay's side of the lease.
-pub struct Claim {
-    seats: [Peer; 3],
+/// A relay's request for the lease on a branch, and the lease once it is held.
+pub struct LeaseClaim {
+    replicas: [Peer; 3],
     votes: Votes,
-    others: Vec<Peer>,
-    asked: u64,
-    sent: Time,
-    held: Option<HeldLease>,
-    /// When to ask again.
-    pub next: Time,
+    holders: Vec<Peer>,
+    request: u64,
+    sent_at: Time,
+    lease: Option<HeldLease>,
+    /// When to send the next request, as a renewal or a retry.
+    pub next_request: Time,
 }
 
-/// What a seat's answer means.
+/// The outcome of the current request after a reply.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Verdict {
-    Open,
+pub enum ClaimResult {
+    Pending,
     Won,
-    /// Two seats say it is another's; each its own view of whose.
+    /// Two replicas granted the lease to other processes. Each names the holder that it knows of.
     Lost(Vec<Peer>),
 }
 
-impl Claim {
-    pub fn new(now: Time, branch: &Branch, seats: &ReplicaSet) -> Claim {
-        let seats = seats.replicas_of(&branch.key());
-        Claim {
-            votes: Votes::new(seats),
-            seats: seats.map(Peer::clone),
-            others: Vec::new(),
-            asked: 0,
-            sent: now,
-            held: None,
-            next: now,
+impl LeaseClaim {
+    pub fn new(now: Time, branch: &Branch, replicas: &ReplicaSet) -> LeaseClaim {
+        let replicas = replicas.replicas_of(&branch.key());
+        LeaseClaim {
+            votes: Votes::new(replicas),
+            replicas: replicas.map(Peer::clone),
+            holders: Vec::new(),
+            request: 0,
+            sent_at: now,
+            lease: None,
+            next_request: now,
         }
     }
 
-    pub fn seats(&self) -> &[Peer; 3] {
-        &self.seats
+    pub fn replicas(&self) -> &[Peer; 3] {
+        &self.replicas
     }
 
-    /// A question to all three seats, with this number.
-    pub fn ask(&mut self, now: Time, asked: u64, again: Time) {
-        self.votes = Votes::new([&self.seats[0], &self.seats[1], &self.seats[2]]);
-        self.others.clear();
-        (self.asked, self.sent, self.next) = (asked, now, now + again);
+    /// Starts a request to all three replicas with this number. The next one is due after `interval`.
+    pub fn start_round(&mut self, now: Time, request: u64, interval: Time) {
+        self.votes = Votes::new([&self.replicas[0], &self.replicas[1], &self.replicas[2]]);
+        self.holders.clear();
+        (self.request, self.sent_at, self.next_request) = (request, now, now + interval);
     }
 
-    pub fn answer(
+    pub fn on_reply(
         &mut self,
         from: &Peer,
-        asked: u64,
-        other: Option<Peer>,
+        request: u64,
+        holder: Option<Peer>,
         lease: Time,
         drift: ClockDrift,
-    ) -> Verdict {
-        if asked != self.asked {
-            return Verdict::Open;
+    ) -> ClaimResult {
+        if request != self.request {
+            return ClaimResult::Pending;
         }
-        match other {
+        match holder {
             None => {
                 self.votes.grant(from);
                 if self.votes.won() {
-                    self.held = Some(HeldLease::new(self.sent, lease, drift));
-                    return Verdict::Won;
+                    self.lease = Some(HeldLease::new(self.sent_at, lease, drift));
+                    return ClaimResult::Won;
                 }
             }
-            Some(other) => {
+            Some(holder) => {
                 if self.votes.reject(from) {
-                    self.others.push(other);
+                    self.holders.push(holder);
                 }
                 if self.votes.lost() {
-                    return Verdict::Lost(std::mem::take(&mut self.others));
+                    return ClaimResult::Lost(std::mem::take(&mut self.holders));
                 }
             }
         }
-        Verdict::Open
+        ClaimResult::Pending
     }
 
-    pub fn holds(&self, now: Time) -> bool {
-        self.held.is_some_and(|held| held.is_valid(now))
+    pub fn holds_lease(&self, now: Time) -> bool {
+        self.lease.is_some_and(|held| held.is_valid(now))
     }
 }
 
-/// A seat's side: what it granted, by branch. Bounded by the branches that the file names.
+/// A replica's side: the leases that it granted, by branch. Bounded by the branches of the configuration.
 pub struct Grants {
-    memory: RecoveryDelay,
-    granted: BTreeMap<Branch, (Peer, GrantedLease)>,
+    recovery: RecoveryDelay,
+    leases: BTreeMap<Branch, (Peer, GrantedLease)>,
 }
 
 impl Grants {
     pub fn new(start: Time, lease: Time, drift: ClockDrift) -> Grants {
         Grants {
-            memory: RecoveryDelay::state_lost(start, &[lease], drift),
-            granted: BTreeMap::new(),
+            recovery: RecoveryDelay::state_lost(start, &[lease], drift),
+            leases: BTreeMap::new(),
         }
     }
 
-    /// `None`: this seat may not speak yet. Else who holds it, if that is another.
-    pub fn claim(
+    /// Handles a claim. Returns `None` while this replica may not vote after a restart; otherwise the other
+    /// process that holds the lease, or `Some(None)` if the lease is granted.
+    pub fn on_claim(
         &mut self,
         now: Time,
         from: &Peer,
         branch: &Branch,
         lease: Time,
     ) -> Option<Option<Peer>> {
-        if !self.memory.may_vote(now) {
+        if !self.recovery.may_vote(now) {
             return None;
         }
-        match self.granted.get_mut(branch) {
+        match self.leases.get_mut(branch) {
             Some((holder, granted)) if granted.is_active(now) => {
                 if holder != from {
                     return Some(Some(holder.clone()));
@@ -175,7 +178,7 @@
                 granted.renew(now, lease);
             }
             _ => {
-                self.granted.insert(
+                self.leases.insert(
                     branch.clone(),
                     (from.clone(), GrantedLease::new(now, lease)),
                 );
@@ -184,26 +187,25 @@
         Some(None)
     }
 
-    pub fn let_go(&mut self, from: &Peer, branch: &Branch) {
+    pub fn release(&mut self, from: &Peer, branch: &Branch) {
         if self
-            .granted
+            .leases
             .get(branch)
             .is_some_and(|(holder, _)| holder == from)
         {
-            self.granted.remove(branch);
+            self.leases.remove(branch);
         }
     }
 
-    pub fn sweep(&mut self, now: Time) {
-        self.granted
-            .retain(|_, (_, granted)| granted.is_active(now));
+    pub fn remove_expired(&mut self, now: Time) {
+        self.leases.retain(|_, (_, granted)| granted.is_active(now));
     }
 
     pub fn len(&self) -> usize {
-        self.granted.len()
+        self.leases.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.granted.is_empty()
+        self.leases.is_empty()
     }
 }
--- a/pure/relay/src/lease.rs
+++ b/pure/relay/src/lease.rs
@@ -1,136 +1,143 @@
-//! A relay's lease: how it is asked for, when it yields to another, when it steps aside.
+//! A relay's lease on a branch: requests, yielding to another holder, and stepping down.
 
-use crate::context::Shared;
-use crate::election::{Candidates, Verdict};
+use crate::branch_relay::BranchRelay;
+use crate::context::Context;
+use crate::election::{Candidates, ClaimResult};
 use crate::messages::Message;
 use crate::planted::{planted, Fault};
-use crate::role::Role;
 use foldmux_replicas::{Peer, Time};
 
-impl Role {
-    pub(crate) fn ask(&mut self, now: Time, shared: &mut Shared) {
-        let asked = shared.nonce();
+impl BranchRelay {
+    pub(crate) fn request_lease(&mut self, now: Time, ctx: &mut Context) {
+        let request = ctx.next_nonce();
         let Some(claim) = &mut self.claim else { return };
-        claim.ask(now, asked, shared.setup.lease / 3);
-        for seat in claim.seats().clone() {
+        claim.start_round(now, request, ctx.config.lease / 3);
+        for replica in claim.replicas().clone() {
             let message = Message::Claim {
                 branch: self.branch.clone(),
-                asked,
-                lease: shared.setup.lease,
+                request,
+                lease: ctx.config.lease,
             };
-            shared.send(&seat, message);
+            ctx.send(&replica, message);
         }
     }
 
-    pub fn granted(
+    pub fn on_claim_reply(
         &mut self,
         now: Time,
         from: &Peer,
-        asked: u64,
-        other: Option<Peer>,
+        request: u64,
+        holder: Option<Peer>,
         candidates: &Candidates,
-        shared: &mut Shared,
+        ctx: &mut Context,
     ) {
         let Some(claim) = &mut self.claim else {
-            // Asked before it closed: the seat would keep it for one that is no relay.
-            if other.is_none() {
-                shared.send(
+            // The claim was sent before this relay closed. The replica would keep the lease for a process
+            // that does not relay.
+            if holder.is_none() {
+                ctx.send(
                     from,
-                    Message::LetGo {
+                    Message::Release {
                         branch: self.branch.clone(),
                     },
                 );
             }
             return;
         };
-        let other = other.filter(|other| *other != shared.setup.me);
-        match claim.answer(from, asked, other, shared.setup.lease, shared.setup.drift) {
-            Verdict::Open => {}
-            Verdict::Won => (self.instead, self.speaks) = (None, self.speaks.min(now)),
-            Verdict::Lost(others) => {
-                let waits = |other: &Peer| {
-                    self.instead
+        let holder = holder.filter(|holder| *holder != ctx.config.own);
+        match claim.on_reply(from, request, holder, ctx.config.lease, ctx.config.drift) {
+            ClaimResult::Pending => {}
+            ClaimResult::Won => {
+                (self.replacing, self.sends_from) = (None, self.sends_from.min(now))
+            }
+            ClaimResult::Lost(holders) => {
+                let awaits_handover = |holder: &Peer| {
+                    self.replacing
                         .as_ref()
-                        .is_some_and(|(who, until)| who == other && now < *until)
+                        .is_some_and(|(who, until)| who == holder && now < *until)
+                };
+                let same = holders.windows(2).all(|pair| pair[0] == pair[1]);
+                let own_rank = candidates.rank(&ctx.config.own);
+                let yields = |holder: &&Peer| {
+                    !awaits_handover(holder) && (same || candidates.rank(holder) < own_rank)
                 };
-                let same = others.windows(2).all(|pair| pair[0] == pair[1]);
-                let before = candidates.rank(&shared.setup.me);
-                let yields =
-                    |other: &&Peer| !waits(other) && (same || candidates.rank(other) < before);
-                if let Some(to) = others
+                if let Some(to) = holders
                     .iter()
                     .filter(yields)
-                    .min_by_key(|other| candidates.rank(other))
+                    .min_by_key(|holder| candidates.rank(holder))
                 {
-                    self.hand_over(now, Some(to.clone()), shared);
+                    self.hand_over(now, Some(to.clone()), ctx);
                 }
             }
         }
     }
 
-    /// Tells those that it feeds to go elsewhere, feeds them until they have, and lets the lease go at once.
-    pub fn hand_over(&mut self, now: Time, to: Option<Peer>, shared: &mut Shared) {
+    /// Releases the lease at once and redirects the followers. They are sent events until they have left.
+    pub fn hand_over(&mut self, now: Time, to: Option<Peer>, ctx: &mut Context) {
         let Some(claim) = self.claim.take() else {
             return;
         };
-        for seat in claim.seats() {
-            shared.send(
-                seat,
-                Message::LetGo {
+        for replica in claim.replicas() {
+            ctx.send(
+                replica,
+                Message::Release {
                     branch: self.branch.clone(),
                 },
             );
         }
-        for (peer, (nonce, _)) in &self.nonces {
+        for (peer, (nonce, _)) in &self.sessions {
             let (branch, nonce, to) = (self.branch.clone(), *nonce, to.clone());
-            if !planted(Fault::LeavesUntold) {
-                shared.send(peer, Message::Elsewhere { branch, nonce, to });
+            if !planted(Fault::LeavesSilently) {
+                ctx.send(peer, Message::Redirect { branch, nonce, to });
             }
         }
-        self.over = Some(now + 2 * shared.setup.lease);
-        if planted(Fault::LeavesUntold) {
+        self.handover_until = Some(now + 2 * ctx.config.lease);
+        if planted(Fault::LeavesSilently) {
             self.close();
         }
     }
 
-    pub fn step_aside(
+    /// Hands over to the next candidate, and declines the role for the time `ineligible_for`. Does nothing
+    /// when there is no other candidate.
+    pub fn step_down(
         &mut self,
         now: Time,
-        wait: Time,
+        ineligible_for: Time,
         candidates: &Candidates,
-        shared: &mut Shared,
+        ctx: &mut Context,
     ) {
-        let me = shared.setup.me.clone();
-        let Some(next) = candidates.next(now, &shared.dead, &[&me]).cloned() else {
+        let own = ctx.config.own.clone();
+        let Some(next) = candidates.next(now, &ctx.dead, &[&own]).cloned() else {
             return;
         };
-        self.sits_out = now + wait;
-        self.hand_over(now, Some(next), shared);
+        self.ineligible_until = now + ineligible_for;
+        self.hand_over(now, Some(next), ctx);
     }
 
-    /// One that it feeds says that it was late. At half of them it steps aside, at most once in `hold`.
-    pub fn was_late(
+    /// Handles a follower's report that this relay was late. The relay steps down once half of its followers
+    /// have reported it within `min_tenure`, at most once in that time.
+    pub fn on_late_report(
         &mut self,
         now: Time,
         from: &Peer,
         candidates: &Candidates,
-        shared: &mut Shared,
+        ctx: &mut Context,
     ) {
-        if !self.nonces.contains_key(from) || self.claim.is_none() {
+        if !self.sessions.contains_key(from) || self.claim.is_none() {
             return;
         }
-        let hold = shared.setup.hold;
-        self.late.insert(from.clone(), now);
-        self.late.retain(|_, at| now < *at + hold);
-        // Those that left it for that are counted too.
-        let all = self.late.len()
+        let min_tenure = ctx.config.min_tenure;
+        self.late_reports.insert(from.clone(), now);
+        self.late_reports.retain(|_, at| now < *at + min_tenure);
+        // Followers that left because of the lateness count too.
+        let all = self.late_reports.len()
             + self
-                .fed
+                .followers
                 .iter()
-                .filter(|(peer, _)| !self.late.contains_key(*peer))
+                .filter(|(peer, _)| !self.late_reports.contains_key(*peer))
                 .count();
-        if self.late.len() * 2 >= all && now >= self.since + hold {
-            self.step_aside(now, 5 * hold, candidates, shared);
+        if self.late_reports.len() * 2 >= all && now >= self.opened_at + min_tenure {
+            self.step_down(now, 5 * min_tenure, candidates, ctx);
         }
     }
 }
--- a/pure/relay/src/lib.rs
+++ b/pure/relay/src/lib.rs
@@ -1,28 +1,32 @@
-//! Streams relayed by site, pure: a source is read once for each site that has readers, by one process of it, which feeds
-//! the others.
+//! Relaying streams by site, as a deterministic state machine: at each site that has readers, one process
+//! reads the source and relays it to the others.
 //!
-//! Owns: who relays a branch ([`election`], `lease`, [`role`]), whom a process is fed by and what it does when that one is
-//! silent ([`follow`], `links`), the ring that late readers come back to ([`ring`]), readers' places and windows
-//! ([`readers`]), how a stream goes through a process (`flow`). Promises to each reader: in order, no number twice, no
-//! gap untold. May not: do I/O, read a clock, start threads, or know what an item says.
+//! - [`election`], `lease`, [`branch_relay`]: which process relays a branch, and its followers.
+//! - [`follower`], `links`: which relay a process receives from, and what it does when that relay is silent.
+//! - [`ring`], `delivery`: the buffer of recent items that late readers catch up from.
+//! - [`readers`]: the readers' positions and windows.
+//! - `relay`, `commands`, `propagate`: the state machine, and how a stream passes through a process.
+//!
+//! Each reader receives the items in order, none twice, and is told of every gap. The crate does no I/O,
+//! reads no clock, starts no threads and does not interpret the items.
 
-mod asks;
+pub mod branch_relay;
+mod commands;
 mod context;
+mod delivery;
 pub mod election;
-mod flow;
-pub mod follow;
+pub mod follower;
 mod lease;
 mod links;
 mod messages;
-mod next;
-mod part;
 pub mod planted;
+mod propagate;
 pub mod readers;
+mod relay;
 pub mod ring;
-pub mod role;
 mod source;
 mod types;
 
 pub use messages::Message;
-pub use part::{Act, Relay};
+pub use relay::{Relay, RelayEffect};
 pub use types::*;
--- a/pure/relay/src/links.rs
+++ b/pure/relay/src/links.rs
@@ -1,176 +1,190 @@
-//! What a relay says to one that it feeds: which link speaks, in its own numbers, and what is done where something was lost.
+//! A follower's handling of a relay's messages: which link they belong to, their numbering, and recovery from
+//! lost ones.
 
-use crate::context::Shared;
-use crate::follow::{Follower, Link};
+use crate::context::Context;
+use crate::follower::{Follower, Link};
 use crate::messages::Message;
 use crate::planted::{planted, Fault};
-use crate::types::{Event, Told};
+use crate::types::{Event, Notification};
 use foldmux_replicas::{Peer, Time};
 
-/// How often it goes on to another at a relay's word, until it chooses again itself.
-const HOPS: u32 = 4;
+/// Most redirects that are followed before this process chooses a candidate itself again.
+const MAX_REDIRECTS: u32 = 4;
 
 impl Follower {
-    /// The link that speaks; a relay on trial that speaks is the relay from here on.
-    fn link(
+    /// The active link if the message belongs to it. A link on trial becomes the active one with its first
+    /// message.
+    fn accept_link(
         &mut self,
         now: Time,
         from: &Peer,
         nonce: u64,
-        shared: &mut Shared,
+        ctx: &mut Context,
     ) -> Option<&mut Link> {
-        let speaks = |link: &Link| link.nonce == nonce && link.peer == *from;
-        let stays = self.stays();
-        let over = self.now_by.as_ref().is_some_and(|link| link.over);
-        // Where each counts for itself, another that fed it meanwhile has moved its place: it is fed from there, or not.
-        if let Some(link) = self.trial.take_if(|link| speaks(link) && !stays(link)) {
-            self.trial = Some(self.join(now, link.peer, None, shared));
+        let is_sender = |link: &Link| link.nonce == nonce && link.peer == *from;
+        let unchanged = self.position_unchanged();
+        let redirected = self.active.as_ref().is_some_and(|link| link.redirected);
+        // Where each process numbers the items by itself, another relay or the source may have moved this
+        // process's position since it joined. It must then join again from its new position.
+        if let Some(link) = self
+            .trial
+            .take_if(|link| is_sender(link) && !unchanged(link))
+        {
+            self.trial = Some(self.send_join(now, link.peer, None, ctx));
             return None;
         }
         if self
-            .now_by
+            .active
             .as_ref()
-            .is_some_and(|link| speaks(link) && !stays(link))
+            .is_some_and(|link| is_sender(link) && !unchanged(link))
         {
-            self.again(now, shared);
+            self.rejoin(now, ctx);
             return None;
         }
-        if self.trial.as_ref().is_some_and(speaks) {
-            let former = std::mem::replace(&mut self.now_by, self.trial.take());
+        if self.trial.as_ref().is_some_and(is_sender) {
+            let former = std::mem::replace(&mut self.active, self.trial.take());
             if let Some(link) = former {
-                if !over {
-                    shared.send(
+                if !redirected {
+                    ctx.send(
                         &link.peer,
                         Message::Late {
                             branch: self.branch.clone(),
                         },
                     );
                 }
-                self.leave(link, shared);
+                self.send_leave(link, ctx);
             }
-            shared.tell(Told::Relay {
+            ctx.emit(Notification::Upstream {
                 stream: self.stream.name.clone(),
                 from: Some(from.clone()),
             });
-        } else if planted(Fault::StaleTaken) && self.now_by.is_some() {
-        } else if !self.now_by.as_ref().is_some_and(speaks) {
+        } else if planted(Fault::AcceptsStaleRelay) && self.active.is_some() {
+        } else if !self.active.as_ref().is_some_and(is_sender) {
             return None;
-        } else if let Some(link) = self.trial.take_if(|_| !over) {
-            // It was late, not dead.
-            self.leave(link, shared);
-            shared.send(
+        } else if let Some(link) = self.trial.take_if(|_| !redirected) {
+            // The active relay was late, not dead.
+            self.send_leave(link, ctx);
+            ctx.send(
                 from,
                 Message::Late {
                     branch: self.branch.clone(),
                 },
             );
         }
-        if self.stale(now) {
+        if self.is_stale(now) {
             self.ring.mark_gap();
         }
-        (self.direct, self.contact) = (None, now);
-        self.tries = if over { self.tries } else { 0 };
-        let link = self.now_by.as_mut().expect("just seen");
-        link.heard = now;
+        (self.direct, self.last_contact) = (None, now);
+        self.failed_attempts = if redirected { self.failed_attempts } else { 0 };
+        let link = self.active.as_mut().expect("just seen");
+        link.last_heard = now;
         Some(link)
     }
 
-    fn stays(&self) -> impl Fn(&Link) -> bool {
-        let epoch = self.ring.place().map(|place| place.epoch);
-        let any = self.stream.shared || planted(Fault::FeedsMixed);
-        move |link| any || link.epoch == epoch
+    fn position_unchanged(&self) -> impl Fn(&Link) -> bool {
+        let epoch = self.ring.position().map(|position| position.epoch);
+        let always = self.stream.shared_numbering || planted(Fault::ResumesMovedPosition);
+        move |link| always || link.epoch == epoch
     }
 
-    pub fn news(
+    pub fn on_events(
         &mut self,
         now: Time,
         from: &Peer,
         nonce: u64,
         first: u64,
         events: Vec<Event>,
-        shared: &mut Shared,
+        ctx: &mut Context,
     ) {
-        let Some(link) = self.link(now, from, nonce, shared) else {
+        let Some(link) = self.accept_link(now, from, nonce, ctx) else {
             return;
         };
         match first {
-            first if first == link.told + 1 => {
-                link.told += events.iter().map(Event::span).sum::<u64>();
-                let owed = link.told - link.acked >= self.stream.ahead / 2;
+            first if first == link.received + 1 => {
+                link.received += events.iter().map(Event::span).sum::<u64>();
+                let acknowledge_now =
+                    link.received - link.acknowledged >= self.stream.max_unacknowledged / 2;
                 self.apply(now, events);
-                let epoch = self.ring.place().map(|place| place.epoch);
-                self.now_by.iter_mut().for_each(|link| link.epoch = epoch);
-                if owed {
-                    self.ack(shared);
+                let epoch = self.ring.position().map(|position| position.epoch);
+                self.active.iter_mut().for_each(|link| link.epoch = epoch);
+                if acknowledge_now {
+                    self.acknowledge(ctx);
                 }
             }
-            _ if planted(Fault::StaleTaken) => self.apply(now, events),
-            first if first > link.told => self.again(now, shared),
+            _ if planted(Fault::AcceptsStaleRelay) => self.apply(now, events),
+            first if first > link.received => self.rejoin(now, ctx),
             _ => {}
         }
     }
 
-    pub fn beaten(&mut self, now: Time, from: &Peer, nonce: u64, told: u64, shared: &mut Shared) {
-        let Some(link) = self.link(now, from, nonce, shared) else {
+    pub fn on_heartbeat(
+        &mut self,
+        now: Time,
+        from: &Peer,
+        nonce: u64,
+        sent: u64,
+        ctx: &mut Context,
+    ) {
+        let Some(link) = self.accept_link(now, from, nonce, ctx) else {
             return;
         };
-        if told > link.told {
-            self.again(now, shared);
+        if sent > link.received {
+            self.rejoin(now, ctx);
         } else {
-            // Also where there is nothing to take: it says that this process is there.
-            self.ack(shared);
+            // Also without new events: it shows the relay that this process is alive.
+            self.acknowledge(ctx);
         }
     }
 
-    fn ack(&mut self, shared: &mut Shared) {
-        if let Some(link) = &mut self.now_by {
-            link.acked = link.told;
-            let (branch, nonce, told) = (self.branch.clone(), link.nonce, link.told);
-            shared.send(
+    fn acknowledge(&mut self, ctx: &mut Context) {
+        if let Some(link) = &mut self.active {
+            link.acknowledged = link.received;
+            let (branch, nonce, received) = (self.branch.clone(), link.nonce, link.received);
+            ctx.send(
                 &link.peer,
-                Message::Taken {
+                Message::Acknowledge {
                     branch,
                     nonce,
-                    told,
+                    received,
                 },
             );
         }
     }
 
-    /// Something on the way was lost: from the place that it has, of the same relay.
-    fn again(&mut self, now: Time, shared: &mut Shared) {
-        if let Some(link) = self.now_by.take() {
-            let heard = link.heard;
-            self.now_by = Some(Link {
-                heard,
-                ..self.join(now, link.peer, None, shared)
+    /// Joins the same relay again from the current position, after a message was lost.
+    fn rejoin(&mut self, now: Time, ctx: &mut Context) {
+        if let Some(link) = self.active.take() {
+            let last_heard = link.last_heard;
+            self.active = Some(Link {
+                last_heard,
+                ..self.send_join(now, link.peer, None, ctx)
             });
         }
     }
 
-    pub fn elsewhere(
+    pub fn on_redirect(
         &mut self,
         now: Time,
         from: &Peer,
         nonce: u64,
         to: Option<Peer>,
-        shared: &mut Shared,
+        ctx: &mut Context,
     ) {
-        let speaks = |link: &Link| link.nonce == nonce && link.peer == *from;
-        self.candidates.shun(from, now + shared.setup.lease);
-        if self.trial.as_ref().is_some_and(speaks) {
-            if self.hops < HOPS {
-                self.try_next(now, to, shared);
+        let is_sender = |link: &Link| link.nonce == nonce && link.peer == *from;
+        self.candidates.exclude(from, now + ctx.config.lease);
+        if self.trial.as_ref().is_some_and(is_sender) {
+            if self.redirects < MAX_REDIRECTS {
+                self.try_candidate(now, to, ctx);
             } else {
                 self.trial = None;
-                self.draw_next(now, shared);
+                self.schedule_attempt(now, ctx);
             }
-        } else if let Some(link) = self.now_by.as_mut().filter(|link| speaks(link)) {
-            link.over = true;
+        } else if let Some(link) = self.active.as_mut().filter(|link| is_sender(link)) {
+            link.redirected = true;
             if self.trial.is_none() {
-                self.hops = 0;
-                self.try_next(now, to, shared);
-                self.draw_next(now, shared);
+                self.redirects = 0;
+                self.try_candidate(now, to, ctx);
+                self.schedule_attempt(now, ctx);
             }
         }
     }
--- a/pure/relay/src/planted.rs
+++ b/pure/relay/src/planted.rs
@@ -1,24 +1,24 @@
-//! Faults that the tests must find, each at the place where it would be made. Without the feature `planted` there are
-//! none, and the question costs nothing.
+//! Faults that the tests must detect, each injected where the mistake would be made. Without the feature
+//! `planted` there are none, and the checks compile to nothing.
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A relay numbers a reader's events from 1 again.
-    Renumbers,
-    GapUntold,
-    SlowBlocks,
+    /// A relay restarts its event numbers at 1.
+    RestartsNumbering,
+    OmitsGaps,
+    SlowReaderBlocks,
     NeverCloses,
-    /// What a relay sends that was left long ago is taken.
-    StaleTaken,
-    /// A relay yields to whoever comes and stands before it in line.
-    JoinsMove,
-    OldEpochTaken,
-    /// A relay goes on feeding one whose place another has moved.
-    FeedsMixed,
-    ReturnsInStep,
-    /// No reader turns to the source when its relay is silent.
-    NeverDirect,
-    LeavesUntold,
+    /// Messages of a relay that the follower left are accepted.
+    AcceptsStaleRelay,
+    /// A relay yields to any process that joins and ranks before it.
+    YieldsOnJoin,
+    AcceptsOldEpoch,
+    /// A relay goes on sending from a position that another relay or the source has moved.
+    ResumesMovedPosition,
+    RetriesInStep,
+    /// No follower reads the source when its relay is silent.
+    NeverReadsSource,
+    LeavesSilently,
 }
 
 #[cfg(feature = "planted")]
@@ -26,7 +26,7 @@
     static PLANTED: std::cell::Cell<Option<Fault>> = const { std::cell::Cell::new(None) };
 }
 
-/// Plants a fault for this thread's parts.
+/// Sets the fault for the state machines of this thread.
 #[cfg(feature = "planted")]
 pub fn plant(fault: Option<Fault>) {
     PLANTED.set(fault);
--- a/pure/relay/src/readers.rs
+++ b/pure/relay/src/readers.rs
@@ -1,206 +1,228 @@
-//! Readers of one ring, each with a place of its own and a bound on what it is told ahead of what it took. What a reader
-//! does or fails to do changes nothing for another.
+//! The readers of a ring, each with its own position and a bound on the events beyond those that it
+//! acknowledged. A reader's behaviour has no effect on the others.
 
 use crate::planted::{planted, Fault};
 use crate::ring::Ring;
-use crate::types::{Event, Place, Slow};
+use crate::types::{Event, Position, SlowReaderPolicy};
 use foldmux_replicas::Time;
 use std::collections::BTreeMap;
 
-/// Told at once, at most: the rest comes with the next turn.
-const BATCH: usize = 64;
+/// The events after which a batch is sent.
+const MAX_BATCH: usize = 64;
 
 pub struct Reader {
-    place: Option<Place>,
-    /// The last of its own numbers that it was told, and that it took.
-    told: u64,
-    taken: u64,
-    ahead: u64,
-    /// It has been told something.
-    here: bool,
-    /// When it was last told something.
-    pub told_at: Time,
+    position: Option<Position>,
+    /// The last event number that was sent to the reader, and the last that it acknowledged.
+    sent: u64,
+    acknowledged: u64,
+    max_unacknowledged: u64,
+    /// Whether the reader has been sent an event.
+    started: bool,
+    /// When the reader was last sent an event.
+    pub last_sent_at: Time,
 }
 
-/// A run of events for a reader; the first has this number of its own.
-pub struct Run {
+/// Consecutive events for a reader. `first` is the reader's own number of the first.
+pub struct Batch {
     pub first: u64,
     pub events: Vec<Event>,
 }
 
 impl Reader {
-    pub fn new(now: Time, after: u64, place: Option<Place>, ahead: u64) -> Reader {
+    pub fn new(
+        now: Time,
+        after: u64,
+        position: Option<Position>,
+        max_unacknowledged: u64,
+    ) -> Reader {
         Reader {
-            place,
-            told: after,
-            taken: after,
-            ahead: ahead.max(1),
-            here: false,
-            told_at: now,
+            position,
+            sent: after,
+            acknowledged: after,
+            max_unacknowledged: max_unacknowledged.max(1),
+            started: false,
+            last_sent_at: now,
         }
     }
 
-    pub fn told(&self) -> u64 {
-        self.told
+    pub fn sent(&self) -> u64 {
+        self.sent
     }
 
-    /// A number that was never told counts for nothing.
-    pub fn take(&mut self, number: u64) {
-        if number <= self.told {
-            self.taken = self.taken.max(number);
+    /// Records an acknowledgement. A number that was never sent is ignored.
+    pub fn acknowledge(&mut self, number: u64) {
+        if number <= self.sent {
+            self.acknowledged = self.acknowledged.max(number);
         }
     }
 
-    pub fn place(&self) -> Option<Place> {
-        self.place
+    pub fn position(&self) -> Option<Position> {
+        self.position
     }
 
-    pub fn blocked(&self) -> bool {
-        self.told - self.taken >= self.ahead
+    pub fn is_blocked(&self) -> bool {
+        self.sent - self.acknowledged >= self.max_unacknowledged
     }
 
-    /// What it may be told now. `Err`: the ring went past it, and its stream leaves nothing out.
-    pub fn run(&mut self, now: Time, ring: &Ring, slow: Slow) -> Result<Option<Run>, TooSlow> {
-        // What was lost before it came is told; what one that was here let pass ends it.
-        if slow == Slow::All && self.here && self.place.is_some_and(|place| ring.overran(place)) {
+    /// The next batch that the reader may be sent.
+    ///
+    /// # Errors
+    ///
+    /// When the ring evicted items that the reader had not received, and its stream may not skip any.
+    pub fn next_batch(
+        &mut self,
+        now: Time,
+        ring: &Ring,
+        policy: SlowReaderPolicy,
+    ) -> Result<Option<Batch>, TooSlow> {
+        // Items lost before the reader started are reported as a gap; for one that has started, they end the
+        // subscription.
+        if policy == SlowReaderPolicy::Disconnect
+            && self.started
+            && self
+                .position
+                .is_some_and(|position| ring.evicted_after(position))
+        {
             return Err(TooSlow);
         }
-        let (first, mut events) = (self.told + 1, Vec::new());
-        while !self.blocked() && events.len() < BATCH {
-            let Some((next, place)) = ring.next(now, self.place, slow == Slow::Latest) else {
+        let (first, mut events) = (self.sent + 1, Vec::new());
+        while !self.is_blocked() && events.len() < MAX_BATCH {
+            let Some((next, position)) =
+                ring.next_events(now, self.position, policy == SlowReaderPolicy::Conflate)
+            else {
                 break;
             };
-            (self.place, self.here) = (Some(place), true);
-            let untold =
-                |event: &Event| planted(Fault::GapUntold) && matches!(event, Event::Lost { .. });
-            events.extend(next.into_iter().filter(|event| !untold(event)));
-            self.told = first - 1 + events.iter().map(Event::span).sum::<u64>();
+            (self.position, self.started) = (Some(position), true);
+            let omitted =
+                |event: &Event| planted(Fault::OmitsGaps) && matches!(event, Event::Gap { .. });
+            events.extend(next.into_iter().filter(|event| !omitted(event)));
+            self.sent = first - 1 + events.iter().map(Event::span).sum::<u64>();
         }
         if events.is_empty() {
             return Ok(None);
         }
-        self.told_at = now;
-        Ok(Some(Run { first, events }))
+        self.last_sent_at = now;
+        Ok(Some(Batch { first, events }))
     }
 }
 
 impl Reader {
-    /// Runs until there is no more, or no room.
-    fn feed(
+    /// Sends batches until there are no more events, or the reader may be sent no more.
+    fn send_all(
         &mut self,
         now: Time,
         ring: &Ring,
-        slow: Slow,
-        tell: &mut impl FnMut(Run),
+        policy: SlowReaderPolicy,
+        send: &mut impl FnMut(Batch),
     ) -> Result<(), TooSlow> {
-        while let Some(run) = self.run(now, ring, slow)? {
-            tell(run);
+        while let Some(batch) = self.next_batch(now, ring, policy)? {
+            send(batch);
         }
         Ok(())
     }
 }
 
-/// Why a reader is ended.
+/// The reader fell behind the ring, and its stream may not skip any items.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooSlow;
 
-/// Readers by name, bounded.
+/// Readers by name, up to a capacity.
 pub struct Readers<K> {
-    most: usize,
-    all: BTreeMap<K, Reader>,
+    capacity: usize,
+    readers: BTreeMap<K, Reader>,
 }
 
 impl<K: Ord + Clone> Readers<K> {
-    pub fn new(most: usize) -> Readers<K> {
+    pub fn new(capacity: usize) -> Readers<K> {
         Readers {
-            most,
-            all: BTreeMap::new(),
+            capacity,
+            readers: BTreeMap::new(),
         }
     }
 
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.readers.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.readers.is_empty()
     }
 
     pub fn get_mut(&mut self, name: &K) -> Option<&mut Reader> {
-        self.all.get_mut(name)
+        self.readers.get_mut(name)
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (&K, &Reader)> {
-        self.all.iter()
+        self.readers.iter()
     }
 
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&K, &mut Reader)> {
-        self.all.iter_mut()
+        self.readers.iter_mut()
     }
 
-    /// False: there is no room. One of the same name is replaced.
-    pub fn add(&mut self, name: K, reader: Reader) -> bool {
-        let room = self.all.len() < self.most || self.all.contains_key(&name);
-        if room {
-            self.all.insert(name, reader);
+    /// Adds a reader or replaces the one of the same name. Returns `false` if there is no room.
+    pub fn insert(&mut self, name: K, reader: Reader) -> bool {
+        let fits = self.readers.len() < self.capacity || self.readers.contains_key(&name);
+        if fits {
+            self.readers.insert(name, reader);
         }
-        room
+        fits
     }
 
     pub fn remove(&mut self, name: &K) -> bool {
-        self.all.remove(name).is_some()
+        self.readers.remove(name).is_some()
     }
 
-    pub fn keep(&mut self, keep: impl Fn(&K) -> bool) {
-        self.all.retain(|name, _| keep(name));
+    pub fn retain(&mut self, predicate: impl Fn(&K) -> bool) {
+        self.readers.retain(|name, _| predicate(name));
     }
 
     pub fn has_room(&self) -> bool {
-        self.all.len() < self.most
+        self.readers.len() < self.capacity
     }
 
-    /// Tells each what it may be told now; those that are too slow for a stream that leaves nothing out are gone.
-    pub fn pump(
+    /// Sends each reader the events that it may be sent. Removes and returns the readers that were too slow.
+    pub fn send_to_all(
         &mut self,
         now: Time,
         ring: &Ring,
-        slow: Slow,
-        mut tell: impl FnMut(&K, Run),
+        policy: SlowReaderPolicy,
+        mut send: impl FnMut(&K, Batch),
     ) -> Vec<K> {
-        let mut ended = Vec::new();
-        for (name, reader) in &mut self.all {
-            if planted(Fault::SlowBlocks) && reader.blocked() {
+        let mut too_slow = Vec::new();
+        for (name, reader) in &mut self.readers {
+            if planted(Fault::SlowReaderBlocks) && reader.is_blocked() {
                 break;
             }
             if reader
-                .feed(now, ring, slow, &mut |run| tell(name, run))
+                .send_all(now, ring, policy, &mut |batch| send(name, batch))
                 .is_err()
             {
-                ended.push(name.clone());
+                too_slow.push(name.clone());
             }
         }
-        self.all.retain(|name, _| !ended.contains(name));
-        ended
+        self.readers.retain(|name, _| !too_slow.contains(name));
+        too_slow
     }
 
-    /// The same for one; whether it was too slow, and is gone.
-    pub fn pump_one(
+    /// Sends one reader its events. Returns whether it was too slow, and was removed.
+    pub fn send_to(
         &mut self,
         now: Time,
         name: &K,
         ring: &Ring,
-        slow: Slow,
-        tell: &mut impl FnMut(&K, Run),
+        policy: SlowReaderPolicy,
+        send: &mut impl FnMut(&K, Batch),
     ) -> bool {
-        let Some(reader) = self.all.get_mut(name) else {
+        let Some(reader) = self.readers.get_mut(name) else {
             return false;
         };
-        let slow = reader
-            .feed(now, ring, slow, &mut |run| tell(name, run))
+        let too_slow = reader
+            .send_all(now, ring, policy, &mut |batch| send(name, batch))
             .is_err();
-        if slow {
-            self.all.remove(name);
+        if too_slow {
+            self.readers.remove(name);
         }
-        slow
+        too_slow
     }
 }
--- a/pure/relay/src/ring.rs
+++ b/pure/relay/src/ring.rs
@@ -1,74 +1,77 @@
-//! The last items of a stream, with a bound on number and bytes, and the last of each key. What a reader is sent next
-//! follows from its place alone, so that a reader costs a place and no queue.
+//! The last items of a stream, bounded in number and bytes, and the last item of each key. What a reader is
+//! sent next follows from its position alone, so a reader needs no queue of its own.
 
 use crate::planted::{planted, Fault};
-use crate::types::{First, Item, Place, Slow, Stream};
+use crate::types::{Item, Position, SlowReaderPolicy, StartPosition, StreamConfig};
 use foldmux_replicas::Time;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
 #[derive(Clone)]
-pub(crate) struct Kept {
+pub(crate) struct BufferedItem {
     pub(crate) item: Item,
-    /// When it was told, on this process's clock, about.
-    pub(crate) at: Time,
+    /// The approximate time, on this process's clock, when the source published the item.
+    pub(crate) published_at: Time,
 }
 
 pub struct Ring {
-    pub(crate) first: First,
-    pub(crate) shared: bool,
-    by_key: bool,
+    pub(crate) start: StartPosition,
+    pub(crate) shared_numbering: bool,
+    tracks_keys: bool,
     pub(crate) window: Time,
-    most: (usize, usize, usize),
+    /// The most items, bytes and keys.
+    limits: (usize, usize, usize),
     pub(crate) epoch: Option<u64>,
-    /// The last number heard or told as lost.
-    pub(crate) last: u64,
-    pub(crate) items: VecDeque<Kept>,
+    /// The last number that was received or reported as lost.
+    pub(crate) last_number: u64,
+    pub(crate) items: VecDeque<BufferedItem>,
     bytes: usize,
-    /// The last number that the bounds pushed out.
-    pub(crate) evicted: u64,
-    /// When what was pushed out last, and has no key, was told: the whole has no more than what came after.
+    /// The number of the last item that was evicted.
+    pub(crate) last_evicted: u64,
+    /// When the last evicted item without a key was published. A snapshot lacks such items up to this time.
     evicted_at: Option<Time>,
-    pub(crate) keyed: BTreeMap<Arc<str>, Kept>,
+    pub(crate) keyed: BTreeMap<Arc<str>, BufferedItem>,
     keyed_bytes: usize,
-    /// The last of each key is all that the epoch has.
+    /// Whether the items kept by key are the complete state of the epoch.
     pub(crate) complete: bool,
-    /// Where readers count for themselves: what the next epoch's whole tells may not be all.
-    pub(crate) gap: Option<u64>,
+    /// Where each process numbers the items by itself: the epoch after which items may be missing from the
+    /// next epoch's snapshot.
+    pub(crate) gap_epoch: Option<u64>,
 }
 
-/// What becomes of an item.
+/// The outcome of inserting an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Put {
+pub enum Insertion {
     New,
-    Old,
+    Stale,
 }
 
 impl Ring {
-    pub fn new(stream: &Stream) -> Ring {
+    pub fn new(stream: &StreamConfig) -> Ring {
         Ring {
-            first: stream.first,
-            shared: stream.shared,
-            by_key: stream.first == First::Whole || stream.slow == Slow::Latest,
-            window: stream.window,
-            most: (stream.items.max(1), stream.bytes, stream.keys),
+            start: stream.start,
+            shared_numbering: stream.shared_numbering,
+            tracks_keys: stream.start == StartPosition::Snapshot
+                || stream.slow_readers == SlowReaderPolicy::Conflate,
+            window: stream.snapshot_window,
+            limits: (stream.max_items.max(1), stream.max_bytes, stream.max_keys),
             epoch: None,
-            last: 0,
+            last_number: 0,
             items: VecDeque::new(),
             bytes: 0,
-            evicted: 0,
+            last_evicted: 0,
             evicted_at: None,
             keyed: BTreeMap::new(),
             keyed_bytes: 0,
             complete: false,
-            gap: None,
+            gap_epoch: None,
         }
     }
 
-    pub fn place(&self) -> Option<Place> {
-        self.epoch.map(|epoch| Place {
+    pub fn position(&self) -> Option<Position> {
+        self.epoch.map(|epoch| Position {
             epoch,
-            number: self.last,
+            number: self.last_number,
         })
     }
 
@@ -80,13 +83,18 @@
         self.items.is_empty()
     }
 
-    /// A later epoch empties it. False: an earlier one, of a source whose epochs have an order.
-    fn turn(&mut self, epoch: u64) -> bool {
+    /// Enters an epoch; a new one clears the ring. Returns `false` for an earlier epoch where epochs are
+    /// ordered.
+    fn enter_epoch(&mut self, epoch: u64) -> bool {
         match self.epoch {
-            Some(own) if own == epoch => true,
-            Some(own) if self.shared && epoch < own && !planted(Fault::OldEpochTaken) => false,
+            Some(current) if current == epoch => true,
+            Some(current)
+                if self.shared_numbering && epoch < current && !planted(Fault::AcceptsOldEpoch) =>
+            {
+                false
+            }
             _ => {
-                (self.epoch, self.last, self.evicted) = (Some(epoch), 0, 0);
+                (self.epoch, self.last_number, self.last_evicted) = (Some(epoch), 0, 0);
                 (self.bytes, self.keyed_bytes, self.evicted_at) = (0, 0, None);
                 self.items.clear();
                 self.keyed.clear();
@@ -96,121 +104,126 @@
         }
     }
 
-    /// Adds an item. A number that is left out is lost to all readers: they are told when they come by it.
-    pub fn put(&mut self, now: Time, epoch: u64, item: Item) -> Put {
-        if !self.turn(epoch) || item.number <= self.last {
-            return Put::Old;
+    /// Adds an item. Numbers that it skips are lost to all readers, and each is told of the gap when it gets
+    /// there.
+    pub fn insert(&mut self, now: Time, epoch: u64, item: Item) -> Insertion {
+        if !self.enter_epoch(epoch) || item.number <= self.last_number {
+            return Insertion::Stale;
         }
-        self.complete &= item.number == self.last + 1;
-        self.last = item.number;
-        let kept = Kept {
-            at: now.saturating_sub(item.age),
+        self.complete &= item.number == self.last_number + 1;
+        self.last_number = item.number;
+        let entry = BufferedItem {
+            published_at: now.saturating_sub(item.age),
             item,
         };
-        self.remember(kept.clone());
-        self.keep(kept);
-        Put::New
+        self.update_key(entry.clone());
+        self.push(entry);
+        Insertion::New
     }
 
-    /// The bounds pushed out what is younger than the window: a whole does not have it.
-    pub(crate) fn cut_short(&self, now: Time) -> bool {
+    /// Whether an evicted item is younger than the snapshot window, so that a snapshot is incomplete.
+    pub(crate) fn is_truncated(&self, now: Time) -> bool {
         self.evicted_at
             .is_some_and(|at| now.saturating_sub(at) <= self.window)
     }
 
-    /// The whole that came is said to be short of what went before.
-    pub fn cut_at(&mut self, now: Time) {
+    /// Marks snapshots as incomplete: items published up to this time may be missing.
+    pub fn truncate_at(&mut self, now: Time) {
         self.evicted_at = Some(now);
     }
 
-    /// Whoever reads on from this epoch to the next is told that something may be missing.
+    /// Readers that continue from this epoch in the next one are told that items may be missing.
     pub fn mark_gap(&mut self) {
-        self.gap = self.epoch;
+        self.gap_epoch = self.epoch;
     }
 
-    fn remember(&mut self, kept: Kept) {
-        let Some(key) = kept.item.key.clone().filter(|_| self.by_key) else {
+    /// Records the last item of a key, or removes a deleted key.
+    fn update_key(&mut self, entry: BufferedItem) {
+        let Some(key) = entry.item.key.clone().filter(|_| self.tracks_keys) else {
             return;
         };
-        let size = |kept: &Kept| kept.item.bytes.len();
+        let size = |entry: &BufferedItem| entry.item.bytes.len();
         if let Some(old) = self.keyed.remove(&key) {
             self.keyed_bytes -= size(&old);
         }
-        if kept.item.gone {
+        if entry.item.deleted {
             return;
         }
-        if self.keyed.len() >= self.most.2 || self.keyed_bytes + size(&kept) > self.most.1 {
-            // Not all keys fit: from here on there is no whole to give, until another epoch.
+        if self.keyed.len() >= self.limits.2 || self.keyed_bytes + size(&entry) > self.limits.1 {
+            // Not all keys fit: there is no snapshot until the next epoch.
             self.complete = false;
             return;
         }
-        self.keyed_bytes += size(&kept);
-        self.keyed.insert(key, kept);
+        self.keyed_bytes += size(&entry);
+        self.keyed.insert(key, entry);
     }
 
-    /// An epoch that has told nothing new yet; or where one begins that had no place.
-    pub fn begin(&mut self, epoch: u64, number: u64) {
-        if self.turn(epoch) && self.last == 0 && self.items.is_empty() {
-            (self.last, self.complete) = (number, number == 0);
+    /// Enters an epoch that has no new item yet. A ring without items starts after `number`.
+    pub fn start_epoch(&mut self, epoch: u64, number: u64) {
+        if self.enter_epoch(epoch) && self.last_number == 0 && self.items.is_empty() {
+            (self.last_number, self.complete) = (number, number == 0);
         }
     }
 
-    /// The epoch told up to there, and the rest of it was not heard, or will not come.
-    pub fn lost(&mut self, epoch: u64, to: u64) {
-        if self.turn(epoch) && to > self.last {
-            self.last = to;
+    /// Skips to this number: the items up to it were not received, or never will be.
+    pub fn skip_to(&mut self, epoch: u64, to: u64) {
+        if self.enter_epoch(epoch) && to > self.last_number {
+            self.last_number = to;
             self.complete = false;
         }
     }
 
-    /// The whole, from one who has it. What is held stays: readers that have not had it yet get it in order.
-    pub fn whole(
+    /// Applies a snapshot from another process. Buffered items stay, so that readers which have not received
+    /// them get them in order. Returns `false` if the snapshot is older than the ring.
+    pub fn apply_snapshot(
         &mut self,
         now: Time,
-        place: Place,
+        position: Position,
         keyed: Vec<Item>,
         mut recent: Vec<Item>,
     ) -> bool {
-        if !self.turn(place.epoch) || place.number < self.last {
+        if !self.enter_epoch(position.epoch) || position.number < self.last_number {
             return false;
         }
         self.keyed.clear();
         (self.keyed_bytes, self.complete) = (0, true);
         keyed.into_iter().for_each(|item| {
-            self.remember(Kept {
-                at: now.saturating_sub(item.age),
+            self.update_key(BufferedItem {
+                published_at: now.saturating_sub(item.age),
                 item,
             })
         });
         recent.sort_by_key(|item| item.number);
         for item in recent {
-            if item.number > self.last && item.number <= place.number {
-                self.last = item.number;
-                self.keep(Kept {
-                    at: now.saturating_sub(item.age),
+            if item.number > self.last_number && item.number <= position.number {
+                self.last_number = item.number;
+                self.push(BufferedItem {
+                    published_at: now.saturating_sub(item.age),
                     item,
                 });
             }
         }
-        self.last = place.number;
+        self.last_number = position.number;
         true
     }
 
-    fn keep(&mut self, kept: Kept) {
-        self.bytes += kept.item.bytes.len();
-        self.items.push_back(kept);
-        while self.items.len() > self.most.0 || (self.bytes > self.most.1 && self.items.len() > 1) {
+    fn push(&mut self, entry: BufferedItem) {
+        self.bytes += entry.item.bytes.len();
+        self.items.push_back(entry);
+        while self.items.len() > self.limits.0
+            || (self.bytes > self.limits.1 && self.items.len() > 1)
+        {
             let old = self.items.pop_front().expect("counted");
             self.bytes -= old.item.bytes.len();
-            self.evicted = old.item.number;
+            self.last_evicted = old.item.number;
             if old.item.key.is_none() {
-                self.evicted_at = Some(old.at);
+                self.evicted_at = Some(old.published_at);
             }
         }
     }
 
-    /// Whether what follows on a place is here no longer.
-    pub fn overran(&self, at: Place) -> bool {
-        self.epoch == Some(at.epoch) && at.number < self.evicted
+    /// Whether an item that follows this position was evicted.
+    pub fn evicted_after(&self, position: Position) -> bool {
+        self.epoch == Some(position.epoch) && position.number < self.last_evicted
     }
 }
--- a/pure/relay/src/source.rs
+++ b/pure/relay/src/source.rs
@@ -1,23 +1,23 @@
-//! The stream at its source, as this process reads it: one reading, whoever in the process wants it. Order, repeats and
-//! gaps are the ring's; a source that starts again at 1 has a new epoch.
+//! The stream as this process reads it at its source: once, for all branches and readers of the process. The
+//! ring handles order, duplicates and gaps. A source that restarts its numbers at 1 has a new epoch.
 
-use crate::ring::{Put, Ring};
-use crate::types::{Item, Stream};
+use crate::ring::{Insertion, Ring};
+use crate::types::{Item, StreamConfig};
 use foldmux_replicas::Time;
 
 pub struct Source {
     pub ring: Ring,
-    shared: bool,
+    shared_numbering: bool,
     start: Time,
     open: bool,
-    /// It has answered since it was opened: what the ring says is no older than that.
+    /// Whether the source has answered since it was opened: the ring's content is no older than that.
     fresh: bool,
 }
 
 impl Source {
-    pub fn new(stream: &Stream, start: Time) -> Source {
+    pub fn new(stream: &StreamConfig, start: Time) -> Source {
         Source {
-            shared: stream.shared,
+            shared_numbering: stream.shared_numbering,
             start,
             ring: Ring::new(stream),
             open: false,
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Opens or closes; whether that is a change.
-    pub fn want(&mut self, open: bool) -> bool {
+    /// Opens or closes the source. Returns whether that is a change.
+    pub fn set_open(&mut self, open: bool) -> bool {
         let change = self.open != open;
         if change {
             (self.open, self.fresh) = (open, false);
@@ -34,33 +34,35 @@
         change
     }
 
-    pub fn open(&self) -> bool {
+    pub fn is_open(&self) -> bool {
         self.open
     }
 
-    pub fn fresh(&self) -> bool {
+    pub fn is_fresh(&self) -> bool {
         self.fresh
     }
 
-    /// An answer of the source. What came late, after the reading ended, is kept too.
-    pub fn fed(&mut self, now: Time, epoch: u64, items: Vec<Item>) -> usize {
+    /// Handles an answer of the source, also one that arrives after the source was closed. Returns how many
+    /// items were new.
+    pub fn on_items(&mut self, now: Time, epoch: u64, items: Vec<Item>) -> usize {
         self.fresh = self.open;
-        let before = self.ring.place();
-        self.ring.begin(epoch, 0);
-        // What was told before this process began to count, or last in the epoch before, a whole of this one may not have.
+        let before = self.ring.position();
+        self.ring.start_epoch(epoch, 0);
+        // A snapshot of this epoch may lack what was published before this process began to number the items,
+        // or at the end of the previous epoch.
         match before {
-            _ if self.shared => {}
-            None => self.ring.cut_at(self.start),
-            Some(place) if place.epoch != epoch => self.ring.cut_at(now),
+            _ if self.shared_numbering => {}
+            None => self.ring.truncate_at(self.start),
+            Some(position) if position.epoch != epoch => self.ring.truncate_at(now),
             Some(_) => {}
         }
         items
             .into_iter()
-            .filter(|item| self.ring.put(now, epoch, item.clone()) == Put::New)
+            .filter(|item| self.ring.insert(now, epoch, item.clone()) == Insertion::New)
             .count()
     }
 
-    pub fn failed(&mut self) {
+    pub fn on_failure(&mut self) {
         self.fresh = false;
     }
 }
--- a/pure/relay/src/types.rs
+++ b/pure/relay/src/types.rs
@@ -1,124 +1,136 @@
-//! The types of the part: streams, places in them, what processes say to each other, what a process asks and is told.
+//! The public types of the crate: configuration, positions in a stream, events, commands and notifications.
 
 use foldmux_replicas::{ClockDrift, Peer, ReplicaSet, Time};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What becomes of a reader that is slower than its stream.
+/// What happens to a reader that is slower than its stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Slow {
-    /// It gets all or is ended with a reason.
-    All,
-    /// Of what waits for it, the last of each key.
-    Latest,
-    /// What the ring no longer holds is passed over, and told.
+pub enum SlowReaderPolicy {
+    /// The reader receives every item, or its subscription ends with [`EndReason::TooSlow`].
+    Disconnect,
+    /// Of the items that wait for the reader, only the last of each key is sent.
+    Conflate,
+    /// Items that the ring no longer holds are skipped, and reported as a gap.
     Skip,
 }
 
-/// What one is sent that comes with no place in the stream.
+/// Where a reader starts that has no position in the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum First {
-    /// The last of each key, and what is younger than the window.
-    Whole,
-    /// What the ring holds.
-    Ring,
-    /// What comes after.
+pub enum StartPosition {
+    /// With the last item of each key, and the items without a key that are younger than the snapshot window.
+    Snapshot,
+    /// With the oldest item that the ring holds.
+    Buffered,
+    /// With the items published from now on.
     Live,
 }
 
-/// A stream, as the operator's file and the class say.
+/// The configuration of a stream.
 #[derive(Clone, Debug)]
-pub struct Stream {
+pub struct StreamConfig {
     pub name: Arc<str>,
-    pub slow: Slow,
-    pub first: First,
-    /// The source's epochs and numbers are the same whoever reads it, later epochs greater. Otherwise each process that
-    /// reads it counts for itself, and a reader that changes from one to another is sent the whole.
-    pub shared: bool,
-    /// How long without a word until a relay counts as silent. A beat comes three times in it.
-    pub patience: Time,
-    /// What has no key matters so long to one that was away.
-    pub window: Time,
-    /// Of the ring: items and bytes. Of the last of each key: keys, and the same bytes.
-    pub items: usize,
-    pub bytes: usize,
-    pub keys: usize,
-    /// Told to one reader and not yet taken by it, at most.
-    pub ahead: u64,
+    pub slow_readers: SlowReaderPolicy,
+    pub start: StartPosition,
+    /// Whether the source's epochs and numbers are the same for all processes that read it, with later epochs
+    /// greater. Otherwise each process that reads the source numbers the items by itself, and a reader that
+    /// changes from one such process to another receives a new snapshot.
+    pub shared_numbering: bool,
+    /// The time without a message after which a relay counts as silent. A relay sends a heartbeat three times
+    /// in this time.
+    pub silence_timeout: Time,
+    /// How long an item without a key stays relevant to a reader that was away.
+    pub snapshot_window: Time,
+    /// The most items that the ring holds.
+    pub max_items: usize,
+    /// The most bytes that the ring holds, and, separately, the items that are kept by key.
+    pub max_bytes: usize,
+    /// The most keys of which the last item is kept.
+    pub max_keys: usize,
+    /// The most events that one reader is sent beyond those that it acknowledged.
+    pub max_unacknowledged: u64,
 }
 
-/// All that a process is told at its start.
+/// The configuration of a process's [`crate::Relay`].
 #[derive(Clone, Debug)]
-pub struct Setup {
-    pub me: Peer,
-    /// Tells this life of the process from its earlier ones: greater, such as the start's Unix time in microseconds.
-    pub life: u64,
-    /// Each process with its place: the site, or site, hub and office.
-    pub places: Vec<(Peer, Vec<Arc<str>>)>,
+pub struct RelayConfig {
+    /// This process.
+    pub own: Peer,
+    /// Distinguishes this run of the process from earlier ones. It must be greater than theirs; the start
+    /// time in microseconds since the Unix epoch will do.
+    pub incarnation: u64,
+    /// Each process of the fleet with its location: the site, or the site, hub and office.
+    pub locations: Vec<(Peer, Vec<Arc<str>>)>,
     pub replicas: ReplicaSet,
     pub drift: ClockDrift,
+    /// The length of a lease on a branch.
     pub lease: Time,
-    pub streams: Vec<Stream>,
-    /// Readers of this process, over all streams; and processes that one relay feeds in a branch.
-    pub readers: usize,
-    pub fed: usize,
-    /// A relay moves for slowness at most once in so long, and one that was moved from sits out five times as long.
-    pub hold: Time,
+    pub streams: Vec<StreamConfig>,
+    /// The most readers of this process, over all streams.
+    pub max_readers: usize,
+    /// The most processes that one relay sends a branch to.
+    pub max_followers: usize,
+    /// A relay gives up its role for slowness at most once in this time, and then declines the role for five
+    /// times as long.
+    pub min_tenure: Time,
     pub seed: u64,
 }
 
-/// A stream as it comes to one place: `helsinki`, or `helsinki/hub1/office3`.
+/// A stream at one location, such as `helsinki` or `helsinki/hub1/office3`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Branch {
     pub stream: Arc<str>,
-    pub place: Arc<str>,
+    pub location: Arc<str>,
 }
 
 impl Branch {
-    /// What it is found by at seats and in the line of those who may relay it.
+    /// The key that selects the branch's replicas and the order of its candidates.
     pub fn key(&self) -> Vec<u8> {
-        [self.stream.as_bytes(), &[0], self.place.as_bytes()].concat()
+        [self.stream.as_bytes(), &[0], self.location.as_bytes()].concat()
     }
 }
 
-/// How far in a stream: the source's epoch, and the last number of it.
+/// A position in a stream: an epoch of the source and the last number of that epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Place {
+pub struct Position {
     pub epoch: u64,
     pub number: u64,
 }
 
+/// An item of a stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Item {
     pub number: u64,
-    /// Of items with one key the last says all.
+    /// An item replaces earlier items with the same key.
     pub key: Option<Arc<str>>,
-    /// With this the key goes.
-    pub gone: bool,
+    /// Whether the item deletes its key.
+    pub deleted: bool,
     pub bytes: Arc<[u8]>,
-    /// Since the source told it, about.
+    /// The approximate time since the source published the item.
     pub age: Time,
 }
 
-/// What a reader is told. Each takes [`Event::span`] of the reader's own numbers.
+/// An event for a reader. Each takes [`Event::span`] of the reader's own numbers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// What comes follows on this place; for one that came without one.
-    From {
-        place: Place,
+    /// The next event follows this position. Sent to a reader that came without a position.
+    Start {
+        position: Position,
     },
     Item {
         epoch: u64,
         item: Item,
     },
-    /// As of `place`: the last of each key, then what has none and may not have come.
-    Whole {
-        place: Place,
+    /// The state as of `position`: the last item of each key, then the items without a key that the reader
+    /// may not have received.
+    Snapshot {
+        position: Position,
         keyed: Vec<Item>,
         recent: Vec<Item>,
     },
-    /// These numbers do not come; with no end: the epoch is over and what it told last was not heard.
-    Lost {
+    /// The items with these numbers will not be delivered. `None` in `to`: the epoch has ended, and its last
+    /// items may be missing.
+    Gap {
         epoch: u64,
         from: u64,
         to: Option<u64>,
@@ -126,87 +138,95 @@
 }
 
 impl Event {
+    /// The reader's own numbers that the event takes.
     pub fn span(&self) -> u64 {
         match self {
-            Event::Whole { recent, .. } => 1 + recent.len() as u64,
-            Event::From { .. } => 0,
+            Event::Snapshot { recent, .. } => 1 + recent.len() as u64,
+            Event::Start { .. } => 0,
             _ => 1,
         }
     }
 }
 
-pub enum Ask {
-    /// A reader whose own last number is `after`. Answered with `Opened` or `Refused`.
+/// A command of this process to its [`crate::Relay`].
+pub enum Command {
+    /// Subscribes a reader whose last own number is `after`. Answered with [`Notification::Opened`] or
+    /// [`Notification::Refused`].
     Subscribe {
-        ticket: u64,
+        reader: u64,
         stream: Arc<str>,
         after: u64,
-        place: Option<Place>,
+        position: Option<Position>,
     },
-    /// The reader has taken all to this number of its own.
-    Taken {
+    /// The reader has received all events up to this number of its own.
+    Acknowledge {
         reader: u64,
         number: u64,
     },
     Cancel {
         reader: u64,
     },
-    /// What the source told this process, in order; with no items: an answer came, and nothing is new.
-    Fed {
+    /// Items that this process read at the source, in order. Without items, the source answered and has
+    /// nothing new.
+    SourceItems {
         stream: Arc<str>,
         epoch: u64,
         items: Vec<Item>,
     },
-    /// The source could not be reached, or what it says can't be read.
-    Unfed {
+    /// The source could not be reached, or its answer could not be decoded.
+    SourceFailed {
         stream: Arc<str>,
     },
-    /// SIGTERM: others relay from now on.
-    Leave,
+    /// The process shuts down (SIGTERM): hand over to other relays.
+    Drain,
 }
 
+/// A notification from the [`crate::Relay`] to its process.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
-    /// The ticket is the reader's name from now on.
+pub enum Notification {
+    /// The subscription is open.
     Opened {
-        ticket: u64,
+        reader: u64,
     },
     Refused {
-        ticket: u64,
-        why: Refused,
+        reader: u64,
+        reason: SubscribeError,
     },
     /// `first` is the reader's own number of the first event.
-    News {
+    Events {
         reader: u64,
         first: u64,
         events: Vec<Event>,
     },
     Ended {
         reader: u64,
-        why: Ended,
+        reason: EndReason,
     },
-    /// Read the source from here on, or no longer.
-    Source {
+    /// Start or stop reading the source.
+    ReadSource {
         stream: Arc<str>,
         open: bool,
     },
-    /// Who feeds this process; none: it reads the source itself, or nothing.
-    Relay {
+    /// The process that relays the stream to this one. `None`: this process reads the source itself, or
+    /// nothing.
+    Upstream {
         stream: Arc<str>,
         from: Option<Peer>,
     },
 }
 
+/// Why a subscription was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    NoSuchStream,
-    Full,
-    /// This name is in use.
-    Taken,
+pub enum SubscribeError {
+    UnknownStream,
+    TooManyReaders,
+    /// A reader with this id is already subscribed.
+    DuplicateReader,
 }
 
+/// Why a subscription was ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
-    /// The ring went past it, and its stream leaves nothing out.
+pub enum EndReason {
+    /// The ring evicted items that the reader had not received, and the stream may not skip any.
     TooSlow,
 }
--- a/pure/relay/tests/drawn.rs
+++ b/pure/relay/tests/drawn.rs
@@ -1,9 +1,10 @@
-//! Drawn orders of news, readers, losses, cuts, pauses, kills, leavings and restarts, against the plain model; a failing run
-//! is shrunk, and kept in `drawn.proptest-regressions`.
+//! Random sequences of publications, subscriptions, message losses, cut links, pauses, kills, drains and
+//! restarts, checked against the reference model. A failing sequence is shrunk and kept in
+//! `drawn.proptest-regressions`.
 
 mod world;
 
-use foldmux_relay::{First, Slow};
+use foldmux_relay::{SlowReaderPolicy, StartPosition};
 use proptest::prelude::*;
 use proptest_state_machine::{prop_state_machine, ReferenceStateMachine, StateMachineTest};
 use world::{stream, World, MS, SOURCE};
@@ -13,51 +14,51 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Tell {
+    Publish {
         key: Option<u8>,
-        gone: bool,
+        delete: bool,
         times: u8,
     },
-    Pass(u32),
+    Advance(u32),
     Subscribe(usize),
-    Slow(usize),
+    SubscribeSlow(usize),
     Cancel(usize),
     Kill(usize),
     Restart(usize),
-    Leave(usize),
+    Drain(usize),
     Pause(usize),
-    Wake(usize),
-    Members(usize, bool),
-    Cut(usize, usize),
+    Resume(usize),
+    PeerStatus(usize, bool),
+    CutLink(usize, usize),
     CutSource(usize, bool),
     Heal,
-    Loss(u8),
+    MessageLoss(u8),
     NewEpoch,
 }
 
-/// What the fleet is told to be: which kind of stream, and who is up.
+/// The initial state of the fleet: the kind of stream, and which processes are up.
 #[derive(Clone, Debug)]
-struct Told {
+struct InitialState {
     seed: u64,
     kind: usize,
     up: [bool; N],
 }
 
-const KINDS: [(Slow, First, bool); 5] = [
-    (Slow::Skip, First::Whole, false),
-    (Slow::Skip, First::Live, true),
-    (Slow::Latest, First::Whole, true),
-    (Slow::All, First::Ring, true),
-    (Slow::All, First::Whole, false),
+const STREAM_KINDS: [(SlowReaderPolicy, StartPosition, bool); 5] = [
+    (SlowReaderPolicy::Skip, StartPosition::Snapshot, false),
+    (SlowReaderPolicy::Skip, StartPosition::Live, true),
+    (SlowReaderPolicy::Conflate, StartPosition::Snapshot, true),
+    (SlowReaderPolicy::Disconnect, StartPosition::Buffered, true),
+    (SlowReaderPolicy::Disconnect, StartPosition::Snapshot, false),
 ];
 
-impl ReferenceStateMachine for Told {
-    type State = Told;
+impl ReferenceStateMachine for InitialState {
+    type State = InitialState;
     type Transition = Step;
 
-    fn init_state() -> BoxedStrategy<Told> {
-        (any::<u64>(), 0..KINDS.len())
-            .prop_map(|(seed, kind)| Told {
+    fn init_state() -> BoxedStrategy<InitialState> {
+        (any::<u64>(), 0..STREAM_KINDS.len())
+            .prop_map(|(seed, kind)| InitialState {
                 seed,
                 kind,
                 up: [true; N],
@@ -65,46 +66,46 @@
             .boxed()
     }
 
-    fn transitions(_: &Told) -> BoxedStrategy<Step> {
+    fn transitions(_: &InitialState) -> BoxedStrategy<Step> {
         let key = proptest::option::of(0..4u8);
         prop_oneof![
-            8 => (key, any::<bool>(), 1..20u8).prop_map(|(key, gone, times)| Step::Tell { key, gone, times }),
-            8 => (1..2_000u32).prop_map(Step::Pass),
+            8 => (key, any::<bool>(), 1..20u8).prop_map(|(key, delete, times)| Step::Publish { key, delete, times }),
+            8 => (1..2_000u32).prop_map(Step::Advance),
             6 => (0..N).prop_map(Step::Subscribe),
-            1 => (0..N).prop_map(Step::Slow),
+            1 => (0..N).prop_map(Step::SubscribeSlow),
             2 => (0..20usize).prop_map(Step::Cancel),
             2 => (0..N).prop_map(Step::Kill),
             2 => (0..N).prop_map(Step::Restart),
-            1 => (0..N).prop_map(Step::Leave),
+            1 => (0..N).prop_map(Step::Drain),
             2 => (0..N).prop_map(Step::Pause),
-            2 => (0..N).prop_map(Step::Wake),
-            1 => ((0..N), any::<bool>()).prop_map(|(i, alive)| Step::Members(i, alive)),
-            3 => ((0..N), (0..N)).prop_map(|(a, b)| Step::Cut(a, b)),
+            2 => (0..N).prop_map(Step::Resume),
+            1 => ((0..N), any::<bool>()).prop_map(|(i, alive)| Step::PeerStatus(i, alive)),
+            3 => ((0..N), (0..N)).prop_map(|(a, b)| Step::CutLink(a, b)),
             2 => ((0..N), any::<bool>()).prop_map(|(i, there)| Step::CutSource(i, there)),
             2 => Just(Step::Heal),
-            1 => (0..30u8).prop_map(Step::Loss),
+            1 => (0..30u8).prop_map(Step::MessageLoss),
             1 => Just(Step::NewEpoch),
         ]
         .boxed()
     }
 
-    fn apply(mut told: Told, step: &Step) -> Told {
+    fn apply(mut state: InitialState, step: &Step) -> InitialState {
         match step {
-            Step::Kill(i) => told.up[*i] = false,
-            Step::Restart(i) => told.up[*i] = true,
+            Step::Kill(i) => state.up[*i] = false,
+            Step::Restart(i) => state.up[*i] = true,
             _ => {}
         }
-        told
+        state
     }
 
-    fn preconditions(told: &Told, step: &Step) -> bool {
+    fn preconditions(state: &InitialState, step: &Step) -> bool {
         match step {
-            Step::Restart(i) => !told.up[*i],
+            Step::Restart(i) => !state.up[*i],
             Step::Subscribe(i)
-            | Step::Slow(i)
+            | Step::SubscribeSlow(i)
             | Step::Kill(i)
-            | Step::Leave(i)
-            | Step::Pause(i) => told.up[*i],
+            | Step::Drain(i)
+            | Step::Pause(i) => state.up[*i],
             _ => true,
         }
     }
@@ -114,31 +115,31 @@
 
 impl StateMachineTest for Fleet {
     type SystemUnderTest = World;
-    type Reference = Told;
+    type Reference = InitialState;
 
-    fn init_test(told: &Told) -> World {
-        let (slow, first, shared) = KINDS[told.kind];
-        World::new(told.seed, stream(slow, first, shared), &PLACES)
+    fn init_test(state: &InitialState) -> World {
+        let (slow, first, shared) = STREAM_KINDS[state.kind];
+        World::new(state.seed, stream(slow, first, shared), &PLACES)
     }
 
-    fn apply(mut world: World, _: &Told, step: Step) -> World {
+    fn apply(mut world: World, _: &InitialState, step: Step) -> World {
         match step {
-            Step::Tell { key, gone, times } => {
+            Step::Publish { key, delete, times } => {
                 for _ in 0..times {
                     let key = key.map(|key| format!("k{key}"));
-                    world.publish(key.as_deref(), gone && key.is_some());
-                    world.pass(2 * MS);
+                    world.publish(key.as_deref(), delete && key.is_some());
+                    world.advance(2 * MS);
                 }
             }
-            Step::Pass(ms) => world.pass(u64::from(ms) * MS),
-            Step::Subscribe(i) | Step::Slow(i) if world.processes[i].paused => {}
+            Step::Advance(ms) => world.advance(u64::from(ms) * MS),
+            Step::Subscribe(i) | Step::SubscribeSlow(i) if world.processes[i].paused => {}
             Step::Subscribe(i) => {
                 world.subscribe(i);
             }
-            Step::Slow(i) => {
+            Step::SubscribeSlow(i) => {
                 let reader = world.next_reader;
                 world
-                    .slow
+                    .slow_readers
                     .insert(reader, reader.is_multiple_of(2).then_some(700 * MS));
                 world.subscribe(i);
             }
@@ -153,38 +154,38 @@
             }
             Step::Kill(i) => world.kill(i),
             Step::Restart(i) => world.restart(i),
-            Step::Leave(i) => world.leave(i),
+            Step::Drain(i) => world.drain(i),
             Step::Pause(i) => world.pause(i),
-            Step::Wake(i) if world.processes[i].paused => world.wake(i),
-            Step::Wake(_) => {}
-            Step::Members(i, alive) => world.members_say(i, alive),
-            Step::Cut(a, b) => {
-                world.cut.insert((a, b));
+            Step::Resume(i) if world.processes[i].paused => world.resume(i),
+            Step::Resume(_) => {}
+            Step::PeerStatus(i, alive) => world.report_peer_status(i, alive),
+            Step::CutLink(a, b) => {
+                world.cut_links.insert((a, b));
             }
             Step::CutSource(i, there) => {
                 world
-                    .cut
+                    .cut_links
                     .insert(if there { (i, SOURCE) } else { (SOURCE, i) });
             }
             Step::Heal => {
-                world.cut.clear();
-                world.loss = 0.0;
+                world.cut_links.clear();
+                world.loss_probability = 0.0;
             }
-            Step::Loss(percent) => world.loss = f64::from(percent) / 100.0,
+            Step::MessageLoss(percent) => world.loss_probability = f64::from(percent) / 100.0,
             Step::NewEpoch => {
                 world.log.restart();
                 let (log, readers) = (&world.log, &mut world.readers);
                 readers
                     .values_mut()
-                    .for_each(|(_, model)| model.forget(log));
+                    .for_each(|(_, model)| model.exempt_lost_items(log));
             }
         }
         world
     }
 
-    fn teardown(mut world: World, _: Told) {
-        (0..N).for_each(|i| world.members_say(i, true));
-        world.settle();
+    fn teardown(mut world: World, _: InitialState) {
+        (0..N).for_each(|i| world.report_peer_status(i, true));
+        world.heal_and_check();
     }
 }
 
@@ -192,5 +193,5 @@
     #![proptest_config(ProptestConfig { cases: 96, ..ProptestConfig::default() })]
 
     #[test]
-    fn each_reader_has_all_in_order_once_or_is_told(sequential 1..60 => Fleet);
+    fn each_reader_receives_all_in_order_once_or_is_told_of_gaps(sequential 1..60 => Fleet);
 }
--- a/pure/relay/tests/formats.rs
+++ b/pure/relay/tests/formats.rs
@@ -1,15 +1,15 @@
-//! The bytes of messages between processes, against fixtures.
+//! The encoding of the messages between processes, against fixtures.
 
 #[path = "../../../tests/formats/postcard.rs"]
 mod fixtures;
 
-use foldmux_relay::{Branch, Event, Item, Message, Place};
+use foldmux_relay::{Branch, Event, Item, Message, Position};
 use foldmux_replicas::Peer;
 
 fn branch() -> Branch {
     Branch {
         stream: "journal".into(),
-        place: "helsinki/hub1".into(),
+        location: "helsinki/hub1".into(),
     }
 }
 
@@ -17,15 +17,15 @@
     Some(Peer::new("edge-1"))
 }
 
-fn place(number: u64) -> Place {
-    Place { epoch: 301, number }
+fn position(number: u64) -> Position {
+    Position { epoch: 301, number }
 }
 
 fn item(key: Option<&str>) -> Item {
     Item {
         number: 302,
         key: key.map(Into::into),
-        gone: true,
+        deleted: true,
         bytes: [1, 2, 3][..].into(),
         age: 303,
     }
@@ -34,23 +34,25 @@
 /// A new variant needs a line here and a value in [`events`].
 fn is_covered(event: &Event) {
     match event {
-        Event::From { .. } | Event::Item { .. } | Event::Whole { .. } | Event::Lost { .. } => {}
+        Event::Start { .. } | Event::Item { .. } | Event::Snapshot { .. } | Event::Gap { .. } => {}
     }
 }
 
 fn events() -> Vec<Event> {
     let events = vec![
-        Event::From { place: place(401) },
+        Event::Start {
+            position: position(401),
+        },
         Event::Item {
             epoch: 402,
             item: item(Some("s-1")),
         },
-        Event::Whole {
-            place: place(403),
+        Event::Snapshot {
+            position: position(403),
             keyed: vec![item(Some("s-2"))],
             recent: vec![item(None)],
         },
-        Event::Lost {
+        Event::Gap {
             epoch: 404,
             from: 405,
             to: Some(406),
@@ -64,14 +66,14 @@
 fn variant(message: &Message) -> &'static str {
     match message {
         Message::Claim { .. } => "claim",
-        Message::Granted { .. } => "granted",
-        Message::LetGo { .. } => "release",
+        Message::ClaimReply { .. } => "granted",
+        Message::Release { .. } => "release",
         Message::Join { .. } => "join",
         Message::Leave { .. } => "leave",
-        Message::News { .. } => "events",
-        Message::Beat { .. } => "heartbeat",
-        Message::Taken { .. } => "acknowledge",
-        Message::Elsewhere { .. } => "redirect",
+        Message::Events { .. } => "events",
+        Message::Heartbeat { .. } => "heartbeat",
+        Message::Acknowledge { .. } => "acknowledge",
+        Message::Redirect { .. } => "redirect",
         Message::Late { .. } => "late",
     }
 }
@@ -81,45 +83,45 @@
     vec![
         Message::Claim {
             branch: branch.clone(),
-            asked: 502,
+            request: 502,
             lease: 503,
         },
-        Message::Granted {
+        Message::ClaimReply {
             branch: branch.clone(),
-            asked: 504,
-            other: peer(),
+            request: 504,
+            holder: peer(),
         },
-        Message::LetGo {
+        Message::Release {
             branch: branch.clone(),
         },
         Message::Join {
             branch: branch.clone(),
             nonce,
-            place: Some(place(505)),
-            late: peer(),
-            last: true,
+            position: Some(position(505)),
+            replaces: peer(),
+            last_resort: true,
         },
         Message::Leave {
             branch: branch.clone(),
             nonce,
         },
-        Message::News {
+        Message::Events {
             branch: branch.clone(),
             nonce,
             first: 506,
             events: events(),
         },
-        Message::Beat {
+        Message::Heartbeat {
             branch: branch.clone(),
             nonce,
-            told: 507,
+            sent: 507,
         },
-        Message::Taken {
+        Message::Acknowledge {
             branch: branch.clone(),
             nonce,
-            told: 508,
+            received: 508,
         },
-        Message::Elsewhere {
+        Message::Redirect {
             branch: branch.clone(),
             nonce,
             to: peer(),
@@ -129,7 +131,7 @@
 }
 
 #[test]
-fn the_bytes_of_messages_stay() {
+fn the_encoding_of_messages_is_stable() {
     let named: Vec<_> = messages().into_iter().map(|m| (variant(&m), m)).collect();
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/formats/messages.hex");
     fixtures::check(path, &named);
--- a/pure/relay/tests/hard.rs
+++ b/pure/relay/tests/hard.rs
@@ -1,224 +1,240 @@
-//! The hard cases, one by one, in virtual time.
+//! Fault scenarios in virtual time: relays that are killed, paused or drained, cut links, and a source that
+//! restarts.
 
 pub mod world;
 
-use foldmux_relay::{First, Slow};
+use foldmux_relay::{SlowReaderPolicy, StartPosition};
 use world::{stream, World, MS, SOURCE};
 
 const TWO_SITES: [&str; 6] = ["a", "a", "a", "b", "b", "b"];
 
-/// Six processes on two sites, each with two readers, running.
-fn running(seed: u64, slow: Slow, first: First, shared: bool) -> World {
+/// Six processes at two sites, each with two readers, in steady operation.
+fn running_fleet(seed: u64, slow: SlowReaderPolicy, first: StartPosition, shared: bool) -> World {
     let mut world = World::new(seed, stream(slow, first, shared), &TWO_SITES);
     world.publish(Some("x"), false);
     for i in 0..6 {
         world.subscribe(i);
         world.subscribe(i);
     }
-    world.pass(2_000 * MS);
-    told(&mut world, 20);
+    world.advance(2_000 * MS);
+    publish_items(&mut world, 20);
     world
 }
 
-fn told(world: &mut World, times: usize) {
+fn publish_items(world: &mut World, times: usize) {
     for n in 0..times {
         let key = (n % 3 == 0).then(|| ["x", "y", "z"][n / 3 % 3]);
         world.publish(key, n % 9 == 6);
-        world.pass(20 * MS);
+        world.advance(20 * MS);
     }
 }
 
-/// Whoever relays for the first site.
-fn relay(world: &World) -> usize {
-    *world.relays().iter().find(|i| **i < 3).expect("one relays")
+/// The process that relays for site `a`.
+fn relay_of_site_a(world: &World) -> usize {
+    *world
+        .lease_holders()
+        .iter()
+        .find(|i| **i < 3)
+        .expect("a process relays")
 }
 
-const KINDS: [(Slow, First, bool); 4] = [
-    (Slow::Skip, First::Whole, false),
-    (Slow::Skip, First::Live, true),
-    (Slow::Latest, First::Whole, true),
-    (Slow::All, First::Ring, true),
+const STREAM_KINDS: [(SlowReaderPolicy, StartPosition, bool); 4] = [
+    (SlowReaderPolicy::Skip, StartPosition::Snapshot, false),
+    (SlowReaderPolicy::Skip, StartPosition::Live, true),
+    (SlowReaderPolicy::Conflate, StartPosition::Snapshot, true),
+    (SlowReaderPolicy::Disconnect, StartPosition::Buffered, true),
 ];
 
 #[test]
-pub fn one_stream_for_each_site_that_reads_and_none_for_one_that_does_not() {
-    for (slow, first, shared) in KINDS {
+pub fn one_source_stream_per_site_with_readers_and_none_without() {
+    for (slow, first, shared) in STREAM_KINDS {
         let mut world = World::new(1, stream(slow, first, shared), &TWO_SITES);
-        world.pass(2_000 * MS);
-        assert_eq!(world.streams(), 0);
+        world.advance(2_000 * MS);
+        assert_eq!(world.open_sources(), 0);
         for i in 0..3 {
             world.subscribe(i);
         }
-        world.pass(2_000 * MS);
-        told(&mut world, 10);
-        assert_eq!((world.streams(), world.relays().len()), (1, 1));
-        world.settle();
+        world.advance(2_000 * MS);
+        publish_items(&mut world, 10);
+        assert_eq!((world.open_sources(), world.lease_holders().len()), (1, 1));
+        world.heal_and_check();
     }
 }
 
 #[test]
 pub fn a_relay_that_is_killed_mid_message_leaves_no_gap() {
-    for (slow, first, shared) in KINDS {
+    for (slow, first, shared) in STREAM_KINDS {
         for seed in 0..4 {
-            let mut world = running(seed, slow, first, shared);
-            let at = relay(&world);
+            let mut world = running_fleet(seed, slow, first, shared);
+            let at = relay_of_site_a(&world);
             world.publish(None, false);
-            world.pass(seed * MS);
+            world.advance(seed * MS);
             world.kill(at);
-            told(&mut world, 30);
-            assert!(world.streams() <= 4, "{} streams", world.streams());
-            let longest = world
+            publish_items(&mut world, 30);
+            assert!(
+                world.open_sources() <= 4,
+                "{} streams",
+                world.open_sources()
+            );
+            let max_delay = world
                 .readers
                 .values()
-                .map(|(_, model)| model.longest)
+                .map(|(_, model)| model.max_delay)
                 .max()
                 .unwrap();
-            assert!(longest <= 250 * MS, "{} ms", longest / MS);
-            world.settle();
+            assert!(max_delay <= 250 * MS, "{} ms", max_delay / MS);
+            world.heal_and_check();
         }
     }
 }
 
 #[test]
-pub fn a_relay_paused_and_woken_leaves_one() {
-    for (slow, first, shared) in KINDS {
+pub fn a_relay_that_resumes_after_a_pause_leaves_one_relay() {
+    for (slow, first, shared) in STREAM_KINDS {
         for seed in 0..4 {
-            let mut world = running(seed, slow, first, shared);
-            let at = relay(&world);
+            let mut world = running_fleet(seed, slow, first, shared);
+            let at = relay_of_site_a(&world);
             world.pause(at);
-            told(&mut world, 100);
-            let other = relay(&world);
+            publish_items(&mut world, 100);
+            let other = relay_of_site_a(&world);
             assert_ne!(other, at, "another took over");
-            world.wake(at);
-            told(&mut world, 30);
-            assert_eq!(relay(&world), other, "and stays it");
-            world.settle();
+            world.resume(at);
+            publish_items(&mut world, 30);
+            assert_eq!(relay_of_site_a(&world), other, "and stays the relay");
+            world.heal_and_check();
         }
     }
 }
 
 #[test]
-pub fn a_relay_that_leaves_hands_over_with_no_silence() {
-    for (slow, first, shared) in KINDS {
+pub fn a_draining_relay_hands_over_without_a_pause() {
+    for (slow, first, shared) in STREAM_KINDS {
         for seed in 0..4 {
-            let mut world = running(seed, slow, first, shared);
+            let mut world = running_fleet(seed, slow, first, shared);
             let before = world
                 .readers
                 .values()
-                .map(|(_, model)| model.longest)
+                .map(|(_, model)| model.max_delay)
                 .max()
                 .unwrap();
-            let at = relay(&world);
-            world.most_open = 0;
-            world.leave(at);
-            told(&mut world, 50);
-            assert!(!world.relays().contains(&at), "it relays no more");
-            let longest = world
+            let at = relay_of_site_a(&world);
+            world.max_open_sources = 0;
+            world.drain(at);
+            publish_items(&mut world, 50);
+            assert!(
+                !world.lease_holders().contains(&at),
+                "it holds no lease any more"
+            );
+            let max_delay = world
                 .readers
                 .values()
-                .map(|(_, model)| model.longest)
+                .map(|(_, model)| model.max_delay)
                 .max()
                 .unwrap();
-            assert!(longest <= before + 50 * MS, "{} ms", longest / MS);
+            assert!(max_delay <= before + 50 * MS, "{} ms", max_delay / MS);
             assert!(
-                world.most_open <= 3,
+                world.max_open_sources <= 3,
                 "{} streams: one more than sites, at most",
-                world.most_open
+                world.max_open_sources
             );
-            world.settle();
+            world.heal_and_check();
         }
     }
 }
 
 #[test]
-pub fn all_relays_leave_at_once() {
-    let mut world = running(3, Slow::Skip, First::Whole, false);
-    for i in world.relays() {
-        world.leave(i);
+pub fn all_relays_drain_at_once() {
+    let mut world = running_fleet(3, SlowReaderPolicy::Skip, StartPosition::Snapshot, false);
+    for i in world.lease_holders() {
+        world.drain(i);
     }
-    told(&mut world, 50);
-    let longest = world
+    publish_items(&mut world, 50);
+    let max_delay = world
         .readers
         .values()
-        .map(|(_, model)| model.longest)
+        .map(|(_, model)| model.max_delay)
         .max()
         .unwrap();
-    assert!(longest <= 250 * MS, "{} ms", longest / MS);
-    world.settle();
+    assert!(max_delay <= 250 * MS, "{} ms", max_delay / MS);
+    world.heal_and_check();
 }
 
 #[test]
 pub fn a_site_cut_from_the_source_and_one_way_cuts() {
-    for (slow, first, shared) in KINDS {
-        let mut world = running(5, slow, first, shared);
+    for (slow, first, shared) in STREAM_KINDS {
+        let mut world = running_fleet(5, slow, first, shared);
         world.cut_source("a");
-        told(&mut world, 200);
-        world.cut.clear();
-        told(&mut world, 100);
-        let at = relay(&world);
-        // The relay hears its own and is not heard; then the other way.
+        publish_items(&mut world, 200);
+        world.cut_links.clear();
+        publish_items(&mut world, 100);
+        let at = relay_of_site_a(&world);
+        // First the relay's messages to its followers are lost, then theirs to the relay.
         for pair in [true, false] {
             for i in (0..3).filter(|i| *i != at) {
-                world.cut.insert(if pair { (at, i) } else { (i, at) });
+                world.cut_links.insert(if pair { (at, i) } else { (i, at) });
             }
-            told(&mut world, 100);
-            world.cut.clear();
-            told(&mut world, 30);
+            publish_items(&mut world, 100);
+            world.cut_links.clear();
+            publish_items(&mut world, 30);
         }
-        world.cut.insert((SOURCE, at));
-        told(&mut world, 200);
-        world.settle();
+        world.cut_links.insert((SOURCE, at));
+        publish_items(&mut world, 200);
+        world.heal_and_check();
     }
 }
 
 #[test]
 pub fn a_source_that_starts_again_at_1_is_a_new_epoch() {
-    for (slow, first, shared) in KINDS {
+    for (slow, first, shared) in STREAM_KINDS {
         for seed in 0..4 {
-            let mut world = running(seed, slow, first, shared);
+            let mut world = running_fleet(seed, slow, first, shared);
             world.log.restart();
-            told(&mut world, 30);
-            let at = relay(&world);
+            publish_items(&mut world, 30);
+            let at = relay_of_site_a(&world);
             world.pause(at);
             world.log.restart();
-            told(&mut world, 30);
-            world.wake(at);
-            world.settle();
+            publish_items(&mut world, 30);
+            world.resume(at);
+            world.heal_and_check();
         }
     }
 }
 
 #[test]
-pub fn a_purge_that_races_a_handover_comes_to_all() {
+pub fn a_purge_during_a_handover_reaches_all_readers() {
     for seed in 0..24 {
-        let mut world = running(seed, Slow::Skip, First::Whole, false);
-        let at = relay(&world);
+        let mut world = running_fleet(seed, SlowReaderPolicy::Skip, StartPosition::Snapshot, false);
+        let at = relay_of_site_a(&world);
         for step in 0..12 {
             if step == seed % 12 {
-                world.leave(at);
+                world.drain(at);
             }
             world.publish(None, false);
-            world.pass(MS);
+            world.advance(MS);
         }
         world.kill(at);
-        world.settle();
+        world.heal_and_check();
     }
 }
 
 #[test]
-pub fn a_second_level_feeds_offices_from_the_hub_and_the_hub_from_the_site() {
+pub fn offices_receive_from_their_hub_and_hubs_from_the_site() {
     let places = [
         "a/h1/o1", "a/h1/o1", "a/h1/o2", "a/h1/o2", "a/h2/o1", "a/h2/o1", "b/h1/o1",
     ];
-    let mut world = World::new(9, stream(Slow::Skip, First::Live, true), &places);
+    let mut world = World::new(
+        9,
+        stream(SlowReaderPolicy::Skip, StartPosition::Live, true),
+        &places,
+    );
     for i in 0..7 {
         world.subscribe(i);
     }
-    world.pass(3_000 * MS);
-    told(&mut world, 20);
-    assert_eq!(world.streams(), 2);
-    let at = world.relays()[0];
+    world.advance(3_000 * MS);
+    publish_items(&mut world, 20);
+    assert_eq!(world.open_sources(), 2);
+    let at = world.lease_holders()[0];
     world.kill(at);
-    told(&mut world, 100);
-    world.settle();
+    publish_items(&mut world, 100);
+    world.heal_and_check();
 }
--- a/pure/relay/tests/planted.rs
+++ b/pure/relay/tests/planted.rs
@@ -1,4 +1,5 @@
-//! Each planted fault is found by one of the tests of hard cases and tables; which, and how soon, is printed.
+//! Each planted fault must be detected by a test of `hard` or `tables`. Which test, and after how long, is
+//! printed.
 #![cfg(feature = "planted")]
 #![allow(clippy::duplicate_mod)]
 
@@ -30,17 +31,17 @@
 }
 
 faults! {
-    a_relay_that_restarts_its_numbers: Renumbers by hard::a_relay_that_is_killed_mid_message_leaves_no_gap,
-    a_gap_untold: GapUntold by hard::a_source_that_starts_again_at_1_is_a_new_epoch,
-    a_slow_reader_that_blocks_others: SlowBlocks by tables::the_slow_are_told_what_they_lost_where_a_stream_skips,
-    a_branch_that_never_closes: NeverCloses by tables::one_subscriber_is_one_stream_and_its_end_closes_it,
-    a_relay_left_long_ago_that_is_taken: StaleTaken by hard::a_relay_paused_and_woken_leaves_one,
-    a_join_that_moves_the_relay: JoinsMove by hard::a_relay_that_leaves_hands_over_with_no_silence,
-    an_old_epoch_that_is_taken: OldEpochTaken by tables::an_answer_of_the_epoch_before_that_comes_late_is_none,
-    a_feed_that_goes_on_from_a_moved_place: FeedsMixed
-        by tables::a_relay_that_is_slow_again_and_again_moves_no_oftener_than_the_bound,
-    returns_in_step: ReturnsInStep by tables::a_site_that_turned_to_the_source_does_not_come_back_in_step,
-    a_reader_that_never_turns_to_the_source: NeverDirect
-        by tables::a_site_that_turned_to_the_source_does_not_come_back_in_step,
-    a_leaving_that_is_not_told: LeavesUntold by hard::a_relay_that_leaves_hands_over_with_no_silence,
+    a_relay_that_restarts_its_numbers: RestartsNumbering by hard::a_relay_that_is_killed_mid_message_leaves_no_gap,
+    a_gap_that_is_not_reported: OmitsGaps by hard::a_source_that_starts_again_at_1_is_a_new_epoch,
+    a_slow_reader_that_blocks_others: SlowReaderBlocks by tables::slow_readers_are_told_of_gaps_where_the_stream_skips,
+    a_branch_that_never_closes: NeverCloses by tables::one_reader_opens_one_stream_and_its_cancellation_closes_it,
+    a_relay_that_was_left_and_is_accepted: AcceptsStaleRelay by hard::a_relay_that_resumes_after_a_pause_leaves_one_relay,
+    a_join_that_moves_the_relay: YieldsOnJoin by hard::a_draining_relay_hands_over_without_a_pause,
+    an_old_epoch_that_is_accepted: AcceptsOldEpoch by tables::a_late_answer_of_an_earlier_epoch_is_ignored,
+    a_relay_that_sends_on_from_a_moved_position: ResumesMovedPosition
+        by tables::a_relay_that_is_slow_repeatedly_moves_no_more_often_than_the_bound,
+    retries_in_step: RetriesInStep by tables::processes_that_read_the_source_do_not_return_to_a_relay_in_step,
+    a_follower_that_never_reads_the_source: NeverReadsSource
+        by tables::processes_that_read_the_source_do_not_return_to_a_relay_in_step,
+    a_drain_without_a_redirect: LeavesSilently by hard::a_draining_relay_hands_over_without_a_pause,
 }
--- a/pure/relay/tests/tables.rs
+++ b/pure/relay/tests/tables.rs
@@ -1,41 +1,54 @@
-//! What is left behind, what stays bounded, who is not held up.
+//! Bounds and isolation: no entries are left behind, tables and moves stay bounded, and slow readers delay no
+//! others.
 
 pub mod world;
 
-use foldmux_relay::{Ask, First, Slow};
+use foldmux_relay::{Command, SlowReaderPolicy, StartPosition};
 use world::{stream, World, MS};
 
 const SITE: [&str; 4] = ["a", "a", "a", "b"];
 
 #[test]
-pub fn ten_thousand_subscribe_and_cancel_in_turn_and_no_entry_is_left() {
-    let mut world = World::new(1, stream(Slow::Skip, First::Whole, false), &SITE);
-    world.pass(1_000 * MS);
+pub fn ten_thousand_subscriptions_and_cancellations_leave_no_entry() {
+    let mut world = World::new(
+        1,
+        stream(SlowReaderPolicy::Skip, StartPosition::Snapshot, false),
+        &SITE,
+    );
+    world.advance(1_000 * MS);
     for n in 0..10_000 {
         let reader = world.subscribe(n % 4);
         if n % 7 == 0 {
             world.publish((n % 2 == 0).then_some("k"), false);
         }
-        world.pass(MS / 4);
+        world.advance(MS / 4);
         world.cancel(reader);
     }
-    world.pass(5_000 * MS);
+    world.advance(5_000 * MS);
     assert_eq!(
-        (world.entries(), world.streams(), world.relays().len()),
+        (
+            world.entries(),
+            world.open_sources(),
+            world.lease_holders().len()
+        ),
         (0, 0, 0)
     );
 }
 
 #[test]
-pub fn a_thousand_come_back_in_one_moment() {
-    let mut world = World::new(2, stream(Slow::Skip, First::Whole, false), &SITE);
+pub fn a_thousand_readers_resubscribe_at_once() {
+    let mut world = World::new(
+        2,
+        stream(SlowReaderPolicy::Skip, StartPosition::Snapshot, false),
+        &SITE,
+    );
     for n in 0..1_000 {
         world.subscribe(n % 3);
     }
-    world.pass(2_000 * MS);
+    world.advance(2_000 * MS);
     for _ in 0..30 {
         world.publish(None, false);
-        world.pass(10 * MS);
+        world.advance(10 * MS);
     }
     let readers: Vec<u64> = world.readers.keys().copied().collect();
     readers.into_iter().for_each(|reader| world.cancel(reader));
@@ -44,202 +57,239 @@
         world.subscribe(n % 3);
     }
     world.publish(None, false);
-    world.pass(20 * MS);
+    world.advance(20 * MS);
     assert!(
         world.answers - answers <= 3,
         "{} answers of the source",
         world.answers - answers
     );
     assert!(
-        world.readers.values().all(|(_, model)| model.wholes == 1),
-        "each has the whole"
+        world
+            .readers
+            .values()
+            .all(|(_, model)| model.snapshots == 1),
+        "each received one snapshot"
     );
-    world.settle();
+    world.heal_and_check();
 }
 
 #[test]
-pub fn one_subscriber_is_one_stream_and_its_end_closes_it() {
-    let mut world = World::new(3, stream(Slow::All, First::Live, true), &SITE);
-    world.pass(1_000 * MS);
+pub fn one_reader_opens_one_stream_and_its_cancellation_closes_it() {
+    let mut world = World::new(
+        3,
+        stream(SlowReaderPolicy::Disconnect, StartPosition::Live, true),
+        &SITE,
+    );
+    world.advance(1_000 * MS);
     let reader = world.subscribe(2);
-    world.pass(1_000 * MS);
+    world.advance(1_000 * MS);
     world.publish(None, false);
-    world.pass(20 * MS);
+    world.advance(20 * MS);
     assert_eq!(
-        (world.streams(), world.readers[&reader].1.came.len()),
+        (
+            world.open_sources(),
+            world.readers[&reader].1.received.len()
+        ),
         (1, 1)
     );
     world.cancel(reader);
-    world.pass(2_000 * MS);
-    assert_eq!((world.streams(), world.entries()), (0, 0));
+    world.advance(2_000 * MS);
+    assert_eq!((world.open_sources(), world.entries()), (0, 0));
 }
 
-/// A ring of 64 goes past one that takes a batch in a second and one that takes nothing at all; of the others none waits.
-pub fn overrun(slow: Slow, first: First) -> (World, u64, u64) {
+/// Overruns a ring of 64 items for two readers: one that takes a second for each batch, and one that takes
+/// nothing. The other readers must not be delayed.
+pub fn overrun(slow: SlowReaderPolicy, first: StartPosition) -> (World, u64, u64) {
     let mut world = World::new(4, stream(slow, first, true), &SITE);
-    world.pass(1_000 * MS);
+    world.advance(1_000 * MS);
     world.publish(Some("k0"), false);
     let (slowly, never) = (world.subscribe(0), world.subscribe(0));
-    world.slow.insert(slowly, Some(1_000 * MS));
-    world.slow.insert(never, None);
+    world.slow_readers.insert(slowly, Some(1_000 * MS));
+    world.slow_readers.insert(never, None);
     let quick: Vec<u64> = (0..4).map(|i| world.subscribe(i)).collect();
-    world.pass(1_000 * MS);
+    world.advance(1_000 * MS);
     for n in 0..2_000 {
         let key = (n % 5 != 0).then(|| format!("k{}", n % 7));
         world.publish(key.as_deref(), false);
-        world.pass(5 * MS);
+        world.advance(5 * MS);
     }
-    world.pass(10_000 * MS);
+    world.advance(10_000 * MS);
     for reader in quick {
         let model = &world.readers[&reader].1;
         assert!(
-            model.longest <= 30 * MS && model.losses == 0,
+            model.max_delay <= 30 * MS && model.gaps == 0,
             "{} ms",
-            model.longest / MS
+            model.max_delay / MS
         );
-        model.has_all(&world.log, "a quick one");
+        model.assert_complete(&world.log, "a quick reader");
     }
     (world, slowly, never)
 }
 
 #[test]
-pub fn the_slow_are_ended_where_a_stream_leaves_nothing_out() {
-    let (world, slowly, never) = overrun(Slow::All, First::Live);
+pub fn slow_readers_are_ended_where_the_stream_may_not_skip() {
+    let (world, slowly, never) = overrun(SlowReaderPolicy::Disconnect, StartPosition::Live);
     assert!(world.readers[&slowly].1.ended && world.readers[&never].1.ended);
 }
 
 #[test]
-pub fn the_slow_are_told_what_they_lost_where_a_stream_skips() {
-    let (world, slowly, never) = overrun(Slow::Skip, First::Live);
+pub fn slow_readers_are_told_of_gaps_where_the_stream_skips() {
+    let (world, slowly, never) = overrun(SlowReaderPolicy::Skip, StartPosition::Live);
     let model = &world.readers[&slowly].1;
-    assert!(!model.ended && model.losses > 3, "{} losses", model.losses);
-    model.has_all(&world.log, "the slow one");
+    assert!(!model.ended && model.gaps > 3, "{} gaps", model.gaps);
+    model.assert_complete(&world.log, "the slow reader");
     assert!(!world.readers[&never].1.ended);
 }
 
 #[test]
-pub fn the_slow_get_the_last_of_each_key_where_a_stream_is_conflated() {
-    let (world, slowly, _) = overrun(Slow::Latest, First::Whole);
+pub fn slow_readers_get_the_last_item_of_each_key_where_the_stream_is_conflated() {
+    let (world, slowly, _) = overrun(SlowReaderPolicy::Conflate, StartPosition::Snapshot);
     let model = &world.readers[&slowly].1;
-    assert!(!model.ended && model.wholes > 1);
-    model.has_all(&world.log, "the slow one");
+    assert!(!model.ended && model.snapshots > 1);
+    model.assert_complete(&world.log, "the slow reader");
 }
 
 #[test]
-pub fn who_relays_is_stable_under_joins_and_moves_once_for_each_end() {
+pub fn the_relay_is_stable_under_joins_and_moves_once_per_failure() {
     for seed in 0..10 {
-        let mut world = World::new(seed, stream(Slow::Skip, First::Whole, false), &["a"; 8]);
+        let mut world = World::new(
+            seed,
+            stream(SlowReaderPolicy::Skip, StartPosition::Snapshot, false),
+            &["a"; 8],
+        );
         for i in 3..8 {
             world.kill(i);
         }
         for i in 0..3 {
             world.subscribe(i);
         }
-        world.pass(2_000 * MS);
+        world.advance(2_000 * MS);
         world.publish(None, false);
-        let first = world.relays();
+        let first = world.lease_holders();
         for i in 3..8 {
             world.restart(i);
             world.subscribe(i);
-            world.pass(700 * MS);
-            assert_eq!(world.relays(), first, "a join moves nothing");
+            world.advance(700 * MS);
+            assert_eq!(
+                world.lease_holders(),
+                first,
+                "a join does not move the lease"
+            );
         }
         let mut now = first;
         for _ in 0..3 {
             world.kill(now[0]);
-            world.members_say(now[0], false);
-            world.pass(3_000 * MS);
-            let next = world.relays();
+            world.report_peer_status(now[0], false);
+            world.advance(3_000 * MS);
+            let next = world.lease_holders();
             assert!(
                 next.len() == 1 && next != now,
-                "one, and another: {next:?} after {now:?}"
+                "one other holder: {next:?} after {now:?}"
             );
-            world.pass(20_000 * MS);
-            assert_eq!(world.relays(), next, "and then it stays");
+            world.advance(20_000 * MS);
+            assert_eq!(world.lease_holders(), next, "the holder stays");
             now = next;
         }
     }
 }
 
-/// A relay that stalls for 200 ms twice a second, for two minutes: it holds for ten seconds and then sits out fifty.
+/// The relay stalls for 200 ms twice a second, for two minutes. It keeps the role for ten seconds at a time
+/// and then declines it for fifty.
 #[test]
-pub fn a_relay_that_is_slow_again_and_again_moves_no_oftener_than_the_bound() {
-    let mut world = World::new(6, stream(Slow::Skip, First::Whole, false), &["a"; 4]);
+pub fn a_relay_that_is_slow_repeatedly_moves_no_more_often_than_the_bound() {
+    let mut world = World::new(
+        6,
+        stream(SlowReaderPolicy::Skip, StartPosition::Snapshot, false),
+        &["a"; 4],
+    );
     for i in 0..4 {
         world.subscribe(i);
     }
-    world.pass(2_000 * MS);
-    let (mut now, mut moves) = (world.relays(), 0);
+    world.advance(2_000 * MS);
+    let (mut now, mut moves) = (world.lease_holders(), 0);
     let start = world.now;
     while world.now - start < 120_000 * MS {
         let at = now[0];
         world.pause(at);
-        world.pass(200 * MS);
-        world.wake(at);
+        world.advance(200 * MS);
+        world.resume(at);
         world.publish(None, false);
-        world.pass(300 * MS);
-        let next = world.relays();
+        world.advance(300 * MS);
+        let next = world.lease_holders();
         if !next.is_empty() && next != now {
             (now, moves) = (next, moves + 1);
         }
     }
     assert!(
         (1..=13).contains(&moves),
-        "{moves} moves in 120 s, by the bound 12 and one"
+        "{moves} moves in 120 s, the bound is 12 and one"
     );
-    world.settle();
+    world.heal_and_check();
 }
 
-/// The relay and the next in line die together with 30 readers' processes left: all read the source, and go back apart.
+/// The relay is killed and the other 35 processes are cut off from each other, so that all read the source.
+/// Once the links are back, they must return to a relay at different times.
 #[test]
-pub fn a_site_that_turned_to_the_source_does_not_come_back_in_step() {
-    let mut world = World::new(7, stream(Slow::Skip, First::Whole, false), &["a"; 36]);
+pub fn processes_that_read_the_source_do_not_return_to_a_relay_in_step() {
+    let mut world = World::new(
+        7,
+        stream(SlowReaderPolicy::Skip, StartPosition::Snapshot, false),
+        &["a"; 36],
+    );
     for i in 0..36 {
         world.subscribe(i);
     }
-    world.pass(12_000 * MS);
+    world.advance(12_000 * MS);
     world.publish(None, false);
-    // The seats among them: none is left to grant, and for a lease no one holds.
-    let at = world.relays()[0];
+    // The replicas are among them: no lease can be granted until the links are back.
+    let at = world.lease_holders()[0];
     world.kill(at);
     for i in (0..36).filter(|i| *i != at) {
-        world.cut.extend((0..36).map(|to| (i, to)));
+        world.cut_links.extend((0..36).map(|to| (i, to)));
     }
-    world.pass(1_000 * MS);
-    assert!(world.streams() >= 30, "{} read the source", world.streams());
-    world.cut.clear();
-    let mut left = world.streams();
+    world.advance(1_000 * MS);
+    assert!(
+        world.open_sources() >= 30,
+        "{} read the source",
+        world.open_sources()
+    );
+    world.cut_links.clear();
+    let mut left = world.open_sources();
     let mut most = 0;
     for _ in 0..2_000 {
-        world.pass(10 * MS);
-        most = most.max(left.saturating_sub(world.streams()));
-        left = world.streams();
+        world.advance(10 * MS);
+        most = most.max(left.saturating_sub(world.open_sources()));
+        left = world.open_sources();
     }
     assert!(left <= 2, "{left} still read the source");
-    assert!(most <= 15, "{most} went back within 10 ms");
-    world.settle();
+    assert!(most <= 15, "{most} returned to a relay within 10 ms");
+    world.heal_and_check();
 }
 
 #[test]
-pub fn an_answer_of_the_epoch_before_that_comes_late_is_none() {
-    let mut world = World::new(8, stream(Slow::Skip, First::Live, true), &SITE);
+pub fn a_late_answer_of_an_earlier_epoch_is_ignored() {
+    let mut world = World::new(
+        8,
+        stream(SlowReaderPolicy::Skip, StartPosition::Live, true),
+        &SITE,
+    );
     world.subscribe(0);
-    world.pass(1_000 * MS);
+    world.advance(1_000 * MS);
     (0..5).for_each(|_| world.publish(None, false));
-    world.pass(20 * MS);
+    world.advance(20 * MS);
     let late = world.log.items(0);
     world.log.restart();
     world.publish(None, false);
-    world.pass(2_000 * MS);
+    world.advance(2_000 * MS);
     for i in 0..4 {
-        world.ask(
+        world.command(
             i,
-            Ask::Fed {
+            Command::SourceItems {
                 stream: "s".into(),
                 epoch: 0,
                 items: late.clone(),
             },
         );
     }
-    world.settle();
+    world.heal_and_check();
 }
--- a/pure/relay/tests/world/faults.rs
+++ b/pure/relay/tests/world/faults.rs
@@ -1,36 +1,36 @@
-//! What goes wrong, and the end: all is healed, and everyone has all.
+//! The faults, and the check at the end: everything is healed, and every reader must be up to date.
 
-use super::{Process, What, World, LEASE, MS, SOURCE};
-use foldmux_relay::{Ask, Place, Relay, Setup};
+use super::{Process, Scheduled, World, LEASE, MS, SOURCE};
+use foldmux_relay::{Command, Position, Relay, RelayConfig};
 use foldmux_replicas::{ClockDrift, Peer, ReplicaSet, StateMachine, Time};
 
 impl World {
-    /// kill -9: its readers go with it.
+    /// Ends the process like `kill -9`; its readers end with it.
     pub fn kill(&mut self, i: usize) {
         self.processes[i].relay = None;
-        self.processes[i].open = false;
+        self.processes[i].reads_source = false;
         self.waiting.remove(&i);
         self.readers.retain(|_, (at, _)| *at != i);
     }
 
     pub fn restart(&mut self, i: usize) {
         self.kill(i);
-        let life = self.processes[i].life + 1;
-        let relay = Some(self.made(i, life));
-        let tail = Place {
+        let incarnation = self.processes[i].incarnation + 1;
+        let relay = Some(self.new_relay(i, incarnation));
+        let source_position = Position {
             epoch: 0,
             number: 0,
         };
-        let (paused, held, open, first) = (false, Vec::new(), false, false);
+        let (paused, deferred, reads_source, answer_at_once) = (false, Vec::new(), false, false);
         self.processes[i] = Process {
-            leaves: false,
+            draining: false,
             relay,
-            life,
+            incarnation,
             paused,
-            held,
-            open,
-            first,
-            tail,
+            deferred,
+            reads_source,
+            answer_at_once,
+            source_position,
             poll: 0,
             tick_at: Time::MAX,
         };
@@ -40,102 +40,103 @@
         self.processes[i].paused = true;
     }
 
-    pub fn wake(&mut self, i: usize) {
+    pub fn resume(&mut self, i: usize) {
         self.processes[i].paused = false;
-        for what in std::mem::take(&mut self.processes[i].held) {
-            self.happen(what);
+        for event in std::mem::take(&mut self.processes[i].deferred) {
+            self.handle(event);
         }
-        let life = self.processes[i].life;
+        let incarnation = self.processes[i].incarnation;
         self.processes[i].tick_at = self.now;
-        self.at(self.now, What::Tick(i, life));
+        self.schedule(self.now, Scheduled::Tick(i, incarnation));
     }
 
-    /// SIGTERM, and the end of the process once its readers have gone.
-    pub fn leave(&mut self, i: usize) {
-        self.processes[i].leaves |= !self.processes[i].paused;
-        self.ask(i, Ask::Leave);
+    /// SIGTERM. The process ends once its readers have gone.
+    pub fn drain(&mut self, i: usize) {
+        self.processes[i].draining |= !self.processes[i].paused;
+        self.command(i, Command::Drain);
     }
 
-    pub fn members_say(&mut self, peer: usize, alive: bool) {
+    pub fn report_peer_status(&mut self, peer: usize, alive: bool) {
         for i in 0..self.processes.len() {
-            let mut out = Vec::new();
-            let name = self.places[peer].0.clone();
+            let mut effects = Vec::new();
+            let name = self.locations[peer].0.clone();
             if let Some(relay) = self.processes[i].relay.as_mut() {
-                relay.on_peer_status(self.now, &name, alive, &mut out);
-                self.done(i, out);
+                relay.on_peer_status(self.now, &name, alive, &mut effects);
+                self.carry_out(i, effects);
             }
         }
     }
 
     pub fn cut_source(&mut self, site: &str) {
-        for i in 0..self.places.len() {
-            if &*self.places[i].1[0] == site {
-                self.cut.insert((SOURCE, i));
+        for i in 0..self.locations.len() {
+            if &*self.locations[i].1[0] == site {
+                self.cut_links.insert((SOURCE, i));
             }
         }
     }
 
-    /// Heals all, waits until it is quiet, and looks at what every reader has.
-    pub fn settle(&mut self) {
-        self.cut.clear();
-        self.loss = 0.0;
+    /// Heals all faults, waits until the fleet is quiet, and checks what each reader received.
+    pub fn heal_and_check(&mut self) {
+        self.cut_links.clear();
+        self.loss_probability = 0.0;
         for i in 0..self.processes.len() {
-            // One that leaves ends.
-            if self.processes[i].relay.is_none() || self.processes[i].leaves {
+            // A draining process ends here.
+            if self.processes[i].relay.is_none() || self.processes[i].draining {
                 self.restart(i);
             } else if self.processes[i].paused {
-                self.wake(i);
+                self.resume(i);
             }
         }
         for _ in 0..160 {
             self.publish(None, false);
-            self.pass(500 * MS);
+            self.advance(500 * MS);
         }
-        self.pass(5_000 * MS);
+        self.advance(5_000 * MS);
         for (name, (i, model)) in &self.readers {
-            if !self.slow.contains_key(name) && !model.ended {
-                model.has_all(&self.log, &format!("reader {name} of n{i}"));
+            if !self.slow_readers.contains_key(name) && !model.ended {
+                model.assert_complete(&self.log, &format!("reader {name} of n{i}"));
             }
         }
         let mut sites: Vec<_> = self
             .readers
             .values()
             .filter(|(_, model)| !model.ended)
-            .map(|(i, _)| &self.places[*i].1[0])
+            .map(|(i, _)| &self.locations[*i].1[0])
             .collect();
         sites.sort();
         sites.dedup();
         assert_eq!(
-            self.streams(),
+            self.open_sources(),
             sites.len(),
             "streams at the source, by {:?}",
-            self.relays()
+            self.lease_holders()
         );
     }
 
-    pub(super) fn made(&self, i: usize, life: u64) -> Relay {
-        let seats = ReplicaSet::new((0..self.seats).map(|n| Peer::new(&format!("n{n}")))).unwrap();
-        let setup = Setup {
-            me: self.places[i].0.clone(),
-            life: life << 32,
-            places: self.places.clone(),
-            replicas: seats,
+    pub(super) fn new_relay(&self, i: usize, incarnation: u64) -> Relay {
+        let replicas =
+            ReplicaSet::new((0..self.replica_count).map(|n| Peer::new(&format!("n{n}")))).unwrap();
+        let config = RelayConfig {
+            own: self.locations[i].0.clone(),
+            incarnation: incarnation << 32,
+            locations: self.locations.clone(),
+            replicas,
             drift: ClockDrift::default(),
             lease: LEASE,
             streams: vec![self.stream.clone()],
-            readers: 100_000,
-            fed: 10_000,
-            hold: 10_000 * MS,
-            seed: (i as u64) << 32 | life,
+            max_readers: 100_000,
+            max_followers: 10_000,
+            min_tenure: 10_000 * MS,
+            seed: (i as u64) << 32 | incarnation,
         };
-        Relay::new(setup, self.now)
+        Relay::new(config, self.now)
     }
 
-    /// The process's epoch for what the source tells.
+    /// The epoch under which a process numbers the source's items.
     pub(super) fn epoch(&self, i: usize) -> u64 {
-        match self.stream.shared {
+        match self.stream.shared_numbering {
             true => self.log.epoch,
-            false => (i as u64 + 1) << 40 | self.processes[i].life << 20 | self.log.epoch,
+            false => (i as u64 + 1) << 40 | self.processes[i].incarnation << 20 | self.log.epoch,
         }
     }
 }
--- a/pure/relay/tests/world/io.rs
+++ b/pure/relay/tests/world/io.rs
@@ -1,17 +1,18 @@
-//! What parts want done: messages on links that delay and lose them, polls of the source, news for readers.
+//! The effects of the state machines: messages over links that delay and lose them, polls of the source, and
+//! events for readers.
 
-use super::{What, World, LOST, MS, SOURCE, WAIT};
-use foldmux_relay::{Message, Place, Told};
+use super::{Scheduled, World, MS, POLL_TIMEOUT, POLL_WAIT, SOURCE};
+use foldmux_relay::{Message, Notification, Position};
 use foldmux_replicas::{Effect, Peer, StateMachine};
 use rand::RngExt;
 
 impl World {
-    /// Carries out what a part wants.
-    pub fn done(&mut self, i: usize, out: Vec<Effect<Message, Told>>) {
-        for act in out {
-            match act {
+    /// Carries out the effects of a process's state machine.
+    pub fn carry_out(&mut self, i: usize, effects: Vec<Effect<Message, Notification>>) {
+        for effect in effects {
+            match effect {
                 Effect::Send { to, message } => self.send(i, to, message),
-                Effect::Emit(told) => self.told(i, told),
+                Effect::Emit(notification) => self.on_notification(i, notification),
             }
         }
         let (now, process) = (self.now, &mut self.processes[i]);
@@ -21,49 +22,49 @@
             .filter(|due| *due < process.tick_at)
         {
             process.tick_at = due;
-            let life = process.life;
-            self.at(due, What::Tick(i, life));
+            let incarnation = process.incarnation;
+            self.schedule(due, Scheduled::Tick(i, incarnation));
         }
         let open = self
             .processes
             .iter()
-            .filter(|p| p.open && p.relay.is_some())
+            .filter(|p| p.reads_source && p.relay.is_some())
             .count();
-        self.most_open = self.most_open.max(open);
+        self.max_open_sources = self.max_open_sources.max(open);
     }
 
     fn send(&mut self, from: usize, to: Peer, message: Message) {
         self.sent += 1;
         let to: usize = to.as_str()[1..].parse().unwrap();
-        let lost = self.loss > 0.0 && self.draws.random_bool(self.loss);
-        if from != to && (self.cut.contains(&(from, to)) || lost)
+        let lost = self.loss_probability > 0.0 && self.rng.random_bool(self.loss_probability);
+        if from != to && (self.cut_links.contains(&(from, to)) || lost)
             || self.processes[to].relay.is_none()
         {
             return;
         }
-        let last = self.last_sent.get(&(from, to)).copied().unwrap_or(0);
+        let last = self.last_delivery.get(&(from, to)).copied().unwrap_or(0);
         let delay = if from == to {
             0
         } else {
-            self.drawn(MS / 2, 3 * MS)
+            self.random_between(MS / 2, 3 * MS)
         };
         let time = last.max(self.now + delay);
-        self.last_sent.insert((from, to), time);
-        let life = self.processes[to].life;
-        self.at(time, What::Hear(from, to, life, message));
+        self.last_delivery.insert((from, to), time);
+        let incarnation = self.processes[to].incarnation;
+        self.schedule(time, Scheduled::Deliver(from, to, incarnation, message));
     }
 
-    fn told(&mut self, i: usize, told: Told) {
-        match told {
-            Told::Source { open, .. } => {
-                self.processes[i].open = open;
+    fn on_notification(&mut self, i: usize, notification: Notification) {
+        match notification {
+            Notification::ReadSource { open, .. } => {
+                self.processes[i].reads_source = open;
                 self.waiting.remove(&i);
-                self.processes[i].first = open;
+                self.processes[i].answer_at_once = open;
                 if open {
-                    self.poll(i);
+                    self.start_poll(i);
                 }
             }
-            Told::News {
+            Notification::Events {
                 reader,
                 first,
                 events,
@@ -71,70 +72,92 @@
                 let Some((_, model)) = self.readers.get_mut(&reader) else {
                     return;
                 };
-                model.told(self.now, &self.log, first, events);
-                let (now, number) = (self.now, model.own);
-                match self.slow.get(&reader) {
+                model.on_events(self.now, &self.log, first, events);
+                let (now, number) = (self.now, model.last_number);
+                match self.slow_readers.get(&reader) {
                     Some(None) => {}
-                    Some(Some(wait)) => self.at(now + wait, What::Take(reader, number)),
-                    None => self.at(now, What::Take(reader, number)),
+                    Some(Some(wait)) => {
+                        self.schedule(now + wait, Scheduled::Acknowledge(reader, number))
+                    }
+                    None => self.schedule(now, Scheduled::Acknowledge(reader, number)),
                 }
             }
-            Told::Ended { reader, .. } => {
+            Notification::Ended { reader, .. } => {
                 self.readers.get_mut(&reader).expect("opened").1.ended = true;
             }
-            Told::Relay { from, .. } => self.directs += u64::from(from.is_none()),
-            Told::Opened { .. } => {}
-            Told::Refused { ticket, why } => panic!("{ticket} refused: {why:?}"),
+            Notification::Upstream { from, .. } => self.direct_reads += u64::from(from.is_none()),
+            Notification::Opened { .. } => {}
+            Notification::Refused { reader, reason } => {
+                panic!("reader {reader} was refused: {reason:?}")
+            }
         }
     }
 
-    pub(super) fn poll(&mut self, i: usize) {
+    pub(super) fn start_poll(&mut self, i: usize) {
         self.order += 1;
-        let (life, order) = (self.processes[i].life, self.order);
+        let (incarnation, order) = (self.processes[i].incarnation, self.order);
         self.processes[i].poll = order;
         self.polls += 1;
-        let delay = self.drawn(MS, 5 * MS);
-        self.at(self.now + delay, What::Poll(i, life, order));
+        let delay = self.random_between(MS, 5 * MS);
+        self.schedule(self.now + delay, Scheduled::Poll(i, incarnation, order));
     }
 
-    pub(super) fn polled(&mut self, i: usize, life: u64, poll: u64) {
-        if self.cut.contains(&(i, SOURCE)) || self.cut.contains(&(SOURCE, i)) {
-            return self.at(self.now + LOST, What::Unfed(i, life, poll));
+    pub(super) fn on_poll(&mut self, i: usize, incarnation: u64, poll: u64) {
+        if self.cut_links.contains(&(i, SOURCE)) || self.cut_links.contains(&(SOURCE, i)) {
+            return self.schedule(
+                self.now + POLL_TIMEOUT,
+                Scheduled::PollFailed(i, incarnation, poll),
+            );
         }
-        self.waiting.insert(i, (life, poll));
-        let end = Place {
+        self.waiting.insert(i, (incarnation, poll));
+        let end = Position {
             epoch: self.epoch(i),
             number: self.log.count(),
         };
-        if self.processes[i].tail != end || std::mem::take(&mut self.processes[i].first) {
-            self.answer(i, life, poll);
+        if self.processes[i].source_position != end
+            || std::mem::take(&mut self.processes[i].answer_at_once)
+        {
+            self.answer_poll(i, incarnation, poll);
         } else {
-            self.at(self.now + WAIT, What::Quiet(i, life, poll));
+            self.schedule(
+                self.now + POLL_WAIT,
+                Scheduled::PollExpired(i, incarnation, poll),
+            );
         }
     }
 
-    pub(super) fn answer(&mut self, i: usize, life: u64, poll: u64) {
+    pub(super) fn answer_poll(&mut self, i: usize, incarnation: u64, poll: u64) {
         self.waiting.remove(&i);
-        if self.cut.contains(&(SOURCE, i)) {
-            return self.at(self.now + LOST, What::Unfed(i, life, poll));
+        if self.cut_links.contains(&(SOURCE, i)) {
+            return self.schedule(
+                self.now + POLL_TIMEOUT,
+                Scheduled::PollFailed(i, incarnation, poll),
+            );
         }
         self.answers += 1;
-        let (tail, epoch) = (self.processes[i].tail, self.epoch(i));
-        let after = if tail.epoch == epoch { tail.number } else { 0 };
-        let (items, delay) = (self.log.items(after), self.drawn(MS, 5 * MS));
-        self.at(self.now + delay, What::Answer(i, life, poll, epoch, items));
+        let (source_position, epoch) = (self.processes[i].source_position, self.epoch(i));
+        let after = if source_position.epoch == epoch {
+            source_position.number
+        } else {
+            0
+        };
+        let (items, delay) = (self.log.items(after), self.random_between(MS, 5 * MS));
+        self.schedule(
+            self.now + delay,
+            Scheduled::PollAnswered(i, incarnation, poll, epoch, items),
+        );
     }
 
-    /// The source tells something new.
-    pub fn publish(&mut self, key: Option<&str>, gone: bool) {
-        self.log.push(self.now, key, gone);
+    /// Publishes an item at the source.
+    pub fn publish(&mut self, key: Option<&str>, deleted: bool) {
+        self.log.push(self.now, key, deleted);
         let waiting: Vec<_> = self
             .waiting
             .iter()
-            .map(|(i, (life, poll))| (*i, *life, *poll))
+            .map(|(i, (incarnation, poll))| (*i, *incarnation, *poll))
             .collect();
-        for (i, life, poll) in waiting {
-            self.answer(i, life, poll);
+        for (i, incarnation, poll) in waiting {
+            self.answer_poll(i, incarnation, poll);
         }
     }
 }
--- a/rigs/fleet-simulator/src/news.rs
+++ b/rigs/fleet-simulator/src/news.rs
@@ -4,7 +4,7 @@
 use crate::node::{stream, Local};
 use crate::plan::*;
 use foldmux_harness::record::{Event as Said, Time};
-use foldmux_relay::{Ask, Event as News, Item, Place, Relay, Told};
+use foldmux_relay::{Command, Event as News, Item, Notification, Position, Relay};
 use foldmux_replicas::StateMachine;
 
 /// A poll without news, and one that is lost.
@@ -65,7 +65,7 @@
         source.told.push(Item {
             number,
             key,
-            gone: false,
+            deleted: false,
             bytes,
             age: 0,
         });
@@ -124,14 +124,16 @@
         self.later(way, Event::News(Outside::Poll { at, life, poll }));
     }
 
-    fn relay(&mut self, at: usize, ask: Ask) {
-        self.drive::<Relay>(at, |part, now, out| part.on_command(now, ask, out));
+    fn relay(&mut self, at: usize, command: Command) {
+        self.drive::<Relay>(at, |part, now, out| part.on_command(now, command, out));
     }
 
     pub fn news_step(&mut self, at: usize, step: Step) {
         let reading = &mut self.nodes[at].reading;
         match step {
-            Step::Taken { reader, number } => self.relay(at, Ask::Taken { reader, number }),
+            Step::Taken { reader, number } => {
+                self.relay(at, Command::Acknowledge { reader, number })
+            }
             Step::Answer { poll, epoch, items } if reading.open && reading.poll == poll => {
                 if reading.tail.0 != epoch {
                     reading.tail = (epoch, 0);
@@ -139,7 +141,7 @@
                 reading.tail.1 = items.last().map_or(reading.tail.1, |item| item.number);
                 self.relay(
                     at,
-                    Ask::Fed {
+                    Command::SourceItems {
                         stream: stream().name,
                         epoch,
                         items,
@@ -156,7 +158,7 @@
             Step::Unfed { poll } if reading.open && reading.poll == poll => {
                 self.relay(
                     at,
-                    Ask::Unfed {
+                    Command::SourceFailed {
                         stream: stream().name,
                     },
                 );
@@ -178,11 +180,11 @@
         let (stream, after) = (stream().name, 0);
         self.relay(
             at,
-            Ask::Subscribe {
-                ticket: reader,
+            Command::Subscribe {
+                reader,
                 stream,
                 after,
-                place: None,
+                position: None,
             },
         );
     }
@@ -207,10 +209,10 @@
         }
     }
 
-    pub fn news_told(&mut self, at: usize, told: Told) {
+    pub fn news_told(&mut self, at: usize, told: Notification) {
         let (stream, site) = ("list".to_string(), site(at).to_string());
         match told {
-            Told::Source { open, .. } => {
+            Notification::ReadSource { open, .. } => {
                 self.source.waiting.remove(&at);
                 let reading = &mut self.nodes[at].reading;
                 (reading.open, reading.first) = (open, open);
@@ -224,7 +226,7 @@
                     self.poll(at);
                 }
             }
-            Told::News {
+            Notification::Events {
                 reader,
                 first,
                 events,
@@ -243,8 +245,10 @@
                     }),
                 );
             }
-            Told::Ended { .. } | Told::Refused { .. } => self.nodes[at].reading.at = None,
-            Told::Opened { .. } | Told::Relay { .. } => {}
+            Notification::Ended { .. } | Notification::Refused { .. } => {
+                self.nodes[at].reading.at = None
+            }
+            Notification::Opened { .. } | Notification::Upstream { .. } => {}
         }
     }
 
@@ -263,11 +267,11 @@
                     },
                 )
             }
-            News::From {
-                place: Place { epoch, number },
+            News::Start {
+                position: Position { epoch, number },
             }
-            | News::Whole {
-                place: Place { epoch, number },
+            | News::Snapshot {
+                position: Position { epoch, number },
                 ..
             } => (
                 (epoch, number),
@@ -278,7 +282,7 @@
                     number,
                 },
             ),
-            News::Lost {
+            News::Gap {
                 epoch,
                 from,
                 to: Some(to),
@@ -293,7 +297,7 @@
                 },
             ),
             // An epoch's end.
-            News::Lost { .. } => return,
+            News::Gap { .. } => return,
         };
         self.nodes[at].reading.at = Some(place);
         self.say(said);
--- a/rigs/fleet-simulator/src/node.rs
+++ b/rigs/fleet-simulator/src/node.rs
@@ -130,33 +130,33 @@
     }
 }
 
-pub fn stream() -> relay::Stream {
-    relay::Stream {
+pub fn stream() -> relay::StreamConfig {
+    relay::StreamConfig {
         name: "list".into(),
-        slow: relay::Slow::Skip,
-        first: relay::First::Whole,
-        shared: true,
-        patience: 150 * MS,
-        window: 10 * SECOND,
-        items: 64,
-        bytes: 1 << 16,
-        keys: 64,
-        ahead: 16,
+        slow_readers: relay::SlowReaderPolicy::Skip,
+        start: relay::StartPosition::Snapshot,
+        shared_numbering: true,
+        silence_timeout: 150 * MS,
+        snapshot_window: 10 * SECOND,
+        max_items: 64,
+        max_bytes: 1 << 16,
+        max_keys: 64,
+        max_unacknowledged: 16,
     }
 }
 
-fn news(places: &[(Peer, Vec<Arc<str>>)], at: usize, life: u64) -> relay::Setup {
-    relay::Setup {
-        me: name(at),
-        life: life << 32,
-        places: places.to_vec(),
+fn news(places: &[(Peer, Vec<Arc<str>>)], at: usize, life: u64) -> relay::RelayConfig {
+    relay::RelayConfig {
+        own: name(at),
+        incarnation: life << 32,
+        locations: places.to_vec(),
         replicas: seats(),
         drift: drift(),
         lease: LEASE,
         streams: vec![stream()],
-        readers: 100,
-        fed: 1_000,
-        hold: 10 * SECOND,
+        max_readers: 100,
+        max_followers: 1_000,
+        min_tenure: 10 * SECOND,
         seed: (at as u64) << 32 | life,
     }
 }
--- a/rigs/fleet-simulator/src/pools.rs
+++ b/rigs/fleet-simulator/src/pools.rs
@@ -236,7 +236,7 @@
                     part.on_command(now, takeover::Command::ReleaseAll, out);
                 });
                 self.drive::<relay::Relay>(at, |part, now, out| {
-                    part.on_command(now, relay::Ask::Leave, out)
+                    part.on_command(now, relay::Command::Drain, out)
                 });
                 let pool = pool(at).map(pool_key);
                 self.drive::<FleetSlots>(at, |part, now, out| {
--- a/rigs/simulator/src/fanout/links.rs
+++ b/rigs/simulator/src/fanout/links.rs
@@ -2,7 +2,7 @@
 
 use super::queue::What;
 use super::world::{World, MS, NAME, WAIT};
-use foldmux_relay::{Act, Ask, Item, Relay, Told};
+use foldmux_relay::{Command, Item, Notification, Relay, RelayEffect};
 use foldmux_replicas::{Effect, StateMachine};
 
 /// An answer's head, and what stands around an event.
@@ -10,7 +10,7 @@
 const ROUND: u64 = 40;
 
 impl World {
-    pub fn drive(&mut self, n: usize, step: impl FnOnce(&mut Relay, &mut Vec<Act>)) {
+    pub fn drive(&mut self, n: usize, step: impl FnOnce(&mut Relay, &mut Vec<RelayEffect>)) {
         let Some(relay) = self.instances[n].relay.as_mut() else {
             return;
         };
@@ -49,13 +49,13 @@
             self.at(due - self.now, n, What::Tick(n));
         }
         for (reader, number) in takes {
-            self.ask(n, Ask::Taken { reader, number });
+            self.ask(n, Command::Acknowledge { reader, number });
         }
     }
 
-    fn told(&mut self, n: usize, told: Told, takes: &mut Vec<(u64, u64)>) {
+    fn told(&mut self, n: usize, told: Notification, takes: &mut Vec<(u64, u64)>) {
         match told {
-            Told::Source { open, .. } => {
+            Notification::ReadSource { open, .. } => {
                 let own = &mut self.instances[n];
                 self.open = self.open + usize::from(open) - usize::from(own.open);
                 (own.open, own.first) = (open, open);
@@ -64,7 +64,7 @@
                     self.poll(n);
                 }
             }
-            Told::News {
+            Notification::Events {
                 reader,
                 first,
                 events,
@@ -76,9 +76,9 @@
                     takes.push((reader, number));
                 }
             }
-            Told::Ended { reader, .. } => self.subscribers.ended(reader),
-            Told::Refused { .. } => self.subscribers.refused += 1,
-            Told::Relay { .. } | Told::Opened { .. } => {}
+            Notification::Ended { reader, .. } => self.subscribers.ended(reader),
+            Notification::Refused { .. } => self.subscribers.refused += 1,
+            Notification::Upstream { .. } | Notification::Opened { .. } => {}
         }
     }
 
@@ -127,7 +127,7 @@
             let epoch = (n as u64 + 1) << 32 | self.instances[n].life;
             self.ask(
                 n,
-                Ask::Fed {
+                Command::SourceItems {
                     stream: NAME.into(),
                     epoch,
                     items,
@@ -160,7 +160,7 @@
             Item {
                 number,
                 key,
-                gone: false,
+                deleted: false,
                 bytes: bytes.into(),
                 age: 0,
             },
--- a/rigs/simulator/src/fanout/play.rs
+++ b/rigs/simulator/src/fanout/play.rs
@@ -2,7 +2,7 @@
 
 use super::queue::What;
 use super::world::{World, MS};
-use foldmux_relay::Ask;
+use foldmux_relay::Command;
 use foldmux_replicas::Time;
 use hdrhistogram::Histogram;
 use rand::RngExt;
@@ -200,7 +200,7 @@
 /// SIGTERM: it serves on for 0.8 s.
 fn leave(world: &mut World, n: usize) {
     if world.lives(n) {
-        world.ask(n, Ask::Leave);
+        world.ask(n, Command::Drain);
         world.at(800 * MS, n, What::End(n));
     }
 }
@@ -212,7 +212,7 @@
         let own = &world.instances[*n];
         sites.contains(&own.site)
             && own.relay.as_ref().map_or(*n < sites.len(), |r| {
-                r.relays(world.now, super::world::NAME)
+                r.holds_lease(world.now, super::world::NAME)
             })
     };
     let struck: Vec<usize> = (0..world.instances.len()).filter(holds).collect();
--- a/rigs/simulator/src/fanout/subscribers.rs
+++ b/rigs/simulator/src/fanout/subscribers.rs
@@ -137,13 +137,13 @@
         let (own, new) = (one.own, one.last.is_none());
         for event in events {
             match event {
-                Event::From { .. } => {}
-                Event::Lost { .. } => {
+                Event::Start { .. } => {}
+                Event::Gap { .. } => {
                     self.losses += 1;
                     self.all[(ticket >> LIVES) as usize].lost = true;
                 }
                 Event::Item { item, .. } => self.heard(now, ticket, item, (false, new), log),
-                Event::Whole { recent, .. } => recent
+                Event::Snapshot { recent, .. } => recent
                     .iter()
                     .for_each(|item| self.heard(now, ticket, item, (true, new), log)),
             }
--- a/rigs/simulator/src/fanout/world.rs
+++ b/rigs/simulator/src/fanout/world.rs
@@ -3,7 +3,9 @@
 use super::play::Plan;
 use super::queue::{Next, What};
 use super::subscribers::Subscribers;
-use foldmux_relay::{Ask, First, Item, Relay, Setup, Slow, Stream};
+use foldmux_relay::{
+    Command, Item, Relay, RelayConfig, SlowReaderPolicy, StartPosition, StreamConfig,
+};
 use foldmux_replicas::{ClockDrift, Peer, ReplicaSet, StateMachine, Time};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -96,29 +98,29 @@
         let seats =
             ReplicaSet::new((0..5).map(|n| Peer::new(&format!("n{n}")))).expect("five seats");
         let ms = |ms: u64| ms * MS;
-        let stream = Stream {
+        let stream = StreamConfig {
             name: NAME.into(),
-            slow: Slow::All,
-            first: First::Whole,
-            shared: false,
-            patience: ms(self.plan.patience_ms),
-            window: ms(10_000),
-            items: 4_096,
-            bytes: 1 << 20,
-            keys: 4_096,
-            ahead: 256,
+            slow_readers: SlowReaderPolicy::Disconnect,
+            start: StartPosition::Snapshot,
+            shared_numbering: false,
+            silence_timeout: ms(self.plan.patience_ms),
+            snapshot_window: ms(10_000),
+            max_items: 4_096,
+            max_bytes: 1 << 20,
+            max_keys: 4_096,
+            max_unacknowledged: 256,
         };
-        let setup = Setup {
-            me: self.names[n].0.clone(),
-            life: life << 32,
-            places: self.names.clone(),
+        let setup = RelayConfig {
+            own: self.names[n].0.clone(),
+            incarnation: life << 32,
+            locations: self.names.clone(),
             replicas: seats,
             drift: ClockDrift::default(),
             lease: LEASE,
             streams: vec![stream],
-            readers: 100_000,
-            fed: self.plan.instances,
-            hold: ms(10_000),
+            max_readers: 100_000,
+            max_followers: self.plan.instances,
+            min_tenure: ms(10_000),
             seed: self.plan.seed ^ (n as u64) << 32 ^ life,
         };
         Relay::new(setup, self.now)
@@ -241,24 +243,24 @@
         let (ticket, after) = self.subscribers.begin(sub, n);
         self.ask(
             n,
-            Ask::Subscribe {
-                ticket,
+            Command::Subscribe {
+                reader: ticket,
                 stream: NAME.into(),
                 after,
-                place: None,
+                position: None,
             },
         );
     }
 
     pub fn cancel(&mut self, sub: usize) {
         if let Some((n, ticket)) = self.subscribers.end(sub) {
-            self.ask(n, Ask::Cancel { reader: ticket });
+            self.ask(n, Command::Cancel { reader: ticket });
         }
     }
 
-    pub fn ask(&mut self, n: usize, ask: Ask) {
+    pub fn ask(&mut self, n: usize, command: Command) {
         let now = self.now;
-        self.drive(n, |relay, out| relay.on_command(now, ask, out));
+        self.drive(n, |relay, out| relay.on_command(now, command, out));
     }
 
     pub fn name(&self, peer: &Peer) -> usize {
--- a/shared/event-stream/src/backoff.rs
+++ b/shared/event-stream/src/backoff.rs
@@ -1,53 +1,54 @@
-//! How long to wait before asking again. Pure: no clock, no I/O; the caller waits.
+//! Delays between retries, and durations of polls. No clock and no I/O; the caller waits.
 //!
-//! Guards against a fleet in step: whatever breaks one proxy's connection breaks all of them at the same moment, and
-//! proxies that wait the same time come back as one wave. Each draws its waits from its own seed.
+//! Guards against synchronised retries: a failure that breaks one proxy's connection breaks those of all at
+//! the same moment, and proxies with equal delays would return in one wave. Each draws its delays from its
+//! own seed.
 
 use foldmux_stats::SeededRng;
 use std::time::Duration;
 
-/// The range of the first wait.
-const FIRST: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(150));
-/// The longest wait: three of them fit well into the time after which news counts as told.
-pub const LONGEST: Duration = Duration::from_millis(500);
-/// The least part of the longest wait that a poll asks for.
-const HOLD: f64 = 0.8;
+/// The range of the first delay.
+const INITIAL_DELAY: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(150));
+/// The longest delay. Three of them fit well into the time after which news counts as delivered.
+pub const MAX_DELAY: Duration = Duration::from_millis(500);
+/// The least fraction of the longest wait that a poll asks for.
+const MIN_POLL_FRACTION: f64 = 0.8;
 
-/// Waits that are drawn evenly from a range which doubles with each failure, up to a bound.
+/// Random delays, drawn evenly from a range that doubles with each failure up to a bound.
 pub struct Backoff {
-    draws: SeededRng,
-    most: Duration,
+    rng: SeededRng,
+    max_delay: Duration,
 }
 
 impl Backoff {
     pub fn new(seed: u64) -> Backoff {
         Backoff {
-            draws: SeededRng::new(seed),
-            most: FIRST.1,
+            rng: SeededRng::new(seed),
+            max_delay: INITIAL_DELAY.1,
         }
     }
 
-    /// It went well: the next failure is the first again.
-    pub fn well(&mut self) {
-        self.most = FIRST.1;
+    /// Resets the range after a success.
+    pub fn reset(&mut self) {
+        self.max_delay = INITIAL_DELAY.1;
     }
 
-    /// The wait after one more failure.
-    pub fn failed(&mut self) -> Duration {
-        let most = self.most;
-        self.most = (most * 2).min(LONGEST);
-        FIRST.0 + (most - FIRST.0).mul_f64(self.part())
+    /// The delay after one more failure.
+    pub fn next_delay(&mut self) -> Duration {
+        let max_delay = self.max_delay;
+        self.max_delay = (max_delay * 2).min(MAX_DELAY);
+        INITIAL_DELAY.0 + (max_delay - INITIAL_DELAY.0).mul_f64(self.random_fraction())
     }
 
-    /// How long a poll asks to be held, of `most`: an event answers the polls of a whole fleet at one moment, and polls
-    /// of one length would end in step from then on. Whole milliseconds.
-    pub fn hold(&mut self, most: Duration) -> Duration {
-        let part = HOLD + (1.0 - HOLD) * self.part();
-        Duration::from_millis(most.mul_f64(part).as_millis() as u64)
+    /// How long a poll asks to be held, at most `max_wait`, in whole milliseconds. An event answers the polls
+    /// of a whole fleet at one moment; polls of equal length would end at the same moment from then on.
+    pub fn poll_wait(&mut self, max_wait: Duration) -> Duration {
+        let fraction = MIN_POLL_FRACTION + (1.0 - MIN_POLL_FRACTION) * self.random_fraction();
+        Duration::from_millis(max_wait.mul_f64(fraction).as_millis() as u64)
     }
 
-    fn part(&mut self) -> f64 {
-        (self.draws.next_u64() >> 11) as f64 / (1u64 << 53) as f64
+    fn random_fraction(&mut self) -> f64 {
+        (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
--- a/shared/event-stream/src/items.rs
+++ b/shared/event-stream/src/items.rs
@@ -1,115 +1,120 @@
-//! Events of the source as items of a relayed stream, numbered from 1 by whoever reads the source; and items as events, in a
-//! reader's own numbers. A line of the list has its host as key, so that the last of each is the list; a purge has none.
+//! Conversion between the journal's events and the items of a relayed stream. The process that reads the
+//! source numbers the items from 1; a reader's events have the reader's own numbers. An endpoint's item has
+//! the host as its key, so the last items of all keys are the endpoint list. A purge has no key.
 
 use crate::journal::{Entry, Expire, Hosts, Lost};
 use foldmux_relay::{Event, Item};
 use serde::Serialize;
 use std::hash::{BuildHasher, Hasher, RandomState};
 
-/// Items that wait to be given to the part.
-const WAITING: usize = 16_384;
+/// The most items that wait to be passed to the relay.
+const MAX_PENDING_ITEMS: usize = 16_384;
 
-/// Counts what this process reads at the source.
-pub struct Counter {
+/// The items of the events that this process reads at the source.
+pub struct ItemLog {
     epoch: u64,
     number: u64,
-    listed: bool,
-    waiting: Vec<Item>,
+    has_list: bool,
+    pending: Vec<Item>,
 }
 
-impl Default for Counter {
-    fn default() -> Counter {
-        // No other process, and no other life of this one, has the same.
-        Counter {
+impl Default for ItemLog {
+    fn default() -> ItemLog {
+        // Random, so that no other process and no other run of this one has the same epoch.
+        ItemLog {
             epoch: RandomState::new().build_hasher().finish(),
             number: 0,
-            listed: false,
-            waiting: Vec::new(),
+            has_list: false,
+            pending: Vec::new(),
         }
     }
 }
 
-fn bytes(value: &impl Serialize) -> Option<std::sync::Arc<[u8]>> {
+fn encode(value: &impl Serialize) -> Option<std::sync::Arc<[u8]>> {
     simd_json::serde::to_vec(value).ok().map(Into::into)
 }
 
-impl Counter {
-    pub fn count(&mut self, entry: &Entry) {
+impl ItemLog {
+    pub fn add_entry(&mut self, entry: &Entry) {
         if let Some(hosts) = &entry.hosts {
-            if hosts.snapshot && std::mem::replace(&mut self.listed, true) {
-                // What it leaves out is gone: all begins anew.
+            if hosts.snapshot && std::mem::replace(&mut self.has_list, true) {
+                // A full list drops the hosts that it does not name: a new epoch begins.
                 (self.epoch, self.number) = (self.epoch.wrapping_add(1), 0);
-                self.waiting.clear();
+                self.pending.clear();
             }
-            for line in &hosts.endpoints {
-                let (key, gone) = (Some(line.name.as_str().into()), line.status == "gone");
+            for endpoint in &hosts.endpoints {
+                let (key, deleted) = (
+                    Some(endpoint.name.as_str().into()),
+                    endpoint.status == "gone",
+                );
                 let one = Hosts {
                     index: hosts.index,
                     snapshot: false,
-                    endpoints: vec![line.clone()],
+                    endpoints: vec![endpoint.clone()],
                 };
-                self.add(key, gone, bytes(&one));
+                self.push(key, deleted, encode(&one));
             }
         }
         if let Some(expire) = &entry.expire {
-            self.add(None, false, bytes(expire));
+            self.push(None, false, encode(expire));
         }
     }
 
-    fn add(
+    fn push(
         &mut self,
         key: Option<std::sync::Arc<str>>,
-        gone: bool,
+        deleted: bool,
         bytes: Option<std::sync::Arc<[u8]>>,
     ) {
         let Some(bytes) = bytes else { return };
         self.number += 1;
-        if self.waiting.len() < WAITING {
-            self.waiting.push(Item {
+        if self.pending.len() < MAX_PENDING_ITEMS {
+            self.pending.push(Item {
                 number: self.number,
                 key,
-                gone,
+                deleted,
                 bytes,
                 age: 0,
             });
         }
     }
 
-    /// What was counted since; it is the caller's to give.
-    pub fn take(&mut self) -> (u64, Vec<Item>) {
-        (self.epoch, std::mem::take(&mut self.waiting))
+    /// Takes the epoch and the items that were added since the last call.
+    pub fn take_pending(&mut self) -> (u64, Vec<Item>) {
+        (self.epoch, std::mem::take(&mut self.pending))
     }
 
-    /// It could not be given: it waits, before what is counted next.
-    pub fn back(&mut self, epoch: u64, mut items: Vec<Item>) {
+    /// Returns items that could not be passed on. They come before those added since, unless the epoch has
+    /// changed.
+    pub fn put_back(&mut self, epoch: u64, mut items: Vec<Item>) {
         if epoch == self.epoch {
-            items.append(&mut self.waiting);
-            items.truncate(WAITING);
-            self.waiting = items;
+            items.append(&mut self.pending);
+            items.truncate(MAX_PENDING_ITEMS);
+            self.pending = items;
         }
     }
 }
 
-fn read<T: serde::de::DeserializeOwned>(item: &Item) -> Option<T> {
+fn decode<T: serde::de::DeserializeOwned>(item: &Item) -> Option<T> {
     simd_json::serde::from_slice(&mut item.bytes.to_vec()).ok()
 }
 
-fn purge(pos: u64, item: &Item) -> Entry {
+fn purge_entry(pos: u64, item: &Item) -> Entry {
     Entry {
         pos,
-        expire: read::<Expire>(item),
+        expire: decode::<Expire>(item),
         ..Entry::default()
     }
 }
 
-/// The events as the journal tells them; the first has the number `pos`.
-pub fn entries(mut pos: u64, events: &[Event]) -> Vec<Entry> {
+/// The journal entries of a reader's events. The first event has the number `pos`.
+pub fn entries_of(mut pos: u64, events: &[Event]) -> Vec<Entry> {
     let mut entries = Vec::new();
     for event in events {
         let span = event.span();
         match event {
-            Event::From { .. } => {}
-            Event::Lost { from, to, .. } => {
+            Event::Start { .. } => {}
+            Event::Gap { from, to, .. } => {
                 entries.push(Entry {
                     pos,
                     lost: Some(Lost {
@@ -119,32 +124,32 @@
                     ..Entry::default()
                 });
             }
-            Event::Item { item, .. } if item.key.is_none() => entries.push(purge(pos, item)),
+            Event::Item { item, .. } if item.key.is_none() => entries.push(purge_entry(pos, item)),
             Event::Item { item, .. } => entries.push(Entry {
                 pos,
-                hosts: read::<Hosts>(item),
+                hosts: decode::<Hosts>(item),
                 ..Entry::default()
             }),
-            Event::Whole { keyed, recent, .. } => {
-                let mut whole = Hosts {
+            Event::Snapshot { keyed, recent, .. } => {
+                let mut list = Hosts {
                     index: 0,
                     snapshot: true,
                     endpoints: Vec::new(),
                 };
-                for hosts in keyed.iter().filter_map(read::<Hosts>) {
-                    whole.index = whole.index.max(hosts.index);
-                    whole.endpoints.extend(hosts.endpoints);
+                for hosts in keyed.iter().filter_map(decode::<Hosts>) {
+                    list.index = list.index.max(hosts.index);
+                    list.endpoints.extend(hosts.endpoints);
                 }
                 entries.push(Entry {
                     pos,
-                    hosts: Some(whole),
+                    hosts: Some(list),
                     ..Entry::default()
                 });
                 entries.extend(
                     recent
                         .iter()
                         .zip(pos + 1..)
-                        .map(|(item, pos)| purge(pos, item)),
+                        .map(|(item, pos)| purge_entry(pos, item)),
                 );
             }
         }
--- a/shared/event-stream/src/items/tests.rs
+++ b/shared/event-stream/src/items/tests.rs
@@ -14,17 +14,17 @@
             {"name":"s-2","status":"gone"}]}}"#,
     );
     let purge = entry(r#"{"pos":2,"expire":{"set":17,"stamp":1764576000480}}"#);
-    let mut counter = Counter::default();
+    let mut log = ItemLog::default();
     [&list, &purge]
         .into_iter()
-        .for_each(|entry| counter.count(entry));
-    let (epoch, items) = counter.take();
-    let said: Vec<_> = items
+        .for_each(|entry| log.add_entry(entry));
+    let (epoch, items) = log.take_pending();
+    let numbered: Vec<_> = items
         .iter()
-        .map(|i| (i.number, i.key.as_deref(), i.gone))
+        .map(|i| (i.number, i.key.as_deref(), i.deleted))
         .collect();
     assert_eq!(
-        said,
+        numbered,
         [
             (1, Some("s-1"), false),
             (2, Some("s-2"), true),
@@ -35,13 +35,16 @@
         .into_iter()
         .map(|item| Event::Item { epoch, item })
         .collect();
-    let told = entries(40, &events);
-    assert_eq!(told.iter().map(|e| e.pos).collect::<Vec<_>>(), [40, 41, 42]);
-    let first = told[0].hosts.as_ref().unwrap();
+    let decoded = entries_of(40, &events);
+    assert_eq!(
+        decoded.iter().map(|e| e.pos).collect::<Vec<_>>(),
+        [40, 41, 42]
+    );
+    let first = decoded[0].hosts.as_ref().unwrap();
     assert_eq!((first.index, first.endpoints[0].weight), (7, 4.0));
-    assert_eq!(told[2].expire.as_ref().unwrap().set, Some(17));
-    // The whole list again is another epoch.
-    counter.count(&list);
-    let (next, items) = counter.take();
+    assert_eq!(decoded[2].expire.as_ref().unwrap().set, Some(17));
+    // Another full list starts another epoch.
+    log.add_entry(&list);
+    let (next, items) = log.take_pending();
     assert!(next != epoch && items[0].number == 1);
 }
--- a/shared/event-stream/src/journal.rs
+++ b/shared/event-stream/src/journal.rs
@@ -1,6 +1,8 @@
-//! The journal's words: what an answer of its long poll holds. A line of a list, or what an event says, that can't be read
-//! costs itself alone: asked for again it would come the same, and hold up all that follows. The number of an event must
-//! be there, for what comes after it.
+//! The responses of the journal's long poll.
+//!
+//! An endpoint of a list or an event's content that can't be decoded is skipped by itself: requested again it
+//! would be the same, and would hold up everything behind it. The number of an event is required, as the
+//! numbers of later events depend on it.
 
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Deserializer, Serialize};
@@ -15,8 +17,8 @@
 }
 
 impl EventBatch {
-    /// The number of the last event that there is, 0 where there is none.
-    pub fn last(&self) -> u64 {
+    /// The number of the last event, or 0 without events.
+    pub fn last_position(&self) -> u64 {
         self.entries
             .iter()
             .map(|entry| entry.pos)
@@ -29,29 +31,29 @@
     pub pos: u64,
     #[serde(
         default,
-        deserialize_with = "one",
+        deserialize_with = "lenient",
         skip_serializing_if = "Option::is_none"
     )]
     pub hosts: Option<Hosts>,
     #[serde(
         default,
-        deserialize_with = "one",
+        deserialize_with = "lenient",
         skip_serializing_if = "Option::is_none"
     )]
     pub expire: Option<Expire>,
-    /// Of relays alone: what may be missing before the next; the source itself knows.
+    /// Set only by relays: events that may be missing before the next one. The source itself misses none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lost: Option<Lost>,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Hosts {
-    /// Which list it is of: a later one has a greater index.
+    /// The version of the list; a later one has a greater index.
     #[serde(default)]
     pub index: u64,
     #[serde(default)]
     pub snapshot: bool,
-    #[serde(default, deserialize_with = "each")]
+    #[serde(default, deserialize_with = "lenient_list")]
     pub endpoints: Vec<Endpoint>,
 }
 
@@ -88,34 +90,37 @@
     pub to: Option<u64>,
 }
 
+/// A value that may fail to decode without failing the whole response.
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum Read<T> {
-    Well(T),
-    Nothing(()),
-    Not(IgnoredAny),
+enum Lenient<T> {
+    Valid(T),
+    Null(()),
+    Invalid(IgnoredAny),
 }
 
-impl<T> Read<T> {
-    fn well(self, what: &str) -> Option<T> {
-        if matches!(self, Read::Not(_)) {
-            tracing::warn!("journal service: {what} that can't be read is passed over");
+impl<T> Lenient<T> {
+    fn valid(self, what: &str) -> Option<T> {
+        if matches!(self, Lenient::Invalid(_)) {
+            tracing::warn!("journal service: skipped {what} that can't be decoded");
         }
         match self {
-            Read::Well(read) => Some(read),
+            Lenient::Valid(value) => Some(value),
             _ => None,
         }
     }
 }
 
-fn one<'de, D: Deserializer<'de>, T: Deserialize<'de>>(from: D) -> Result<Option<T>, D::Error> {
-    Ok(Read::deserialize(from)?.well("an event"))
+fn lenient<'de, D: Deserializer<'de>, T: Deserialize<'de>>(from: D) -> Result<Option<T>, D::Error> {
+    Ok(Lenient::deserialize(from)?.valid("an event"))
 }
 
-fn each<'de, D: Deserializer<'de>, T: Deserialize<'de>>(from: D) -> Result<Vec<T>, D::Error> {
-    let all = Vec::<Read<T>>::deserialize(from)?.into_iter();
+fn lenient_list<'de, D: Deserializer<'de>, T: Deserialize<'de>>(
+    from: D,
+) -> Result<Vec<T>, D::Error> {
+    let all = Vec::<Lenient<T>>::deserialize(from)?.into_iter();
     Ok(all
-        .filter_map(|line| line.well("a line of the list"))
+        .filter_map(|endpoint| endpoint.valid("an endpoint of a list"))
         .collect())
 }
 
--- a/shared/event-stream/src/journal/tests.rs
+++ b/shared/event-stream/src/journal/tests.rs
@@ -1,15 +1,15 @@
-//! Unit tests of `words`.
+//! Unit tests of `journal`.
 
 use super::*;
 
-fn feed(text: &str) -> Result<EventBatch, String> {
+fn parse(text: &str) -> Result<EventBatch, String> {
     simd_json::serde::from_slice(&mut text.as_bytes().to_vec()).map_err(|e| e.to_string())
 }
 
 const GOOD: &str = r#"{"name":"s-1","address":"10.1.0.9:7001","zone":"east","type":"std","group":2,"status":"ready","weight":4,"since_ms":12}"#;
 
 #[test]
-fn a_line_that_cannot_be_read_costs_itself_alone() {
+fn an_undecodable_endpoint_is_skipped_by_itself() {
     let bad = [
         "7",
         "null",
@@ -24,15 +24,15 @@
         r#"{"name":"s-2","status":"ready","since_ms":-4}"#,
         r#"{"name":"s-2","status":"ready","weight":"heavy"}"#,
     ];
-    for line in bad {
+    for endpoint in bad {
         let text = format!(
-            r#"{{"pos":2,"entries":[{{"pos":1,"hosts":{{"index":3,"snapshot":true,"endpoints":[{GOOD},{line},{GOOD}]}}}},{{"pos":2,"expire":{{"set":4,"stamp":9}}}}]}}"#
+            r#"{{"pos":2,"entries":[{{"pos":1,"hosts":{{"index":3,"snapshot":true,"endpoints":[{GOOD},{endpoint},{GOOD}]}}}},{{"pos":2,"expire":{{"set":4,"stamp":9}}}}]}}"#
         );
-        let feed = feed(&text).expect(line);
-        let hosts = feed.entries[0].hosts.as_ref().unwrap();
+        let batch = parse(&text).expect(endpoint);
+        let hosts = batch.entries[0].hosts.as_ref().unwrap();
         assert!(
             hosts.snapshot && hosts.endpoints.iter().all(|e| e.name == "s-1"),
-            "{line}"
+            "{endpoint}"
         );
         let first = &hosts.endpoints[0];
         assert_eq!(
@@ -45,36 +45,41 @@
             (2, 2, 4.0, 12)
         );
         assert_eq!(first.address, Some("10.1.0.9:7001".parse().unwrap()));
-        assert_eq!(feed.entries[1].expire.as_ref().unwrap().set, Some(4));
+        assert_eq!(batch.entries[1].expire.as_ref().unwrap().set, Some(4));
     }
 }
 
 #[test]
-fn an_event_whose_words_cannot_be_read_keeps_its_number_and_an_answer_cut_short_is_none() {
-    for said in [
+fn an_undecodable_event_keeps_its_number_and_a_truncated_response_is_an_error() {
+    for content in [
         r#""hosts":5"#,
         r#""hosts":null"#,
         r#""expire":{"set":-1,"stamp":9}"#,
         r#""expire":{"name":"a"}"#,
     ] {
-        let read = feed(&format!(
-            r#"{{"pos":2,"entries":[{{"pos":1,{said}}},{{"pos":2}}]}}"#
+        let batch = parse(&format!(
+            r#"{{"pos":2,"entries":[{{"pos":1,{content}}},{{"pos":2}}]}}"#
         ))
-        .expect(said);
+        .expect(content);
         assert_eq!(
-            read.entries.iter().map(|e| e.pos).collect::<Vec<_>>(),
+            batch.entries.iter().map(|e| e.pos).collect::<Vec<_>>(),
             [1, 2]
         );
-        assert!(read.entries[0].hosts.is_none() && read.entries[0].expire.is_none());
+        assert!(batch.entries[0].hosts.is_none() && batch.entries[0].expire.is_none());
     }
-    let whole = format!(r#"{{"pos":1,"entries":[{{"pos":1,"hosts":{{"endpoints":[{GOOD}]}}}}]}}"#);
-    assert!(feed(&whole).is_ok());
-    let part = feed(&whole.replace("\"weight\":4", "\"weight\":1.5")).unwrap();
+    let response =
+        format!(r#"{{"pos":1,"entries":[{{"pos":1,"hosts":{{"endpoints":[{GOOD}]}}}}]}}"#);
+    assert!(parse(&response).is_ok());
+    let fractional = parse(&response.replace("\"weight\":4", "\"weight\":1.5")).unwrap();
     assert_eq!(
-        part.entries[0].hosts.as_ref().unwrap().endpoints[0].weight,
+        fractional.entries[0].hosts.as_ref().unwrap().endpoints[0].weight,
         1.5
     );
-    for cut in 1..whole.len() {
-        assert!(feed(&whole[..cut]).is_err(), "{}", &whole[..cut]);
+    for length in 1..response.len() {
+        assert!(
+            parse(&response[..length]).is_err(),
+            "{}",
+            &response[..length]
+        );
     }
 }
--- a/shared/event-stream/src/lib.rs
+++ b/shared/event-stream/src/lib.rs
@@ -1,9 +1,13 @@
 //! The journal's events between the processes of a fleet.
 //!
-//! Owns: their form ([`journal`]), how they become items of a relayed stream and events again ([`items`]), this process's readers
-//! of that stream and when it reads the source itself ([`readers`], [`source_gate`]), the long poll that serves the stream to hubs and
-//! instances of the site ([`serve`]), and the waits between asks ([`backoff`]). May not: decide who relays, or know what an
-//! event means to who takes it.
+//! - [`journal`]: the format of the events.
+//! - [`items`]: their conversion to items of a relayed stream and back.
+//! - [`readers`], [`source_gate`]: the readers of the stream in this process, and when the process reads the
+//!   source itself.
+//! - [`serve`]: the long poll that serves the stream to hubs and instances of the site.
+//! - [`backoff`]: the delays between requests.
+//!
+//! The crate doesn't decide which process relays, nor what an event means to its recipient.
 
 pub mod backoff;
 pub mod items;
