--- a/shared/event-stream/src/readers.rs
+++ b/shared/event-stream/src/readers.rs
@@ -1,11 +1,11 @@
-//! The readers of a relayed stream in this process, and what this process reads at the source for it.
+//! The readers of a relayed stream in this process, and what this process reads at the source for the relay.
 
-use crate::items::{entries, Counter};
+use crate::items::{entries_of, ItemLog};
 use crate::journal::Entry;
 use crate::source_gate::SourceGate;
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError, Sender};
 use foldmux_fleet::{Port, Refused, Sink};
-use foldmux_relay::{Ask, Event, Told};
+use foldmux_relay::{Command, Event, Notification};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
@@ -13,22 +13,23 @@
 
 pub struct StreamReaders {
     stream: Arc<str>,
-    /// Messages that wait for one reader: what it may be told ahead, one event in each, and its end.
-    room: usize,
-    port: OnceLock<Port<Ask>>,
-    readers: Mutex<HashMap<u64, Sender<Told>>>,
-    /// Readers that have gone, and that the part could not be told of yet.
-    ended: Mutex<Vec<u64>>,
-    next: AtomicU64,
-    counter: Mutex<Counter>,
+    /// Capacity of a reader's channel: the events that it may be sent unacknowledged, one in each
+    /// notification, and the end.
+    channel_capacity: usize,
+    port: OnceLock<Port<Command>>,
+    readers: Mutex<HashMap<u64, Sender<Notification>>>,
+    /// Readers that ended and whose cancellation the relay could not accept yet.
+    to_cancel: Mutex<Vec<u64>>,
+    next_id: AtomicU64,
+    item_log: Mutex<ItemLog>,
     pub gate: SourceGate,
 }
 
-/// A reader's stream has ended: it was too slow, there was no room, or the part is gone.
+/// The subscription has ended: the reader was too slow, there was no room, or the relay has stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubscriptionEnded;
 
-/// Where the part tells what it has to tell.
+/// Receives the relay's notifications for [`StreamReaders`].
 pub struct RelaySink(pub Arc<StreamReaders>);
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -36,114 +37,128 @@
 }
 
 impl StreamReaders {
-    pub fn new(stream: &str, ahead: u64) -> Arc<StreamReaders> {
+    pub fn new(stream: &str, max_unacknowledged: u64) -> Arc<StreamReaders> {
         Arc::new(StreamReaders {
             stream: stream.into(),
-            room: ahead as usize + 4,
+            channel_capacity: max_unacknowledged as usize + 4,
             port: OnceLock::new(),
             readers: Mutex::default(),
-            ended: Mutex::default(),
-            next: AtomicU64::new(1),
-            counter: Mutex::default(),
+            to_cancel: Mutex::default(),
+            next_id: AtomicU64::new(1),
+            item_log: Mutex::default(),
             gate: SourceGate::default(),
         })
     }
 
-    /// The part is in service.
-    pub fn begin(&self, port: Port<Ask>) {
+    /// Attaches the port to the relay, once it is in service.
+    pub fn attach(&self, port: Port<Command>) {
         let _ = self.port.set(port);
     }
 
-    fn ask(&self, ask: Ask) -> Result<(), Refused> {
+    fn command(&self, command: Command) -> Result<(), Refused> {
         self.port
             .get()
-            .map_or(Err(Refused::Gone), |port| port.ask(ask))
+            .map_or(Err(Refused::Gone), |port| port.ask(command))
     }
 
-    /// An event that was read at the source: known to all that follow on this process.
-    pub fn count(&self, entry: &Entry) {
-        lock(&self.counter).count(entry);
+    /// Records an event that was read at the source, for all followers of this process.
+    pub fn record(&self, entry: &Entry) {
+        lock(&self.item_log).add_entry(entry);
     }
 
-    /// An answer of the source came, and what it told was counted.
-    pub fn fed(&self) {
-        let mut counter = lock(&self.counter);
-        let (epoch, items) = counter.take();
-        // What finds the queue full waits for the next answer, so that there is no gap.
+    /// Reports an answer of the source to the relay, with the events recorded since the last report.
+    pub fn on_source_answer(&self) {
+        let mut item_log = lock(&self.item_log);
+        let (epoch, items) = item_log.take_pending();
+        // If the queue is full, the items wait for the next answer, so that there is no gap.
         if self
-            .ask(Ask::Fed {
+            .command(Command::SourceItems {
                 stream: self.stream.clone(),
                 epoch,
                 items: items.clone(),
             })
             .is_err()
         {
-            counter.back(epoch, items);
+            item_log.put_back(epoch, items);
         }
     }
 
-    pub fn unfed(&self) {
-        let _ = self.ask(Ask::Unfed {
+    /// Reports to the relay that the source failed.
+    pub fn on_source_failure(&self) {
+        let _ = self.command(Command::SourceFailed {
             stream: self.stream.clone(),
         });
     }
 
-    /// Others relay from now on.
-    pub fn leave(&self) {
-        let _ = self.ask(Ask::Leave);
+    /// Asks the relay to hand over to other processes.
+    pub fn drain(&self) {
+        let _ = self.command(Command::Drain);
     }
 
-    /// A reader whose own last number is `after`.
-    pub fn read(self: &Arc<StreamReaders>, after: u64) -> Result<Subscription, SubscriptionEnded> {
-        self.sweep();
-        let (sender, told) = bounded(self.room);
-        let ticket = self.next.fetch_add(1, Ordering::Relaxed);
-        lock(&self.readers).insert(ticket, sender);
-        let reading = Subscription {
+    /// Subscribes a reader whose last own number is `position`.
+    ///
+    /// # Errors
+    ///
+    /// When the relay can't take the command.
+    pub fn subscribe(
+        self: &Arc<StreamReaders>,
+        position: u64,
+    ) -> Result<Subscription, SubscriptionEnded> {
+        self.cancel_ended();
+        let (sender, notifications) = bounded(self.channel_capacity);
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
+        lock(&self.readers).insert(id, sender);
+        let subscription = Subscription {
             readers: self.clone(),
-            ticket,
-            told,
-            after,
-            taken: after,
+            id,
+            notifications,
+            position,
+            acknowledged: position,
         };
-        let ask = Ask::Subscribe {
-            ticket,
+        let command = Command::Subscribe {
+            reader: id,
             stream: self.stream.clone(),
-            after,
-            place: None,
+            after: position,
+            position: None,
         };
-        self.ask(ask).map_err(|_| SubscriptionEnded)?;
-        Ok(reading)
+        self.command(command).map_err(|_| SubscriptionEnded)?;
+        Ok(subscription)
     }
 
-    /// RelaySink the part of readers that have gone.
-    fn sweep(&self) {
-        lock(&self.ended)
-            .retain(|reader| self.ask(Ask::Cancel { reader: *reader }) == Err(Refused::Full));
+    /// Cancels the subscriptions of readers that ended. Those that find the relay's queue full stay for the
+    /// next call.
+    fn cancel_ended(&self) {
+        lock(&self.to_cancel).retain(|reader| {
+            self.command(Command::Cancel { reader: *reader }) == Err(Refused::Full)
+        });
     }
 }
 
-impl Sink<Told> for RelaySink {
-    fn told(&self, told: Told) {
+impl Sink<Notification> for RelaySink {
+    fn told(&self, notification: Notification) {
         let readers = &self.0;
-        let reader = match &told {
-            Told::Source { open, .. } => return readers.gate.open(*open),
-            Told::Relay {
+        let reader = match &notification {
+            Notification::ReadSource { open, .. } => {
+                return readers.gate.set_needed_by_relay(*open)
+            }
+            Notification::Upstream {
                 from: Some(from),
                 stream,
-            } => return tracing::info!("{stream} comes by {from}"),
-            Told::Relay { stream, .. } => return tracing::info!("{stream} is read at its source"),
-            Told::Opened { .. } => return,
-            Told::Refused { ticket, .. } => *ticket,
-            Told::News { reader, .. } | Told::Ended { reader, .. } => *reader,
+            } => return tracing::info!("stream {stream}: relayed by {from}"),
+            Notification::Upstream { stream, .. } => {
+                return tracing::info!("stream {stream}: read at the source")
+            }
+            Notification::Opened { .. } => return,
+            Notification::Refused { reader, .. } => *reader,
+            Notification::Events { reader, .. } | Notification::Ended { reader, .. } => *reader,
         };
         let mut readers = lock(&readers.readers);
-        let over = !matches!(told, Told::News { .. });
-        // One whose channel is full is at its end: a gap would be untold.
-        if over
+        let ends = !matches!(notification, Notification::Events { .. });
+        // A reader whose channel is full ends: dropping a notification would leave an unreported gap.
+        if ends
             || readers
                 .get(&reader)
-                .is_some_and(|to| to.try_send(told).is_err())
+                .is_some_and(|to| to.try_send(notification).is_err())
         {
             readers.remove(&reader);
         }
@@ -151,63 +166,68 @@
 
     fn gone(&self) {
         lock(&self.0.readers).clear();
-        self.0.gate.gone();
+        self.0.gate.relay_stopped();
     }
 }
 
 pub struct Subscription {
     readers: Arc<StreamReaders>,
-    ticket: u64,
-    told: Receiver<Told>,
-    /// The last of its own numbers that it was told; and that it took, as far as the part knows.
-    pub after: u64,
-    taken: u64,
+    id: u64,
+    notifications: Receiver<Notification>,
+    /// The last of the reader's own numbers that it was sent.
+    pub position: u64,
+    /// The last number that the relay accepted an acknowledgement for.
+    acknowledged: u64,
 }
 
 impl Subscription {
-    /// What came, at least one event, or nothing until then.
-    pub fn next(&mut self, until: Instant) -> Result<Vec<Entry>, SubscriptionEnded> {
+    /// Waits for the next events, until `until`. Returns none when that time has passed.
+    ///
+    /// # Errors
+    ///
+    /// When the subscription has ended.
+    pub fn receive(&mut self, until: Instant) -> Result<Vec<Entry>, SubscriptionEnded> {
         let mut found = Vec::new();
         while found.is_empty() {
-            match self.told.recv_deadline(until) {
-                Ok(told) => self.add(told, &mut found),
+            match self.notifications.recv_deadline(until) {
+                Ok(notification) => self.add(notification, &mut found),
                 Err(RecvTimeoutError::Timeout) => return Ok(found),
                 Err(RecvTimeoutError::Disconnected) => return Err(SubscriptionEnded),
             }
         }
-        while let Ok(told) = self.told.try_recv() {
-            self.add(told, &mut found);
+        while let Ok(notification) = self.notifications.try_recv() {
+            self.add(notification, &mut found);
         }
         Ok(found)
     }
 
-    fn add(&mut self, told: Told, found: &mut Vec<Entry>) {
-        if let Told::News { first, events, .. } = told {
-            self.after = first - 1 + events.iter().map(Event::span).sum::<u64>();
-            found.extend(entries(first, &events));
+    fn add(&mut self, notification: Notification, found: &mut Vec<Entry>) {
+        if let Notification::Events { first, events, .. } = notification {
+            self.position = first - 1 + events.iter().map(Event::span).sum::<u64>();
+            found.extend(entries_of(first, &events));
         }
     }
 
-    /// It has all to there.
-    pub fn took(&mut self, number: u64) {
-        if number > self.taken
+    /// Acknowledges all events up to this number.
+    pub fn acknowledge(&mut self, number: u64) {
+        if number > self.acknowledged
             && self
                 .readers
-                .ask(Ask::Taken {
-                    reader: self.ticket,
+                .command(Command::Acknowledge {
+                    reader: self.id,
                     number,
                 })
                 .is_ok()
         {
-            self.taken = number;
+            self.acknowledged = number;
         }
     }
 }
 
 impl Drop for Subscription {
     fn drop(&mut self) {
-        lock(&self.readers.readers).remove(&self.ticket);
-        lock(&self.readers.ended).push(self.ticket);
-        self.readers.sweep();
+        lock(&self.readers.readers).remove(&self.id);
+        lock(&self.readers.to_cancel).push(self.id);
+        self.readers.cancel_ended();
     }
 }
--- a/shared/event-stream/src/source_gate.rs
+++ b/shared/event-stream/src/source_gate.rs
@@ -1,69 +1,83 @@
-//! Whether this process is to read the source itself.
+//! Controls whether this process reads the source itself.
 
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 
 #[derive(Default)]
 struct State {
-    /// The part wants it; a reader here is without one; one answer is wanted; the part is gone for good.
-    open: bool,
-    without: bool,
-    once: bool,
-    gone: bool,
-    /// It was shut since it was last passed.
-    shut: bool,
+    /// The relay asked for the source to be read.
+    needed_by_relay: bool,
+    /// A subscription of this process has no events yet.
+    awaiting_events: bool,
+    /// One more answer was requested.
+    one_read: bool,
+    /// The relay has stopped for good.
+    relay_stopped: bool,
+    /// The gate was closed since a poll last passed it.
+    was_closed: bool,
 }
 
+/// Open while the relay, a subscription without events or a single request needs the source, and for good
+/// once the relay has stopped.
 #[derive(Default)]
 pub struct SourceGate {
     state: Mutex<State>,
-    change: Condvar,
+    changed: Condvar,
 }
 
 impl SourceGate {
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn lock_state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn change(&self, change: impl FnOnce(&mut State)) {
-        change(&mut self.state());
-        self.change.notify_all();
+    fn update(&self, update: impl FnOnce(&mut State)) {
+        update(&mut self.lock_state());
+        self.changed.notify_all();
     }
 
-    pub fn open(&self, open: bool) {
-        self.change(|state| state.open = open);
+    /// Sets whether the relay needs the source.
+    pub fn set_needed_by_relay(&self, needed_by_relay: bool) {
+        self.update(|state| state.needed_by_relay = needed_by_relay);
     }
 
-    pub fn without(&self, without: bool) {
-        self.change(|state| state.without = without);
+    /// Sets whether the process's own subscription is without events.
+    pub fn set_awaiting_events(&self, awaiting_events: bool) {
+        self.update(|state| state.awaiting_events = awaiting_events);
     }
 
-    /// One answer at least.
-    pub fn once(&self) {
-        self.change(|state| state.once = true);
+    /// Requests at least one more answer of the source.
+    pub fn request_one_read(&self) {
+        self.update(|state| state.one_read = true);
     }
 
-    pub fn gone(&self) {
-        self.change(|state| state.gone = true);
+    /// Opens the gate for good: the relay has stopped.
+    pub fn relay_stopped(&self) {
+        self.update(|state| state.relay_stopped = true);
     }
 
-    /// Waits until the source is to be read; whether its answer is wanted at once, for it was not read before.
-    pub fn pass(&self) -> bool {
-        let mut state = self.state();
-        let shut = |state: &State| !(state.open || state.without || state.once || state.gone);
-        while shut(&state) {
-            state.shut = true;
+    /// Waits until the source is to be read. Returns whether its answer is wanted at once, because the source
+    /// was not read before or a read was requested.
+    pub fn wait_until_open(&self) -> bool {
+        let mut state = self.lock_state();
+        let closed = |state: &State| {
+            !(state.needed_by_relay
+                || state.awaiting_events
+                || state.one_read
+                || state.relay_stopped)
+        };
+        while closed(&state) {
+            state.was_closed = true;
             state = self
-                .change
+                .changed
                 .wait(state)
                 .unwrap_or_else(PoisonError::into_inner);
         }
-        let once = std::mem::take(&mut state.once);
-        std::mem::take(&mut state.shut) || once
+        let one_read = std::mem::take(&mut state.one_read);
+        std::mem::take(&mut state.was_closed) || one_read
     }
 
-    /// Whether the next [`SourceGate::pass`] will wait.
-    pub fn shut(&self) -> bool {
-        let state = self.state();
-        !(state.open || state.without || state.once || state.gone)
+    /// Whether [`SourceGate::wait_until_open`] would wait.
+    pub fn is_closed(&self) -> bool {
+        let state = self.lock_state();
+        !(state.needed_by_relay || state.awaiting_events || state.one_read || state.relay_stopped)
     }
 }
--- a/shared/event-stream/tests/formats.rs
+++ b/shared/event-stream/tests/formats.rs
@@ -1,9 +1,9 @@
-//! The text of the journal's answers and of relayed items, against fixtures.
+//! The JSON of the journal's responses and of relayed items, against fixtures.
 
 #[path = "../../../tests/formats/text.rs"]
 mod fixtures;
 
-use foldmux_event_stream::items::{entries, Counter};
+use foldmux_event_stream::items::{entries_of, ItemLog};
 use foldmux_event_stream::journal::{Endpoint, Entry, EventBatch, Expire, Hosts, Lost};
 use foldmux_relay::{Event, Item};
 use serde::{de::DeserializeOwned, Serialize};
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn the_text_of_entries_stays() {
+fn the_encoding_of_entries_is_stable() {
     let lost = |to| Entry {
         pos: 307,
         lost: Some(Lost { from: 308, to }),
@@ -85,20 +85,20 @@
 }
 
 #[test]
-fn the_text_of_answers_stays() {
-    let feed = EventBatch {
+fn the_encoding_of_responses_is_stable() {
+    let batch = EventBatch {
         pos: 311,
         entries: vec![listed(), expire(Some("a"), Some(312))],
     };
-    check("answers.txt", &[("answer", feed)]);
+    check("answers.txt", &[("answer", batch)]);
 }
 
 #[test]
-fn the_text_of_items_stays() {
-    let mut counter = Counter::default();
-    counter.count(&listed());
-    counter.count(&expire(Some("a"), Some(313)));
-    let (epoch, items) = counter.take();
+fn the_encoding_of_items_is_stable() {
+    let mut log = ItemLog::default();
+    log.add_entry(&listed());
+    log.add_entry(&expire(Some("a"), Some(313)));
+    let (epoch, items) = log.take_pending();
     let text = |item: &Item| String::from_utf8(item.bytes.to_vec()).expect("JSON");
     let names = ["endpoint", "endpoint that is gone", "purge"];
     let named: Vec<_> = names.into_iter().zip(items.iter().map(text)).collect();
@@ -110,6 +110,6 @@
     );
     let item = |item: Item| Event::Item { epoch, item };
     let events: Vec<Event> = items.into_iter().map(item).collect();
-    let told: Vec<_> = names.into_iter().zip(entries(314, &events)).collect();
-    check("relayed_entries.txt", &told);
+    let relayed: Vec<_> = names.into_iter().zip(entries_of(314, &events)).collect();
+    check("relayed_entries.txt", &relayed);
 }
