--- a/pure/relay/tests/drawn.rs
+++ b/pure/relay/tests/drawn.rs
@@ -9,8 +9,8 @@
 use proptest_state_machine::{prop_state_machine, ReferenceStateMachine, StateMachineTest};
 use world::{stream, World, MS, SOURCE};
 
-const PLACES: [&str; 7] = ["a/x", "a/x", "a/y", "a/y", "b/x", "b/x", "b/x"];
-const N: usize = PLACES.len();
+const LOCATIONS: [&str; 7] = ["a/x", "a/x", "a/y", "a/y", "b/x", "b/x", "b/x"];
+const N: usize = LOCATIONS.len();
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -118,8 +118,8 @@
     type Reference = InitialState;
 
     fn init_test(state: &InitialState) -> World {
-        let (slow, first, shared) = STREAM_KINDS[state.kind];
-        World::new(state.seed, stream(slow, first, shared), &PLACES)
+        let (slow, start, shared) = STREAM_KINDS[state.kind];
+        World::new(state.seed, stream(slow, start, shared), &LOCATIONS)
     }
 
     fn apply(mut world: World, _: &InitialState, step: Step) -> World {
--- a/pure/relay/tests/hard.rs
+++ b/pure/relay/tests/hard.rs
@@ -9,8 +9,8 @@
 const TWO_SITES: [&str; 6] = ["a", "a", "a", "b", "b", "b"];
 
 /// Six processes at two sites, each with two readers, in steady operation.
-fn running_fleet(seed: u64, slow: SlowReaderPolicy, first: StartPosition, shared: bool) -> World {
-    let mut world = World::new(seed, stream(slow, first, shared), &TWO_SITES);
+fn running_fleet(seed: u64, slow: SlowReaderPolicy, start: StartPosition, shared: bool) -> World {
+    let mut world = World::new(seed, stream(slow, start, shared), &TWO_SITES);
     world.publish(Some("x"), false);
     for i in 0..6 {
         world.subscribe(i);
@@ -47,8 +47,8 @@
 
 #[test]
 pub fn one_source_stream_per_site_with_readers_and_none_without() {
-    for (slow, first, shared) in STREAM_KINDS {
-        let mut world = World::new(1, stream(slow, first, shared), &TWO_SITES);
+    for (slow, start, shared) in STREAM_KINDS {
+        let mut world = World::new(1, stream(slow, start, shared), &TWO_SITES);
         world.advance(2_000 * MS);
         assert_eq!(world.open_sources(), 0);
         for i in 0..3 {
@@ -63,9 +63,9 @@
 
 #[test]
 pub fn a_relay_that_is_killed_mid_message_leaves_no_gap() {
-    for (slow, first, shared) in STREAM_KINDS {
+    for (slow, start, shared) in STREAM_KINDS {
         for seed in 0..4 {
-            let mut world = running_fleet(seed, slow, first, shared);
+            let mut world = running_fleet(seed, slow, start, shared);
             let at = relay_of_site_a(&world);
             world.publish(None, false);
             world.advance(seed * MS);
@@ -90,9 +90,9 @@
 
 #[test]
 pub fn a_relay_that_resumes_after_a_pause_leaves_one_relay() {
-    for (slow, first, shared) in STREAM_KINDS {
+    for (slow, start, shared) in STREAM_KINDS {
         for seed in 0..4 {
-            let mut world = running_fleet(seed, slow, first, shared);
+            let mut world = running_fleet(seed, slow, start, shared);
             let at = relay_of_site_a(&world);
             world.pause(at);
             publish_items(&mut world, 100);
@@ -108,9 +108,9 @@
 
 #[test]
 pub fn a_draining_relay_hands_over_without_a_pause() {
-    for (slow, first, shared) in STREAM_KINDS {
+    for (slow, start, shared) in STREAM_KINDS {
         for seed in 0..4 {
-            let mut world = running_fleet(seed, slow, first, shared);
+            let mut world = running_fleet(seed, slow, start, shared);
             let before = world
                 .readers
                 .values()
@@ -161,8 +161,8 @@
 
 #[test]
 pub fn a_site_cut_from_the_source_and_one_way_cuts() {
-    for (slow, first, shared) in STREAM_KINDS {
-        let mut world = running_fleet(5, slow, first, shared);
+    for (slow, start, shared) in STREAM_KINDS {
+        let mut world = running_fleet(5, slow, start, shared);
         world.cut_source("a");
         publish_items(&mut world, 200);
         world.cut_links.clear();
@@ -185,9 +185,9 @@
 
 #[test]
 pub fn a_source_that_starts_again_at_1_is_a_new_epoch() {
-    for (slow, first, shared) in STREAM_KINDS {
+    for (slow, start, shared) in STREAM_KINDS {
         for seed in 0..4 {
-            let mut world = running_fleet(seed, slow, first, shared);
+            let mut world = running_fleet(seed, slow, start, shared);
             world.log.restart();
             publish_items(&mut world, 30);
             let at = relay_of_site_a(&world);
@@ -219,13 +219,13 @@
 
 #[test]
 pub fn offices_receive_from_their_hub_and_hubs_from_the_site() {
-    let places = [
+    let locations = [
         "a/h1/o1", "a/h1/o1", "a/h1/o2", "a/h1/o2", "a/h2/o1", "a/h2/o1", "b/h1/o1",
     ];
     let mut world = World::new(
         9,
         stream(SlowReaderPolicy::Skip, StartPosition::Live, true),
-        &places,
+        &locations,
     );
     for i in 0..7 {
         world.subscribe(i);
--- a/pure/relay/tests/tables.rs
+++ b/pure/relay/tests/tables.rs
@@ -99,8 +99,8 @@
 
 /// Overruns a ring of 64 items for two readers: one that takes a second for each batch, and one that takes
 /// nothing. The other readers must not be delayed.
-pub fn overrun(slow: SlowReaderPolicy, first: StartPosition) -> (World, u64, u64) {
-    let mut world = World::new(4, stream(slow, first, true), &SITE);
+pub fn overrun(slow: SlowReaderPolicy, start: StartPosition) -> (World, u64, u64) {
+    let mut world = World::new(4, stream(slow, start, true), &SITE);
     world.advance(1_000 * MS);
     world.publish(Some("k0"), false);
     let (slowly, never) = (world.subscribe(0), world.subscribe(0));
