--- a/edge/proxy/src/pool_permits.rs
+++ b/edge/proxy/src/pool_permits.rs
@@ -1,24 +1,24 @@
-//! Permits of the pools in the operator's file: an attempt waits on its request's own thread, at a channel of its own, for a
-//! slot that the fleet leases to this process. Without a pool in the file nothing here is started.
+//! Permits for the pools of the operator's file. An attempt waits for a slot that the fleet leases to this process:
+//! on its request's own thread, at a channel of its own. Without a pool in the file, none of this is started.
 
 mod pool;
 mod weights;
 
 use crate::fleet::replica_set::replica_set;
 use crate::pool_permits::pool::{Pool, PoolPermit, Wakeup};
-use crate::pool_permits::weights::{keyed, weights};
+use crate::pool_permits::weights::{by_name_hash, weights};
 use crossbeam_channel::{bounded, Sender};
 use foldmux::interface::{CacheId, Fetch};
 use foldmux_core::cancellation::Cancellable;
 use foldmux_core::permits::{AttemptPermits, Permit, PermitRequest};
 use foldmux_core::retry_after::{Rejected, MAX_RETRY_AFTER};
 use foldmux_core::servers::ServerList;
-use foldmux_fair_queue::local::{Asked, Local, Request};
+use foldmux_fair_queue::local_pool::{LocalPool, PoolAdmission, Request};
 use foldmux_fair_queue::queue::Setup;
 use foldmux_fair_queue::slots::{FleetSetup, FleetSlots, PoolSetup};
-use foldmux_fair_queue::slow::Figures;
-use foldmux_fair_queue::tenants::{key, By, Weight};
-use foldmux_fair_queue::{Stock, Told};
+use foldmux_fair_queue::slow::CostModel;
+use foldmux_fair_queue::tenants::{name_hash, TenantBy, Weight};
+use foldmux_fair_queue::{Event, HeldSlots};
 use foldmux_fleet::{Builder, Sink};
 use foldmux_operator::{Fleet as FleetConfig, PoolBy};
 use foldmux_replicas::{Peer, ReplicaConfiguration};
@@ -28,19 +28,24 @@
 use std::thread;
 use std::time::Duration;
 
-/// The number of the slots' state machine in frames.
+/// Number of the slots' state machine in frames of the fleet.
 pub const PART: u8 = 3;
-/// How often usage and demand are reported to the fleet, and waits that are over are ended.
+/// How often usage and demand are reported to the fleet, and waits that have timed out are ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Tenants without a weight of their own are hashed into so many queues.
+/// Number of queues that tenants without a weight of their own are hashed into.
 const UNNAMED_TENANT_BUCKETS: u32 = 1_024;
 
-/// Which attempts a pool bounds: those to members of these kinds, and those whose fill names one as its source.
+/// The attempts that a pool bounds: those to members of these kinds, and those whose fill names such a member as its
+/// source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerKinds(Vec<usize>);
 
 impl ServerKinds {
-    /// `archive`, `hub` and `cache`, by what the settings call them, or a kind by its own name.
+    /// Resolves a pool's name: `archive`, `hub` and `cache` as defined by the settings, or the name of a kind.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the name is none of these.
     pub fn of(pool: &str, decoded: &Decoded) -> Result<ServerKinds, String> {
         let settings = &decoded.settings;
         let (archive, hub) = (settings.origin_kind, settings.parent_kind);
@@ -64,18 +69,18 @@
     }
 }
 
-/// All pools, as this process takes part in them.
+/// All pools, and this process's part in them.
 pub struct PoolPermits {
     members: Arc<ServerList>,
     pools: Vec<(ServerKinds, Arc<Pool>)>,
 }
 
 impl PoolPermits {
-    /// The pools of the file, with the slots' state machine added to the fleet's thread; `None` where the file has no pool.
+    /// The pools of the file; `None` if the file has none. Adds the slots' state machine to the fleet's thread.
     ///
     /// # Errors
     ///
-    /// Where a pool names no kind of the settings, or the replicas can't be used.
+    /// Fails if a pool names no kind of the settings, or the replica set is invalid.
     pub fn add(
         builder: &mut Builder,
         config: &FleetConfig,
@@ -88,59 +93,59 @@
             return Ok(None);
         }
         let classes = &decoded.settings.classes;
-        let longest = classes
+        let max_slot_time = classes
             .iter()
             .map(|class| class.deadline)
             .max()
             .unwrap_or(1);
-        let slow_over = classes
+        let slow_threshold = classes
             .iter()
             .map(|class| class.latency_objective)
-            .filter(|aim| *aim > 0)
+            .filter(|objective| *objective > 0)
             .min()
-            .unwrap_or(longest);
-        // No attempt starts that may outlast its slot's lease, also right before the lease is renewed.
-        let lease = 2 * longest + config.lease_ms * 1_000;
+            .unwrap_or(max_slot_time);
+        // No attempt starts that may outlast its slot's lease, even just before the lease is renewed.
+        let lease = 2 * max_slot_time + config.lease_ms * 1_000;
         let weights = weights(config, &decoded.tenants);
         let (mut pools, mut setups) = (Vec::new(), Vec::new());
         for pool in &config.pools {
             let kinds = ServerKinds::of(&pool.name, decoded)?;
             let by = match pool.by {
-                PoolBy::Tenant => By::Tenant,
-                PoolBy::Class => By::Class,
-                PoolBy::Caller => By::Caller,
+                PoolBy::Tenant => TenantBy::Tenant,
+                PoolBy::Class => TenantBy::Class,
+                PoolBy::Caller => TenantBy::Caller,
             };
-            let key_of = key(&pool.name);
+            let pool_key = name_hash(&pool.name);
             let setup = Setup {
                 slots: 0,
                 slow_share: 0.5,
-                longest,
-                waiting: config.queue as usize,
+                max_slot_time,
+                max_waiting: config.queue as usize,
                 buckets: UNNAMED_TENANT_BUCKETS,
-                unnamed: Weight::ONE,
+                unnamed_weight: Weight::ONE,
             };
-            let figures = Figures::new(classes.len(), slow_over, longest);
-            let mut local = Local::new(key_of, setup, figures, Stock::default());
-            local.retune(0, &weights, Weight::ONE);
+            let cost_model = CostModel::new(classes.len(), slow_threshold, max_slot_time);
+            let mut local = LocalPool::new(pool_key, setup, cost_model, HeldSlots::default());
+            local.set_weights(0, &weights, Weight::ONE);
             pools.push((
                 kinds,
                 Pool::new(
-                    key_of,
+                    pool_key,
                     by,
                     local,
                     decoded.settings.max_retry_after.unwrap_or(0),
                 ),
             ));
             setups.push(PoolSetup {
-                key: key_of,
+                key: pool_key,
                 slots: pool.slots as u16,
                 lease,
-                weights: keyed(&weights).collect(),
-                unnamed: Weight::ONE.0,
+                weights: by_name_hash(&weights).collect(),
+                unnamed_weight: Weight::ONE.0,
             });
         }
         let (replicas, drift) = replica_set(config)?;
-        let seats = ReplicaConfiguration::stable(replicas);
+        let replicas = ReplicaConfiguration::stable(replicas);
         let peers = config
             .peers
             .iter()
@@ -148,14 +153,15 @@
             .collect();
         let setup = FleetSetup {
             own: Peer::new(name),
-            life: life(seed),
+            incarnation: incarnation(seed),
             peers,
-            seats,
+            replicas,
             drift,
             pools: setups,
         };
         let pools = Arc::new(PoolPermits { members, pools });
-        // The fleet's clock began with its thread, which is yet to start: the part takes its first time as that.
+        // The fleet's clock starts with its thread, which is not started yet: the state machine takes its first time
+        // as zero.
         let port = builder.add(PART, FleetSlots::new(0, setup), SlotEvents(pools.clone()));
         pools
             .pools
@@ -168,7 +174,7 @@
     ///
     /// # Errors
     ///
-    /// Where no thread can be had.
+    /// Fails if the thread can't be started.
     pub fn start(self: &Arc<PoolPermits>) -> io::Result<()> {
         let pools = Arc::downgrade(self);
         let thread = thread::Builder::new()
@@ -184,7 +190,8 @@
         Ok(())
     }
 
-    /// Applies the weights of the file and the settings; requests that wait keep their place. How many weights there are.
+    /// Applies the weights of the file and the settings; waiting requests keep their place. Returns the number of
+    /// weights.
     pub fn update_weights(&self, config: &FleetConfig, tenants: &[(String, f64)]) -> usize {
         let weights = weights(config, tenants);
         self.pools
@@ -193,20 +200,22 @@
         weights.len()
     }
 
-    /// This process shuts down: idle slots are released at once, the others as their attempts end.
+    /// Called when this process shuts down: idle slots are released at once, the others as their attempts end.
     pub fn leave(&self) {
         self.pools.iter().for_each(|(_, pool)| pool.leave());
     }
 
-    fn told(&self, told: Told) {
-        let (Told::Held { pool, .. } | Told::Most { pool, .. } | Told::Used { pool, .. }) = told;
+    fn on_event(&self, event: Event) {
+        let (Event::SlotHeld { pool, .. }
+        | Event::HoldLimit { pool, .. }
+        | Event::RemoteUsage { pool, .. }) = event;
         let own = self.pools.iter().find(|(_, own)| own.key == pool);
         own.into_iter()
-            .for_each(|(_, pool)| pool.told(told.clone()));
+            .for_each(|(_, pool)| pool.on_event(event.clone()));
     }
 
-    /// The pool that bounds an attempt: that of the fill's source, else of its cache. One at most: no request waits for a slot
-    /// while it holds another.
+    /// The pool that bounds an attempt: that of the fill's source, else that of its cache. At most one, so no request
+    /// waits for a slot while it holds another.
     fn pool(&self, fetch: &Fetch) -> Option<(&Arc<Pool>, CacheId)> {
         let filled = (fetch.source != fetch.cache).then_some(fetch.source);
         filled.into_iter().chain([fetch.cache]).find_map(|at| {
@@ -217,8 +226,8 @@
     }
 }
 
-/// A new incarnation for each start: from the time, the seed and the process id.
-fn life(seed: u64) -> u64 {
+/// A new incarnation for each start, from the time, the seed and the process id.
+fn incarnation(seed: u64) -> u64 {
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
@@ -227,20 +236,20 @@
 
 struct SlotEvents(Arc<PoolPermits>);
 
-impl Sink<Told> for SlotEvents {
-    fn told(&self, told: Told) {
-        self.0.told(told);
+impl Sink<Event> for SlotEvents {
+    fn told(&self, event: Event) {
+        self.0.on_event(event);
     }
 
-    /// Leased slots expire and no more come: the pool's bound holds.
+    /// Leased slots expire and no new ones are acquired, so the pool's limit still holds.
     fn gone(&self) {
         tracing::error!(
-            "fleet: no more slots come; requests of pools are refused once those here run out"
+            "fleet: the slots' state machine has stopped; requests to pools are rejected once the slots held here expire"
         );
     }
 }
 
-/// Wakes a request that waits for a slot when its client is gone.
+/// Wakes a request that waits for a slot when its client leaves.
 struct WakeOnCancel(Sender<Wakeup>);
 
 impl Cancellable for WakeOnCancel {
@@ -257,38 +266,38 @@
         let client = attempt.request;
         let request = Request {
             id: attempt.cancel.id.0,
-            // The wires of the fronts name no tenant.
-            tenant: pool.by.name(None, &client.caller, &client.class_name),
+            // No front's protocol carries a tenant.
+            tenant: pool.by.tenant_of(None, &client.caller, &client.class_name),
             class: *client.class,
             size_kb: client.size_kb,
             source: source.0 as u64,
-            deadline: pool.at(attempt.deadline),
-            repeat: attempt.attempt > 0,
+            deadline: pool.time_of(attempt.deadline),
+            is_retry: attempt.attempt > 0,
         };
-        // Capacity for a slot and for its client's cancellation.
-        let (tell, told) = bounded(2);
-        let ticket = match pool.enter(&request, &tell) {
-            Asked::Now(used) => return Ok(Some(Box::new(PoolPermit::new(pool, used)))),
-            Asked::Refused(wait) => return Err(pool.rejected(Duration::from_micros(wait))),
-            Asked::Waits(ticket) => ticket,
+        // Capacity for a slot and for the client's cancellation.
+        let (wake, woken) = bounded(2);
+        let ticket = match pool.enter(&request, &wake) {
+            PoolAdmission::Started(slot) => return Ok(Some(Box::new(PoolPermit::new(pool, slot)))),
+            PoolAdmission::Rejected(wait) => return Err(pool.rejected(Duration::from_micros(wait))),
+            PoolAdmission::Queued(ticket) => ticket,
         };
-        // Cancelled before: it waits for nothing.
-        let heard = match attempt
+        // A request that was cancelled before does not wait.
+        let wakeup = match attempt
             .cancel
-            .register(attempt.attempt, Arc::new(WakeOnCancel(tell)))
+            .register(attempt.attempt, Arc::new(WakeOnCancel(wake)))
         {
-            true => told.recv_deadline(attempt.deadline).ok(),
+            true => woken.recv_deadline(attempt.deadline).ok(),
             false => None,
         };
         attempt.cancel.unregister();
-        match heard {
-            Some(Wakeup::Granted(used)) => Ok(Some(Box::new(PoolPermit::new(pool, used)))),
+        match wakeup {
+            Some(Wakeup::Granted(slot)) => Ok(Some(Box::new(PoolPermit::new(pool, slot)))),
             Some(Wakeup::TimedOut) => Err(pool.rejected(MAX_RETRY_AFTER)),
             _ => {
-                // A slot granted in this moment is released with its permit.
-                if !pool.abandon(request.id, ticket) {
-                    told.try_iter().for_each(|word| match word {
-                        Wakeup::Granted(used) => drop(PoolPermit::new(pool, used)),
+                // A slot granted just now is released with its permit.
+                if !pool.cancel(request.id, ticket) {
+                    woken.try_iter().for_each(|wakeup| match wakeup {
+                        Wakeup::Granted(slot) => drop(PoolPermit::new(pool, slot)),
                         Wakeup::TimedOut | Wakeup::ClientGone => {}
                     });
                 }
--- a/edge/proxy/src/pool_permits/weights.rs
+++ b/edge/proxy/src/pool_permits/weights.rs
@@ -1,6 +1,6 @@
 //! Weights of tenants.
 
-use foldmux_fair_queue::tenants::{key, Weight};
+use foldmux_fair_queue::tenants::{name_hash, Weight};
 use foldmux_operator::Fleet as FleetConfig;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,12 +9,15 @@
 
 /// Weights by tenant: those of the settings override those of the file.
 pub fn weights(config: &FleetConfig, tenants: &[(String, f64)]) -> Weights {
-    let told = config.weights.iter().chain(tenants);
-    told.map(|(name, weight)| (name.as_str().into(), Weight::of(*weight)))
+    let merged = config.weights.iter().chain(tenants);
+    merged
+        .map(|(name, weight)| (name.as_str().into(), Weight::from_f64(*weight)))
         .collect()
 }
 
 /// Weights by the hash of the tenant's name, as the fleet exchanges them.
-pub fn keyed(weights: &Weights) -> impl Iterator<Item = (u64, u64)> + '_ {
-    weights.iter().map(|(name, weight)| (key(name), weight.0))
+pub fn by_name_hash(weights: &Weights) -> impl Iterator<Item = (u64, u64)> + '_ {
+    weights
+        .iter()
+        .map(|(name, weight)| (name_hash(name), weight.0))
 }
--- a/pure/fair-queue/src/digest/tests.rs
+++ b/pure/fair-queue/src/digest/tests.rs
@@ -1,59 +1,59 @@
-//! Usage digests between processes: charged once, bounded, and made good after loss.
+//! Usage digests between processes: charged once, bounded, and complete again after a loss.
 
 use super::*;
 
-fn digest(life: u64, used: Time) -> Digest {
+fn digest(incarnation: u64, used: Time) -> Digest {
     Digest {
-        life,
+        incarnation,
         held: 4,
-        uses: vec![Use {
+        usage: vec![TenantUsage {
             tenant: 7,
             used,
-            wants: 3_000,
+            wanted: 3_000,
         }],
     }
 }
 
 #[test]
-fn what_was_used_elsewhere_is_charged_once_and_lost_digests_are_made_good() {
-    let (mut heard, n1) = (Heard::default(), Peer::new("n1"));
+fn remote_usage_is_charged_once_and_lost_digests_are_made_up() {
+    let (mut peers, n1) = (PeerUsage::default(), Peer::new("n1"));
     assert_eq!(
-        heard.hear(0, &n1, digest(1, 500_000), 8),
+        peers.on_digest(0, &n1, digest(1, 500_000), 8),
         [],
-        "before it was known"
+        "the first digest is the baseline"
     );
     assert_eq!(
-        heard.hear(300_000, &n1, digest(1, 900_000), 8),
+        peers.on_digest(300_000, &n1, digest(1, 900_000), 8),
         [(7, 400_000)]
     );
     assert_eq!(
-        heard.hear(400_000, &n1, digest(1, 900_000), 8),
+        peers.on_digest(400_000, &n1, digest(1, 900_000), 8),
         [],
-        "the same again"
+        "unchanged totals"
     );
     assert_eq!(
-        heard.hear(500_000, &n1, digest(1, 100), 8),
+        peers.on_digest(500_000, &n1, digest(1, 100), 8),
         [],
-        "an old one"
+        "a digest that was overtaken"
     );
     assert_eq!(
-        heard.hear(600_000, &n1, digest(2, 5_000), 8),
+        peers.on_digest(600_000, &n1, digest(2, 5_000), 8),
         [],
-        "it started anew"
+        "a new incarnation"
     );
-    assert_eq!(heard.fleet(600_000)[0].wants, [(7, 3_000)]);
-    assert_eq!(heard.fleet(600_000 + STALE), []);
+    assert_eq!(peers.recent(600_000)[0].wanted, [(7, 3_000)]);
+    assert_eq!(peers.recent(600_000 + PEER_EXPIRY), []);
 }
 
 #[test]
-fn a_liar_is_believed_no_more_than_the_pool_could_have_given() {
-    let (mut heard, n1) = (Heard::default(), Peer::new("n1"));
-    heard.hear(0, &n1, digest(1, 0), 8);
-    let charged = heard.hear(100_000, &n1, digest(1, Time::MAX), 8);
+fn a_false_digest_is_charged_no_more_than_the_pool_could_give() {
+    let (mut peers, n1) = (PeerUsage::default(), Peer::new("n1"));
+    peers.on_digest(0, &n1, digest(1, 0), 8);
+    let charged = peers.on_digest(100_000, &n1, digest(1, Time::MAX), 8);
     assert_eq!(charged, [(7, 800_000)]);
     assert_eq!(
-        heard.hear(100_000, &n1, digest(1, 5), 8),
+        peers.on_digest(100_000, &n1, digest(1, 5), 8),
         [],
-        "its clock, or ours, stands still"
+        "no time has passed"
     );
 }
--- a/pure/fair-queue/src/division.rs
+++ b/pure/fair-queue/src/division.rs
@@ -1,114 +1,123 @@
-//! How many of a pool's slots each process should hold: by what tenants want there. Tenants share by weight, none gets more
-//! than it wants (max-min fair), and a process gets its tenants' parts in proportion to what they want there.
+//! How many of a pool's slots each process should hold, by demand. Tenants share the slots by weight and none gets
+//! more than it wants (max-min fairness); a process gets a part of each tenant's slots in proportion to the tenant's
+//! demand there.
 //!
-//! Every process works this out for itself from the digests that it has; where they differ the replicas' leases still bound
-//! the sum. Each process with work keeps [`floor`], whatever another says that it wants.
+//! Every process computes this by itself from the digests it has. Where the results differ, the replicas' leases
+//! still bound the sum. Each process with demand keeps [`guaranteed_slots`], whatever demand others report.
 
-use crate::digest::Process;
+use crate::digest::ProcessDemand;
 use std::collections::BTreeMap;
 
-/// Half of an equal part: what no other's claims take from a process that wants it.
-pub fn floor(slots: usize, processes: usize) -> usize {
+/// Half of an equal share: the slots that a process with demand keeps, whatever the others claim.
+pub fn guaranteed_slots(slots: usize, processes: usize) -> usize {
     slots / (2 * processes.max(1))
 }
 
-/// By so much of a slot one that is held weighs more.
-const STAYS: f64 = 0.5;
+/// How much more, in slots, a slot that is already held counts when remainders are compared.
+const HOLD_BONUS: f64 = 0.5;
 
-fn slots_of(thousandths: u32) -> f64 {
+fn from_thousandths(thousandths: u32) -> f64 {
     thousandths as f64 / 1_000.0
 }
 
-/// All that a process wants.
-pub fn wants(process: &Process) -> f64 {
-    process.wants.iter().map(|(_, n)| slots_of(*n)).sum()
+/// Total demand of a process, in slots.
+pub fn demand(process: &ProcessDemand) -> f64 {
+    process
+        .wanted
+        .iter()
+        .map(|(_, n)| from_thousandths(*n))
+        .sum()
 }
 
-/// Each tenant's slots, by its weight and what it wants.
-fn fair(slots: f64, tenants: &[(f64, f64)]) -> Vec<f64> {
+/// Max-min fair shares of `slots`, by pairs of weight and demand.
+fn max_min_fair(slots: f64, tenants: &[(f64, f64)]) -> Vec<f64> {
     let mut order: Vec<usize> = (0..tenants.len()).collect();
-    // Those satisfied first stand first.
+    // In the order in which their demand is satisfied.
     order.sort_by(|a, b| {
-        let level = |at: &usize| tenants[*at].1 / tenants[*at].0;
+        let level = |index: &usize| tenants[*index].1 / tenants[*index].0;
         level(a).total_cmp(&level(b)).then(a.cmp(b))
     });
     let mut weights: f64 = tenants.iter().map(|t| t.0).sum();
-    let (mut left, mut parts) = (slots, vec![0.0; tenants.len()]);
-    for at in order {
-        let (weight, wants) = tenants[at];
+    let (mut remaining, mut parts) = (slots, vec![0.0; tenants.len()]);
+    for index in order {
+        let (weight, wanted) = tenants[index];
         let part = if weights > 0.0 {
-            (left * weight / weights).clamp(0.0, wants)
+            (remaining * weight / weights).clamp(0.0, wanted)
         } else {
             0.0
         };
-        parts[at] = part;
-        left -= part;
+        parts[index] = part;
+        remaining -= part;
         weights -= weight;
     }
     parts
 }
 
-/// Slots for each process, in their order. `weight`: of a tenant that is named, in thousandths; `unnamed`: of all others
-/// together.
+/// The number of slots for each process, in the order of `fleet`. `weight` gives the weight of a named tenant in
+/// thousandths; `unnamed_weight` is that of all others together.
 pub fn targets(
     slots: usize,
-    fleet: &[Process],
+    fleet: &[ProcessDemand],
     weight: impl Fn(u64) -> Option<u64>,
-    unnamed: u64,
+    unnamed_weight: u64,
 ) -> Vec<usize> {
     if fleet.is_empty() {
         return Vec::new();
     }
-    let mut want: BTreeMap<u64, f64> = BTreeMap::new();
-    let told = fleet.iter().flat_map(|process| &process.wants);
-    told.for_each(|(tenant, n)| *want.entry(*tenant).or_default() += slots_of(*n));
-    let nameless = want
+    let mut demands: BTreeMap<u64, f64> = BTreeMap::new();
+    let reports = fleet.iter().flat_map(|process| &process.wanted);
+    reports.for_each(|(tenant, n)| *demands.entry(*tenant).or_default() += from_thousandths(*n));
+    let unnamed_count = demands
         .keys()
         .filter(|tenant| weight(**tenant).is_none())
         .count()
         .max(1);
-    // One of no weight still gets what no other wants.
+    // A tenant of weight 0 still gets what no other wants.
     let weigh = |tenant: u64| {
         weight(tenant)
-            .map_or(unnamed as f64 / nameless as f64, |w| w as f64)
+            .map_or(unnamed_weight as f64 / unnamed_count as f64, |w| w as f64)
             .max(1e-9)
     };
-    let tenants: Vec<(f64, f64)> = want
+    let tenants: Vec<(f64, f64)> = demands
         .iter()
         .map(|(tenant, n)| (weigh(*tenant), *n))
         .collect();
-    let parts = fair(slots as f64, &tenants);
-    let rate: BTreeMap<u64, f64> = want
+    let parts = max_min_fair(slots as f64, &tenants);
+    let satisfied: BTreeMap<u64, f64> = demands
         .iter()
         .zip(&parts)
         .map(|((tenant, n), part)| (*tenant, part / n))
         .collect();
     let idle = (slots as f64 - parts.iter().sum::<f64>()).max(0.0) / fleet.len() as f64;
-    let of = |process: &Process| {
+    let share = |process: &ProcessDemand| {
         let own: f64 = process
-            .wants
+            .wanted
             .iter()
-            .map(|(tenant, n)| slots_of(*n) * rate[tenant])
+            .map(|(tenant, n)| from_thousandths(*n) * satisfied[tenant])
             .sum();
-        (own + idle).max(wants(process).min(floor(slots, fleet.len()) as f64))
+        (own + idle).max(demand(process).min(guaranteed_slots(slots, fleet.len()) as f64))
     };
-    let exact: Vec<f64> = fleet.iter().map(of).collect();
-    let mut whole: Vec<usize> = exact.iter().map(|part| (*part + 1e-9) as usize).collect();
-    // What is left over goes to the largest remainders; who holds such a slot keeps it until another has the better of it
-    // by so much: slots would else be under way at each small change of wants.
+    let exact: Vec<f64> = fleet.iter().map(share).collect();
+    let mut counts: Vec<usize> = exact.iter().map(|part| (*part + 1e-9) as usize).collect();
+    // Slots left over by rounding go to the largest remainders. A process that holds such a slot keeps it unless
+    // another's remainder is larger by more than `HOLD_BONUS`: otherwise slots would move with each small change of
+    // demand.
     let mut order: Vec<usize> = (0..fleet.len()).collect();
-    let claim = |at: usize| {
-        exact[at].fract()
-            + if fleet[at].held > whole[at] {
-                STAYS
+    let priority = |index: usize| {
+        exact[index].fract()
+            + if fleet[index].held > counts[index] {
+                HOLD_BONUS
             } else {
                 0.0
             }
     };
-    order.sort_by(|a, b| claim(*b).total_cmp(&claim(*a)).then(a.cmp(b)));
-    let left = slots.saturating_sub(whole.iter().sum());
-    order.into_iter().take(left).for_each(|at| whole[at] += 1);
-    whole
+    order.sort_by(|a, b| priority(*b).total_cmp(&priority(*a)).then(a.cmp(b)));
+    let remaining = slots.saturating_sub(counts.iter().sum());
+    order
+        .into_iter()
+        .take(remaining)
+        .for_each(|index| counts[index] += 1);
+    counts
 }
 
 #[cfg(test)]
--- a/pure/fair-queue/src/flow.rs
+++ b/pure/fair-queue/src/flow.rs
@@ -1,98 +1,109 @@
-//! One tenant at one pool: its virtual time, and within it the quick and the slow, by the same way of queueing.
+//! One tenant's state at one pool: its start tag, and fair queueing between its quick and its slow requests.
 
 use crate::lanes::Lane;
 use crate::planted::{planted, Fault};
 use crate::tenants::Weight;
 use crate::Time;
 
-/// Virtual time: a microsecond of a slot, by a weight of 1,000.
-pub type Virtual = u128;
+/// Virtual time: one microsecond of one slot at a weight of 1,000.
+pub type VirtualTime = u128;
 
+/// Index of the lane of quick requests.
 pub const QUICK: usize = 0;
+/// Index of the lane of slow requests.
 pub const SLOW: usize = 1;
 
-/// Where both wait, a tenant's quick requests get two parts of its slot time and its slow ones a third: no tenant's large
-/// objects are starved by its small ones.
-const PARTS: [u64; 2] = [2, 1];
+/// Shares of a tenant's slot time while both lanes wait: two thirds for quick requests and one third for slow ones,
+/// so that a tenant's small objects don't starve its large ones.
+const LANE_WEIGHTS: [u64; 2] = [2, 1];
 
+/// A named tenant, or a bucket that unnamed tenants share.
 #[derive(Debug, Default)]
 pub struct Flow {
     pub weight: Weight,
-    /// The start tag of its next.
-    pub tag: Virtual,
+    /// Start tag of the tenant's next request.
+    pub tag: VirtualTime,
     pub lanes: [Lane; 2],
-    pub inner: [Virtual; 2],
-    pub inner_now: Virtual,
+    /// Start tags of the two lanes.
+    pub lane_tags: [VirtualTime; 2],
+    /// Virtual time between the two lanes.
+    pub lane_now: VirtualTime,
+    /// Number of requests that run.
     pub running: usize,
-    /// Slot time, in all.
+    /// Slot time used since the flow was added (us).
     pub used: Time,
-    /// As it stands in the sets of those who wait.
-    pub listed: Option<(Key, bool)>,
-    /// One of the buckets of the unnamed.
+    /// The tenant's entry in the ready set, and whether it is in the quick set too; `None` while no request waits.
+    pub ready_entry: Option<(OrderKey, bool)>,
+    /// Whether this is a bucket of unnamed tenants.
     pub bucket: bool,
-    /// Its name is no tenant's any more: gone with its last request.
+    /// Whether the tenant is no longer named: the flow is removed after its last request.
     pub retired: bool,
 }
 
-/// Where a tenant stands: by its tag, those of no weight last.
-pub type Key = (Virtual, u32);
+/// Order of the ready sets: by start tag, with tenants of weight 0 after all others; then by the flow's index.
+pub type OrderKey = (VirtualTime, u32);
 
-pub fn stand(weight: Weight, tag: Virtual, at: u32) -> Key {
-    (tag | ((weight.0 == 0) as Virtual) << 127, at)
+pub fn order_key(weight: Weight, tag: VirtualTime, index: u32) -> OrderKey {
+    (tag | ((weight.0 == 0) as VirtualTime) << 127, index)
 }
 
 impl Flow {
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.lanes[QUICK].len + self.lanes[SLOW].len
     }
 
+    /// Whether a request of the tenant runs or waits.
     pub fn active(&self) -> bool {
         self.running > 0 || self.waiting() > 0
     }
 
-    /// By which virtual time it goes: with a weight, without, or among those without a name.
-    pub fn class(&self) -> usize {
+    /// Index of the virtual time that orders this flow: 0 for named tenants with a weight, 1 for those of weight 0, 2
+    /// for buckets.
+    pub fn virtual_clock(&self) -> usize {
         match self.bucket {
             true => 2,
             false => (self.weight.0 == 0) as usize,
         }
     }
 
-    /// Which lane goes next.
-    pub fn lane(&self) -> usize {
+    /// The lane whose request starts next.
+    pub fn next_lane(&self) -> usize {
         match (self.lanes[QUICK].len, self.lanes[SLOW].len) {
             (_, 0) => QUICK,
             (0, _) => SLOW,
-            _ => (self.inner[SLOW] < self.inner[QUICK]) as usize,
+            _ => (self.lane_tags[SLOW] < self.lane_tags[QUICK]) as usize,
         }
     }
 
-    /// One of a lane begins to wait where none of that lane did: no credit comes from having been away.
-    pub fn woken(&mut self, lane: usize) {
-        self.inner[lane] = self.inner[lane].max(self.inner_now);
+    /// A request begins to wait in an empty lane: the lane resumes at the virtual time, as idle time earns no credit.
+    pub fn resume_lane(&mut self, lane: usize) {
+        self.lane_tags[lane] = self.lane_tags[lane].max(self.lane_now);
     }
 
-    /// One of a lane starts; `credit` is the most that a lane which was held back may catch up.
-    pub fn started(&mut self, lane: usize, credit: Time) {
-        let start = self.inner[lane].max(self.inner_now.saturating_sub(credit as u128));
-        self.inner[lane] = start;
-        self.inner_now = self.inner_now.max(start);
+    /// A request of a lane starts. A lane that was held back catches up by at most `credit` (us).
+    pub fn start_lane(&mut self, lane: usize, credit: Time) {
+        let start = self.lane_tags[lane].max(self.lane_now.saturating_sub(credit as u128));
+        self.lane_tags[lane] = start;
+        self.lane_now = self.lane_now.max(start);
         self.running += 1;
     }
 
-    /// Slot time, more or less than was charged so far.
+    /// Charges slot time (us).
     pub fn charge(&mut self, lane: usize, time: Time) {
-        self.tag += per_weight(time, self.weight);
-        self.inner[lane] += (time / PARTS[lane]) as Virtual;
+        self.tag += virtual_cost(time, self.weight);
+        self.lane_tags[lane] += (time / LANE_WEIGHTS[lane]) as VirtualTime;
     }
 
-    pub fn forgive(&mut self, lane: usize, time: Time) {
-        self.tag = self.tag.saturating_sub(per_weight(time, self.weight));
-        self.inner[lane] = self.inner[lane].saturating_sub((time / PARTS[lane]) as Virtual);
+    /// Takes back slot time (us) that was charged and not used.
+    pub fn refund(&mut self, lane: usize, time: Time) {
+        self.tag = self.tag.saturating_sub(virtual_cost(time, self.weight));
+        self.lane_tags[lane] =
+            self.lane_tags[lane].saturating_sub((time / LANE_WEIGHTS[lane]) as VirtualTime);
     }
 
-    /// Foretold slot time of what goes before the next of a lane.
-    pub fn ahead(&self, lane: usize) -> Time {
+    /// Predicted slot time (us) of the tenant's waiting requests that start before a new one of this lane.
+    pub fn cost_ahead(&self, lane: usize) -> Time {
         let [quick, slow] = [self.lanes[QUICK].cost, self.lanes[SLOW].cost];
         match lane {
             QUICK => quick.saturating_add(slow.min(quick / 2)),
@@ -101,15 +112,16 @@
     }
 }
 
-pub fn per_weight(time: Time, weight: Weight) -> Virtual {
+/// Slot time (us) as virtual time at a weight.
+pub fn virtual_cost(time: Time, weight: Weight) -> VirtualTime {
     let time = if planted(Fault::ChargeByCount) {
         1_000
     } else {
         time
     };
-    // The division of 64 bits is several times as quick; all but sums of years fit.
+    // A 64-bit division is several times faster than a 128-bit one; only spans of years overflow it.
     match time.checked_mul(1_000) {
-        Some(thousandths) => (thousandths / weight.0.max(1)) as Virtual,
-        None => time as Virtual * 1_000 / weight.0.max(1) as Virtual,
+        Some(thousandths) => (thousandths / weight.0.max(1)) as VirtualTime,
+        None => time as VirtualTime * 1_000 / weight.0.max(1) as VirtualTime,
     }
 }
--- a/pure/fair-queue/src/holder.rs
+++ b/pure/fair-queue/src/holder.rs
@@ -1,217 +1,238 @@
-//! A holder's side: which slots this process has claimed, which two of three replicas granted, and until when on its own
-//! clock.
+//! A holder's part: which slots this process has claimed, which of them two of three replicas granted, and until when
+//! on its own clock.
 
-use crate::message::Word;
+use crate::message::MessageBody;
 use crate::planted::{planted, Fault};
-use crate::stock::Gave;
+use crate::stock::ReturnedSlot;
 use crate::{Peer, Time};
 use foldmux_replicas::{ClockDrift, HeldLease, ReplicaConfiguration, Votes};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Claims that are out; an older one is given up.
-const CLAIMS: usize = 32;
-/// A claim for more is undecided for so long at the most (us): then what single replicas granted of it is given back.
-const PATIENCE: Time = 200_000;
-/// Between two questions for more (us), where no replica speaks up.
-const ASK_AGAIN: Time = 50_000;
+/// Most claims to keep; beyond this the oldest is abandoned.
+const MAX_CLAIMS: usize = 32;
+/// How long replies to a claim count (us). After that, slots that only a minority granted are released.
+const CLAIM_TIMEOUT: Time = 200_000;
+/// How often more slots are asked for (us) while no replica offers any.
+const REQUEST_INTERVAL: Time = 50_000;
 
+/// A slot that this process holds.
 #[derive(Clone, Copy, Debug)]
-struct Own {
-    turn: u64,
-    until: Time,
+struct HeldSlot {
+    tenure: u64,
+    expires_at: Time,
 }
 
+/// A recent claim; replies to it count until it is abandoned.
 #[derive(Debug)]
 struct Claim {
-    sent: Time,
+    sent_at: Time,
     votes: BTreeMap<u16, Votes>,
-    /// Those that were not held when it was sent.
-    fresh: BTreeSet<u16>,
+    /// Slots that were not held when the claim was sent.
+    acquiring: BTreeSet<u16>,
 }
 
+/// This process as a holder of one pool's slots.
 #[derive(Debug)]
 pub struct Holder {
-    pub life: u64,
+    pub incarnation: u64,
     lease: Time,
     drift: ClockDrift,
     key: Vec<u8>,
+    /// Number of the last message to the replicas.
     number: u64,
-    own: BTreeMap<u16, Own>,
+    held: BTreeMap<u16, HeldSlot>,
     claims: BTreeMap<u64, Claim>,
-    /// Slots that replicas said are vacant.
+    /// Slots that replicas offered as vacant.
     offered: BTreeSet<u16>,
-    renewed: Time,
-    asked: Option<Time>,
-    /// The replicas deal vacant slots to this process, until it says that it wants none.
-    dealt: bool,
+    /// When the held slots were last renewed (us).
+    renewed_at: Time,
+    /// When the last claim was sent (us).
+    requested_at: Option<Time>,
+    /// Whether the replicas know this process as one that wants more slots; they offer vacant slots to it until told
+    /// otherwise.
+    registered: bool,
 }
 
-/// A slot that is held, for the first time or for longer.
+/// A slot that was acquired or renewed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Won {
+pub struct AcquiredSlot {
     pub slot: u16,
-    pub turn: u64,
-    pub until: Time,
+    pub tenure: u64,
+    pub expires_at: Time,
 }
 
 impl Holder {
-    pub fn new(life: u64, key: u64, lease: Time, drift: ClockDrift) -> Holder {
+    /// `key` is that of the pool; it selects the three replicas.
+    pub fn new(incarnation: u64, key: u64, lease: Time, drift: ClockDrift) -> Holder {
         Holder {
-            life,
+            incarnation,
             lease,
             drift,
             key: key.to_le_bytes().to_vec(),
             number: 0,
-            own: BTreeMap::new(),
+            held: BTreeMap::new(),
             claims: BTreeMap::new(),
             offered: BTreeSet::new(),
-            renewed: 0,
-            asked: None,
-            dealt: false,
+            renewed_at: 0,
+            requested_at: None,
+            registered: false,
         }
     }
 
-    pub fn held(&self) -> usize {
-        self.own.len()
+    /// Number of slots held, including those whose lease expired since the last step.
+    pub fn held_count(&self) -> usize {
+        self.held.len()
     }
 
-    fn number(&mut self) -> u64 {
+    /// The next message number.
+    fn next_number(&mut self) -> u64 {
         self.number += 1;
         self.number
     }
 
-    /// What goes to each replica. `short`: so many more are wanted.
-    pub fn step(&mut self, now: Time, seats: &ReplicaConfiguration, short: usize) -> Vec<Word> {
-        self.own.retain(|_, own| now < own.until);
-        let mut words = Vec::new();
-        let over: Vec<u64> = self
+    /// Advances timers. Returns the messages to send to each replica. `wanted` is how many more slots are wanted.
+    pub fn step(
+        &mut self,
+        now: Time,
+        replicas: &ReplicaConfiguration,
+        wanted: usize,
+    ) -> Vec<MessageBody> {
+        self.held.retain(|_, held| now < held.expires_at);
+        let mut messages = Vec::new();
+        let timed_out: Vec<u64> = self
             .claims
             .iter()
-            .filter(|(_, c)| now >= c.sent + PATIENCE)
+            .filter(|(_, c)| now >= c.sent_at + CLAIM_TIMEOUT)
             .map(|c| *c.0)
             .collect();
-        for number in over.iter().copied() {
-            words.extend(self.give_up(number));
+        for number in timed_out.iter().copied() {
+            messages.extend(self.abandon_claim(number));
         }
-        let renews = now >= self.renewed.saturating_add(self.lease / 3) && !self.own.is_empty();
+        let renews = now >= self.renewed_at.saturating_add(self.lease / 3) && !self.held.is_empty();
         let pending: BTreeSet<u16> = self
             .claims
             .values()
-            .flat_map(|c| c.fresh.iter().copied())
+            .flat_map(|c| c.acquiring.iter().copied())
             .collect();
-        let short = short.saturating_sub(pending.len());
-        let free = self
+        let wanted = wanted.saturating_sub(pending.len());
+        let available = self
             .offered
             .iter()
-            .filter(|s| !self.own.contains_key(s) && !pending.contains(s));
-        let fresh: BTreeSet<u16> = free.take(short).copied().collect();
-        let asks = short > 0
+            .filter(|s| !self.held.contains_key(s) && !pending.contains(s));
+        let acquiring: BTreeSet<u16> = available.take(wanted).copied().collect();
+        let requests = wanted > 0
             && self
-                .asked
-                .is_none_or(|asked| now >= asked.saturating_add(ASK_AGAIN));
-        // What is dealt to one that wants none is idle, while others wait for it.
-        let enough = short == 0 && std::mem::take(&mut self.dealt);
-        if !renews && fresh.is_empty() && !asks && !enough {
-            return words;
+                .requested_at
+                .is_none_or(|requested_at| now >= requested_at.saturating_add(REQUEST_INTERVAL));
+        // Slots that are offered to a process that wants none stay idle while others lack them.
+        let deregisters = wanted == 0 && std::mem::take(&mut self.registered);
+        if !renews && acquiring.is_empty() && !requests && !deregisters {
+            return messages;
         }
-        if self.claims.len() >= CLAIMS {
-            let oldest = *self.claims.keys().next().expect("as many as that");
-            words.extend(self.give_up(oldest));
+        if self.claims.len() >= MAX_CLAIMS {
+            let oldest = *self
+                .claims
+                .keys()
+                .next()
+                .expect("claims are at their limit");
+            messages.extend(self.abandon_claim(oldest));
         }
         self.offered.clear();
-        self.asked = Some(now);
-        let mut slots: Vec<u16> = fresh.iter().copied().collect();
+        self.requested_at = Some(now);
+        let mut slots: Vec<u16> = acquiring.iter().copied().collect();
         if renews {
-            self.renewed = now;
-            slots.extend(self.own.keys());
+            self.renewed_at = now;
+            slots.extend(self.held.keys());
         }
-        let (number, more) = (
-            self.number(),
-            (short - fresh.len()).min(u16::MAX as usize) as u16,
+        let (number, additional) = (
+            self.next_number(),
+            (wanted - acquiring.len()).min(u16::MAX as usize) as u16,
         );
-        self.dealt = more > 0;
+        self.registered = additional > 0;
         if !slots.is_empty() {
             let votes = slots
                 .iter()
-                .map(|slot| (*slot, seats.votes(now, &self.key)))
+                .map(|slot| (*slot, replicas.votes(now, &self.key)))
                 .collect();
             self.claims.insert(
                 number,
                 Claim {
-                    sent: now,
+                    sent_at: now,
                     votes,
-                    fresh,
+                    acquiring,
                 },
             );
         }
-        words.push(Word::Claim {
-            life: self.life,
+        messages.push(MessageBody::Claim {
+            incarnation: self.incarnation,
             number,
             slots,
-            more,
+            additional,
         });
-        words
+        messages
     }
 
-    /// A claim counts no more; what single replicas granted of it, and was not won, is free.
-    fn give_up(&mut self, number: u64) -> Option<Word> {
+    /// Abandons a claim: releases the slots that only a minority of replicas granted.
+    fn abandon_claim(&mut self, number: u64) -> Option<MessageBody> {
         let claim = self.claims.remove(&number)?;
         let slots: Vec<u16> = claim
-            .fresh
+            .acquiring
             .into_iter()
-            .filter(|slot| !self.own.contains_key(slot))
+            .filter(|slot| !self.held.contains_key(slot))
             .collect();
-        self.free(slots)
+        self.release(slots)
     }
 
-    fn free(&mut self, slots: Vec<u16>) -> Option<Word> {
-        // No answer to an older claim may count any more.
+    /// A release of these slots, or `None` if there are none.
+    fn release(&mut self, slots: Vec<u16>) -> Option<MessageBody> {
+        // Replies to older claims of these slots must not count any more.
         self.claims.values_mut().for_each(|claim| {
             claim.votes.retain(|slot, _| !slots.contains(slot));
-            claim.fresh.retain(|slot| !slots.contains(slot));
+            claim.acquiring.retain(|slot| !slots.contains(slot));
         });
-        let life = self.life;
-        (!slots.is_empty()).then(|| Word::Free {
-            life,
-            number: self.number(),
+        let incarnation = self.incarnation;
+        (!slots.is_empty()).then(|| MessageBody::Release {
+            incarnation,
+            number: self.next_number(),
             slots,
         })
     }
 
-    /// A replica's answer: what is held by it, and what goes to each replica.
-    pub fn granted(
+    /// Handles a replica's reply. Returns the slots that are held or renewed by it, and a release to send to each
+    /// replica.
+    pub fn on_reply(
         &mut self,
         now: Time,
         from: &Peer,
-        (number, slots, refused): (u64, &[u16], &[u16]),
-    ) -> (Vec<Won>, Option<Word>) {
+        (number, granted, refused): (u64, &[u16], &[u16]),
+    ) -> (Vec<AcquiredSlot>, Option<MessageBody>) {
         let Some(claim) = self.claims.get_mut(&number) else {
             return (Vec::new(), None);
         };
-        let count = if planted(Fault::GrantersClock) {
+        let counted_from = if planted(Fault::LeaseCountedFromReply) {
             now
         } else {
-            claim.sent
+            claim.sent_at
         };
-        let held = HeldLease::new(count, self.lease, self.drift);
-        let (mut won, mut lost) = (Vec::new(), Vec::new());
-        for slot in slots {
+        let lease = HeldLease::new(counted_from, self.lease, self.drift);
+        let (mut acquired, mut rejected) = (Vec::new(), Vec::new());
+        for slot in granted {
             let Some(votes) = claim.votes.get_mut(slot) else {
                 continue;
             };
-            let one = votes.grant(from) && planted(Fault::OneSeatIsEnough);
-            if (votes.won() || one) && held.is_valid(now) {
-                claim.fresh.remove(slot);
-                let own = self.own.entry(*slot).or_insert(Own {
-                    turn: number,
-                    until: 0,
+            let one_is_enough = votes.grant(from) && planted(Fault::OneGrantIsEnough);
+            if (votes.won() || one_is_enough) && lease.is_valid(now) {
+                claim.acquiring.remove(slot);
+                let held = self.held.entry(*slot).or_insert(HeldSlot {
+                    tenure: number,
+                    expires_at: 0,
                 });
-                if held.expires_at() > own.until {
-                    own.until = held.expires_at();
-                    won.push(Won {
+                if lease.expires_at() > held.expires_at {
+                    held.expires_at = lease.expires_at();
+                    acquired.push(AcquiredSlot {
                         slot: *slot,
-                        turn: own.turn,
-                        until: own.until,
+                        tenure: held.tenure,
+                        expires_at: held.expires_at,
                     });
                 }
             }
@@ -220,29 +241,34 @@
             let Some(votes) = claim.votes.get_mut(slot) else {
                 continue;
             };
-            if votes.reject(from) && votes.lost() && claim.fresh.contains(slot) {
-                lost.push(*slot);
+            if votes.reject(from) && votes.lost() && claim.acquiring.contains(slot) {
+                rejected.push(*slot);
             }
         }
-        if claim.fresh.is_empty() && claim.votes.is_empty() {
+        if claim.acquiring.is_empty() && claim.votes.is_empty() {
             self.claims.remove(&number);
         }
-        let word = self.free(lost);
-        (won, word)
+        let message = self.release(rejected);
+        (acquired, message)
     }
 
-    pub fn vacant(&mut self, slots: Vec<u16>) {
+    /// Notes slots that a replica offered.
+    pub fn add_offered(&mut self, slots: Vec<u16>) {
         self.offered.extend(slots);
     }
 
-    /// This process uses them no more.
-    pub fn gave(&mut self, gave: &[Gave]) -> Option<Word> {
-        let own = |g: &&Gave| self.own.get(&g.slot).is_some_and(|own| own.turn == g.turn);
-        let slots: Vec<u16> = gave.iter().filter(own).map(|g| g.slot).collect();
+    /// Releases slots that this process no longer uses.
+    pub fn return_slots(&mut self, returned: &[ReturnedSlot]) -> Option<MessageBody> {
+        let is_held = |r: &&ReturnedSlot| {
+            self.held
+                .get(&r.slot)
+                .is_some_and(|held| held.tenure == r.tenure)
+        };
+        let slots: Vec<u16> = returned.iter().filter(is_held).map(|r| r.slot).collect();
         slots.iter().for_each(|slot| {
-            self.own.remove(slot);
+            self.held.remove(slot);
         });
-        self.free(slots)
+        self.release(slots)
     }
 }
 
--- a/pure/fair-queue/src/lanes.rs
+++ b/pure/fair-queue/src/lanes.rs
@@ -1,33 +1,36 @@
-//! Who waits: lists within one bounded slab, so that whoever leaves is taken out at once, from anywhere.
+//! Waiting requests: linked lists within one bounded slab, so that a request can be removed at once from any
+//! position.
 
 use crate::Time;
 use slab::Slab;
 
+/// Marks the end of a list.
 const NONE: usize = usize::MAX;
 
-/// One that waits.
+/// A waiting request.
 #[derive(Clone, Copy, Debug)]
 pub struct Waiting {
     pub id: u64,
     pub flow: u32,
     pub slow: bool,
-    /// Foretold.
+    /// Predicted slot time (us).
     pub cost: Time,
-    /// After this a start is of no use.
-    pub latest: Time,
+    /// When a start is of no more use (us).
+    pub start_deadline: Time,
+    /// When it began to wait (us).
     pub since: Time,
     serial: u64,
-    before: usize,
-    after: usize,
+    prev: usize,
+    next: usize,
 }
 
-/// One list, in the order of coming.
+/// One list, in order of arrival.
 #[derive(Clone, Copy, Debug)]
 pub struct Lane {
     first: usize,
     last: usize,
     pub len: usize,
-    /// What all in it are foretold to cost.
+    /// Predicted slot time of all its requests (us).
     pub cost: Time,
 }
 
@@ -42,13 +45,14 @@
     }
 }
 
-/// Where one waits, until it is told; of no use after that.
+/// Identifies a waiting request; no longer valid once it starts or is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ticket {
     at: usize,
     serial: u64,
 }
 
+/// Storage of all lanes.
 #[derive(Debug, Default)]
 pub struct Lanes {
     slab: Slab<Waiting>,
@@ -64,20 +68,20 @@
         self.slab.is_empty()
     }
 
-    /// At the end of a lane. `ahead`: at its front (a planted fault alone).
+    /// Appends a request to a lane; with `ahead` (planted fault only) it goes to the front.
     #[allow(clippy::too_many_arguments)]
     pub fn push(
         &mut self,
         lane: &mut Lane,
         (id, flow, slow): (u64, u32, bool),
         cost: Time,
-        latest: Time,
+        start_deadline: Time,
         since: Time,
-        ahead: bool,
+        at_front: bool,
     ) -> Ticket {
         self.serial += 1;
         let serial = self.serial;
-        let (before, after) = if ahead {
+        let (prev, next) = if at_front {
             (NONE, lane.first)
         } else {
             (lane.last, NONE)
@@ -87,43 +91,44 @@
             flow,
             slow,
             cost,
-            latest,
+            start_deadline,
             since,
             serial,
-            before,
-            after,
+            prev,
+            next,
         });
-        self.link(lane, before, Some(at), after);
+        self.link(lane, prev, Some(at), next);
         lane.len += 1;
         lane.cost = lane.cost.saturating_add(cost);
         Ticket { at, serial }
     }
 
-    /// Puts one, or none, between two neighbours.
-    fn link(&mut self, lane: &mut Lane, before: usize, at: Option<usize>, after: usize) {
-        match self.slab.get_mut(before) {
-            Some(neighbour) => neighbour.after = at.unwrap_or(after),
-            None => lane.first = at.unwrap_or(after),
+    /// Links a request, or nothing, between two neighbours.
+    fn link(&mut self, lane: &mut Lane, prev: usize, at: Option<usize>, next: usize) {
+        match self.slab.get_mut(prev) {
+            Some(neighbour) => neighbour.next = at.unwrap_or(next),
+            None => lane.first = at.unwrap_or(next),
         }
-        match self.slab.get_mut(after) {
-            Some(neighbour) => neighbour.before = at.unwrap_or(before),
-            None => lane.last = at.unwrap_or(before),
+        match self.slab.get_mut(next) {
+            Some(neighbour) => neighbour.prev = at.unwrap_or(prev),
+            None => lane.last = at.unwrap_or(prev),
         }
     }
 
+    /// The waiting request of a ticket, unless it no longer waits.
     pub fn find(&self, ticket: Ticket) -> Option<&Waiting> {
         self.slab
             .get(ticket.at)
             .filter(|waiting| waiting.serial == ticket.serial)
     }
 
-    /// The first of a lane.
+    /// Removes the first request of a lane.
     pub fn pop(&mut self, lane: &mut Lane) -> Option<Waiting> {
         let first = lane.first;
         self.remove_at(lane, first)
     }
 
-    /// Out of its lane, wherever it stands.
+    /// Removes a request from any position of its lane.
     pub fn remove(&mut self, lane: &mut Lane, ticket: Ticket) -> Option<Waiting> {
         self.find(ticket)?;
         self.remove_at(lane, ticket.at)
@@ -131,7 +136,7 @@
 
     fn remove_at(&mut self, lane: &mut Lane, at: usize) -> Option<Waiting> {
         let waiting = self.slab.try_remove(at)?;
-        self.link(lane, waiting.before, None, waiting.after);
+        self.link(lane, waiting.prev, None, waiting.next);
         lane.len -= 1;
         lane.cost = lane.cost.saturating_sub(waiting.cost);
         Some(waiting)
--- a/pure/fair-queue/src/lanes/tests.rs
+++ b/pure/fair-queue/src/lanes/tests.rs
@@ -1,13 +1,13 @@
-//! The lists of waiting requests against a plain model.
+//! The lists of waiting requests, compared with a plain list.
 
 use super::*;
 use proptest::prelude::*;
 use std::collections::VecDeque;
 
 proptest! {
-    /// Beside a plain list: whoever leaves, from wherever, the rest stay in their order.
+    /// Whichever request is removed, from any position, the others keep their order.
     #[test]
-    fn as_a_plain_list(steps in proptest::collection::vec((0..3u8, any::<prop::sample::Index>()), 0..200)) {
+    fn behaves_like_a_plain_list(steps in proptest::collection::vec((0..3u8, any::<prop::sample::Index>()), 0..200)) {
         let (mut lanes, mut lane) = (Lanes::default(), Lane::default());
         let mut plain: VecDeque<(u64, Ticket)> = VecDeque::new();
         for (id, (step, which)) in steps.into_iter().enumerate() {
--- a/pure/fair-queue/src/lib.rs
+++ b/pure/fair-queue/src/lib.rs
@@ -1,24 +1,26 @@
-//! Who goes next to a pool's slots, and how many of them each process of a fleet holds; pure.
+//! Fair queueing of a concurrency pool, and division of its slots between the processes of a fleet. Pure: no I/O, no
+//! clock, no threads.
 //!
-//! Owns: the order among tenants by start-time fair queueing, charged by slot time ([`queue`], [`lanes`]), who a tenant is
-//! and what it weighs ([`tenants`]), what is slow ([`slow`]), what is refused at once ([`refuse`]); for the fleet, the
-//! numbered slots of a pool held by lease at three replicas ([`slots`], [`replica`], [`holder`]), how they are divided
-//! ([`division`]), what the processes tell each other of use and want ([`digest`]), and the slots as the process that
-//! holds them uses them ([`stock`]).
+//! Responsible for: the order among tenants by start-time fair queueing, charged by slot time ([`queue`], [`lanes`]);
+//! the identity and weight of tenants ([`tenants`]); the prediction of slot time ([`slow`]); early rejection
+//! ([`refuse`]). For a fleet: the numbered slots of a pool, leased by three replicas ([`slots`], [`replica`],
+//! [`holder`]); their division ([`division`]); usage digests between processes ([`digest`]); and the slots that a
+//! process holds ([`stock`]).
 //!
-//! May not: do I/O, read a clock, start threads, or choose a server, a retry or a refusal that is the module's. It stands in
-//! front of an attempt that the module has decided on. It depends on `foldmux-replicas` and libraries alone.
+//! Not responsible for: the choice of a server, retries, or rejections by the router. The pool comes after the
+//! router, which has already decided on the attempt. The crate depends on `foldmux-replicas` and libraries alone.
 
-mod books;
+mod accounting;
 pub mod digest;
 pub mod division;
+mod fleet_pool;
 pub mod flow;
 pub mod holder;
+pub mod interface;
 pub mod lanes;
-pub mod local;
+pub mod local_pool;
 pub mod message;
 pub mod planted;
-mod pool;
 pub mod queue;
 pub mod refuse;
 pub mod replica;
@@ -26,11 +28,10 @@
 pub mod slow;
 pub mod stock;
 pub mod tenants;
-pub mod wish;
 
 pub use foldmux_replicas::{Peer, Time};
-pub use message::{Ask, Message, Told};
-pub use queue::{Entered, Next, Place, Queue, Ticket, Wish};
+pub use message::{Command, Event, Message};
+pub use queue::{Admission, Dispatch, Queue, RunHandle, SlotRequest, Ticket};
 pub use slots::FleetSlots;
-pub use stock::Stock;
-pub use tenants::{By, Weight};
+pub use stock::HeldSlots;
+pub use tenants::{TenantBy, Weight};
--- a/pure/fair-queue/src/message.rs
+++ b/pure/fair-queue/src/message.rs
@@ -1,80 +1,93 @@
-//! What processes tell each other of a pool, and what this process asks and is told.
+//! Messages between the processes of a pool, and the commands and events of [`crate::FleetSlots`].
 
-use crate::digest::{Digest, Use};
-use crate::stock::Gave;
+use crate::digest::{Digest, TenantUsage};
+use crate::stock::ReturnedSlot;
 use crate::Time;
 use serde::{Deserialize, Serialize};
 
-/// A pool, by its name's hash ([`crate::tenants::key`]).
+/// Identifies a pool: the hash of its name ([`crate::tenants::name_hash`]).
 pub type PoolKey = u64;
 
+/// Content of a [`Message`]. The order of variants and fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
-    /// To a replica: these slots for one lease, from a life of the sender's, numbered; and so many more are wanted.
+pub enum MessageBody {
+    /// To a replica: lease these slots to this incarnation for one lease. `additional` is how many further slots are
+    /// wanted.
     Claim {
-        life: u64,
+        incarnation: u64,
         number: u64,
         slots: Vec<u16>,
-        more: u16,
+        additional: u16,
     },
-    /// From a replica, to that claim: granted, refused; and some that are vacant, for who wants more.
-    Granted {
-        life: u64,
+    /// From a replica, in reply to a claim: slots granted, slots refused, and vacant slots if more are wanted.
+    ClaimReply {
+        incarnation: u64,
         number: u64,
-        slots: Vec<u16>,
+        granted: Vec<u16>,
         refused: Vec<u16>,
         vacant: Vec<u16>,
     },
-    /// To a replica: not held any more, nor claimed by anything numbered lower.
-    Free {
-        life: u64,
+    /// To a replica: the slots are not held any more, nor claimed by any message with a lower number.
+    Release {
+        incarnation: u64,
         number: u64,
         slots: Vec<u16>,
     },
-    /// From a replica, to one who wanted more.
+    /// From a replica, to a process that wants more slots.
     Vacant {
         slots: Vec<u16>,
     },
     Digest(Digest),
 }
 
+/// A message between processes, about one pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
     pub pool: PoolKey,
-    pub word: Word,
+    pub body: MessageBody,
 }
 
+/// What a process asks of its [`crate::FleetSlots`].
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ask {
-    /// What this process's tenants used and want, at a time on the clock of whoever asks: ends of leases are told on it.
-    Uses {
+pub enum Command {
+    /// Reports usage and demand of this process's tenants. `at` is the time (us) on the sender's clock; expiries in
+    /// [`Event::SlotHeld`] are on the same clock.
+    ReportUsage {
         pool: PoolKey,
         at: Time,
-        uses: Vec<Use>,
+        usage: Vec<TenantUsage>,
+    },
+    /// Returns slots that this process no longer uses.
+    ReturnSlots {
+        pool: PoolKey,
+        slots: Vec<ReturnedSlot>,
     },
-    /// Slots that it holds no more.
-    Gave { pool: PoolKey, gave: Vec<Gave> },
-    /// What tenants weigh, by their keys, from now on, in thousandths; and all that are not named together.
-    Weights {
+    /// Replaces the weights (in thousandths): those of named tenants by the hash of the name, and that of all unnamed
+    /// tenants together.
+    SetWeights {
         pool: PoolKey,
         named: Vec<(u64, u64)>,
-        unnamed: u64,
+        unnamed_weight: u64,
     },
-    /// It leaves: no more slots are claimed.
-    Leaving { pool: PoolKey },
+    /// This process shuts down: no more slots are claimed.
+    Leave { pool: PoolKey },
 }
 
+/// What [`crate::FleetSlots`] tells its process.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
-    /// A slot is held until then, on the clock of whoever asks.
-    Held {
+pub enum Event {
+    /// A slot is held until `expires_at` (us), on the clock of [`Command::ReportUsage`].
+    SlotHeld {
         pool: PoolKey,
         slot: u16,
-        turn: u64,
-        until: Time,
+        tenure: u64,
+        expires_at: Time,
+    },
+    /// At most this many slots are to be held; the rest are returned.
+    HoldLimit { pool: PoolKey, limit: u16 },
+    /// Slot time (us) that tenants used at other processes.
+    RemoteUsage {
+        pool: PoolKey,
+        usage: Vec<(u64, Time)>,
     },
-    /// Called back: no more than so many are to be held.
-    Most { pool: PoolKey, most: u16 },
-    /// Slot time that tenants got by other processes.
-    Used { pool: PoolKey, by: Vec<(u64, Time)> },
 }
--- a/pure/fair-queue/src/queue.rs
+++ b/pure/fair-queue/src/queue.rs
@@ -1,56 +1,65 @@
 //! Start-time fair queueing (Goyal, Vin, Cheng: SIGCOMM 1996) over several slots at once (SFQ(D): Jin, Chase, Kaur:
-//! SIGMETRICS 2004), charged by slot time: what is foretold at the start, as much again each time that is past, and put
-//! right at the end.
+//! SIGMETRICS 2004), charged by slot time. A request is charged its predicted slot time when it starts; whenever it
+//! outruns the charge, the charge is doubled; when it ends, the charge is corrected to the time it took.
 //!
-//! Whoever comes back starts at the virtual time, so away-time is no credit; one held back by the bound on the slow, or
-//! charged too much, catches up by one longest request at most. Hence the bound for one that comes with no debt while `n`
-//! other tenants wait, each request within `longest`: it starts within `(2 * n * longest) / slots + longest`.
+//! A tenant that was idle resumes at the virtual time, so idle time earns no credit. A tenant that was held back by
+//! the bound on slow requests, or was charged too much, catches up by at most one longest request. Hence a request of
+//! a tenant without debt, with `n` other tenants waiting and no request longer than `longest`, starts within
+//! `(2 * n * longest) / slots + longest`.
 
-use crate::flow::{per_weight, stand, Flow, Key, Virtual, QUICK, SLOW};
+use crate::flow::{order_key, virtual_cost, Flow, OrderKey, VirtualTime, QUICK, SLOW};
+pub use crate::interface::{Admission, Dispatch, RunHandle, Setup, SlotRequest};
 use crate::lanes::Lanes;
 pub use crate::lanes::Ticket;
 use crate::planted::{planted, Fault};
-use crate::refuse::{self, Standing};
+use crate::refuse::{self, QueuePosition};
 use crate::tenants::{Tenants, Weight};
-pub use crate::wish::{Entered, Next, Place, Setup, Wish};
 use crate::Time;
 use slab::Slab;
 use std::collections::BTreeSet;
 
+/// A request that occupies a slot.
 #[derive(Debug)]
 pub(crate) struct Run {
     pub flow: u32,
     pub lane: usize,
-    pub began: Time,
+    /// When it started (us).
+    pub started_at: Time,
+    /// Slot time charged so far (us).
     pub charged: Time,
 }
 
+/// The fair queue of one pool at one process. Times never go back: an earlier `now` counts as the latest one seen.
 #[derive(Debug)]
 pub struct Queue {
     pub(crate) setup: Setup,
     pub(crate) tenants: Tenants,
     pub(crate) flows: Slab<Flow>,
     pub(crate) lanes: Lanes,
-    /// Who waits, those with a name and those without; and of both, with a weight, those whose quick ones do.
-    pub(crate) ready: [BTreeSet<Key>; 2],
-    pub(crate) quick: [BTreeSet<Key>; 2],
-    /// The start tag of the next of all that have no name: together they stand beside each that has one.
-    pub(crate) group: Virtual,
-    /// Of those with a weight, of those without, and among those without a name.
-    pub(crate) virtual_now: [Virtual; 3],
+    /// Tenants with requests waiting, in order of their start tags: the named ones and the buckets of unnamed ones.
+    /// `quick` holds those of them that have a weight above 0 and a quick request waiting.
+    pub(crate) ready: [BTreeSet<OrderKey>; 2],
+    pub(crate) quick: [BTreeSet<OrderKey>; 2],
+    /// Start tag of the next request of all unnamed tenants: together they compete as one tenant with each named one.
+    pub(crate) group_tag: VirtualTime,
+    /// Virtual times of named tenants with a weight, of tenants of weight 0, and among the unnamed tenants' buckets.
+    /// [`Flow::virtual_clock`] says which one applies.
+    pub(crate) virtual_now: [VirtualTime; 3],
     pub(crate) runs: Slab<Run>,
-    /// When what was charged is past.
-    pub(crate) due: BTreeSet<(Time, usize)>,
-    slow: usize,
-    /// Of active tenants with a name; active buckets.
-    pub(crate) weights: u64,
-    pub(crate) active: u64,
+    /// Each run with the time (us) at which it outruns what it was charged.
+    pub(crate) charge_due: BTreeSet<(Time, usize)>,
+    /// Number of slow requests that run.
+    slow_runs: usize,
+    /// Sum of the weights of active named tenants, and number of active buckets. A tenant is active while it has a
+    /// request that runs or waits.
+    pub(crate) active_weight: u64,
+    pub(crate) active_buckets: u64,
     pub(crate) now: Time,
 }
 
 impl Queue {
     pub fn new(setup: Setup) -> Queue {
-        let tenants = Tenants::new(setup.buckets, setup.unnamed);
+        let tenants = Tenants::new(setup.buckets, setup.unnamed_weight);
         let mut flows = Slab::new();
         (0..tenants.buckets()).for_each(|_| {
             flows.insert(Flow {
@@ -66,224 +75,233 @@
             lanes: Lanes::default(),
             ready: Default::default(),
             quick: Default::default(),
-            group: 0,
+            group_tag: 0,
             virtual_now: [0; 3],
             runs: Slab::new(),
-            due: BTreeSet::new(),
-            slow: 0,
-            weights: 0,
-            active: 0,
+            charge_due: BTreeSet::new(),
+            slow_runs: 0,
+            active_weight: 0,
+            active_buckets: 0,
             now: 0,
         }
     }
 
-    /// In use, and waiting.
+    /// Numbers of requests that run and that wait.
     pub fn sizes(&self) -> [usize; 2] {
         [self.runs.len(), self.lanes.len()]
     }
 
-    pub fn tenant(&self, name: &str) -> u32 {
-        self.tenants.find(name)
+    /// The index of the flow of a tenant: its own if the tenant is named, else that of its bucket.
+    pub fn flow_of(&self, name: &str) -> u32 {
+        self.tenants.flow_of(name)
     }
 
-    /// So many slots from now on; those in use beyond them end as they began.
+    /// Changes the number of slots. Requests that run beyond it finish normally.
     pub fn set_slots(&mut self, slots: usize) {
         self.setup.slots = slots;
     }
 
-    pub fn enter(&mut self, now: Time, wish: &Wish) -> Entered {
-        self.clock(now);
-        let at = self.tenants.find(wish.tenant);
-        let lane = wish.slow as usize;
-        let cost = wish.cost.clamp(1, self.setup.longest.max(1));
+    /// Starts a request, queues it, or rejects it if it could not start in time or finds no room.
+    pub fn enter(&mut self, now: Time, request: &SlotRequest) -> Admission {
+        self.advance_clock(now);
+        let index = self.tenants.flow_of(request.tenant);
+        let lane = request.slow as usize;
+        let cost = request.cost.clamp(1, self.setup.max_slot_time.max(1));
         if self.runs.len() < self.setup.slots && self.ready.iter().all(BTreeSet::is_empty) {
-            return Entered::Now(self.start(at, lane, cost));
+            return Admission::Started(self.start_now(index, lane, cost));
         }
-        if let Some(wait) = self.turned_away(at, lane, wish) {
-            return Entered::Refused { wait };
+        if let Some(retry_after) = self.rejection(index, lane, request) {
+            return Admission::Rejected { retry_after };
         }
-        self.change(at, |queue, at| {
-            queue.wake(at);
-            let flow = &mut queue.flows[at as usize];
+        self.update_flow(index, |queue, index| {
+            queue.resume_flow(index);
+            let flow = &mut queue.flows[index as usize];
             if flow.lanes[lane].len == 0 {
-                flow.woken(lane);
+                flow.resume_lane(lane);
             }
-            let ahead = wish.repeat && planted(Fault::RepeatPassesOthers);
-            let who = (wish.id, at, wish.slow);
-            Entered::Waits(queue.lanes.push(
+            let ahead = request.is_retry && planted(Fault::RetryJumpsQueue);
+            let who = (request.id, index, request.slow);
+            Admission::Queued(queue.lanes.push(
                 &mut flow.lanes[lane],
                 who,
                 cost,
-                wish.latest,
+                request.start_deadline,
                 now,
                 ahead,
             ))
         })
     }
 
-    /// A tenant of which none waits comes back at the virtual time: having been away is no credit.
-    fn wake(&mut self, at: u32) {
-        let flow = &mut self.flows[at as usize];
+    /// A tenant with no waiting request resumes at the virtual time: having been idle earns no credit.
+    fn resume_flow(&mut self, index: u32) {
+        let flow = &mut self.flows[index as usize];
         if flow.bucket && self.ready[1].is_empty() {
-            self.group = self.group.max(self.virtual_now[self.tenants.group_class()]);
+            self.group_tag = self
+                .group_tag
+                .max(self.virtual_now[self.tenants.group_clock()]);
         }
         if flow.waiting() == 0 {
-            flow.tag = flow.tag.max(self.virtual_now[flow.class()]);
+            flow.tag = flow.tag.max(self.virtual_now[flow.virtual_clock()]);
         }
     }
 
-    fn turned_away(&self, at: u32, lane: usize, wish: &Wish) -> Option<Time> {
-        let flow = &self.flows[at as usize];
-        // As it is once this one waits.
-        let more = if flow.active() { 0 } else { 1 };
-        let (weight, weights) = self.weights_with(flow, more);
-        let now = self.virtual_now[flow.class()];
-        let start = if flow.waiting() == 0 {
-            flow.tag.max(now)
+    /// How long a rejected request should stay away (us), or `None` if it may wait.
+    fn rejection(&self, index: u32, lane: usize, request: &SlotRequest) -> Option<Time> {
+        let flow = &self.flows[index as usize];
+        // The weights as they are once this request waits.
+        let added = if flow.active() { 0 } else { 1 };
+        let (weight, active_weight) = self.weights_with(flow, added);
+        let virtual_now = self.virtual_now[flow.virtual_clock()];
+        let start_tag = if flow.waiting() == 0 {
+            flow.tag.max(virtual_now)
         } else {
             flow.tag
         };
-        let standing = Standing {
-            start,
-            now,
-            ahead: flow.ahead(lane),
+        let position = QueuePosition {
+            start_tag,
+            virtual_now,
+            cost_ahead: flow.cost_ahead(lane),
             weight,
-            weights,
+            active_weight,
             slots: self.setup.slots,
         };
-        let wait = refuse::wait(&standing);
-        let late = refuse::away(self.now, wait, wish.latest);
-        let room = refuse::room(
+        let wait = refuse::estimate_wait(&position);
+        let late = refuse::retry_after(self.now, wait, request.start_deadline);
+        let has_room = refuse::has_room(
             self.lanes.len(),
-            self.setup.waiting,
+            self.setup.max_waiting,
             flow.waiting(),
             weight,
-            weights,
+            active_weight,
         );
-        late.or_else(|| (!room).then_some(wait.max(refuse::LEAST)))
+        late.or_else(|| (!has_room).then_some(wait.max(refuse::MIN_RETRY_AFTER)))
     }
 
-    /// What goes now, while there are slots. Asked until it says nothing, after each change.
-    pub fn next(&mut self, now: Time) -> Option<Next> {
-        self.clock(now);
+    /// The next request to start or to reject as late, while slots are free. Call it after each change until it
+    /// returns `None`.
+    pub fn next(&mut self, now: Time) -> Option<Dispatch> {
+        self.advance_clock(now);
         if self.runs.len() >= self.setup.slots {
             return None;
         }
-        let full = self.slow >= self.slow_most() && !planted(Fault::NoBoundOnSlow);
+        let full = self.slow_runs >= self.max_slow_runs() && !planted(Fault::UnboundedSlowRuns);
         let held_back = full && self.quick.iter().any(|quick| !quick.is_empty());
-        let at = self.first(if held_back { &self.quick } else { &self.ready })?;
-        self.change(at, |queue, at| {
-            let flow = &mut queue.flows[at as usize];
-            let lane = if held_back { QUICK } else { flow.lane() };
+        let index = self.first_flow(if held_back { &self.quick } else { &self.ready })?;
+        self.update_flow(index, |queue, index| {
+            let flow = &mut queue.flows[index as usize];
+            let lane = if held_back { QUICK } else { flow.next_lane() };
             let first = queue.lanes.pop(&mut flow.lanes[lane])?;
-            if first.latest < queue.now {
-                return Some(Next::Late { id: first.id });
+            if first.start_deadline < queue.now {
+                return Some(Dispatch::TimedOut { id: first.id });
             }
-            Some(Next::Start {
+            Some(Dispatch::Start {
                 id: first.id,
-                place: queue.begin(at, lane, first.cost),
+                run: queue.start_run(index, lane, first.cost),
             })
         })
     }
 
-    /// The tenant with the least tag; those without a name stand at that of their group.
-    fn first(&self, [named, unnamed]: &[BTreeSet<Key>; 2]) -> Option<u32> {
-        let group = stand(self.tenants.unnamed, self.group, u32::MAX);
+    /// The tenant with the least start tag; the buckets of unnamed tenants compete at the tag of their group.
+    fn first_flow(&self, [named, unnamed]: &[BTreeSet<OrderKey>; 2]) -> Option<u32> {
+        let group = order_key(self.tenants.unnamed_weight, self.group_tag, u32::MAX);
         match (named.first(), unnamed.first()) {
             (Some(own), Some(other)) => Some(if *own <= group { own.1 } else { other.1 }),
             (own, other) => own.or(other).map(|key| key.1),
         }
     }
 
-    /// Slots for slow ones while quick ones wait: a third at least, and one.
-    fn slow_most(&self) -> usize {
+    /// How many slots slow requests may use while quick ones wait: a third of them at least, and one at least.
+    fn max_slow_runs(&self) -> usize {
         let share = self.setup.slow_share.clamp(1.0 / 3.0, 1.0);
         ((self.setup.slots as f64 * share).ceil() as usize).max(1)
     }
 
-    fn start(&mut self, at: u32, lane: usize, cost: Time) -> Place {
-        self.change(at, |queue, at| {
-            queue.wake(at);
-            queue.flows[at as usize].woken(lane);
-            queue.begin(at, lane, cost)
+    /// Starts a request that did not wait.
+    fn start_now(&mut self, index: u32, lane: usize, cost: Time) -> RunHandle {
+        self.update_flow(index, |queue, index| {
+            queue.resume_flow(index);
+            queue.flows[index as usize].resume_lane(lane);
+            queue.start_run(index, lane, cost)
         })
     }
 
-    fn begin(&mut self, at: u32, lane: usize, cost: Time) -> Place {
-        let most = if planted(Fault::NoBoundOnCredit) {
+    /// Advances the virtual times to the tenant's start tag, charges the predicted cost and records the run.
+    fn start_run(&mut self, index: u32, lane: usize, cost: Time) -> RunHandle {
+        let max_credit = if planted(Fault::UnboundedCredit) {
             Time::MAX
         } else {
-            self.setup.longest
+            self.setup.max_slot_time
         };
-        let flow = &mut self.flows[at as usize];
-        let start = |tag: &mut Virtual, now: &mut Virtual, weight| {
-            *tag = (*tag).max(now.saturating_sub(per_weight(most, weight)));
+        let flow = &mut self.flows[index as usize];
+        let advance = |tag: &mut VirtualTime, now: &mut VirtualTime, weight| {
+            *tag = (*tag).max(now.saturating_sub(virtual_cost(max_credit, weight)));
             *now = (*now).max(*tag);
         };
-        let class = flow.class();
-        start(&mut flow.tag, &mut self.virtual_now[class], flow.weight);
+        let clock = flow.virtual_clock();
+        advance(&mut flow.tag, &mut self.virtual_now[clock], flow.weight);
         if flow.bucket {
-            let class = self.tenants.group_class();
-            start(
-                &mut self.group,
-                &mut self.virtual_now[class],
-                self.tenants.unnamed,
+            let clock = self.tenants.group_clock();
+            advance(
+                &mut self.group_tag,
+                &mut self.virtual_now[clock],
+                self.tenants.unnamed_weight,
             );
         }
-        flow.started(lane, most);
-        self.charge(at, lane, cost);
-        self.slow += (lane == SLOW) as usize;
+        flow.start_lane(lane, max_credit);
+        self.charge(index, lane, cost);
+        self.slow_runs += (lane == SLOW) as usize;
         let run = self.runs.insert(Run {
-            flow: at,
+            flow: index,
             lane,
-            began: self.now,
+            started_at: self.now,
             charged: cost,
         });
-        self.due.insert((self.now.saturating_add(cost), run));
-        Place(run)
+        self.charge_due.insert((self.now.saturating_add(cost), run));
+        RunHandle(run)
     }
 
-    /// A slot is free again; how long it was held.
-    pub fn ended(&mut self, now: Time, place: Place) -> Time {
-        self.clock(now);
+    /// Ends a run and frees its slot. Returns how long the slot was held (us); 0 if the run is unknown.
+    pub fn finish(&mut self, now: Time, run: RunHandle) -> Time {
+        self.advance_clock(now);
         let Some(Run {
-            flow: at,
+            flow: index,
             lane,
-            began,
+            started_at,
             charged,
-        }) = self.runs.try_remove(place.0)
+        }) = self.runs.try_remove(run.0)
         else {
             return 0;
         };
-        self.due.remove(&(began.saturating_add(charged), place.0));
-        let took = (self.now - began).max(1);
-        self.slow -= (lane == SLOW) as usize;
-        self.change(at, |queue, at| {
-            let flow = &mut queue.flows[at as usize];
+        self.charge_due
+            .remove(&(started_at.saturating_add(charged), run.0));
+        let took = (self.now - started_at).max(1);
+        self.slow_runs -= (lane == SLOW) as usize;
+        self.update_flow(index, |queue, index| {
+            let flow = &mut queue.flows[index as usize];
             flow.running -= 1;
             flow.used = flow.used.saturating_add(took);
             match took.checked_sub(charged) {
-                _ if planted(Fault::NeverPutRight) || planted(Fault::ChargeByCount) => {}
-                Some(more) => queue.charge(at, lane, more),
-                None => queue.forgive(at, lane, charged - took),
+                _ if planted(Fault::NoCostCorrection) || planted(Fault::ChargeByCount) => {}
+                Some(more) => queue.charge(index, lane, more),
+                None => queue.refund(index, lane, charged - took),
             }
         });
-        self.let_go(at);
+        self.remove_if_retired(index);
         took
     }
 
-    /// One that waits no more: its client left, or it was told elsewhere that its time is over.
-    pub fn leave(&mut self, ticket: Ticket) -> bool {
+    /// Removes a request from the queue, for example because its client left. Returns false if it no longer waits.
+    pub fn cancel(&mut self, ticket: Ticket) -> bool {
         let Some(waiting) = self.lanes.find(ticket).copied() else {
             return false;
         };
         let lane = waiting.slow as usize;
-        self.change(waiting.flow, |queue, at| {
+        self.update_flow(waiting.flow, |queue, index| {
             queue
                 .lanes
-                .remove(&mut queue.flows[at as usize].lanes[lane], ticket);
+                .remove(&mut queue.flows[index as usize].lanes[lane], ticket);
         });
-        self.let_go(waiting.flow);
+        self.remove_if_retired(waiting.flow);
         true
     }
 }
--- a/pure/fair-queue/src/replica.rs
+++ b/pure/fair-queue/src/replica.rs
@@ -1,21 +1,22 @@
-//! A replica's side: which slots it has granted to whom, and until when on its own clock.
+//! A replica's part: which slots it has leased to which process, and until when on its own clock.
 
-use crate::division::floor;
+use crate::division::guaranteed_slots;
 use crate::planted::{planted, Fault};
 use crate::{Peer, Time};
 use foldmux_replicas::{ClockDrift, GrantedLease, RecoveryDelay};
 use std::collections::BTreeMap;
 
-/// Who wanted more is told of vacant slots for so long (us).
-const WANTING: Time = 2_000_000;
-/// Of them, so many are remembered.
-const PEERS: usize = 256;
+/// How long a process that asked for more slots is offered vacant ones (us).
+const REQUEST_EXPIRY: Time = 2_000_000;
+/// Most such processes that are remembered.
+const MAX_PEERS: usize = 256;
 
+/// A slot's lease at this replica. It may have expired.
 #[derive(Clone, Debug)]
 struct Lease {
     holder: Peer,
-    life: u64,
-    /// Of the last claim that it was granted to.
+    incarnation: u64,
+    /// Number of the last claim that this lease was granted to.
     number: u64,
     granted: GrantedLease,
 }
@@ -24,168 +25,179 @@
 #[derive(Debug)]
 pub struct Replica {
     lease: Time,
-    memory: RecoveryDelay,
+    recovery: RecoveryDelay,
     slots: Vec<Option<Lease>>,
-    wanting: BTreeMap<Peer, Time>,
+    requesters: BTreeMap<Peer, Time>,
 }
 
-/// What a replica says to a claim.
+/// A replica's reply to a claim.
 #[derive(Debug, Default, PartialEq)]
-pub struct Said {
+pub struct ClaimReply {
     /// Slots leased to the claim.
     pub granted: Vec<u16>,
-    /// Slots of the claim that it does not lease.
+    /// Slots of the claim that are not leased to it.
     pub refused: Vec<u16>,
-    /// Slots that nobody holds, for a claim of more.
+    /// Vacant slots, if the claim asked for more.
     pub vacant: Vec<u16>,
 }
 
 impl Replica {
-    /// A replica that starts remembers nothing: it grants once all that it may have granted is over.
+    /// A replica that starts has no state: it grants nothing until every lease that it may have granted before has
+    /// expired.
     pub fn new(now: Time, slots: u16, lease: Time, drift: ClockDrift) -> Replica {
-        let memory = match planted(Fault::FreshSeatGrants) {
+        let recovery = match planted(Fault::GrantAfterStateLoss) {
             true => RecoveryDelay::state_recovered(now),
             false => RecoveryDelay::state_lost(now, &[lease], drift),
         };
         Replica {
             lease,
-            memory,
+            recovery,
             slots: vec![None; slots as usize],
-            wanting: BTreeMap::new(),
+            requesters: BTreeMap::new(),
         }
     }
 
-    fn running(&self, now: Time) -> impl Iterator<Item = &Lease> {
+    fn active_leases(&self, now: Time) -> impl Iterator<Item = &Lease> {
         self.slots
             .iter()
             .flatten()
             .filter(move |lease| lease.granted.is_active(now))
     }
 
-    fn vacant_at(&self, now: Time, slot: usize) -> bool {
-        self.slots.get(slot).is_some_and(|at| {
-            at.as_ref()
+    fn is_vacant(&self, now: Time, slot: usize) -> bool {
+        self.slots.get(slot).is_some_and(|entry| {
+            entry
+                .as_ref()
                 .is_none_or(|lease| !lease.granted.is_active(now))
         })
     }
 
-    /// The most that one may hold while others want: each of them keeps its floor.
-    fn most(&self, from: &Peer, now: Time) -> usize {
+    /// The most slots that a process may hold while others ask for more: each of these keeps its guaranteed slots.
+    fn max_held(&self, from: &Peer, now: Time) -> usize {
         let others = self
-            .wanting
+            .requesters
             .iter()
             .filter(|(peer, until)| *peer != from && now < **until)
             .count();
-        self.slots.len() - others * floor(self.slots.len(), others + 1)
+        self.slots.len() - others * guaranteed_slots(self.slots.len(), others + 1)
     }
 
+    /// Renews or grants each slot of a claim, or refuses it. `additional` is how many further slots the process wants.
     pub fn claim(
         &mut self,
         now: Time,
         from: &Peer,
-        (life, number): (u64, u64),
+        (incarnation, number): (u64, u64),
         slots: &[u16],
-        more: u16,
-    ) -> Said {
-        if !self.memory.may_vote(now) {
-            return Said {
+        additional: u16,
+    ) -> ClaimReply {
+        if !self.recovery.may_vote(now) {
+            return ClaimReply {
                 refused: slots.to_vec(),
-                ..Said::default()
+                ..ClaimReply::default()
             };
         }
-        if more == 0 {
-            self.wanting.remove(from);
-        } else if self.wanting.len() < PEERS || self.wanting.contains_key(from) {
-            self.wanting
-                .insert(from.clone(), now.saturating_add(WANTING));
+        if additional == 0 {
+            self.requesters.remove(from);
+        } else if self.requesters.len() < MAX_PEERS || self.requesters.contains_key(from) {
+            self.requesters
+                .insert(from.clone(), now.saturating_add(REQUEST_EXPIRY));
         }
-        let most = self.most(from, now);
+        let max_held = self.max_held(from, now);
         let mut held = self
-            .running(now)
+            .active_leases(now)
             .filter(|lease| lease.holder == *from)
             .count();
-        let mut said = Said::default();
+        let mut reply = ClaimReply::default();
         for slot in slots.iter().take(self.slots.len()) {
-            let Some(at) = self.slots.get_mut(*slot as usize) else {
-                said.refused.push(*slot);
+            let Some(entry) = self.slots.get_mut(*slot as usize) else {
+                reply.refused.push(*slot);
                 continue;
             };
-            match at.as_mut().filter(|lease| lease.granted.is_active(now)) {
-                // Over its bound, one after the other lapses.
-                Some(lease) if lease.holder == *from && lease.life == life && held > most => {
+            match entry.as_mut().filter(|lease| lease.granted.is_active(now)) {
+                // A holder above its limit loses the excess: these slots are not renewed.
+                Some(lease)
+                    if lease.holder == *from
+                        && lease.incarnation == incarnation
+                        && held > max_held =>
+                {
                     held -= 1;
-                    said.refused.push(*slot);
+                    reply.refused.push(*slot);
                 }
-                Some(lease) if lease.holder == *from && lease.life == life => {
+                Some(lease) if lease.holder == *from && lease.incarnation == incarnation => {
                     lease.number = lease.number.max(number);
                     lease.granted.renew(now, self.lease);
-                    said.granted.push(*slot);
+                    reply.granted.push(*slot);
                 }
-                None if held < most => {
+                None if held < max_held => {
                     let granted = GrantedLease::new(now, self.lease);
-                    *at = Some(Lease {
+                    *entry = Some(Lease {
                         holder: from.clone(),
-                        life,
+                        incarnation,
                         number,
                         granted,
                     });
                     held += 1;
-                    said.granted.push(*slot);
+                    reply.granted.push(*slot);
                 }
-                _ => said.refused.push(*slot),
+                _ => reply.refused.push(*slot),
             }
         }
-        said.vacant = self.offer(now, from, more as usize);
-        said
+        reply.vacant = self.offer_to(now, from, additional as usize);
+        reply
     }
 
-    /// Vacant slots for one of those who want: they are dealt out in turn, so that no two go for the same.
-    fn offer(&self, now: Time, to: &Peer, most: usize) -> Vec<u16> {
-        let wanting: Vec<&Peer> = self
-            .wanting
+    /// Vacant slots to offer to one of the processes that asked for more. Each slot is offered to one of them only,
+    /// so that no two claim the same.
+    fn offer_to(&self, now: Time, to: &Peer, max: usize) -> Vec<u16> {
+        let requesters: Vec<&Peer> = self
+            .requesters
             .iter()
             .filter(|w| now < *w.1)
             .map(|w| w.0)
             .collect();
-        let Some(own) = wanting.iter().position(|peer| *peer == to) else {
+        let Some(rank) = requesters.iter().position(|peer| *peer == to) else {
             return Vec::new();
         };
-        let vacant = (0..self.slots.len()).filter(|slot| self.vacant_at(now, *slot));
+        let vacant = (0..self.slots.len()).filter(|slot| self.is_vacant(now, *slot));
         vacant
-            .filter(|slot| slot % wanting.len() == own)
-            .take(most)
+            .filter(|slot| slot % requesters.len() == rank)
+            .take(max)
             .map(|slot| slot as u16)
             .collect()
     }
 
-    pub fn free(&mut self, from: &Peer, (life, number): (u64, u64), slots: &[u16]) {
+    /// Ends leases that a process released. A release that is older than the lease's last claim is ignored.
+    pub fn release(&mut self, from: &Peer, (incarnation, number): (u64, u64), slots: &[u16]) {
         for slot in slots {
-            let Some(at) = self.slots.get_mut(*slot as usize) else {
+            let Some(entry) = self.slots.get_mut(*slot as usize) else {
                 continue;
             };
-            let own = |lease: &&mut Lease| lease.holder == *from && lease.life == life;
+            let own =
+                |lease: &&mut Lease| lease.holder == *from && lease.incarnation == incarnation;
             let later =
-                |lease: &&mut Lease| lease.number < number || planted(Fault::LateFreeCounts);
-            if at.as_mut().filter(own).filter(later).is_some() {
-                *at = None;
+                |lease: &&mut Lease| lease.number < number || planted(Fault::StaleReleaseAccepted);
+            if entry.as_mut().filter(own).filter(later).is_some() {
+                *entry = None;
             }
         }
     }
 
-    /// Those who want more, and what is vacant for each.
+    /// The processes that asked for more slots, each with the vacant ones to offer to it.
     pub fn offers(&mut self, now: Time) -> Vec<(Peer, Vec<u16>)> {
-        self.wanting.retain(|_, until| now < *until);
-        if !self.memory.may_vote(now) {
+        self.requesters.retain(|_, until| now < *until);
+        if !self.recovery.may_vote(now) {
             return Vec::new();
         }
         let offers = self
-            .wanting
+            .requesters
             .keys()
-            .map(|peer| (peer.clone(), self.offer(now, peer, self.slots.len())));
+            .map(|peer| (peer.clone(), self.offer_to(now, peer, self.slots.len())));
         offers.filter(|(_, slots)| !slots.is_empty()).collect()
     }
 
-    pub fn wanted(&self) -> bool {
-        !self.wanting.is_empty()
+    /// Whether any process asked for more slots.
+    pub fn has_requesters(&self) -> bool {
+        !self.requesters.is_empty()
     }
 }
--- a/pure/fair-queue/src/slots.rs
+++ b/pure/fair-queue/src/slots.rs
@@ -1,57 +1,62 @@
-//! The fleet's side of a pool: its numbered slots, each held by one process at a time, by lease at the pool's three replicas.
+//! The fleet's part of a pool: numbered slots, each leased to one process at a time by the pool's three replicas.
 //!
-//! A slot is held while two of three replicas lease it to this process, by this process's own, shorter count: no two ever hold
-//! one number, so the sum never passes the cap. Who is cut off from the replicas has fewer by each lease that runs out, and then
-//! none. A life of a process that ended keeps its slots for one lease, and they come back once: at the replicas, by their clocks.
-//! Idle ones are lent: a process keeps what it holds until another is short of its part, then gives back what it has over
-//! its own ([`crate::division`]), idle ones at once and those in use as they end.
+//! A process holds a slot while two of the three replicas lease it to the process, for a shorter time by the
+//! process's own clock than by theirs. No two processes hold the same number, so the sum never exceeds the pool's
+//! limit. A process that is cut off from the replicas loses slots as their leases expire, down to none. The slots of
+//! an incarnation that ended stay leased for one lease and become vacant once: at the replicas, by their clocks.
+//!
+//! Idle slots are lent: a process keeps what it holds until another lacks slots of its share. Then it returns what it
+//! holds above its own share ([`crate::division`]): idle slots at once, and those in use as their requests end.
 
-use crate::message::{Ask, Message, PoolKey, Told, Word};
-use crate::pool::Pool;
-pub use crate::pool::PoolSetup;
+use crate::fleet_pool::FleetPool;
+pub use crate::fleet_pool::PoolSetup;
+use crate::message::{Command, Event, Message, MessageBody, PoolKey};
 use crate::{Peer, Time};
 use foldmux_replicas::{ClockDrift, Effect, Effects, ReplicaConfiguration, StateMachine};
 use std::collections::BTreeMap;
 
-/// A pool's division is worked out anew so often, and offers and digests go out (us).
-pub const STEP: Time = 20_000;
-/// With nothing to tell, a digest goes out so often (us).
-pub const DIGEST: Time = 200_000;
+/// How often the division of each pool is computed and vacant slots are offered (us).
+pub const DIVISION_INTERVAL: Time = 20_000;
+/// How often a digest is sent if demand does not change (us).
+pub const DIGEST_INTERVAL: Time = 200_000;
 
+/// Configuration of [`FleetSlots`].
 #[derive(Clone, Debug)]
 pub struct FleetSetup {
     pub own: Peer,
-    /// Another for each start of this process.
-    pub life: u64,
+    /// Differs for each start of this process.
+    pub incarnation: u64,
     pub peers: Vec<Peer>,
-    pub seats: ReplicaConfiguration,
+    pub replicas: ReplicaConfiguration,
     pub drift: ClockDrift,
     pub pools: Vec<PoolSetup>,
 }
 
-/// All pools of the fleet, at one process.
+/// All pools of the fleet at one process.
 #[derive(Debug)]
 pub struct FleetSlots {
     own: Peer,
+    /// The other processes, and whether each is alive.
     peers: BTreeMap<Peer, bool>,
-    seats: ReplicaConfiguration,
-    pools: BTreeMap<PoolKey, Pool>,
-    due: Time,
+    replicas: ReplicaConfiguration,
+    pools: BTreeMap<PoolKey, FleetPool>,
+    /// When [`FleetSlots::step`] runs next (us).
+    next_step: Time,
 }
 
 impl FleetSlots {
     pub fn new(now: Time, setup: FleetSetup) -> FleetSlots {
         let FleetSetup {
             own,
-            life,
+            incarnation,
             peers,
-            seats,
+            replicas,
             drift,
             pools,
         } = setup;
         let pools = pools
             .into_iter()
-            .map(|setup| (setup.key, Pool::new(now, life, drift, setup)))
+            .map(|setup| (setup.key, FleetPool::new(now, incarnation, drift, setup)))
             .collect();
         let peers = peers
             .into_iter()
@@ -61,23 +66,30 @@
         FleetSlots {
             own,
             peers,
-            seats,
+            replicas,
             pools,
-            due: now,
+            next_step: now,
         }
     }
 
-    /// A change of the list of replicas is asked by both lists for one window.
-    pub fn seats(&mut self) -> &mut ReplicaConfiguration {
-        &mut self.seats
+    /// The replicas. During a change of the list both lists vote, for one window.
+    pub fn replicas_mut(&mut self) -> &mut ReplicaConfiguration {
+        &mut self.replicas
     }
 
-    fn to_seats(&self, now: Time, pool: PoolKey, words: Vec<Word>, out: &mut Effects<Self>) {
-        for word in words {
-            for to in self.seats.replicas_of(now, &pool.to_le_bytes()) {
+    /// Sends messages to each replica of a pool.
+    fn send_to_replicas(
+        &self,
+        now: Time,
+        pool: PoolKey,
+        bodies: Vec<MessageBody>,
+        out: &mut Effects<Self>,
+    ) {
+        for body in bodies {
+            for to in self.replicas.replicas_of(now, &pool.to_le_bytes()) {
                 let message = Message {
                     pool,
-                    word: word.clone(),
+                    body: body.clone(),
                 };
                 out.push(Effect::Send {
                     to: to.clone(),
@@ -87,164 +99,179 @@
         }
     }
 
+    /// Recomputes the division of each pool, claims or calls back slots, and sends digests that are due.
     fn step(&mut self, now: Time, out: &mut Effects<Self>) {
         let keys: Vec<PoolKey> = self.pools.keys().copied().collect();
         for key in keys {
-            let sits = self.seats.is_replica(now, &key.to_le_bytes(), &self.own);
+            let is_replica = self.replicas.is_replica(now, &key.to_le_bytes(), &self.own);
             let Some(pool) = self.pools.get_mut(&key) else {
                 continue;
             };
-            if sits {
+            if is_replica {
                 send_offers(pool, now, out);
             }
             let (target, short_elsewhere) = pool.divide(now, &self.own);
-            let held = pool.holder.held();
+            let held = pool.holder.held_count();
             pool.target = if pool.leaving { 0 } else { target };
-            let words = pool.claim(now, &self.seats);
-            let back = held.saturating_sub(target).min(short_elsewhere);
-            let most = if back > 0 {
-                (held - back) as u16
+            let bodies = pool.claims(now, &self.replicas);
+            let callback = held.saturating_sub(target).min(short_elsewhere);
+            let limit = if callback > 0 {
+                (held - callback) as u16
             } else {
                 u16::MAX
             };
-            if pool.most.replace(most) != Some(most) {
-                out.push(Effect::Emit(Told::Most { pool: key, most }));
+            if pool.hold_limit.replace(limit) != Some(limit) {
+                out.push(Effect::Emit(Event::HoldLimit { pool: key, limit }));
             }
-            let often = if pool.news { STEP } else { DIGEST };
+            let interval = if pool.digest_pending {
+                DIVISION_INTERVAL
+            } else {
+                DIGEST_INTERVAL
+            };
             if pool
-                .told
-                .is_none_or(|told| now >= told.saturating_add(often))
+                .digest_sent_at
+                .is_none_or(|sent_at| now >= sent_at.saturating_add(interval))
             {
-                pool.told = Some(now);
-                pool.news = false;
+                pool.digest_sent_at = Some(now);
+                pool.digest_pending = false;
                 let digest = pool.digest();
                 for (to, _) in self.peers.iter().filter(|(_, alive)| **alive) {
-                    let word = Word::Digest(digest.clone());
+                    let body = MessageBody::Digest(digest.clone());
                     out.push(Effect::Send {
                         to: to.clone(),
-                        message: Message { pool: key, word },
+                        message: Message { pool: key, body },
                     });
                 }
             }
-            self.to_seats(now, key, words, out);
+            self.send_to_replicas(now, key, bodies, out);
         }
-        self.due = now.saturating_add(STEP);
+        self.next_step = now.saturating_add(DIVISION_INTERVAL);
     }
 }
 
-fn send_offers(pool: &mut Pool, now: Time, out: &mut Effects<FleetSlots>) {
+fn send_offers(pool: &mut FleetPool, now: Time, out: &mut Effects<FleetSlots>) {
     let offers = pool.offers(now).into_iter();
     out.extend(offers.map(|(to, message)| Effect::Send { to, message }));
 }
 
 impl StateMachine for FleetSlots {
     type Message = Message;
-    type Command = Ask;
-    type Event = Told;
+    type Command = Command;
+    type Event = Event;
 
     fn on_message(&mut self, now: Time, from: &Peer, message: Message, out: &mut Effects<Self>) {
-        let Message { pool: key, word } = message;
-        let sits = self.seats.is_replica(now, &key.to_le_bytes(), &self.own);
+        let Message { pool: key, body } = message;
+        let is_replica = self.replicas.is_replica(now, &key.to_le_bytes(), &self.own);
         let Some(pool) = self.pools.get_mut(&key) else {
             return;
         };
-        match word {
-            Word::Claim {
-                life,
+        match body {
+            MessageBody::Claim {
+                incarnation,
                 number,
                 slots,
-                more,
-            } if sits => {
-                let said = pool.replica.claim(now, from, (life, number), &slots, more);
-                let (slots, refused, vacant) = (said.granted, said.refused, said.vacant);
-                let word = Word::Granted {
-                    life,
+                additional,
+            } if is_replica => {
+                let reply =
+                    pool.replica
+                        .claim(now, from, (incarnation, number), &slots, additional);
+                let (granted, refused, vacant) = (reply.granted, reply.refused, reply.vacant);
+                let body = MessageBody::ClaimReply {
+                    incarnation,
                     number,
-                    slots,
+                    granted,
                     refused,
                     vacant,
                 };
                 out.push(Effect::Send {
                     to: from.clone(),
-                    message: Message { pool: key, word },
+                    message: Message { pool: key, body },
                 });
             }
-            Word::Free {
-                life,
+            MessageBody::Release {
+                incarnation,
                 number,
                 slots,
-            } if sits => {
-                pool.replica.free(from, (life, number), &slots);
+            } if is_replica => {
+                pool.replica.release(from, (incarnation, number), &slots);
                 send_offers(pool, now, out);
             }
-            Word::Granted {
-                life,
+            MessageBody::ClaimReply {
+                incarnation,
                 number,
-                slots,
+                granted,
                 refused,
                 vacant,
-            } if life == pool.holder.life => {
-                let (won, word) = pool.holder.granted(now, from, (number, &slots, &refused));
-                pool.holder.vacant(vacant);
+            } if incarnation == pool.holder.incarnation => {
+                let (acquired, body) =
+                    pool.holder
+                        .on_reply(now, from, (number, &granted, &refused));
+                pool.holder.add_offered(vacant);
                 out.extend(
-                    won.into_iter()
-                        .filter_map(|won| pool.told_held(won))
+                    acquired
+                        .into_iter()
+                        .filter_map(|acquired| pool.slot_held_event(acquired))
                         .map(Effect::Emit),
                 );
-                let words = word
+                let bodies = body
                     .into_iter()
-                    .chain(pool.claim(now, &self.seats))
+                    .chain(pool.claims(now, &self.replicas))
                     .collect();
-                self.to_seats(now, key, words, out);
+                self.send_to_replicas(now, key, bodies, out);
             }
-            Word::Vacant { slots } => {
-                pool.holder.vacant(slots);
-                let words = pool.claim(now, &self.seats);
-                self.to_seats(now, key, words, out);
+            MessageBody::Vacant { slots } => {
+                pool.holder.add_offered(slots);
+                let bodies = pool.claims(now, &self.replicas);
+                self.send_to_replicas(now, key, bodies, out);
             }
-            Word::Digest(digest) if self.peers.contains_key(from) => {
-                let by = pool.heard.hear(now, from, digest, pool.setup.slots);
-                if !by.is_empty() {
-                    out.push(Effect::Emit(Told::Used { pool: key, by }));
+            MessageBody::Digest(digest) if self.peers.contains_key(from) => {
+                let usage = pool
+                    .peer_usage
+                    .on_digest(now, from, digest, pool.setup.slots);
+                if !usage.is_empty() {
+                    out.push(Effect::Emit(Event::RemoteUsage { pool: key, usage }));
                 }
             }
             _ => {}
         }
     }
 
-    fn on_command(&mut self, now: Time, ask: Ask, out: &mut Effects<Self>) {
-        match ask {
-            Ask::Uses { pool, at, uses } => {
+    fn on_command(&mut self, now: Time, command: Command, out: &mut Effects<Self>) {
+        match command {
+            Command::ReportUsage { pool, at, usage } => {
                 let Some(pool) = self.pools.get_mut(&pool) else {
                     return;
                 };
-                pool.uses(now, at, uses);
+                pool.on_usage(now, at, usage);
             }
-            Ask::Gave { pool: key, gave } => {
+            Command::ReturnSlots { pool: key, slots } => {
                 let Some(pool) = self.pools.get_mut(&key) else {
                     return;
                 };
-                let word = pool.holder.gave(&gave);
-                pool.news = true;
-                self.to_seats(now, key, word.into_iter().collect(), out);
+                let body = pool.holder.return_slots(&slots);
+                pool.digest_pending = true;
+                self.send_to_replicas(now, key, body.into_iter().collect(), out);
             }
-            Ask::Weights {
+            Command::SetWeights {
                 pool,
                 named,
-                unnamed,
+                unnamed_weight,
             } => {
                 let Some(pool) = self.pools.get_mut(&pool) else {
                     return;
                 };
                 pool.setup.weights = named.into_iter().collect();
-                pool.setup.unnamed = unnamed;
+                pool.setup.unnamed_weight = unnamed_weight;
             }
-            Ask::Leaving { pool: key } => {
+            Command::Leave { pool: key } => {
                 let Some(pool) = self.pools.get_mut(&key) else {
                     return;
                 };
                 pool.leaving = true;
-                out.push(Effect::Emit(Told::Most { pool: key, most: 0 }));
+                out.push(Effect::Emit(Event::HoldLimit {
+                    pool: key,
+                    limit: 0,
+                }));
             }
         }
     }
@@ -253,21 +280,21 @@
         self.peers
             .get_mut(peer)
             .into_iter()
-            .for_each(|own| *own = alive);
+            .for_each(|state| *state = alive);
         if !alive {
             self.pools
                 .values_mut()
-                .for_each(|pool| pool.heard.gone(peer));
+                .for_each(|pool| pool.peer_usage.forget(peer));
         }
     }
 
     fn on_tick(&mut self, now: Time, out: &mut Effects<Self>) {
-        if now >= self.due {
+        if now >= self.next_step {
             self.step(now, out);
         }
     }
 
     fn next_tick(&self) -> Option<Time> {
-        Some(self.due)
+        Some(self.next_step)
     }
 }
--- a/pure/fair-queue/src/slow.rs
+++ b/pure/fair-queue/src/slow.rs
@@ -1,26 +1,27 @@
-//! What a request will cost, and whether it is slow: foretold by its class, size and source, and by what its tenant's took
-//! beside what was foretold; seen when it ended.
+//! Prediction of a request's slot time, and of whether it is slow: by its class, size and source, corrected by how
+//! its tenant's requests compared with their predictions. Learns from each request that ends.
 //!
-//! *Slow* is what holds a slot for longer than the shortest aim among the classes: one such in front of a quick request is
-//! enough to make it late. It is not a part of what is seen: who floods with slow requests would move it.
+//! A request is *slow* if it holds a slot for longer than the shortest latency objective among the classes: one such
+//! request ahead of a quick one is enough to make the quick one late. The threshold does not depend on observed
+//! times, as a tenant that floods the pool with slow requests would move it.
 
 use crate::Time;
 
-/// Sizes by powers of two, from 1 KB; all above the last are as the last.
-const SIZES: usize = 21;
-/// Sources told apart; others share a place, by their number.
-const SOURCES: usize = 256;
-/// What an error moves: mostly the tenant's figure, so that one whose requests take long is taken for what it is before its
-/// class is. In logarithms, as the factors multiply.
-const FADE: Fade = Fade {
+/// Size buckets, by powers of two from 1 KB; the last one has no upper bound.
+const SIZE_BUCKETS: usize = 21;
+/// Buckets of sources, which share one by their number modulo this.
+const SOURCE_BUCKETS: usize = 256;
+/// How much a prediction error moves each estimate, on a logarithmic scale, as the factors multiply. The tenant's
+/// factor moves fastest: a tenant whose requests take long is recognised before the estimate of its class changes.
+const LEARNING_RATES: LearningRates = LearningRates {
     tenant: 1.0 / 8.0,
     source: 1.0 / 32.0,
     class: 1.0 / 32.0,
 };
-/// How far a source or a tenant may move what is foretold: eight times.
-const FAR: f64 = 2.08;
+/// Limit of the factor of a source or a tenant: eight times, as a natural logarithm.
+const MAX_LOG_FACTOR: f64 = 2.08;
 
-struct Fade {
+struct LearningRates {
     tenant: f64,
     source: f64,
     class: f64,
@@ -28,102 +29,107 @@
 
 /// What is known of a request before it runs.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Shape {
+pub struct RequestShape {
     pub class: usize,
-    /// 0 where it is not told.
+    /// 0 if the size is unknown.
     pub size_kb: f64,
-    /// Where it comes from: the source of a fill, else the cache.
+    /// The source of a fill, else the cache.
     pub source: u64,
     pub tenant: u32,
 }
 
+/// A predicted slot time (us), and whether it counts as slow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Foretold {
+pub struct CostPrediction {
     pub cost: Time,
     pub slow: bool,
 }
 
-/// Bounded by the classes, and by the tenants that a queue has.
+/// Estimates of slot time. Their size is bounded by the number of classes and of the queue's flows.
 #[derive(Debug)]
-pub struct Figures {
-    slow_over: Time,
-    longest: Time,
-    /// The logarithm of the faded time, once one was seen; and factors beside it.
-    classes: Vec<[Option<f64>; SIZES]>,
+pub struct CostModel {
+    slow_threshold: Time,
+    max_slot_time: Time,
+    /// Logarithms: of the smoothed slot time (us) for each class and size, once one was observed; and of the factors
+    /// of sources and tenants.
+    classes: Vec<[Option<f64>; SIZE_BUCKETS]>,
     sources: Vec<f64>,
     tenants: Vec<f64>,
 }
 
-impl Figures {
-    pub fn new(classes: usize, slow_over: Time, longest: Time) -> Figures {
-        let classes = vec![[None; SIZES]; classes.max(1)];
-        Figures {
-            slow_over,
-            longest,
+impl CostModel {
+    pub fn new(classes: usize, slow_threshold: Time, max_slot_time: Time) -> CostModel {
+        let classes = vec![[None; SIZE_BUCKETS]; classes.max(1)];
+        CostModel {
+            slow_threshold,
+            max_slot_time,
             classes,
-            sources: vec![0.0; SOURCES],
+            sources: vec![0.0; SOURCE_BUCKETS],
             tenants: Vec::new(),
         }
     }
 
-    fn size(size_kb: f64) -> usize {
-        (size_kb.max(1.0).log2() as usize).min(SIZES - 1)
+    fn size_bucket(size_kb: f64) -> usize {
+        (size_kb.max(1.0).log2() as usize).min(SIZE_BUCKETS - 1)
     }
 
-    fn class(&self, class: usize) -> usize {
+    fn class_index(&self, class: usize) -> usize {
         class.min(self.classes.len() - 1)
     }
 
-    /// By class and size alone. Of a size that was not seen, the next that was, larger or smaller, in proportion; of a class
-    /// that was never seen, as long as is still quick: it is not held back for being new.
-    fn base(&self, shape: &Shape) -> f64 {
-        let sizes = &self.classes[self.class(shape.class)];
-        let own = Self::size(shape.size_kb);
-        let seen = (0..SIZES).filter_map(|at| sizes[at].map(|time| (at, time)));
+    /// The estimate by class and size alone. For a size without an observation, the nearest size that has one, larger
+    /// or smaller, scaled in proportion. For a class without any, the longest time that still counts as quick: a new
+    /// class is not held back.
+    fn base_estimate(&self, shape: &RequestShape) -> f64 {
+        let sizes = &self.classes[self.class_index(shape.class)];
+        let own = Self::size_bucket(shape.size_kb);
+        let seen = (0..SIZE_BUCKETS).filter_map(|at| sizes[at].map(|time| (at, time)));
         match seen.min_by_key(|(at, _)| at.abs_diff(own)) {
             Some((near, time)) => time + (own as f64 - near as f64) * std::f64::consts::LN_2,
-            None => (self.slow_over.clamp(1, self.longest.max(1)) as f64).ln(),
+            None => (self.slow_threshold.clamp(1, self.max_slot_time.max(1)) as f64).ln(),
         }
     }
 
-    fn factors(&self, shape: &Shape) -> f64 {
+    /// Sum of the logarithmic factors of the source and the tenant.
+    fn log_factors(&self, shape: &RequestShape) -> f64 {
         let tenant = self
             .tenants
             .get(shape.tenant as usize)
             .copied()
             .unwrap_or_default();
-        self.sources[shape.source as usize % SOURCES] + tenant
+        self.sources[shape.source as usize % SOURCE_BUCKETS] + tenant
     }
 
-    pub fn foretell(&self, shape: &Shape) -> Foretold {
-        let time = (self.base(shape) + self.factors(shape)).exp();
-        // A new class may take just as long as is still quick.
-        let cost = (time * (1.0 + 1e-9)).clamp(1.0, self.longest.max(1) as f64) as Time;
-        Foretold {
+    pub fn predict(&self, shape: &RequestShape) -> CostPrediction {
+        let time = (self.base_estimate(shape) + self.log_factors(shape)).exp();
+        // The added fraction keeps rounding from turning a new class's estimate into less than the threshold.
+        let cost = (time * (1.0 + 1e-9)).clamp(1.0, self.max_slot_time.max(1) as f64) as Time;
+        CostPrediction {
             cost,
-            slow: cost > self.slow_over,
+            slow: cost > self.slow_threshold,
         }
     }
 
-    /// How long it took.
-    pub fn see(&mut self, shape: &Shape, took: Time) {
-        let took = (took.clamp(1, self.longest.max(1)) as f64).ln();
-        let error = took - self.base(shape) - self.factors(shape);
-        let own = self.class(shape.class);
-        let own = &mut self.classes[own][Self::size(shape.size_kb)];
-        // What was never seen says nothing of tenant and source.
+    /// Learns from a request that held its slot for `took` (us).
+    pub fn observe(&mut self, shape: &RequestShape, took: Time) {
+        let took = (took.clamp(1, self.max_slot_time.max(1)) as f64).ln();
+        let error = took - self.base_estimate(shape) - self.log_factors(shape);
+        let own = self.class_index(shape.class);
+        let own = &mut self.classes[own][Self::size_bucket(shape.size_kb)];
+        // The first observation of a class and size says nothing about the tenant or the source.
         let Some(time) = own else {
             *own = Some(took);
             return;
         };
-        *time += error * FADE.class;
-        let source = &mut self.sources[shape.source as usize % SOURCES];
-        *source = (*source + error * FADE.source).clamp(-FAR, FAR);
+        *time += error * LEARNING_RATES.class;
+        let source = &mut self.sources[shape.source as usize % SOURCE_BUCKETS];
+        *source = (*source + error * LEARNING_RATES.source).clamp(-MAX_LOG_FACTOR, MAX_LOG_FACTOR);
         let tenant = shape.tenant as usize;
         if self.tenants.len() <= tenant {
             self.tenants.resize(tenant + 1, 0.0);
         }
-        self.tenants[tenant] = (self.tenants[tenant] + error * FADE.tenant).clamp(-FAR, FAR);
+        self.tenants[tenant] = (self.tenants[tenant] + error * LEARNING_RATES.tenant)
+            .clamp(-MAX_LOG_FACTOR, MAX_LOG_FACTOR);
     }
 }
 
--- a/pure/fair-queue/src/slow/tests.rs
+++ b/pure/fair-queue/src/slow/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn shape(size_kb: f64, tenant: u32, source: u64) -> Shape {
-    Shape {
+fn shape(size_kb: f64, tenant: u32, source: u64) -> RequestShape {
+    RequestShape {
         class: 0,
         size_kb,
         source,
@@ -12,39 +12,42 @@
 }
 
 #[test]
-fn large_objects_far_sources_and_heavy_tenants_are_foretold() {
-    let mut figures = Figures::new(1, 100_000, 3_000_000);
+fn predicts_large_objects_and_heavy_tenants_as_slow() {
+    let mut model = CostModel::new(1, 100_000, 3_000_000);
     assert!(
-        !figures.foretell(&shape(64.0, 0, 0)).slow,
-        "a class that is new is not held back"
+        !model.predict(&shape(64.0, 0, 0)).slow,
+        "a new class is not slow"
     );
-    (0..50).for_each(|_| figures.see(&shape(64.0, 0, 0), 20_000));
-    let own = figures.foretell(&shape(64.0, 0, 0));
+    (0..50).for_each(|_| model.observe(&shape(64.0, 0, 0), 20_000));
+    let own = model.predict(&shape(64.0, 0, 0));
     assert!(own.cost.abs_diff(20_000) < 10 && !own.slow, "{own:?}");
     assert!(
-        figures.foretell(&shape(1_024.0, 0, 0)).slow,
-        "in proportion to what was seen"
+        model.predict(&shape(1_024.0, 0, 0)).slow,
+        "in proportion to the observed size"
     );
-    (0..50).for_each(|_| figures.see(&shape(64.0, 1, 0), 160_000));
+    (0..50).for_each(|_| model.observe(&shape(64.0, 1, 0), 160_000));
     assert!(
-        figures.foretell(&shape(64.0, 1, 0)).slow,
-        "its tenant's take longer"
+        model.predict(&shape(64.0, 1, 0)).slow,
+        "the tenant's requests take longer"
+    );
+    let others = model.predict(&shape(64.0, 0, 0));
+    assert!(
+        others.cost < 40_000,
+        "other tenants are not affected: {others:?}"
     );
-    let others = figures.foretell(&shape(64.0, 0, 0));
-    assert!(others.cost < 40_000, "and not those of others: {others:?}");
 }
 
 #[test]
-fn nothing_told_or_seen_leaves_the_bounds() {
-    let mut figures = Figures::new(2, 100_000, 3_000_000);
+fn predictions_stay_within_bounds_for_any_input() {
+    let mut model = CostModel::new(2, 100_000, 3_000_000);
     for (size, took) in [
         (0.0, 0),
         (f64::NAN, 1),
         (f64::INFINITY, Time::MAX),
         (-5.0, 7),
     ] {
-        (0..40).for_each(|n| figures.see(&shape(size, n, n as u64), took));
-        let cost = figures.foretell(&shape(size, 3, 9)).cost;
+        (0..40).for_each(|n| model.observe(&shape(size, n, n as u64), took));
+        let cost = model.predict(&shape(size, 3, 9)).cost;
         assert!((1..=3_000_000).contains(&cost), "{size} {took}: {cost}");
     }
 }
--- a/pure/fair-queue/src/stock.rs
+++ b/pure/fair-queue/src/stock.rs
@@ -1,163 +1,173 @@
-//! The slots that this process holds, as it uses them: each until an end on its own clock. One in use is not given back,
-//! and none is used for longer than it is surely held.
+//! The slots that this process holds, each until an expiry on its own clock. A slot in use is not returned, and no
+//! slot is used past the expiry of its lease.
 
 use crate::planted::{planted, Fault};
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A slot that this process holds.
 #[derive(Clone, Copy, Debug)]
-struct Slot {
-    turn: u64,
-    until: Time,
-    used: bool,
+struct LeasedSlot {
+    /// Number of the claim that acquired the slot. A later tenure of the same slot has a greater one.
+    tenure: u64,
+    expires_at: Time,
+    in_use: bool,
 }
 
-/// A slot that is given back, by the turn in which it was held.
+/// A slot that is returned, with the tenure that ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Gave {
+pub struct ReturnedSlot {
     pub slot: u16,
-    pub turn: u64,
+    pub tenure: u64,
 }
 
-/// One slot in use.
+/// A slot in use.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Taken {
+pub struct TakenSlot {
     pub slot: u16,
-    /// What runs under it ends by then.
-    pub until: Time,
+    /// When whatever runs under the slot must have ended (us).
+    pub expires_at: Time,
 }
 
+/// The slots of one pool that this process holds.
 #[derive(Debug, Default)]
-pub struct Stock {
-    slots: BTreeMap<u16, Slot>,
-    /// By their ends.
+pub struct HeldSlots {
+    slots: BTreeMap<u16, LeasedSlot>,
+    /// Idle slots, in order of expiry.
     idle: BTreeSet<(Time, u16)>,
-    /// By slot, the last turn that was given back: word of it that comes later is old.
-    given: BTreeMap<u16, u64>,
-    /// More than these are given back as they become idle.
-    most: Option<usize>,
+    /// The last tenure returned, by slot: an event of that tenure or an earlier one arrives late and is ignored.
+    returned: BTreeMap<u16, u64>,
+    /// The most slots to hold; slots beyond it are returned as they become idle.
+    limit: Option<usize>,
 }
 
-impl Stock {
-    /// Slots that no lease bounds: of a pool that is this process's alone.
-    pub fn own(slots: u16) -> Stock {
-        let mut stock = Stock::default();
-        (0..slots).for_each(|slot| stock.held(slot, 0, Time::MAX));
-        stock
+impl HeldSlots {
+    /// Slots without a lease, for a pool that only this process uses.
+    pub fn unleased(slots: u16) -> HeldSlots {
+        let mut held = HeldSlots::default();
+        (0..slots).for_each(|slot| held.hold(slot, 0, Time::MAX));
+        held
     }
 
-    /// A slot is held, or held for longer.
-    pub fn held(&mut self, slot: u16, turn: u64, until: Time) {
-        if self.given.get(&slot).is_some_and(|given| turn <= *given) {
+    /// Adds a slot, or extends one that is held.
+    pub fn hold(&mut self, slot: u16, tenure: u64, expires_at: Time) {
+        if self
+            .returned
+            .get(&slot)
+            .is_some_and(|returned| tenure <= *returned)
+        {
             return;
         }
-        let own = self.slots.entry(slot).or_insert(Slot {
-            turn,
-            until,
-            used: false,
+        let own = self.slots.entry(slot).or_insert(LeasedSlot {
+            tenure,
+            expires_at,
+            in_use: false,
         });
-        let was = own.until;
-        own.turn = own.turn.max(turn);
-        own.until = own.until.max(until);
-        if !own.used {
-            self.idle.remove(&(was, slot));
-            self.idle.insert((own.until, slot));
+        let old_expiry = own.expires_at;
+        own.tenure = own.tenure.max(tenure);
+        own.expires_at = own.expires_at.max(expires_at);
+        if !own.in_use {
+            self.idle.remove(&(old_expiry, slot));
+            self.idle.insert((own.expires_at, slot));
         }
     }
 
-    /// In use, and idle ones that may be used for so long.
-    pub fn size(&self, now: Time, need: Time) -> usize {
-        let end = now.saturating_add(need);
-        let short = match planted(Fault::UsedPastItsLease) {
+    /// Number of slots in use, and of idle slots that may be used for `duration` (us) from now on.
+    pub fn usable(&self, now: Time, duration: Time) -> usize {
+        let end = now.saturating_add(duration);
+        let short = match planted(Fault::UsedPastLease) {
             true => 0,
             false => self
                 .idle
                 .iter()
-                .take_while(|(until, _)| *until < end)
+                .take_while(|(expires_at, _)| *expires_at < end)
                 .count(),
         };
         self.slots.len() - short
     }
 
+    /// Number of idle slots, expired ones included.
     pub fn idle(&self) -> usize {
         self.idle.len()
     }
 
-    pub fn in_use(&self) -> usize {
+    pub fn slots_in_use(&self) -> usize {
         self.slots.len() - self.idle.len()
     }
 
-    /// The one that is held for longest.
-    pub fn take(&mut self, now: Time, need: Time) -> Option<Taken> {
-        let (until, slot) = self.idle.last().copied()?;
-        if now.saturating_add(need) > until && !planted(Fault::UsedPastItsLease) {
+    /// Takes the idle slot with the latest expiry; `None` if none can be used for `duration` (us).
+    pub fn take(&mut self, now: Time, duration: Time) -> Option<TakenSlot> {
+        let (expires_at, slot) = self.idle.last().copied()?;
+        if now.saturating_add(duration) > expires_at && !planted(Fault::UsedPastLease) {
             return None;
         }
-        self.idle.remove(&(until, slot));
-        self.slots.get_mut(&slot)?.used = true;
-        let until = if planted(Fault::UsedPastItsLease) {
+        self.idle.remove(&(expires_at, slot));
+        self.slots.get_mut(&slot)?.in_use = true;
+        let expires_at = if planted(Fault::UsedPastLease) {
             Time::MAX
         } else {
-            until
+            expires_at
         };
-        Some(Taken { slot, until })
+        Some(TakenSlot { slot, expires_at })
     }
 
-    /// What ran under it has ended.
-    pub fn put(&mut self, taken: Taken) -> Option<Gave> {
+    /// Puts back a slot whose request ended. Returns the slot if it is to go back to the fleet, being above the
+    /// limit.
+    pub fn put_back(&mut self, taken: TakenSlot) -> Option<ReturnedSlot> {
         let own = self.slots.get_mut(&taken.slot)?;
-        own.used = false;
-        self.idle.insert((own.until, taken.slot));
-        self.most
-            .is_some_and(|most| self.slots.len() > most)
-            .then(|| self.give(taken.slot))?
+        own.in_use = false;
+        self.idle.insert((own.expires_at, taken.slot));
+        self.limit
+            .is_some_and(|limit| self.slots.len() > limit)
+            .then(|| self.return_slot(taken.slot))?
     }
 
-    fn give(&mut self, slot: u16) -> Option<Gave> {
+    /// Removes a slot that goes back to the fleet.
+    fn return_slot(&mut self, slot: u16) -> Option<ReturnedSlot> {
         if planted(Fault::SlotReturnedTwice) {
-            return self.slots.get(&slot).map(|own| Gave {
+            return self.slots.get(&slot).map(|own| ReturnedSlot {
                 slot,
-                turn: own.turn,
+                tenure: own.tenure,
             });
         }
         let own = self.slots.remove(&slot)?;
-        self.idle.remove(&(own.until, slot));
-        self.given.insert(slot, own.turn);
-        Some(Gave {
+        self.idle.remove(&(own.expires_at, slot));
+        self.returned.insert(slot, own.tenure);
+        Some(ReturnedSlot {
             slot,
-            turn: own.turn,
+            tenure: own.tenure,
         })
     }
 
-    /// Holds no more than these from now on; the idle ones beyond them are given back at once.
-    pub fn keep(&mut self, most: usize) -> Vec<Gave> {
-        self.most = Some(most);
-        let over = self.slots.len().saturating_sub(most);
+    /// Limits how many slots are held. Returns the idle slots beyond the limit, which go back to the fleet.
+    pub fn set_limit(&mut self, limit: usize) -> Vec<ReturnedSlot> {
+        self.limit = Some(limit);
+        let over = self.slots.len().saturating_sub(limit);
         let idle: Vec<u16> = self.idle.iter().map(|(_, slot)| *slot).take(over).collect();
         idle.into_iter()
-            .filter_map(|slot| self.give(slot))
+            .filter_map(|slot| self.return_slot(slot))
             .collect()
     }
 
-    /// Idle slots whose lease is over are gone; those in use go when they are put back.
+    /// Drops idle slots whose lease has expired. A slot in use is dropped after it was put back.
     pub fn expire(&mut self, now: Time) {
-        while let Some((until, slot)) = self
+        while let Some((expires_at, slot)) = self
             .idle
             .first()
             .copied()
-            .filter(|(until, _)| *until <= now)
+            .filter(|(expires_at, _)| *expires_at <= now)
         {
-            self.idle.remove(&(until, slot));
+            self.idle.remove(&(expires_at, slot));
             self.slots.remove(&slot);
         }
     }
 
-    /// Slots that are surely held, none other may hold them; and whether in use.
-    pub fn surely(&self, now: Time) -> impl Iterator<Item = (u16, bool)> + '_ {
+    /// Slots whose lease has not expired, so that no other process holds them, each with whether it is in use.
+    pub fn unexpired(&self, now: Time) -> impl Iterator<Item = (u16, bool)> + '_ {
         self.slots
             .iter()
-            .filter(move |(_, s)| now < s.until)
-            .map(|(at, s)| (*at, s.used))
+            .filter(move |(_, s)| now < s.expires_at)
+            .map(|(at, s)| (*at, s.in_use))
     }
 }
 
--- a/pure/fair-queue/src/tenants.rs
+++ b/pure/fair-queue/src/tenants.rs
@@ -1,52 +1,59 @@
-//! Who a tenant is, and what it weighs. Those named by the settings or the operator's file have a flow of their own; all
-//! others fold into a fixed number of buckets, which together weigh what one number says: memory is bounded for any number
-//! of names, and whoever invents names takes from the unnamed alone.
+//! Identity and weight of tenants. Tenants named by the settings or the operator's file have a flow of their own. All
+//! others are hashed into a fixed number of buckets that share one weight: memory is bounded for any number of names,
+//! and a client that invents names takes slots from unnamed tenants alone.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Weights in thousandths; 0 is served where nothing else waits.
+/// A weight in thousandths. A tenant of weight 0 is served where no other waits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Weight(pub u64);
 
-/// The largest weight that is told apart, in thousandths: keeps sums and products within their types.
-const HEAVIEST: f64 = 1e9;
+/// The largest weight, in thousandths: keeps sums and products within their types.
+const MAX_WEIGHT: f64 = 1e9;
 
 impl Weight {
     pub const ONE: Weight = Weight(1_000);
 
-    /// What is no number, or below 0, weighs nothing; the least above 0 is a thousandth.
-    pub fn of(weight: f64) -> Weight {
+    /// Converts a weight, rounded down to thousandths. NaN and anything not above 0 give 0; the least weight above 0
+    /// is a thousandth.
+    pub fn from_f64(weight: f64) -> Weight {
         match weight > 0.0 {
-            true => Weight((weight * 1_000.0).clamp(1.0, HEAVIEST) as u64),
+            true => Weight((weight * 1_000.0).clamp(1.0, MAX_WEIGHT) as u64),
             false => Weight(0),
         }
     }
 }
 
-/// What a pool's tenants go by.
+/// What identifies a pool's tenants.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum By {
+pub enum TenantBy {
     #[default]
     Tenant,
     Class,
     Caller,
 }
 
-impl By {
-    /// A request's tenant; where the wire tells none, the caller that it proved to be, else its class.
-    pub fn name<'a>(self, tenant: Option<&'a str>, caller: &'a str, class: &'a str) -> &'a str {
+impl TenantBy {
+    /// The tenant of a request. Without a tenant on the wire, it is the authenticated caller, or without one the
+    /// class.
+    pub fn tenant_of<'a>(
+        self,
+        tenant: Option<&'a str>,
+        caller: &'a str,
+        class: &'a str,
+    ) -> &'a str {
         let caller = Some(caller).filter(|caller| !caller.is_empty());
         match self {
-            By::Tenant => tenant.or(caller).unwrap_or(class),
-            By::Caller => caller.unwrap_or(class),
-            By::Class => class,
+            TenantBy::Tenant => tenant.or(caller).unwrap_or(class),
+            TenantBy::Caller => caller.unwrap_or(class),
+            TenantBy::Class => class,
         }
     }
 }
 
-/// A name as digests carry it: the same in every process.
-pub fn key(name: &str) -> u64 {
+/// Hash of a tenant's or pool's name as messages carry it; the same in every process.
+pub fn name_hash(name: &str) -> u64 {
     let hash = blake3::hash(name.as_bytes());
     hash.as_bytes()
         .iter()
@@ -54,23 +61,23 @@
         .fold(0, |key, byte| key << 8 | *byte as u64)
 }
 
-/// The flow of a name: those of the buckets come first, and stay.
+/// Maps names to the indices of flows. The buckets have the lowest indices, for good.
 #[derive(Debug)]
 pub struct Tenants {
     buckets: u32,
     named: HashMap<Arc<str>, u32>,
-    keys: HashMap<u64, u32>,
-    pub unnamed: Weight,
+    by_hash: HashMap<u64, u32>,
+    pub unnamed_weight: Weight,
 }
 
 impl Tenants {
-    /// `buckets`: at least one.
-    pub fn new(buckets: u32, unnamed: Weight) -> Tenants {
+    /// `buckets` is at least 1; 0 counts as 1.
+    pub fn new(buckets: u32, unnamed_weight: Weight) -> Tenants {
         Tenants {
             buckets: buckets.max(1),
             named: HashMap::new(),
-            keys: HashMap::new(),
-            unnamed,
+            by_hash: HashMap::new(),
+            unnamed_weight,
         }
     }
 
@@ -78,28 +85,29 @@
         self.buckets
     }
 
-    pub fn find(&self, name: &str) -> u32 {
+    /// The flow of a tenant: its own if it is named, else a bucket.
+    pub fn flow_of(&self, name: &str) -> u32 {
         self.named
             .get(name)
             .copied()
-            .unwrap_or_else(|| self.bucket(key(name)))
+            .unwrap_or_else(|| self.bucket_of(name_hash(name)))
     }
 
-    /// By which virtual time the unnamed go together: one of no weight is served where nothing else waits.
-    pub fn group_class(&self) -> usize {
-        (self.unnamed.0 == 0) as usize
+    /// Index of the virtual time that orders the group of unnamed tenants: 1 if their weight is 0, else 0.
+    pub fn group_clock(&self) -> usize {
+        (self.unnamed_weight.0 == 0) as usize
     }
 
-    fn bucket(&self, key: u64) -> u32 {
+    fn bucket_of(&self, key: u64) -> u32 {
         (key % self.buckets as u64) as u32
     }
 
-    /// As [`Tenants::find`], of a digest's key: that of a name, or of a bucket ([`Tenants::key_of`]).
-    pub fn find_key(&self, key: u64) -> u32 {
-        self.keys
+    /// As [`Tenants::flow_of`], by the key in a digest: the hash of a name, or the number of a bucket.
+    pub fn flow_of_hash(&self, key: u64) -> u32 {
+        self.by_hash
             .get(&key)
             .copied()
-            .unwrap_or_else(|| self.bucket(key))
+            .unwrap_or_else(|| self.bucket_of(key))
     }
 
     pub fn named(&self) -> impl Iterator<Item = (&Arc<str>, u32)> {
@@ -107,12 +115,12 @@
     }
 
     pub fn add(&mut self, name: Arc<str>, flow: u32) {
-        self.keys.insert(key(&name), flow);
+        self.by_hash.insert(name_hash(&name), flow);
         self.named.insert(name, flow);
     }
 
     pub fn remove(&mut self, name: &str) -> Option<u32> {
-        self.keys.remove(&key(name));
+        self.by_hash.remove(&name_hash(name));
         self.named.remove(name)
     }
 }
--- a/pure/fair-queue/tests/common/spare.rs
+++ b/pure/fair-queue/tests/common/idle_slots.rs
@@ -1,9 +1,9 @@
-//! Slots that nobody uses while anything waits.
+//! Accounting of slots that are not in use while requests wait.
 
 use super::*;
 
-impl World {
-    /// Slot time in use while anything waits at a process that is up.
+impl Simulation {
+    /// Adds the time since the last call, if a request waits at a process that is up.
     pub(super) fn count(&mut self, to: Time) {
         let waits = self
             .processes
@@ -12,7 +12,7 @@
         if waits && to > self.counted {
             let span = (to - self.counted) as f64;
             self.busy.0 += span * self.running as f64;
-            self.busy.1 += span * self.plan.slots as f64;
+            self.busy.1 += span * self.config.slots as f64;
             let (mut held, own) = (0, |waits: bool| {
                 move |p: &&Process| p.up && (p.local.sizes()[1] > 0) == waits
             });
@@ -21,12 +21,12 @@
                     .processes
                     .iter()
                     .filter(own(waits))
-                    .map(|p| p.local.stock().idle())
+                    .map(|p| p.local.held_slots().idle())
                     .sum();
-                self.spare[at] += span * idle as f64;
+                self.unused[at] += span * idle as f64;
                 held += idle;
             }
-            self.spare[2] += span * (self.plan.slots as f64 - self.running as f64 - held as f64);
+            self.unused[2] += span * (self.config.slots as f64 - self.running as f64 - held as f64);
         }
         self.counted = self.counted.max(to);
     }
--- a/pure/fair-queue/tests/common/mod.rs
+++ b/pure/fair-queue/tests/common/mod.rs
@@ -1,13 +1,15 @@
-//! A fleet in virtual time: processes with clocks of their own, links that lose, delay and are cut, tenants that ask, and a
-//! pool behind that counts what runs there under each slot.
+//! A fleet in virtual time: processes with their own clocks, links that lose and delay messages and fail, tenants
+//! that send requests, and a backend that counts what runs under each slot.
 #![allow(dead_code)]
 
-use foldmux_fair_queue::local::{Asked, InUse, Local, Request, Then, Ticket};
+use foldmux_fair_queue::local_pool::{
+    LocalPool, PoolAdmission, PoolDispatch, Request, SlotInUse, Ticket,
+};
 use foldmux_fair_queue::queue::Setup;
 use foldmux_fair_queue::slots::{FleetSetup, PoolSetup};
-use foldmux_fair_queue::slow::Figures;
-use foldmux_fair_queue::tenants::{key, Weight};
-use foldmux_fair_queue::{Ask, FleetSlots, Message, Peer, Stock, Time};
+use foldmux_fair_queue::slow::CostModel;
+use foldmux_fair_queue::tenants::{name_hash, Weight};
+use foldmux_fair_queue::{Command, FleetSlots, HeldSlots, Message, Peer, Time};
 use foldmux_replicas::{
     ClockDrift, Effect, Effects, ReplicaConfiguration, ReplicaSet, StateMachine,
 };
@@ -15,24 +17,24 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 pub mod checks;
-pub mod names;
-pub mod one;
-mod spare;
-pub mod tenants;
+mod idle_slots;
+pub mod peers;
+pub mod queue_simulation;
+pub mod workload;
 #[allow(unused_imports)]
-pub use names::{index, peer};
+pub use peers::{index, peer};
 #[allow(unused_imports)]
-pub use tenants::{jain, percentile, Figure, Stream};
+pub use workload::{jain, percentile, Workload, WorkloadStats};
 
 pub const POOL: u64 = 77;
 pub const LONGEST: Time = 1_000_000;
 pub const LEASE: Time = 2_500_000;
 
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct SimulationConfig {
     pub processes: usize,
     pub slots: u16,
-    /// Off: first come, first served.
+    /// If false, first come, first served.
     pub fair: bool,
     pub seed: u64,
     pub loss: f64,
@@ -40,10 +42,10 @@
     pub waiting: usize,
 }
 
-impl Default for Plan {
-    fn default() -> Plan {
+impl Default for SimulationConfig {
+    fn default() -> SimulationConfig {
         let (loss, delay, waiting) = (0.0, (200, 2_000), 20_000);
-        Plan {
+        SimulationConfig {
             processes: 1,
             slots: 16,
             fair: true,
@@ -56,15 +58,15 @@
 }
 
 pub struct Process {
-    pub local: Local,
+    pub local: LocalPool,
     pub fleet: Option<FleetSlots>,
     pub up: bool,
     pub paused_until: Time,
-    pub life: u64,
-    /// Its clock: an offset, and how fast it runs in millionths.
-    offset: Time,
-    ppm: i64,
-    used: BTreeMap<u64, InUse>,
+    pub incarnation: u64,
+    /// The process's clock: its offset (us), and its drift in millionths.
+    clock_offset: Time,
+    clock_drift_ppm: i64,
+    slot_in_use: BTreeMap<u64, SlotInUse>,
     waits: BTreeMap<u64, Ticket>,
 }
 
@@ -72,50 +74,51 @@
     Deliver {
         to: usize,
         from: usize,
-        life: u64,
+        incarnation: u64,
         message: Box<Message>,
     },
     Tick(usize),
     Arrive(usize),
     End {
         process: usize,
-        life: u64,
+        incarnation: u64,
         id: u64,
     },
-    Known {
+    EndReported {
         process: usize,
-        life: u64,
+        incarnation: u64,
         id: u64,
     },
 }
 
-/// One request, from where it stands at the client.
-struct Open {
-    stream: usize,
+/// A request that its client has not given up or seen end.
+struct OpenRequest {
+    workload: usize,
     process: usize,
-    came: Time,
-    takes: Time,
+    arrived_at: Time,
+    duration: Time,
     started: bool,
 }
 
-pub struct World {
-    pub plan: Plan,
+pub struct Simulation {
+    pub config: SimulationConfig,
     pub now: Time,
     pub processes: Vec<Process>,
-    pub streams: Vec<Stream>,
-    pub figures: Vec<Figure>,
-    /// What runs behind, by slot: how many at once.
-    pub behind: BTreeMap<u16, u32>,
+    pub workloads: Vec<Workload>,
+    pub stats: Vec<WorkloadStats>,
+    /// Number of requests running at the backend, by slot.
+    pub backend: BTreeMap<u16, u32>,
     pub running: usize,
-    /// Slots held by two at once, or more running than there are slots.
-    pub overrun: usize,
-    pub most_running: usize,
-    /// Slot time in use, and what was to be had while anything waited.
+    /// How often two processes held the same slot, or two requests ran under one.
+    pub violations: usize,
+    pub max_running: usize,
+    /// Slot time in use and slot time available while requests waited.
     pub busy: (f64, f64),
-    /// Of what was not in use: idle where none waits, idle where one does, held by none.
-    pub spare: [f64; 3],
-    pub cut: BTreeSet<(usize, usize)>,
-    open: BTreeMap<u64, Open>,
+    /// Slot time not in use: idle at a process where no request waits, idle at one where some wait, held by no
+    /// process.
+    pub unused: [f64; 3],
+    pub blocked_links: BTreeSet<(usize, usize)>,
+    open: BTreeMap<u64, OpenRequest>,
     heap: BinaryHeap<Reverse<(Time, u64)>>,
     events: BTreeMap<u64, Event>,
     next: u64,
@@ -124,101 +127,101 @@
     counted: Time,
 }
 
-impl World {
-    pub fn new(plan: Plan, streams: Vec<Stream>) -> World {
-        let mut world = World {
-            rng: fastrand::Rng::with_seed(plan.seed),
+impl Simulation {
+    pub fn new(config: SimulationConfig, workloads: Vec<Workload>) -> Simulation {
+        let mut simulation = Simulation {
+            rng: fastrand::Rng::with_seed(config.seed),
             now: 1_000,
             processes: Vec::new(),
-            figures: streams.iter().map(|_| Figure::default()).collect(),
-            weights: streams
+            stats: workloads.iter().map(|_| WorkloadStats::default()).collect(),
+            weights: workloads
                 .iter()
-                .map(|s| (s.tenant.as_str().into(), Weight::of(s.weight)))
+                .map(|s| (s.tenant.as_str().into(), Weight::from_f64(s.weight)))
                 .collect(),
-            streams,
-            behind: BTreeMap::new(),
+            workloads,
+            backend: BTreeMap::new(),
             running: 0,
-            overrun: 0,
-            most_running: 0,
+            violations: 0,
+            max_running: 0,
             busy: (0.0, 0.0),
-            spare: [0.0; 3],
-            cut: BTreeSet::new(),
+            unused: [0.0; 3],
+            blocked_links: BTreeSet::new(),
             open: BTreeMap::new(),
             heap: BinaryHeap::new(),
             events: BTreeMap::new(),
             next: 0,
             counted: 0,
-            plan,
+            config,
         };
-        for at in 0..world.plan.processes {
-            let (offset, ppm) = (
-                world.rng.u64(0..1_000_000_000),
-                world.rng.i64(-9_000..9_000),
+        for at in 0..simulation.config.processes {
+            let (clock_offset, clock_drift_ppm) = (
+                simulation.rng.u64(0..1_000_000_000),
+                simulation.rng.i64(-9_000..9_000),
             );
-            let process = world.process(at, offset, ppm);
-            world.processes.push(process);
-            world.at(1_000, Event::Tick(at));
+            let process = simulation.process(at, clock_offset, clock_drift_ppm);
+            simulation.processes.push(process);
+            simulation.at(1_000, Event::Tick(at));
         }
-        (0..world.streams.len()).for_each(|stream| world.arrive_next(stream, true));
-        world
+        (0..simulation.workloads.len()).for_each(|workload| simulation.arrive_next(workload, true));
+        simulation
     }
 
-    fn process(&mut self, at: usize, offset: Time, ppm: i64) -> Process {
-        let life = self.rng.u64(1..);
+    fn process(&mut self, at: usize, clock_offset: Time, clock_drift_ppm: i64) -> Process {
+        let incarnation = self.rng.u64(1..);
         let setup = Setup {
             slots: 0,
             slow_share: 0.5,
-            longest: LONGEST,
-            waiting: self.plan.waiting,
+            max_slot_time: LONGEST,
+            max_waiting: self.config.waiting,
             buckets: 64,
-            unnamed: Weight::ONE,
+            unnamed_weight: Weight::ONE,
         };
-        let slow_over = if self.plan.fair { 100_000 } else { Time::MAX };
-        let figures = Figures::new(2, slow_over, LONGEST);
-        let alone = self.plan.processes == 1;
-        let stock = if alone {
-            Stock::own(self.plan.slots)
+        let slow_threshold = if self.config.fair { 100_000 } else { Time::MAX };
+        let cost_model = CostModel::new(2, slow_threshold, LONGEST);
+        let single_process = self.config.processes == 1;
+        let held_slots = if single_process {
+            HeldSlots::unleased(self.config.slots)
         } else {
-            Stock::default()
+            HeldSlots::default()
         };
-        let mut local = Local::new(POOL, setup, figures, stock);
+        let mut local = LocalPool::new(POOL, setup, cost_model, held_slots);
         let mut process = Process {
             fleet: None,
             up: true,
             paused_until: 0,
-            life,
-            offset,
-            ppm,
-            used: BTreeMap::new(),
+            incarnation,
+            clock_offset,
+            clock_drift_ppm,
+            slot_in_use: BTreeMap::new(),
             waits: BTreeMap::new(),
-            local: Local::new(POOL, setup, Figures::new(1, 1, 1), Stock::default()),
+            local: LocalPool::new(POOL, setup, CostModel::new(1, 1, 1), HeldSlots::default()),
         };
         let now = process.clock(self.now);
-        local.retune(now, &self.weights, Weight::ONE);
+        local.set_weights(now, &self.weights, Weight::ONE);
         process.local = local;
-        if !alone {
-            let peers: Vec<Peer> = (0..self.plan.processes.max(3)).map(peer).collect();
-            let seats = ReplicaConfiguration::stable(
-                ReplicaSet::new(peers.clone()).expect("three at least"),
+        if !single_process {
+            let peers: Vec<Peer> = (0..self.config.processes.max(3)).map(peer).collect();
+            let replicas = ReplicaConfiguration::stable(
+                ReplicaSet::new(peers.clone()).expect("at least three peers"),
             );
             let weights = self
                 .weights
                 .iter()
-                .map(|(name, w)| (key(name), w.0))
+                .map(|(name, w)| (name_hash(name), w.0))
                 .collect();
             let pool = PoolSetup {
                 key: POOL,
-                slots: self.plan.slots,
+                slots: self.config.slots,
                 lease: LEASE,
                 weights,
-                unnamed: 1_000,
+                unnamed_weight: 1_000,
             };
-            let drift = ClockDrift::from_percent(1.0).expect("a drift");
+            let drift = ClockDrift::from_percent(1.0).expect("valid drift");
             let setup = FleetSetup {
                 own: peer(at),
-                life,
+                incarnation,
                 peers,
-                seats,
+                replicas,
                 drift,
                 pools: vec![pool],
             };
@@ -240,13 +243,13 @@
             self.count(time);
             self.now = self.now.max(time);
             let event = self.events.remove(&id).expect("once");
-            self.happen(event);
+            self.handle(event);
         }
         self.count(until);
         self.now = until;
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Tick(at) if !self.awake(at) => self.later(at, Event::Tick(at)),
             Event::Tick(at) => {
@@ -256,17 +259,19 @@
             Event::Deliver {
                 to,
                 from,
-                life,
+                incarnation,
                 message,
             } => {
-                if self.cut.contains(&(from, to)) || self.processes[to].life != life {
+                if self.blocked_links.contains(&(from, to))
+                    || self.processes[to].incarnation != incarnation
+                {
                 } else if !self.awake(to) {
                     self.later(
                         to,
                         Event::Deliver {
                             to,
                             from,
-                            life,
+                            incarnation,
                             message,
                         },
                     );
@@ -276,12 +281,20 @@
                     });
                 }
             }
-            Event::Arrive(stream) => self.arrive(stream),
-            Event::End { process, life, id } => {
-                self.leave_behind(id as u16);
-                self.known(process, life, id >> 16);
+            Event::Arrive(workload) => self.arrive(workload),
+            Event::End {
+                process,
+                incarnation,
+                id,
+            } => {
+                self.release_backend(id as u16);
+                self.observe_end(process, incarnation, id >> 16);
             }
-            Event::Known { process, life, id } => self.known(process, life, id),
+            Event::EndReported {
+                process,
+                incarnation,
+                id,
+            } => self.observe_end(process, incarnation, id),
         }
     }
 
@@ -294,7 +307,7 @@
         self.at(wake.max(self.now + 1), event);
     }
 
-    /// Calls a process's fleet side, and does what it wants done.
+    /// Calls a process's `FleetSlots` and carries out its effects.
     fn fleet(
         &mut self,
         at: usize,
@@ -308,10 +321,10 @@
         call(fleet, now, &mut out);
         for act in out {
             match act {
-                Effect::Emit(told) => self.processes[at].local.told(now, told),
+                Effect::Emit(event) => self.processes[at].local.on_event(now, event),
                 Effect::Send { to, message } => self.send(at, index(&to), message),
             }
         }
-        self.go_on(at);
+        self.dispatch(at);
     }
 }
--- a/pure/fair-queue/tests/common/names.rs
+++ b/pure/fair-queue/tests/common/peers.rs
@@ -1,4 +1,4 @@
-//! Processes by their numbers.
+//! Names of processes by their indices.
 
 use super::Peer;
 
@@ -7,5 +7,5 @@
 }
 
 pub fn index(peer: &Peer) -> usize {
-    peer.as_str()[1..].parse().expect("n and a number")
+    peer.as_str()[1..].parse().expect("a name like n0")
 }
--- a/pure/fair-queue/tests/formats.rs
+++ b/pure/fair-queue/tests/formats.rs
@@ -1,75 +1,75 @@
-//! The bytes of messages between processes, against fixtures.
+//! The encoding of messages between processes, compared with fixtures.
 
 #[path = "../../../tests/formats/postcard.rs"]
 mod fixtures;
 
-use foldmux_fair_queue::digest::{Digest, Use};
-use foldmux_fair_queue::message::Word;
+use foldmux_fair_queue::digest::{Digest, TenantUsage};
+use foldmux_fair_queue::message::MessageBody;
 use foldmux_fair_queue::Message;
 
-/// The message's name in the fixtures. A new variant needs a name here and a fixture.
-fn variant(word: &Word) -> &'static str {
-    match word {
-        Word::Claim { .. } => "claim",
-        Word::Granted { .. } => "granted",
-        Word::Free { .. } => "release",
-        Word::Vacant { .. } => "vacant",
-        Word::Digest(_) => "digest",
+/// The name of a message in the fixtures. A new variant needs a name here and a fixture.
+fn variant(body: &MessageBody) -> &'static str {
+    match body {
+        MessageBody::Claim { .. } => "claim",
+        MessageBody::ClaimReply { .. } => "granted",
+        MessageBody::Release { .. } => "release",
+        MessageBody::Vacant { .. } => "vacant",
+        MessageBody::Digest(_) => "digest",
     }
 }
 
-fn words() -> Vec<Word> {
+fn bodies() -> Vec<MessageBody> {
     vec![
-        Word::Claim {
-            life: 301,
+        MessageBody::Claim {
+            incarnation: 301,
             number: 302,
             slots: vec![1, 303],
-            more: 304,
+            additional: 304,
         },
-        Word::Granted {
-            life: 305,
+        MessageBody::ClaimReply {
+            incarnation: 305,
             number: 306,
-            slots: vec![2],
+            granted: vec![2],
             refused: vec![3, 307],
             vacant: vec![4, 5, 308],
         },
-        Word::Free {
-            life: 309,
+        MessageBody::Release {
+            incarnation: 309,
             number: 310,
             slots: vec![6],
         },
-        Word::Vacant {
+        MessageBody::Vacant {
             slots: vec![7, 311],
         },
-        Word::Digest(Digest {
-            life: 312,
+        MessageBody::Digest(Digest {
+            incarnation: 312,
             held: 313,
-            uses: vec![Use {
+            usage: vec![TenantUsage {
                 tenant: 314,
                 used: 315,
-                wants: 316,
+                wanted: 316,
             }],
         }),
     ]
 }
 
 #[test]
-fn the_bytes_of_messages_stay() {
-    let message = |word| Message {
+fn message_encoding_is_unchanged() {
+    let message = |body| Message {
         pool: 0x0102_0304_0506_0708,
-        word,
+        body,
     };
-    let named: Vec<_> = words()
+    let named: Vec<_> = bodies()
         .into_iter()
-        .map(|word| (variant(&word), message(word)))
+        .map(|body| (variant(&body), message(body)))
         .collect();
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/formats/messages.hex");
     fixtures::check(path, &named);
 }
 
 #[test]
-fn the_hash_of_a_pool_name_stays() {
-    let hash = foldmux_fair_queue::tenants::key("origin");
+fn pool_name_hash_is_unchanged() {
+    let hash = foldmux_fair_queue::tenants::name_hash("origin");
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/formats/pools.hex");
     fixtures::check(path, &[("origin", hash)]);
 }
--- a/pure/fair-queue/tests/leases.rs
+++ b/pure/fair-queue/tests/leases.rs
@@ -1,5 +1,6 @@
-//! A pool's slots under drawn kills, restarts, pauses, cuts, losses and reloads, beside a plain model of who is up and who
-//! hears whom: never over the cap; what a dead or silent process held comes back once, and all of it.
+//! A pool's slots under random crashes, restarts, pauses, link failures and shutdowns, with a model of which
+//! processes run: the pool's limit is never exceeded, and the slots of a crashed or unreachable process become vacant
+//! exactly once, all of them.
 
 mod common;
 use common::*;
@@ -21,8 +22,8 @@
     Kill(usize),
     Restart(usize),
     Pause(usize, u64),
-    Cut(usize, usize),
-    Mend,
+    BlockLink(usize, usize),
+    Heal,
     Leave(usize),
 }
 
@@ -46,8 +47,8 @@
             2 => at().prop_map(Step::Kill),
             2 => at().prop_map(Step::Restart),
             1 => (at(), 100_000..4_000_000u64).prop_map(|(at, time)| Step::Pause(at, time)),
-            2 => (at(), at()).prop_map(|(from, to)| Step::Cut(from, to)),
-            1 => Just(Step::Mend),
+            2 => (at(), at()).prop_map(|(from, to)| Step::BlockLink(from, to)),
+            1 => Just(Step::Heal),
             1 => at().prop_map(Step::Leave),
         ]
         .boxed()
@@ -74,85 +75,97 @@
 struct Fleet;
 
 impl StateMachineTest for Fleet {
-    type SystemUnderTest = World;
+    type SystemUnderTest = Simulation;
     type Reference = Model;
 
-    fn init_test(model: &Model) -> World {
-        let stream = Stream {
+    fn init_test(model: &Model) -> Simulation {
+        let workload = Workload {
             tenant: "a".into(),
             weight: 1.0,
-            by: (0..PROCESSES).collect(),
+            processes: (0..PROCESSES).collect(),
             rate: 0.0,
             open: 6,
-            takes: (10_000, 900_000),
-            patience: 3_000_000,
-            from: 1_000,
+            durations: (10_000, 900_000),
+            timeout: 3_000_000,
+            start_at: 1_000,
         };
         let slots = SLOTS as u16;
-        let plan = Plan {
+        let config = SimulationConfig {
             processes: PROCESSES,
             slots,
             seed: model.seed,
             loss: 0.03,
-            ..Plan::default()
+            ..SimulationConfig::default()
         };
-        let mut world = World::new(plan, vec![stream]);
-        world.run(4_000_000);
-        world
+        let mut simulation = Simulation::new(config, vec![workload]);
+        simulation.run(4_000_000);
+        simulation
     }
 
-    fn apply(mut world: World, _: &Model, step: Step) -> World {
+    fn apply(mut simulation: Simulation, _: &Model, step: Step) -> Simulation {
         match step {
-            Step::Run(time) => world.run(world.now + time),
-            Step::Kill(at) => world.kill(at),
-            Step::Restart(at) => world.restart(at),
-            Step::Pause(at, time) => world.pause(at, time),
-            Step::Cut(from, to) if from != to => {
-                world.cut.insert((from, to));
+            Step::Run(time) => simulation.run(simulation.now + time),
+            Step::Kill(at) => simulation.kill(at),
+            Step::Restart(at) => simulation.restart(at),
+            Step::Pause(at, time) => simulation.pause(at, time),
+            Step::BlockLink(from, to) if from != to => {
+                simulation.blocked_links.insert((from, to));
             }
-            Step::Cut(..) => {}
-            Step::Mend => world.cut.clear(),
+            Step::BlockLink(..) => {}
+            Step::Heal => simulation.blocked_links.clear(),
             Step::Leave(at) => {
-                world.leave(at);
-                world.run(world.now + 50_000);
-                world.kill(at);
+                simulation.leave(at);
+                simulation.run(simulation.now + 50_000);
+                simulation.kill(at);
             }
         }
-        world.run(world.now + 10_000);
-        world
+        simulation.run(simulation.now + 10_000);
+        simulation
     }
 
-    fn check_invariants(world: &World, model: &Model) {
-        assert_eq!(world.overrun, 0, "a slot held by two, or running twice");
-        assert!(world.most_running <= SLOTS);
-        let up: Vec<bool> = world.processes.iter().map(|p| p.up).collect();
+    fn check_invariants(simulation: &Simulation, model: &Model) {
+        assert_eq!(
+            simulation.violations, 0,
+            "a slot held by two processes or used by two requests"
+        );
+        assert!(simulation.max_running <= SLOTS);
+        let up: Vec<bool> = simulation.processes.iter().map(|p| p.up).collect();
         assert_eq!(up, model.up);
     }
 
-    fn teardown(mut world: World, _: Model) {
-        world.cut.clear();
+    fn teardown(mut simulation: Simulation, _: Model) {
+        simulation.blocked_links.clear();
         (0..PROCESSES)
-            .filter(|at| !world.processes[*at].up)
+            .filter(|at| !simulation.processes[*at].up)
             .collect::<Vec<_>>()
             .into_iter()
-            .for_each(|at| world.restart(at));
-        world.run(world.now + 4_000_000 + 3 * LEASE);
-        // One or two are on their way from one to another now and then.
+            .for_each(|at| simulation.restart(at));
+        simulation.run(simulation.now + 4_000_000 + 3 * LEASE);
+        // One or two slots may be moving between processes at any moment.
         let held = (0..40).map(|_| {
-            world.run(world.now + 50_000);
-            world
+            simulation.run(simulation.now + 50_000);
+            simulation
                 .processes
                 .iter()
-                .map(|p| p.local.stock().surely(p.clock(world.now)).count())
+                .map(|p| {
+                    p.local
+                        .held_slots()
+                        .unexpired(p.clock(simulation.now))
+                        .count()
+                })
                 .sum::<usize>()
         });
         let held = held.max().unwrap_or(0);
-        assert_eq!((held, world.overrun), (SLOTS, 0), "slots that came back");
+        assert_eq!(
+            (held, simulation.violations),
+            (SLOTS, 0),
+            "slots held again in the end"
+        );
     }
 }
 
 prop_state_machine! {
     #![proptest_config(ProptestConfig { cases: 24, max_shrink_iters: 200, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn slots_come_back_once_and_never_pass_the_cap(sequential 1..24 => Fleet);
+    fn slots_return_once_and_never_exceed_the_pool(sequential 1..24 => Fleet);
 }
--- a/rigs/fleet-simulator/src/node.rs
+++ b/rigs/fleet-simulator/src/node.rs
@@ -162,7 +162,7 @@
 }
 
 pub fn pool_key(pool: usize) -> u64 {
-    foldmux_fair_queue::tenants::key(&format!("p{pool}"))
+    foldmux_fair_queue::tenants::name_hash(&format!("p{pool}"))
 }
 
 /// Seats speak for all pools; the others use their own, and tell those who use it too.
@@ -175,7 +175,7 @@
         slots: SLOTS,
         lease: SLOT_LEASE,
         weights: Default::default(),
-        unnamed: 1_000,
+        unnamed_weight: 1_000,
     };
     let peers = (0..plan.instances)
         .filter(|peer| own.is_some() && pool(*peer) == own)
@@ -184,9 +184,9 @@
     let seats = ReplicaConfiguration::stable(seats());
     FleetSetup {
         own: name(at),
-        life,
+        incarnation: life,
         peers,
-        seats,
+        replicas: seats,
         drift: drift(),
         pools: mine.map(setup).collect(),
     }
--- a/rigs/fleet-simulator/src/pools.rs
+++ b/rigs/fleet-simulator/src/pools.rs
@@ -3,10 +3,10 @@
 use crate::net::{Event, World};
 use crate::node::{pool_key, Local, Parts};
 use crate::plan::*;
-use foldmux_fair_queue::local::{Asked, InUse, Local as Queue, Request, Then};
+use foldmux_fair_queue::local_pool::{LocalPool, PoolAdmission, PoolDispatch, Request, SlotInUse};
 use foldmux_fair_queue::queue::Setup;
-use foldmux_fair_queue::slow::Figures;
-use foldmux_fair_queue::{Ask, FleetSlots, Stock, Told, Weight};
+use foldmux_fair_queue::slow::CostModel;
+use foldmux_fair_queue::{self as fair_queue, FleetSlots, HeldSlots, Weight};
 use foldmux_harness::record::{Event as Said, Time};
 use foldmux_membership as members;
 use foldmux_relay as relay;
@@ -18,8 +18,8 @@
 const STEP: Time = 20 * MS;
 
 pub struct Pools {
-    queue: Queue,
-    used: HashMap<u64, InUse>,
+    queue: LocalPool,
+    used: HashMap<u64, SlotInUse>,
     takes: HashMap<u64, Time>,
 }
 
@@ -28,16 +28,16 @@
         let setup = Setup {
             slots: 0,
             slow_share: 0.5,
-            longest: SLOT_LONGEST,
-            waiting: 200,
+            max_slot_time: SLOT_LONGEST,
+            max_waiting: 200,
             buckets: 8,
-            unnamed: Weight::ONE,
+            unnamed_weight: Weight::ONE,
         };
-        let queue = Queue::new(
+        let queue = LocalPool::new(
             pool_key(pool),
             setup,
-            Figures::new(1, 100 * MS, SLOT_LONGEST),
-            Stock::default(),
+            CostModel::new(1, 100 * MS, SLOT_LONGEST),
+            HeldSlots::default(),
         );
         Pools {
             queue,
@@ -62,7 +62,7 @@
         let Some(pools) = &self.nodes[at].pools else {
             return;
         };
-        let uses = pools.queue.uses(clock);
+        let uses = pools.queue.usage_report(clock);
         self.drive::<FleetSlots>(at, |part, now, out| part.on_command(now, uses, out));
         // Half as much again as there is, of the pool's instances together.
         if self.nodes[at].pools.is_some() && self.rng.u8(..3) == 0 {
@@ -84,28 +84,28 @@
             size_kb: takes as f64 / 1_000.0,
             source: 1,
             deadline: clock + SECOND,
-            repeat: false,
+            is_retry: false,
         };
         let Some(pools) = &mut self.nodes[at].pools else {
             return;
         };
         pools.takes.insert(id, takes);
         match pools.queue.enter(clock, &request) {
-            Asked::Now(used) => self.begin_slot(at, id, used),
-            Asked::Waits(_) => {}
-            Asked::Refused(_) => {
+            PoolAdmission::Started(used) => self.begin_slot(at, id, used),
+            PoolAdmission::Queued(_) => {}
+            PoolAdmission::Rejected(_) => {
                 pools.takes.remove(&id);
             }
         }
     }
 
-    fn begin_slot(&mut self, at: usize, id: u64, used: InUse) {
+    fn begin_slot(&mut self, at: usize, id: u64, used: SlotInUse) {
         let (clock, by) = (self.clock(at), at);
         let (Some(pool), Some(pools)) = (pool(at), &mut self.nodes[at].pools) else {
             return;
         };
         // What runs is cut off at its bound.
-        let bound = used.until().saturating_sub(clock).min(SLOT_LONGEST);
+        let bound = used.expires_at().saturating_sub(clock).min(SLOT_LONGEST);
         let takes = pools.takes.remove(&id).unwrap_or(0).min(bound);
         pools.used.insert(id, used);
         self.say(Said::Taken {
@@ -122,7 +122,7 @@
             return;
         };
         if let Some(used) = pools.used.remove(&id) {
-            pools.queue.ended(clock, used);
+            pools.queue.finish(clock, used);
         }
         self.go_on(at);
     }
@@ -135,8 +135,8 @@
             .and_then(|pools| pools.queue.next(clock))
         {
             match then {
-                Then::Start(id, used) => self.begin_slot(at, id, used),
-                Then::Late(id) => {
+                PoolDispatch::Start(id, used) => self.begin_slot(at, id, used),
+                PoolDispatch::TimedOut(id) => {
                     self.nodes[at].pools.iter_mut().for_each(|pools| {
                         pools.takes.remove(&id);
                     });
@@ -146,16 +146,16 @@
         if let Some(gave) = self.nodes[at]
             .pools
             .as_mut()
-            .and_then(|pools| pools.queue.gave())
+            .and_then(|pools| pools.queue.take_returned())
         {
             self.drive::<FleetSlots>(at, |part, now, out| part.on_command(now, gave, out));
         }
     }
 
-    pub fn pool_told(&mut self, at: usize, told: Told) {
+    pub fn pool_told(&mut self, at: usize, told: fair_queue::Event) {
         let clock = self.clock(at);
         if let Some(pools) = &mut self.nodes[at].pools {
-            pools.queue.told(clock, told);
+            pools.queue.on_event(clock, told);
             self.go_on(at);
         }
     }
@@ -167,7 +167,7 @@
             if let (Some(pool), Some(pools)) = (pool(at), &self.nodes[at].pools) {
                 let all = held.entry(pool).or_default();
                 *all = (
-                    all.0 + pools.queue.stock().surely(self.clock(at)).count(),
+                    all.0 + pools.queue.held_slots().unexpired(self.clock(at)).count(),
                     all.1 + 1,
                 );
             }
@@ -240,8 +240,9 @@
                 });
                 let pool = pool(at).map(pool_key);
                 self.drive::<FleetSlots>(at, |part, now, out| {
-                    pool.iter()
-                        .for_each(|pool| part.on_command(now, Ask::Leaving { pool: *pool }, out));
+                    pool.iter().for_each(|pool| {
+                        part.on_command(now, fair_queue::Command::Leave { pool: *pool }, out)
+                    });
                 });
                 self.drive::<members::Members>(at, |part, now, out| {
                     part.on_command(now, members::Command::Leave, out)
