--- a/edge/proxy/src/pool_permits.rs
+++ b/edge/proxy/src/pool_permits.rs
@@ -234,6 +234,7 @@
     (now.as_nanos() as u64 ^ seed.rotate_left(32) ^ std::process::id() as u64).max(1)
 }
 
+/// Passes events of the slots' state machine to the pools.
 struct SlotEvents(Arc<PoolPermits>);
 
 impl Sink<Event> for SlotEvents {
--- a/edge/proxy/src/pool_permits/pool.rs
+++ b/edge/proxy/src/pool_permits/pool.rs
@@ -27,6 +27,7 @@
 
 struct State {
     local: LocalPool,
+    /// How to wake each waiting request, by its id.
     waiting: HashMap<u64, Sender<Wakeup>>,
 }
 
--- a/pure/fair-queue/src/digest.rs
+++ b/pure/fair-queue/src/digest.rs
@@ -26,6 +26,7 @@
 /// Usage and demand of one tenant at one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantUsage {
+    /// The hash of a named tenant's name, or the number of a bucket.
     pub tenant: u64,
     /// Slot time used since the sender's start (us).
     pub used: Time,
@@ -33,6 +34,7 @@
     pub wanted: u32,
 }
 
+/// Usage and demand of all tenants at one process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
     pub incarnation: u64,
--- a/pure/fair-queue/src/division.rs
+++ b/pure/fair-queue/src/division.rs
@@ -25,7 +25,7 @@
     process
         .wanted
         .iter()
-        .map(|(_, n)| from_thousandths(*n))
+        .map(|(_, wanted)| from_thousandths(*wanted))
         .sum()
 }
 
@@ -38,19 +38,19 @@
         level(a).total_cmp(&level(b)).then(a.cmp(b))
     });
     let mut weights: f64 = tenants.iter().map(|t| t.0).sum();
-    let (mut remaining, mut parts) = (slots, vec![0.0; tenants.len()]);
+    let (mut remaining, mut shares) = (slots, vec![0.0; tenants.len()]);
     for index in order {
         let (weight, wanted) = tenants[index];
-        let part = if weights > 0.0 {
+        let share = if weights > 0.0 {
             (remaining * weight / weights).clamp(0.0, wanted)
         } else {
             0.0
         };
-        parts[index] = part;
-        remaining -= part;
+        shares[index] = share;
+        remaining -= share;
         weights -= weight;
     }
-    parts
+    shares
 }
 
 /// The number of slots for each process, in the order of `fleet`. `weight` gives the weight of a named tenant in
@@ -66,7 +66,9 @@
     }
     let mut demands: BTreeMap<u64, f64> = BTreeMap::new();
     let reports = fleet.iter().flat_map(|process| &process.wanted);
-    reports.for_each(|(tenant, n)| *demands.entry(*tenant).or_default() += from_thousandths(*n));
+    reports.for_each(|(tenant, wanted)| {
+        *demands.entry(*tenant).or_default() += from_thousandths(*wanted)
+    });
     let unnamed_count = demands
         .keys()
         .filter(|tenant| weight(**tenant).is_none())
@@ -80,25 +82,25 @@
     };
     let tenants: Vec<(f64, f64)> = demands
         .iter()
-        .map(|(tenant, n)| (weigh(*tenant), *n))
+        .map(|(tenant, wanted)| (weigh(*tenant), *wanted))
         .collect();
-    let parts = max_min_fair(slots as f64, &tenants);
+    let shares = max_min_fair(slots as f64, &tenants);
     let satisfied: BTreeMap<u64, f64> = demands
         .iter()
-        .zip(&parts)
-        .map(|((tenant, n), part)| (*tenant, part / n))
+        .zip(&shares)
+        .map(|((tenant, wanted), share)| (*tenant, share / wanted))
         .collect();
-    let idle = (slots as f64 - parts.iter().sum::<f64>()).max(0.0) / fleet.len() as f64;
-    let share = |process: &ProcessDemand| {
+    let idle = (slots as f64 - shares.iter().sum::<f64>()).max(0.0) / fleet.len() as f64;
+    let share_of = |process: &ProcessDemand| {
         let own: f64 = process
             .wanted
             .iter()
-            .map(|(tenant, n)| from_thousandths(*n) * satisfied[tenant])
+            .map(|(tenant, wanted)| from_thousandths(*wanted) * satisfied[tenant])
             .sum();
         (own + idle).max(demand(process).min(guaranteed_slots(slots, fleet.len()) as f64))
     };
-    let exact: Vec<f64> = fleet.iter().map(share).collect();
-    let mut counts: Vec<usize> = exact.iter().map(|part| (*part + 1e-9) as usize).collect();
+    let exact: Vec<f64> = fleet.iter().map(share_of).collect();
+    let mut counts: Vec<usize> = exact.iter().map(|share| (*share + 1e-9) as usize).collect();
     // Slots left over by rounding go to the largest remainders. A process that holds such a slot keeps it unless
     // another's remainder is larger by more than `HOLD_BONUS`: otherwise slots would move with each small change of
     // demand.
--- a/pure/fair-queue/src/lanes.rs
+++ b/pure/fair-queue/src/lanes.rs
@@ -19,6 +19,7 @@
     pub start_deadline: Time,
     /// When it began to wait (us).
     pub since: Time,
+    /// Tells a ticket of this request from one of an earlier request at the same index.
     serial: u64,
     prev: usize,
     next: usize,
@@ -30,7 +31,7 @@
     first: usize,
     last: usize,
     pub len: usize,
-    /// Predicted slot time of all its requests (us).
+    /// Predicted slot time of all requests in it (us).
     pub cost: Time,
 }
 
@@ -45,10 +46,10 @@
     }
 }
 
-/// Identifies a waiting request; no longer valid once it starts or is rejected.
+/// Identifies a waiting request; no longer valid once the request starts or is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ticket {
-    at: usize,
+    index: usize,
     serial: u64,
 }
 
@@ -68,7 +69,7 @@
         self.slab.is_empty()
     }
 
-    /// Appends a request to a lane; with `ahead` (planted fault only) it goes to the front.
+    /// Appends a request to a lane; with `at_front` (planted fault only) it goes to the front.
     #[allow(clippy::too_many_arguments)]
     pub fn push(
         &mut self,
@@ -86,7 +87,7 @@
         } else {
             (lane.last, NONE)
         };
-        let at = self.slab.insert(Waiting {
+        let index = self.slab.insert(Waiting {
             id,
             flow,
             slow,
@@ -97,28 +98,28 @@
             prev,
             next,
         });
-        self.link(lane, prev, Some(at), next);
+        self.link(lane, prev, Some(index), next);
         lane.len += 1;
         lane.cost = lane.cost.saturating_add(cost);
-        Ticket { at, serial }
+        Ticket { index, serial }
     }
 
-    /// Links a request, or nothing, between two neighbours.
-    fn link(&mut self, lane: &mut Lane, prev: usize, at: Option<usize>, next: usize) {
+    /// Joins two neighbours, with a request between them or directly.
+    fn link(&mut self, lane: &mut Lane, prev: usize, index: Option<usize>, next: usize) {
         match self.slab.get_mut(prev) {
-            Some(neighbour) => neighbour.next = at.unwrap_or(next),
-            None => lane.first = at.unwrap_or(next),
+            Some(neighbour) => neighbour.next = index.unwrap_or(next),
+            None => lane.first = index.unwrap_or(next),
         }
         match self.slab.get_mut(next) {
-            Some(neighbour) => neighbour.prev = at.unwrap_or(prev),
-            None => lane.last = at.unwrap_or(prev),
+            Some(neighbour) => neighbour.prev = index.unwrap_or(prev),
+            None => lane.last = index.unwrap_or(prev),
         }
     }
 
     /// The waiting request of a ticket, unless it no longer waits.
     pub fn find(&self, ticket: Ticket) -> Option<&Waiting> {
         self.slab
-            .get(ticket.at)
+            .get(ticket.index)
             .filter(|waiting| waiting.serial == ticket.serial)
     }
 
@@ -131,11 +132,11 @@
     /// Removes a request from any position of its lane.
     pub fn remove(&mut self, lane: &mut Lane, ticket: Ticket) -> Option<Waiting> {
         self.find(ticket)?;
-        self.remove_at(lane, ticket.at)
+        self.remove_at(lane, ticket.index)
     }
 
-    fn remove_at(&mut self, lane: &mut Lane, at: usize) -> Option<Waiting> {
-        let waiting = self.slab.try_remove(at)?;
+    fn remove_at(&mut self, lane: &mut Lane, index: usize) -> Option<Waiting> {
+        let waiting = self.slab.try_remove(index)?;
         self.link(lane, waiting.prev, None, waiting.next);
         lane.len -= 1;
         lane.cost = lane.cost.saturating_sub(waiting.cost);
--- a/pure/fair-queue/src/local_pool.rs
+++ b/pure/fair-queue/src/local_pool.rs
@@ -15,6 +15,7 @@
 /// A request that needs a slot, with what is known of it before it runs.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
+    /// Chosen by the caller; [`PoolDispatch`] names the request by it.
     pub id: u64,
     pub tenant: &'a str,
     pub class: usize,
@@ -44,7 +45,7 @@
     }
 }
 
-/// Identifies a waiting request.
+/// Identifies a waiting request: its index in `waiting`, and its ticket in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ticket(usize, queue::Ticket);
 
--- a/pure/fair-queue/src/message.rs
+++ b/pure/fair-queue/src/message.rs
@@ -34,9 +34,8 @@
         slots: Vec<u16>,
     },
     /// From a replica, to a process that wants more slots.
-    Vacant {
-        slots: Vec<u16>,
-    },
+    Vacant { slots: Vec<u16> },
+    /// To every other process of the pool.
     Digest(Digest),
 }
 
--- a/pure/fair-queue/src/queue.rs
+++ b/pure/fair-queue/src/queue.rs
@@ -119,7 +119,7 @@
             if flow.lanes[lane].len == 0 {
                 flow.resume_lane(lane);
             }
-            let ahead = request.is_retry && planted(Fault::RetryJumpsQueue);
+            let at_front = request.is_retry && planted(Fault::RetryJumpsQueue);
             let who = (request.id, index, request.slow);
             Admission::Queued(queue.lanes.push(
                 &mut flow.lanes[lane],
@@ -127,7 +127,7 @@
                 cost,
                 request.start_deadline,
                 now,
-                ahead,
+                at_front,
             ))
         })
     }
--- a/pure/fair-queue/src/replica.rs
+++ b/pure/fair-queue/src/replica.rs
@@ -173,11 +173,11 @@
             let Some(entry) = self.slots.get_mut(*slot as usize) else {
                 continue;
             };
-            let own =
+            let is_holder =
                 |lease: &&mut Lease| lease.holder == *from && lease.incarnation == incarnation;
-            let later =
+            let is_newer =
                 |lease: &&mut Lease| lease.number < number || planted(Fault::StaleReleaseAccepted);
-            if entry.as_mut().filter(own).filter(later).is_some() {
+            if entry.as_mut().filter(is_holder).filter(is_newer).is_some() {
                 *entry = None;
             }
         }
--- a/pure/fair-queue/src/slow.rs
+++ b/pure/fair-queue/src/slow.rs
@@ -82,10 +82,12 @@
     /// class is not held back.
     fn base_estimate(&self, shape: &RequestShape) -> f64 {
         let sizes = &self.classes[self.class_index(shape.class)];
-        let own = Self::size_bucket(shape.size_kb);
-        let seen = (0..SIZE_BUCKETS).filter_map(|at| sizes[at].map(|time| (at, time)));
-        match seen.min_by_key(|(at, _)| at.abs_diff(own)) {
-            Some((near, time)) => time + (own as f64 - near as f64) * std::f64::consts::LN_2,
+        let bucket = Self::size_bucket(shape.size_kb);
+        let seen = (0..SIZE_BUCKETS).filter_map(|size| sizes[size].map(|time| (size, time)));
+        match seen.min_by_key(|(size, _)| size.abs_diff(bucket)) {
+            Some((nearest, time)) => {
+                time + (bucket as f64 - nearest as f64) * std::f64::consts::LN_2
+            }
             None => (self.slow_threshold.clamp(1, self.max_slot_time.max(1)) as f64).ln(),
         }
     }
@@ -114,11 +116,11 @@
     pub fn observe(&mut self, shape: &RequestShape, took: Time) {
         let took = (took.clamp(1, self.max_slot_time.max(1)) as f64).ln();
         let error = took - self.base_estimate(shape) - self.log_factors(shape);
-        let own = self.class_index(shape.class);
-        let own = &mut self.classes[own][Self::size_bucket(shape.size_kb)];
+        let class = self.class_index(shape.class);
+        let estimate = &mut self.classes[class][Self::size_bucket(shape.size_kb)];
         // The first observation of a class and size says nothing about the tenant or the source.
-        let Some(time) = own else {
-            *own = Some(took);
+        let Some(time) = estimate else {
+            *estimate = Some(took);
             return;
         };
         *time += error * LEARNING_RATES.class;
--- a/pure/fair-queue/src/stock.rs
+++ b/pure/fair-queue/src/stock.rs
@@ -58,24 +58,24 @@
         {
             return;
         }
-        let own = self.slots.entry(slot).or_insert(LeasedSlot {
+        let slot_state = self.slots.entry(slot).or_insert(LeasedSlot {
             tenure,
             expires_at,
             in_use: false,
         });
-        let old_expiry = own.expires_at;
-        own.tenure = own.tenure.max(tenure);
-        own.expires_at = own.expires_at.max(expires_at);
-        if !own.in_use {
+        let old_expiry = slot_state.expires_at;
+        slot_state.tenure = slot_state.tenure.max(tenure);
+        slot_state.expires_at = slot_state.expires_at.max(expires_at);
+        if !slot_state.in_use {
             self.idle.remove(&(old_expiry, slot));
-            self.idle.insert((own.expires_at, slot));
+            self.idle.insert((slot_state.expires_at, slot));
         }
     }
 
     /// Number of slots in use, and of idle slots that may be used for `duration` (us) from now on.
     pub fn usable(&self, now: Time, duration: Time) -> usize {
         let end = now.saturating_add(duration);
-        let short = match planted(Fault::UsedPastLease) {
+        let too_short = match planted(Fault::UsedPastLease) {
             true => 0,
             false => self
                 .idle
@@ -83,7 +83,7 @@
                 .take_while(|(expires_at, _)| *expires_at < end)
                 .count(),
         };
-        self.slots.len() - short
+        self.slots.len() - too_short
     }
 
     /// Number of idle slots, expired ones included.
@@ -114,9 +114,9 @@
     /// Puts back a slot whose request ended. Returns the slot if it is to go back to the fleet, being above the
     /// limit.
     pub fn put_back(&mut self, taken: TakenSlot) -> Option<ReturnedSlot> {
-        let own = self.slots.get_mut(&taken.slot)?;
-        own.in_use = false;
-        self.idle.insert((own.expires_at, taken.slot));
+        let slot_state = self.slots.get_mut(&taken.slot)?;
+        slot_state.in_use = false;
+        self.idle.insert((slot_state.expires_at, taken.slot));
         self.limit
             .is_some_and(|limit| self.slots.len() > limit)
             .then(|| self.return_slot(taken.slot))?
@@ -125,25 +125,30 @@
     /// Removes a slot that goes back to the fleet.
     fn return_slot(&mut self, slot: u16) -> Option<ReturnedSlot> {
         if planted(Fault::SlotReturnedTwice) {
-            return self.slots.get(&slot).map(|own| ReturnedSlot {
+            return self.slots.get(&slot).map(|slot_state| ReturnedSlot {
                 slot,
-                tenure: own.tenure,
+                tenure: slot_state.tenure,
             });
         }
-        let own = self.slots.remove(&slot)?;
-        self.idle.remove(&(own.expires_at, slot));
-        self.returned.insert(slot, own.tenure);
+        let slot_state = self.slots.remove(&slot)?;
+        self.idle.remove(&(slot_state.expires_at, slot));
+        self.returned.insert(slot, slot_state.tenure);
         Some(ReturnedSlot {
             slot,
-            tenure: own.tenure,
+            tenure: slot_state.tenure,
         })
     }
 
     /// Limits how many slots are held. Returns the idle slots beyond the limit, which go back to the fleet.
     pub fn set_limit(&mut self, limit: usize) -> Vec<ReturnedSlot> {
         self.limit = Some(limit);
-        let over = self.slots.len().saturating_sub(limit);
-        let idle: Vec<u16> = self.idle.iter().map(|(_, slot)| *slot).take(over).collect();
+        let excess = self.slots.len().saturating_sub(limit);
+        let idle: Vec<u16> = self
+            .idle
+            .iter()
+            .map(|(_, slot)| *slot)
+            .take(excess)
+            .collect();
         idle.into_iter()
             .filter_map(|slot| self.return_slot(slot))
             .collect()
