--- a/edge/proxy/src/cover/class_policies.rs
+++ b/edge/proxy/src/cover/class_policies.rs
@@ -1,4 +1,4 @@
-//! What the operator's file and the settings say of covered classes.
+//! The policies of covered classes, from the operator's file and the settings.
 
 use crate::fleet::replica_set::replica_set;
 use foldmux::interface::RetrySafety;
@@ -14,15 +14,17 @@
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::sync::Arc;
 
-/// A covered class, as requests of it go by it.
+/// How requests of a covered class are served.
 #[derive(Clone, Copy)]
 pub struct ReplicatedClass {
-    pub repeat: RetrySafety,
+    pub retry_safety: RetrySafety,
+    /// Attempts carry the record's term, as their receiver rejects lower ones.
     pub terms: bool,
-    /// What can't be covered is refused.
-    pub refuse: bool,
+    /// A request that can't be replicated is rejected; else it runs without a record.
+    pub rejects_unreplicated: bool,
 }
 
+/// The covered classes by name, each with its index in the router's list.
 #[derive(Default)]
 pub struct ReplicatedClasses(HashMap<Arc<str>, (ReplicatedClass, Arc<usize>)>);
 
@@ -31,73 +33,79 @@
         self.0.get(name).map(|(class, _)| class)
     }
 
-    pub fn place(&self, name: &str) -> Arc<usize> {
+    /// The index of a class in the router's list; a zero of its own for a class that is not covered.
+    pub fn index(&self, name: &str) -> Arc<usize> {
         self.0
             .get(name)
-            .map(|(_, place)| place.clone())
+            .map(|(_, index)| index.clone())
             .unwrap_or_default()
     }
 
-    /// `places`: the classes as the fronts serve them.
+    /// Leaves out classes that the settings or the fronts don't have. `indices`: the classes that the fronts serve, with
+    /// their indices in the router's list.
     pub fn new<'a>(
         config: &FleetConfig,
         decoded: &Decoded,
-        places: impl Iterator<Item = (&'a Arc<str>, &'a Arc<usize>)>,
+        indices: impl Iterator<Item = (&'a Arc<str>, &'a Arc<usize>)>,
     ) -> ReplicatedClasses {
-        let places: HashMap<&str, &Arc<usize>> =
-            places.map(|(name, place)| (&**name, place)).collect();
-        let one = |cover: &foldmux_operator::Cover| {
-            let at = decoded
+        let indices: HashMap<&str, &Arc<usize>> =
+            indices.map(|(name, index)| (&**name, index)).collect();
+        let replicated = |cover: &foldmux_operator::Cover| {
+            let settings_index = decoded
                 .classes
                 .iter()
                 .position(|class| *class == cover.class)?;
-            let repeat = decoded.settings.classes[at].retry_safety;
             let class = ReplicatedClass {
-                repeat,
+                retry_safety: decoded.settings.classes[settings_index].retry_safety,
                 terms: cover.terms,
-                refuse: cover.uncovered == UncoveredConfig::Refuse,
+                rejects_unreplicated: cover.uncovered == UncoveredConfig::Refuse,
             };
             Some((
                 Arc::from(cover.class.as_str()),
-                (class, (*places.get(cover.class.as_str())?).clone()),
+                (class, (*indices.get(cover.class.as_str())?).clone()),
             ))
         };
         ReplicatedClasses(
             config
                 .covers
                 .iter()
-                .filter_map(|said| one(&said.value))
+                .filter_map(|cover| replicated(&cover.value))
                 .collect(),
         )
     }
 }
 
-/// `open`: requests that this process has at once; `memory_mb`: what it may use.
+/// The state machine's configuration. `max_requests`: requests that this process has open at once; `memory_mb`: the memory
+/// that it may use.
+///
+/// # Errors
+///
+/// When the operator's file lists no valid replica set, or a clock drift that is out of range.
 pub fn setup(
     config: &FleetConfig,
     name: &str,
     decoded: &Decoded,
-    open: usize,
+    max_requests: usize,
     memory_mb: u64,
     seed: u64,
 ) -> Result<Setup, String> {
     let (replicas, drift) = replica_set(config)?;
-    let way = config.round_trip_ms * 1_000;
-    let (mut rules, mut longest) = (ClassPolicies::new(), 0);
-    for cover in config.covers.iter().map(|said| &said.value) {
-        let Some(at) = decoded
+    let round_trip = config.round_trip_ms * 1_000;
+    let (mut policies, mut max_deadline) = (ClassPolicies::new(), 0);
+    for cover in config.covers.iter().map(|cover| &cover.value) {
+        let Some(settings_index) = decoded
             .classes
             .iter()
             .position(|class| *class == cover.class)
         else {
             continue;
         };
-        let class = &decoded.settings.classes[at];
-        // A repeat is on its way to the archive for a while, and the archive's clock is its own.
+        let class = &decoded.settings.classes[settings_index];
+        // Shorter than the archive's window by the way of a repeat to it, and by the drift of its clock.
         let window = drift
             .shortened(class.idempotency_window)
-            .saturating_sub(way);
-        let rule = ClassPolicy {
+            .saturating_sub(round_trip);
+        let policy = ClassPolicy {
             unreplicated: if cover.uncovered == UncoveredConfig::Refuse {
                 UnreplicatedPolicy::Reject
             } else {
@@ -115,25 +123,26 @@
                 RetrySafety::NonIdempotent => Repeatability::SingleShot,
             },
         };
-        longest = longest.max(class.deadline);
-        rules.insert(cover.class.as_str().into(), rule);
+        max_deadline = max_deadline.max(class.deadline);
+        policies.insert(cover.class.as_str().into(), policy);
     }
-    // A tenth of the memory for what other processes' requests need remembered; a record has a kilobyte, at the least.
-    let bytes = memory_mb as usize * 1024 * 1024 / 10;
+    // The replica's records may use a tenth of the memory. Each counts as a kilobyte at least.
+    let max_record_bytes = memory_mb as usize * 1024 * 1024 / 10;
     Ok(Setup {
         name: Peer::new(name),
         session: RandomState::new().build_hasher().finish(),
         replicas,
-        policies: rules,
+        policies,
         lease: config.lease_ms * 1_000,
         drift,
-        max_deadline: longest,
-        // Until `PersistentTakeover` has recovered its log; without one the replica abstains for a window after each start.
+        max_deadline,
+        // Until `PersistentTakeover` has recovered the log file. Without one the replica abstains for a recovery window after
+        // each start.
         state_recovered: false,
-        max_records: bytes / 1024,
-        max_record_bytes: bytes,
-        max_requests: 2 * open,
-        max_waiters: open,
+        max_records: max_record_bytes / 1024,
+        max_record_bytes,
+        max_requests: 2 * max_requests,
+        max_waiters: max_requests,
         seed,
     })
 }
--- a/edge/proxy/src/cover/client.rs
+++ b/edge/proxy/src/cover/client.rs
@@ -1,5 +1,5 @@
-//! The way from the threads of requests to the takeover state machine and back. A request's thread waits for
-//! the event that answers its command; the fleet's thread waits for nobody.
+//! Carries commands from the threads of requests to the takeover state machine, and its events back. A request's thread
+//! waits for the event that answers its command; the fleet's thread never blocks.
 
 use crossbeam_channel::{bounded, RecvTimeoutError, Sender};
 use foldmux_fleet::{Port, Sink};
@@ -13,13 +13,21 @@
 /// What became of requests of replicated classes.
 #[derive(Default)]
 pub struct Counts {
+    /// Owned by this process, for a client of its own.
     pub covered: AtomicU64,
+    /// Ran without a record, as none could be replicated.
     pub uncovered: AtomicU64,
+    /// Rejected, as no record could be replicated.
     pub refused: AtomicU64,
+    /// Waited for the answer of another owner.
     pub joined: AtomicU64,
-    pub kept: AtomicU64,
+    /// Answered with the stored answer.
+    pub stored: AtomicU64,
+    /// Lost to another owner.
     pub lost: AtomicU64,
-    pub taken: AtomicU64,
+    /// Taken over from another owner, without a client here.
+    pub taken_over: AtomicU64,
+    /// Given to this process as successor, and released as it could not be started here.
     pub passed_on: AtomicU64,
 }
 
@@ -31,12 +39,12 @@
     pub lease: Lease,
 }
 
-/// Sends commands to the state machine, and waits for its events.
+/// Sends commands to the state machine, and delivers the events that answer them.
 pub struct TakeoverClient {
-    /// Set once the fleet's thread runs: its port, and when its clock started.
+    /// The state machine's port, and when its clock started. Set once the fleet's thread runs.
     port: OnceLock<(Port<Command>, Instant)>,
     is_gone: AtomicBool,
-    /// One for each request that waits: bounded by the requests that the core admits.
+    /// By ticket, one for each request that waits: bounded by the requests that the core admits.
     waiters: Mutex<HashMap<u64, Sender<Event>>>,
     next_ticket: AtomicU64,
     taken_over: Sender<TakenOverRequest>,
@@ -55,12 +63,12 @@
         })
     }
 
-    /// The fleet's thread runs since `started_at`.
+    /// Connects to the state machine, once the fleet's thread runs. `started_at`: the start of its clock.
     pub fn open(&self, port: Port<Command>, started_at: Instant) {
         let _ = self.port.set((port, started_at));
     }
 
-    /// Whether the state machine is not in service.
+    /// Whether the state machine is not in service: not started yet, or ended.
     pub fn is_gone(&self) -> bool {
         self.is_gone.load(Ordering::SeqCst) || self.port.get().is_none()
     }
@@ -90,8 +98,8 @@
         });
     }
 
-    /// Sends the command for a ticket, and waits for the event that answers it. None if it did not come by the
-    /// deadline, or the state machine is gone.
+    /// Sends the command for a new ticket, and waits for the event that answers it. None if no event came by the deadline,
+    /// or the state machine is not in service.
     pub fn call(&self, deadline: Instant, command: impl FnOnce(u64) -> Command) -> Option<Event> {
         let ticket = self.next_ticket.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = bounded(1);
@@ -103,7 +111,7 @@
         match receiver.recv_deadline(deadline) {
             Ok(event) => Some(event),
             Err(RecvTimeoutError::Disconnected) => None,
-            // Whoever removed the waiter sends it the event, which is on its way.
+            // Without an entry, the fleet's thread has removed the waiter and is about to send it the event.
             Err(RecvTimeoutError::Timeout) => match self.waiters().remove(&ticket) {
                 Some(_) => None,
                 None => receiver.recv().ok(),
@@ -111,18 +119,19 @@
         }
     }
 
+    /// The counters, in one line.
     pub fn report(&self) -> String {
         let c = &self.counts;
         let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
         format!(
-            "{} covered, {} uncovered, {} refused, {} joined, {} kept answers, {} lost, {} taken over, {} passed on",
+            "{} covered, {} uncovered, {} refused, {} joined, {} answered from the record, {} lost, {} taken over, {} passed on",
             of(&c.covered),
             of(&c.uncovered),
             of(&c.refused),
             of(&c.joined),
-            of(&c.kept),
+            of(&c.stored),
             of(&c.lost),
-            of(&c.taken),
+            of(&c.taken_over),
             of(&c.passed_on)
         )
     }
@@ -132,7 +141,7 @@
 pub struct EventSink(pub Arc<TakeoverClient>);
 
 impl EventSink {
-    /// Queues a request for this process to finish. Without capacity it is released to the next in line.
+    /// Queues a request for this process to finish. If the queue is full, it is released to the next in line.
     fn take_over(&self, request: TakenOverRequest) {
         let client = &self.0;
         let (key, term) = (request.key, request.record.ballot.term);
@@ -147,7 +156,7 @@
         let waiter = client.waiters().remove(&ticket);
         match (waiter, event) {
             (Some(waiter), event) => drop(waiter.try_send(event)),
-            // Nobody waits for it any more.
+            // The request gave up waiting, so the record is released.
             (None, Event::Acquired { key, record, .. }) => client.release(key, record.ballot.term),
             (None, _) => {}
         }
--- a/edge/proxy/src/cover/log.rs
+++ b/edge/proxy/src/cover/log.rs
@@ -1,7 +1,9 @@
-//! What this process's seat promised, on a file that outlives the process: its next start reads it back and speaks at once.
-//! Written to the kernel before a reply leaves, which a killed process does not undo. A machine that starts anew is told
-//! by its boot's id, and nothing is read back then. The file of the greatest number counts, and the process
-//! that holds it locked is the seat: one beside it waits.
+//! The log file of this process's replica. The next process of the same name recovers from it what the replica promised,
+//! and so votes without a new recovery delay.
+//!
+//! Entries are written, without `fsync`, before a reply leaves: they survive the death of the process, but not of the
+//! machine. A reboot shows in the kernel's boot id, and then nothing is recovered. The file with the highest number is the
+//! current one, and the process that holds its lock is the replica; another process of the same name waits for the lock.
 
 use foldmux_takeover::{Key, PersistedEntry};
 use nix::time::{clock_gettime, ClockId};
@@ -11,50 +13,57 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// A file is written anew, with what holds alone, once it is so long and four times as long as then.
+/// A file is compacted once it is longer than this, and than four times its length when it was opened or last compacted.
 const MIN_COMPACTION_BYTES: u64 = 4 << 20;
-/// A length and the start of the bytes' hash come before each entry.
+/// Before each entry: its length (4 bytes), and the first 8 bytes of its hash.
 const ENTRY_HEADER_BYTES: usize = 12;
-/// Starts at one moment that may each take the next number.
+/// How often [`Log::open`] tries: of processes that start at the same time, only one creates the next file.
 const MAX_OPEN_ATTEMPTS: usize = 16;
-/// There while a process waits for the one that holds the file.
+/// Name of a file that exists while a process waits for the lock.
 const WAITING_MARKER: &str = "waits";
 
+/// The first entry of a file. It is encoded with postcard: the order of its fields is the format.
 #[derive(Serialize, Deserialize, PartialEq)]
 struct Header {
+    /// The kernel's boot id.
     boot: String,
-    /// What the promises are about; another list of seats or other windows begin anew.
+    /// Identifies the replica set, the lease and the recovery window. Promises made under others are not recovered.
     fingerprint: String,
-    /// From when it speaks, on the machine's clock (us).
+    /// When the replica may vote, as [`time_since_boot`] (us).
     votes_at: u64,
 }
 
+/// An open log file, locked by this process.
 pub struct Log {
     folder: PathBuf,
     number: u64,
-    /// Held locked: no other process goes on with it.
+    /// Locked until it is closed, so that no other process resumes it.
     file: File,
-    first: Header,
+    header: Header,
+    /// In bytes.
     length: u64,
     compact_above: u64,
 }
 
-/// What there is of a process before this one.
+/// What an earlier process left.
 enum Existing {
     Resumed(Log, Recovered),
+    /// Another process holds the lock.
     Locked,
-    /// It went on to another file.
+    /// A file with a higher number exists by now.
     Superseded,
+    /// No file, or one of another boot or with another fingerprint.
     None,
 }
 
-/// What a start finds: from when it speaks (us from now), and what was kept.
+/// What a process starts with.
 pub struct Recovered {
+    /// How long the replica abstains from now on (us).
     pub votes_in: u64,
-    pub kept: BTreeMap<Key, PersistedEntry>,
+    pub entries: BTreeMap<Key, PersistedEntry>,
 }
 
-/// The machine's time since its start, asleep too (us): the same for all its processes.
+/// The time since the machine booted, including suspension (us). All its processes read the same clock.
 pub fn time_since_boot() -> u64 {
     let time = clock_gettime(ClockId::CLOCK_BOOTTIME);
     time.map_or(0, |time| {
@@ -62,11 +71,12 @@
     })
 }
 
-fn named(folder: &Path, number: u64) -> PathBuf {
+fn log_path(folder: &Path, number: u64) -> PathBuf {
     folder.join(format!("{number}.seat"))
 }
 
-fn numbers(folder: &Path) -> io::Result<Vec<u64>> {
+/// The numbers of all log files, in no order.
+fn log_numbers(folder: &Path) -> io::Result<Vec<u64>> {
     let number = |entry: fs::DirEntry| {
         entry
             .file_name()
@@ -80,7 +90,7 @@
         .collect())
 }
 
-fn put<T: Serialize>(to: &mut Vec<u8>, entry: &T) -> io::Result<()> {
+fn encode_entry<T: Serialize>(to: &mut Vec<u8>, entry: &T) -> io::Result<()> {
     let bytes = postcard::to_allocvec(entry).map_err(io::Error::other)?;
     to.extend((bytes.len() as u32).to_le_bytes());
     to.extend(&blake3::hash(&bytes).as_bytes()[..8]);
@@ -88,8 +98,8 @@
     Ok(())
 }
 
-/// The next entry that is whole; one that was torn off is not there.
-fn next<'a, T: Deserialize<'a>>(from: &mut &'a [u8]) -> Option<T> {
+/// Decodes the next entry and advances `from` behind it. None at the end, or where the entry is incomplete or damaged.
+fn decode_entry<'a, T: Deserialize<'a>>(from: &mut &'a [u8]) -> Option<T> {
     let length = u32::from_le_bytes(from.get(..4)?.try_into().ok()?) as usize;
     let bytes = from.get(ENTRY_HEADER_BYTES..ENTRY_HEADER_BYTES + length)?;
     if blake3::hash(bytes).as_bytes()[..8] != from[4..ENTRY_HEADER_BYTES] {
@@ -100,8 +110,12 @@
 }
 
 impl Log {
-    /// None while another process holds it. `window`: how long a seat with no memory is silent (us). Fails where the
-    /// folder can't be used.
+    /// Resumes the current file, or creates one where there is none to recover from. None while another process holds the
+    /// lock. `window`: how long a replica abstains that lost its state (us).
+    ///
+    /// # Errors
+    ///
+    /// When the folder can't be used, or other processes kept creating newer files.
     pub fn open(
         folder: &Path,
         fingerprint: &str,
@@ -110,11 +124,11 @@
         fs::create_dir_all(folder)?;
         let boot = fs::read_to_string("/proc/sys/kernel/random/boot_id")?;
         for _ in 0..MAX_OPEN_ATTEMPTS {
-            let last = numbers(folder)?.into_iter().max().unwrap_or(0);
+            let last = log_numbers(folder)?.into_iter().max().unwrap_or(0);
             match Log::resume(folder, last, &boot, fingerprint)? {
-                Existing::Resumed(log, found) => {
+                Existing::Resumed(log, recovered) => {
                     let _ = fs::remove_file(folder.join(WAITING_MARKER));
-                    return Ok(Some((log, found)));
+                    return Ok(Some((log, recovered)));
                 }
                 Existing::Locked => {
                     fs::write(folder.join(WAITING_MARKER), "")?;
@@ -127,19 +141,22 @@
                             log,
                             Recovered {
                                 votes_in: window,
-                                kept: BTreeMap::new(),
+                                entries: BTreeMap::new(),
                             },
                         )));
                     }
                 }
             }
         }
-        Err(io::Error::other("others start all the while"))
+        Err(io::Error::other(
+            "other processes keep creating newer log files",
+        ))
     }
 
-    /// Behind one that is held and has not been given up while this process was silent for a window.
+    /// Creates the next file although another process holds the current one. Safe only after this process has abstained
+    /// for a whole recovery window. None where another process created the file first.
     pub fn supersede(folder: &Path, fingerprint: &str) -> io::Result<Option<Log>> {
-        let last = numbers(folder)?.into_iter().max().unwrap_or(0);
+        let last = log_numbers(folder)?.into_iter().max().unwrap_or(0);
         Log::create_next(folder, last, fingerprint, 0)
     }
 
@@ -147,18 +164,18 @@
         folder: &Path,
         last: u64,
         fingerprint: &str,
-        silent: u64,
+        abstains_for: u64,
     ) -> io::Result<Option<Log>> {
         let boot = fs::read_to_string("/proc/sys/kernel/random/boot_id")?;
-        let first = Header {
+        let header = Header {
             boot,
             fingerprint: fingerprint.to_string(),
-            votes_at: time_since_boot() + silent,
+            votes_at: time_since_boot() + abstains_for,
         };
-        Log::create(folder, last + 1, first, &[])
+        Log::create(folder, last + 1, header, &[])
     }
 
-    /// Whether another process waits to be this seat.
+    /// Whether another process waits for the lock.
     pub fn successor_waits(&self) -> bool {
         self.folder.join(WAITING_MARKER).exists()
     }
@@ -167,38 +184,40 @@
         let Ok(mut file) = OpenOptions::new()
             .read(true)
             .append(true)
-            .open(named(folder, number))
+            .open(log_path(folder, number))
         else {
             return Ok(Existing::None);
         };
         if file.try_lock().is_err() {
             return Ok(Existing::Locked);
         }
-        // Looked at again once it is held: whoever held it may have gone on to the next.
-        if numbers(folder)?.into_iter().any(|other| other > number) {
+        // Checked after locking: the former holder may have created the next file in the meantime.
+        if log_numbers(folder)?.into_iter().any(|other| other > number) {
             return Ok(Existing::Superseded);
         }
         let mut bytes = Vec::new();
         io::Read::read_to_end(&mut file, &mut bytes)?;
         let (mut from, now) = (&bytes[..], time_since_boot());
-        let Some(first) =
-            next::<Header>(&mut from).filter(|f| f.boot == boot && f.fingerprint == fingerprint)
+        let Some(header) = decode_entry::<Header>(&mut from)
+            .filter(|header| header.boot == boot && header.fingerprint == fingerprint)
         else {
             return Ok(Existing::None);
         };
-        let mut kept = BTreeMap::new();
-        while let Some((stamp, key, one)) = next::<(u64, Key, PersistedEntry)>(&mut from) {
-            kept.insert(key, (stamp, one));
+        let mut entries = BTreeMap::new();
+        while let Some((written_at, key, entry)) =
+            decode_entry::<(u64, Key, PersistedEntry)>(&mut from)
+        {
+            entries.insert(key, (written_at, entry));
         }
-        // Behind what was torn off nothing could be read.
+        // Nothing written behind an incomplete entry could be read, so the file is cut off before it.
         let length = (bytes.len() - from.len()) as u64;
         file.set_len(length)?;
-        let aged = |(key, (stamp, one)): (Key, (u64, PersistedEntry))| {
-            Some((key, one.aged(now.saturating_sub(stamp))?))
+        let aged = |(key, (written_at, entry)): (Key, (u64, PersistedEntry))| {
+            Some((key, entry.aged(now.saturating_sub(written_at))?))
         };
-        let found = Recovered {
-            votes_in: first.votes_at.saturating_sub(now),
-            kept: kept.into_iter().filter_map(aged).collect(),
+        let recovered = Recovered {
+            votes_in: header.votes_at.saturating_sub(now),
+            entries: entries.into_iter().filter_map(aged).collect(),
         };
         let compact_above = MIN_COMPACTION_BYTES.max(4 * length);
         Ok(Existing::Resumed(
@@ -206,95 +225,107 @@
                 folder: folder.to_path_buf(),
                 number,
                 file,
-                first,
+                header,
                 length,
                 compact_above,
             },
-            found,
+            recovered,
         ))
     }
 
-    /// None where another has the number by now.
+    /// Creates the file with this number and removes those with lower ones. None where another process created it first.
     fn create(
         folder: &Path,
         number: u64,
-        first: Header,
-        all: &[(Key, PersistedEntry)],
+        header: Header,
+        entries: &[(Key, PersistedEntry)],
     ) -> io::Result<Option<Log>> {
-        let own = folder.join(format!("{number}.{}", std::process::id()));
-        let mut file = OpenOptions::new().create(true).append(true).open(&own)?;
+        let temporary = folder.join(format!("{number}.{}", std::process::id()));
+        let mut file = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(&temporary)?;
         file.set_len(0)?;
         let mut bytes = Vec::new();
-        put(&mut bytes, &first)?;
-        let stamp = time_since_boot();
-        all.iter()
-            .try_for_each(|(key, kept)| put(&mut bytes, &(stamp, key, kept)))?;
+        encode_entry(&mut bytes, &header)?;
+        let written_at = time_since_boot();
+        entries
+            .iter()
+            .try_for_each(|(key, entry)| encode_entry(&mut bytes, &(written_at, key, entry)))?;
         file.write_all(&bytes)?;
         file.lock()?;
-        // Whole before it has its name; a name that is taken is not replaced.
-        let taken = fs::hard_link(&own, named(folder, number)).is_err();
-        fs::remove_file(&own)?;
-        if taken {
+        // The file gets its name once it is complete and locked. A link, unlike a rename, replaces no existing file.
+        let exists = fs::hard_link(&temporary, log_path(folder, number)).is_err();
+        fs::remove_file(&temporary)?;
+        if exists {
             return Ok(None);
         }
-        numbers(folder)?
+        log_numbers(folder)?
             .into_iter()
             .filter(|n| *n < number)
-            .for_each(|n| drop(fs::remove_file(named(folder, n))));
+            .for_each(|n| drop(fs::remove_file(log_path(folder, n))));
         let length = bytes.len() as u64;
         let compact_above = MIN_COMPACTION_BYTES.max(4 * length);
         Ok(Some(Log {
             folder: folder.to_path_buf(),
             number,
             file,
-            first,
+            header,
             length,
             compact_above,
         }))
     }
 
-    /// Whether another process is this seat by now.
+    /// Whether another process has replaced this one as the replica.
     pub fn is_superseded(&self) -> bool {
-        let later =
-            numbers(&self.folder).is_ok_and(|all| all.into_iter().any(|other| other > self.number));
-        later || !named(&self.folder, self.number).exists()
+        let later = log_numbers(&self.folder)
+            .is_ok_and(|all| all.into_iter().any(|other| other > self.number));
+        later || !log_path(&self.folder, self.number).exists()
     }
 
-    /// Whether it is so long that it should be written anew.
+    /// Whether the file is so long that it should be rewritten.
     pub fn needs_compaction(&self) -> bool {
         self.length > self.compact_above
     }
 
+    /// Appends entries; the last one of a key is the one that is recovered.
     pub fn append(&mut self, changed: &[(Key, PersistedEntry)]) -> io::Result<()> {
-        let (stamp, mut bytes) = (time_since_boot(), Vec::new());
+        let (written_at, mut bytes) = (time_since_boot(), Vec::new());
         changed
             .iter()
-            .try_for_each(|(key, kept)| put(&mut bytes, &(stamp, key, kept)))?;
+            .try_for_each(|(key, entry)| encode_entry(&mut bytes, &(written_at, key, entry)))?;
         self.length += bytes.len() as u64;
         self.file.write_all(&bytes)
     }
 
-    /// Anew, with all that holds. Fails where another process has gone on.
-    pub fn rewrite(&mut self, all: &[(Key, PersistedEntry)]) -> io::Result<()> {
+    /// Continues in the next file, which begins with these entries alone.
+    ///
+    /// # Errors
+    ///
+    /// When the file can't be written, or another process has replaced this one as the replica.
+    pub fn rewrite(&mut self, entries: &[(Key, PersistedEntry)]) -> io::Result<()> {
         if self.is_superseded() {
-            return Err(io::Error::other("another process goes on"));
+            return Err(io::Error::other(
+                "another process has created a newer log file",
+            ));
         }
         let Header {
             boot,
             fingerprint,
             votes_at,
-        } = &self.first;
-        let first = Header {
+        } = &self.header;
+        let header = Header {
             boot: boot.clone(),
             fingerprint: fingerprint.clone(),
             votes_at: *votes_at,
         };
-        let log = Log::create(&self.folder, self.number + 1, first, all)?;
-        *self = log.ok_or_else(|| io::Error::other("another process goes on"))?;
+        let log = Log::create(&self.folder, self.number + 1, header, entries)?;
+        *self =
+            log.ok_or_else(|| io::Error::other("another process has created a newer log file"))?;
         Ok(())
     }
 
-    /// What it holds is not all that was promised: nobody reads it back.
+    /// Empties the file, which lacks some of what was promised, so that nothing is recovered from it.
     pub fn invalidate(&mut self) {
         let _ = self.file.set_len(0);
     }
--- a/edge/proxy/src/cover/log_format_tests.rs
+++ b/edge/proxy/src/cover/log_format_tests.rs
@@ -1,4 +1,4 @@
-//! The bytes of the seat's file, against fixtures.
+//! The bytes of the replica's log file, against fixtures.
 
 #[path = "../../../../tests/formats/bytes.rs"]
 mod fixtures;
@@ -14,15 +14,15 @@
     )
 }
 
-fn written<T: Serialize>(entry: &T) -> Vec<u8> {
+fn encoded<T: Serialize>(entry: &T) -> Vec<u8> {
     let mut bytes = Vec::new();
-    put(&mut bytes, entry).unwrap();
+    encode_entry(&mut bytes, entry).unwrap();
     bytes
 }
 
-fn read<T: for<'a> Deserialize<'a>>(mut bytes: &[u8]) -> T {
-    let entry = next(&mut bytes).expect("an entry that is whole");
-    assert!(bytes.is_empty(), "bytes behind the entry");
+fn decoded<T: for<'a> Deserialize<'a>>(mut bytes: &[u8]) -> T {
+    let entry = decode_entry(&mut bytes).expect("a complete entry");
+    assert!(bytes.is_empty(), "bytes after the entry");
     entry
 }
 
@@ -35,7 +35,7 @@
 }
 
 fn record() -> Record {
-    let work = Request {
+    let request = Request {
         class: "mix-video".into(),
         object: 302,
         part: 303,
@@ -55,17 +55,17 @@
     Record {
         ballot: ballot(309),
         version: 310,
-        request: work.into(),
+        request: request.into(),
         time_left: 311,
         attempts: vec![attempt],
         answer: Some(Answer::Served([4, 5][..].into())),
     }
 }
 
-fn kept(let_go: bool, record: Option<Record>) -> PersistedEntry {
+fn entry(released: bool, record: Option<Record>) -> PersistedEntry {
     PersistedEntry {
         promised: ballot(312),
-        released: let_go,
+        released,
         abandoned: true,
         record,
         time_left: 313,
@@ -73,54 +73,58 @@
 }
 
 #[test]
-fn the_bytes_of_the_first_entry_stay() {
-    let first = || Header {
+fn the_encoding_of_the_header_is_stable() {
+    let header = || Header {
         boot: "7c1e7a3c-0f5e-4f0e-9a52-1d2f3a4b5c6d\n".into(),
         fingerprint: "mark".into(),
         votes_at: 314,
     };
-    let fields = |first: Header| (first.boot, first.fingerprint, first.votes_at);
+    let fields = |header: Header| (header.boot, header.fingerprint, header.votes_at);
     fixtures::check(
         &path("header.hex"),
-        &[("header", fields(first()))],
+        &[("header", fields(header()))],
         |(boot, fingerprint, votes_at)| {
-            written(&Header {
+            encoded(&Header {
                 boot: boot.clone(),
                 fingerprint: fingerprint.clone(),
                 votes_at: *votes_at,
             })
         },
-        |bytes| fields(read(bytes)),
+        |bytes| fields(decoded(bytes)),
     );
 }
 
 #[test]
-fn the_bytes_of_replicas_entries_stay() {
-    let entry = |let_go, record| (315_u64, Key(0x0102_0304), kept(let_go, record));
+fn the_encoding_of_entries_is_stable() {
+    let logged = |released, record| (315_u64, Key(0x0102_0304), entry(released, record));
     fixtures::check(
         &path("replicas.hex"),
         &[
-            ("promise alone", entry(true, None)),
-            ("record", entry(false, Some(record()))),
+            ("promise alone", logged(true, None)),
+            ("record", logged(false, Some(record()))),
         ],
-        |(stamp, key, kept)| written(&(stamp, key, kept)),
-        read,
+        |(written_at, key, entry)| encoded(&(written_at, key, entry)),
+        decoded,
     );
 }
 
-/// Entries as [`Log::add`] writes them, but for the stamp of the machine's time.
+/// The entries of a file that [`Log::append`] wrote, byte for byte; only their times vary.
 #[test]
-fn a_log_writes_its_entries_in_this_form() {
+fn a_log_file_consists_of_entries_in_this_encoding() {
     let folder = tempfile::tempdir().unwrap();
     let (mut log, _) = Log::open(folder.path(), "mark", 0).unwrap().unwrap();
-    log.append(&[(Key(1), kept(false, Some(record())))])
+    log.append(&[(Key(1), entry(false, Some(record())))])
         .unwrap();
     let bytes = fs::read(folder.path().join("1.seat")).unwrap();
     let mut rest = &bytes[..];
-    let first = next::<Header>(&mut rest).unwrap();
-    let (stamp, key, one) = read::<(u64, Key, PersistedEntry)>(rest);
-    assert!(first.fingerprint == "mark" && first.votes_at <= stamp && stamp <= time_since_boot());
-    assert_eq!((key, &one), (Key(1), &kept(false, Some(record()))));
-    let again = [written(&first), written(&(stamp, key, one))].concat();
-    assert_eq!(again, bytes);
+    let header = decode_entry::<Header>(&mut rest).unwrap();
+    let (written_at, key, logged) = decoded::<(u64, Key, PersistedEntry)>(rest);
+    assert!(
+        header.fingerprint == "mark"
+            && header.votes_at <= written_at
+            && written_at <= time_since_boot()
+    );
+    assert_eq!((key, &logged), (Key(1), &entry(false, Some(record()))));
+    let encoded_again = [encoded(&header), encoded(&(written_at, key, logged))].concat();
+    assert_eq!(encoded_again, bytes);
 }
--- a/edge/proxy/src/cover/mod.rs
+++ b/edge/proxy/src/cover/mod.rs
@@ -1,5 +1,5 @@
-//! Requests of replicated classes (`cover(...)` in the operator's file): the core's request records, kept by the
-//! fleet's takeover state machine. Without a fleet in the operator's file nothing here is started.
+//! Replicated records of the requests of covered classes (`cover(...)` in the operator's file), by the fleet's takeover
+//! state machine. Nothing here is started unless the operator's file has a fleet.
 //!
 //! `start` uses `records`, `take_over` and `persistent`; `records` and `take_over` use `owned_record`; these use
 //! `client` and `class_policies`; `persistent` uses `log`.
--- a/edge/proxy/src/cover/owned_record.rs
+++ b/edge/proxy/src/cover/owned_record.rs
@@ -1,4 +1,4 @@
-//! One request that this process owns, for its thread.
+//! The record of one request that this process owns, as the request's thread uses it.
 
 use super::class_policies::ReplicatedClass;
 use super::client::TakeoverClient;
@@ -9,6 +9,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
+/// The record of a request that this process owns. It is released when it is dropped without a stored answer.
 pub struct ReplicatedRecord {
     client: Arc<TakeoverClient>,
     class: ReplicatedClass,
@@ -17,9 +18,10 @@
     lease: Lease,
     required_group: Option<u32>,
     deadline: Instant,
-    number: AtomicU8,
+    /// Of the latest attempt under this term.
+    attempt_number: AtomicU8,
     may_have_run: AtomicBool,
-    /// Its answer is kept, or it was let go, or lost.
+    /// The answer is stored, or the record was released or lost to another owner.
     closed: AtomicBool,
 }
 
@@ -35,14 +37,11 @@
     ) -> ReplicatedRecord {
         let term = record.ballot.term;
         let required_group = match proof {
-            Proof::Repeatable {
-                only_group: required_group,
-                ..
-            } => required_group,
+            Proof::Repeatable { only_group, .. } => only_group,
             Proof::NeverRan | Proof::NotRepeatable => None,
         };
-        // Numbers go on from those of this term, if another client here had it first.
-        let number = record
+        // Attempts under this term may exist already, made for an earlier client of the request at this process.
+        let attempt_number = record
             .attempts
             .iter()
             .filter(|a| a.term == term)
@@ -57,12 +56,13 @@
             lease,
             required_group,
             deadline,
-            number: AtomicU8::new(number),
+            attempt_number: AtomicU8::new(attempt_number),
             may_have_run: AtomicBool::new(proof != Proof::NeverRan),
             closed: AtomicBool::new(false),
         }
     }
 
+    /// Notes that another process owns the record now.
     fn record_loss(&self) {
         self.closed.store(true, Ordering::SeqCst);
         self.client.counts.lost.fetch_add(1, Ordering::Relaxed);
@@ -86,8 +86,8 @@
 
     fn record_intent(&self, server: &Member) -> AttemptIntent {
         let (key, term) = (self.key, self.term);
-        let number = self.number.fetch_add(1, Ordering::SeqCst) + 1;
-        let group = self.class.repeat.key_group(server);
+        let number = self.attempt_number.fetch_add(1, Ordering::SeqCst) + 1;
+        let group = self.class.retry_safety.key_group(server);
         let event = self
             .client
             .call(self.deadline, |ticket| Command::BeginAttempt {
@@ -115,27 +115,27 @@
     }
 
     fn term(&self) -> Option<u64> {
-        // Later attempts under one term are above its earlier ones, too.
+        // The attempt's number makes a later attempt under the same term rank above an earlier one.
         self.class
             .terms
-            .then(|| self.term << 8 | u64::from(self.number.load(Ordering::SeqCst)))
+            .then(|| self.term << 8 | u64::from(self.attempt_number.load(Ordering::SeqCst)))
     }
 
     fn record_outcome(&self, outcome: Outcome) {
-        let number = self.number.load(Ordering::SeqCst);
-        let end = if outcome.not_processed() {
+        let number = self.attempt_number.load(Ordering::SeqCst);
+        let outcome = if outcome.not_processed() {
             AttemptOutcome::NeverRan
         } else {
             AttemptOutcome::MayHaveRun
         };
-        if end == AttemptOutcome::MayHaveRun {
+        if outcome == AttemptOutcome::MayHaveRun {
             self.may_have_run.store(true, Ordering::SeqCst);
         }
         self.client.send(Command::EndAttempt {
             key: self.key,
             term: self.term,
             number,
-            outcome: end,
+            outcome,
         });
     }
 
@@ -156,13 +156,13 @@
             term,
             answer,
         });
-        let kept = matches!(event, Some(Event::Committed { .. }));
+        let stored = matches!(event, Some(Event::Committed { .. }));
         match event {
             Some(Event::Committed { .. }) => self.closed.store(true, Ordering::SeqCst),
             Some(_) => self.record_loss(),
             None => {}
         }
-        kept
+        stored
     }
 
     fn abandon(&self) {
@@ -171,7 +171,7 @@
 }
 
 impl Drop for ReplicatedRecord {
-    /// Guards against a request that ends with nothing said of it: the next in line goes on with it.
+    /// A request that ends without a stored answer, for whatever reason, is continued by the next in line.
     fn drop(&mut self) {
         self.release(false);
     }
--- a/edge/proxy/src/cover/persistent.rs
+++ b/edge/proxy/src/cover/persistent.rs
@@ -1,42 +1,44 @@
-//! The part for takeover with a seat that remembers: what it promises is on its file before anybody hears of it. Of two
-//! processes of one name, as in an upgrade, the one that holds the file is the seat; the other is mute, and goes on with
-//! the file once the first gives it up, which it does when it leaves.
+//! The takeover state machine with a persistent replica: what it promises is in its log file before any reply is sent.
+//!
+//! Of two processes of one name, as during an upgrade, the one that holds the file's lock is the replica. The other one
+//! abstains until the first releases the lock, which it does when it shuts down, and then resumes the file.
 
 use super::log::{Log, Recovered};
-use foldmux_replicas::Effects;
-use foldmux_replicas::{Effect, Peer, StateMachine, Time};
+use foldmux_replicas::{Effect, Effects, Peer, StateMachine, Time};
 use foldmux_takeover::{Command, Event, Message, Setup, Takeover};
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// How often it looks for the other process of its name (us): far more often than the shortest silence of a seat with no
-/// memory, which is over a lease.
-const LOOK_INTERVAL: Time = 20_000;
+/// How often it checks for another process of its name (us). Far shorter than the shortest time for which a replica without
+/// its state abstains, which is over a lease.
+const HANDOVER_CHECK_INTERVAL: Time = 20_000;
 
-/// The file, as far as this process has it.
+/// This process's access to the log file.
 enum LogState {
+    /// This process holds the lock, and is the replica.
     Open(Log),
-    /// Another process holds it; passed over at `until`, when a seat with no memory may speak.
-    Waiting {
-        until: Time,
-    },
-    /// Nothing outlives this process, or another is the seat by now.
+    /// Another process holds the lock. From `until` on, when a replica without its state may vote, this one supersedes it.
+    Waiting { until: Time },
+    /// Nothing is persisted, or another process is the replica by now.
     None,
 }
 
+/// The takeover state machine, with the log file of its replica.
 pub struct PersistentTakeover {
     takeover: Takeover,
     log: LogState,
     folder: PathBuf,
-    /// What the promises are about.
+    /// Identifies the replica set, the lease and the recovery window that promises depend on.
     fingerprint: String,
+    /// How long a replica abstains that lost its state (us).
     window: Time,
-    looked_at: Time,
+    /// When it last checked for another process of its name.
+    checked_at: Time,
     shutting_down: bool,
 }
 
 impl PersistentTakeover {
-    /// Without a folder, or with one that can't be used, the seat is silent for a window after each start.
+    /// Without a folder, or with one that can't be used, the replica abstains for a recovery window after each start.
     pub fn new(setup: Setup, folder: Option<&Path>) -> PersistentTakeover {
         let window = setup.drift.stretched(setup.recovery_window());
         let fingerprint = format!("{:?} {} {window}", setup.replicas.members(), setup.lease);
@@ -46,7 +48,7 @@
             folder: folder.map(Path::to_path_buf).unwrap_or_default(),
             fingerprint,
             window,
-            looked_at: 0,
+            checked_at: 0,
             shutting_down: false,
         };
         if folder.is_some() {
@@ -55,14 +57,14 @@
         takeover
     }
 
-    /// Goes on with the file, or begins it, or waits for it.
+    /// Resumes or creates the file, or waits for its lock.
     fn open(&mut self, now: Time) {
         match Log::open(&self.folder, &self.fingerprint, self.window) {
-            Ok(Some((log, found))) => self.resume(now, log, found),
+            Ok(Some((log, recovered))) => self.resume(now, log, recovered),
             Ok(None) => {
                 if !matches!(self.log, LogState::Waiting { .. }) {
                     tracing::info!(
-                        "cover: another process of this name is the seat; this one waits for it"
+                        "cover: another process of this name holds the replica's log file; waiting for its lock"
                     );
                     self.takeover.mute();
                     self.log = LogState::Waiting {
@@ -70,64 +72,66 @@
                     };
                 }
             }
-            Err(e) => {
-                tracing::warn!("cover: this seat forgets with its process: {e}");
+            Err(error) => {
+                tracing::warn!(
+                    "cover: the replica's log file can't be opened, so its state is not persisted: {error}"
+                );
                 self.log = LogState::None;
             }
         }
     }
 
-    fn resume(&mut self, now: Time, log: Log, found: Recovered) {
-        let (ms, count) = (found.votes_in / 1_000, found.kept.len());
-        tracing::info!("cover: this seat speaks in {ms} ms, {count} records read back");
+    fn resume(&mut self, now: Time, log: Log, recovered: Recovered) {
+        let (ms, count) = (recovered.votes_in / 1_000, recovered.entries.len());
+        tracing::info!("cover: the replica votes in {ms} ms; {count} records recovered");
         self.takeover
-            .recover(now, found.votes_in, found.kept.into_iter());
+            .recover(now, recovered.votes_in, recovered.entries.into_iter());
         self.log = LogState::Open(log);
     }
 
-    /// Behind each step, before what it said is heard.
+    /// Persists what a step changed. Called after each step, before its effects are carried out.
     fn persist(&mut self, now: Time, effects: &mut Effects<Takeover>) {
-        let look = now >= self.looked_at + LOOK_INTERVAL;
-        if look {
-            self.looked_at = now;
+        let check_due = now >= self.checked_at + HANDOVER_CHECK_INTERVAL;
+        if check_due {
+            self.checked_at = now;
         }
         let changed = self.takeover.take_changed(now);
         let log = match &mut self.log {
             LogState::Open(log) => log,
-            LogState::Waiting { until } if look && now >= *until => {
+            LogState::Waiting { until } if check_due && now >= *until => {
                 if let Ok(Some(log)) = Log::supersede(&self.folder, &self.fingerprint) {
                     self.resume(
                         now,
                         log,
                         Recovered {
                             votes_in: 0,
-                            kept: Default::default(),
+                            entries: Default::default(),
                         },
                     );
                 }
                 return;
             }
-            LogState::Waiting { .. } if look => return self.open(now),
+            LogState::Waiting { .. } if check_due => return self.open(now),
             LogState::Waiting { .. } | LogState::None => return,
         };
-        let kept = match (look && log.is_superseded(), changed.is_empty()) {
-            (true, _) => Err(io::Error::other("another process is this seat")),
+        let persisted = match (check_due && log.is_superseded(), changed.is_empty()) {
+            (true, _) => Err(io::Error::other("another process is this replica now")),
             (false, true) => Ok(()),
             (false, false) if log.needs_compaction() => log.rewrite(&self.takeover.persisted(now)),
             (false, false) => log.append(&changed),
         };
-        match kept {
-            Ok(()) if look && self.shutting_down && log.successor_waits() => {
-                tracing::info!("cover: the next process of this name is the seat from here on");
+        match persisted {
+            Ok(()) if check_due && self.shutting_down && log.successor_waits() => {
+                tracing::info!("cover: the log file is released to the waiting process of this name, which is the replica from now on");
             }
             Ok(()) => return,
-            Err(why) => {
-                tracing::warn!("cover: this seat says no more: {why}");
+            Err(error) => {
+                tracing::warn!("cover: the replica stops voting: {error}");
                 log.invalidate();
-                // Nobody hears what is not kept.
-                effects.retain(|act| {
+                // No reply is sent for what was not persisted.
+                effects.retain(|effect| {
                     !matches!(
-                        act,
+                        effect,
                         Effect::Send {
                             message: Message::AcquireReply { .. } | Message::WriteReply { .. },
                             ..
@@ -173,12 +177,12 @@
     }
 
     fn next_tick(&self) -> Option<Time> {
-        // It looks by itself while it waits for the other, or the other may wait for it.
-        let looks = matches!(self.log, LogState::Waiting { .. }) || self.shutting_down;
+        // It checks for another process while it waits for that one, or that one may wait for it.
+        let checks = matches!(self.log, LogState::Waiting { .. }) || self.shutting_down;
         self.takeover
             .next_tick()
             .into_iter()
-            .chain(looks.then_some(self.looked_at + LOOK_INTERVAL))
+            .chain(checks.then_some(self.checked_at + HANDOVER_CHECK_INTERVAL))
             .min()
     }
 }
--- a/edge/proxy/src/cover/records.rs
+++ b/edge/proxy/src/cover/records.rs
@@ -1,4 +1,4 @@
-//! The core's records of requests, kept by the fleet's takeover state machine.
+//! The core's interface to request records, implemented by the fleet's takeover state machine.
 
 use super::class_policies::ReplicatedClasses;
 use super::client::TakeoverClient;
@@ -11,22 +11,24 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// Replicated records of the requests of covered classes.
 pub struct ReplicatedRecords {
     pub classes: Arc<ReplicatedClasses>,
     pub client: Arc<TakeoverClient>,
-    /// Told with a rejection.
+    /// Given to the client with a rejection.
     pub retry_after: Duration,
 }
 
 impl ReplicatedRecords {
-    fn uncovered(&self, refuse: bool) -> Acquired {
-        let count = if refuse {
+    /// Ends the acquisition of a request that can't be replicated: it is rejected, or runs without a record.
+    fn not_replicated(&self, reject: bool) -> Acquired {
+        let count = if reject {
             &self.client.counts.refused
         } else {
             &self.client.counts.uncovered
         };
         count.fetch_add(1, Ordering::Relaxed);
-        match refuse {
+        match reject {
             true => Acquired::Rejected(Rejected {
                 retry_after: self.retry_after,
             }),
@@ -36,26 +38,31 @@
 }
 
 impl RequestRecords for ReplicatedRecords {
-    fn acquire(&self, request: &ClientRequest, deadline: Instant, again: bool) -> Acquired {
+    fn acquire(
+        &self,
+        request: &ClientRequest,
+        deadline: Instant,
+        ownership_lost: bool,
+    ) -> Acquired {
         let Some(class) = self.classes.get(&request.class_name) else {
             return Acquired::NotReplicated;
         };
-        // What carries no key has its client's id, which no other request has.
-        let own = || format!("{:016x}", request.via_id);
+        // A request without an idempotency key gets one from its id, which no other request has.
+        let key_from_id = || format!("{:016x}", request.via_id);
         let key = Key::of(
             &request.class_name,
-            &request.token.clone().unwrap_or_else(own),
+            &request.token.clone().unwrap_or_else(key_from_id),
         );
-        let work = Arc::new(request_of(request));
-        let left = deadline
+        let replicated_request = Arc::new(replicated_request(request));
+        let time_left = deadline
             .saturating_duration_since(Instant::now())
             .as_micros() as u64;
         let event = self.client.call(deadline, |ticket| Command::Acquire {
             ticket,
             key,
-            request: work,
-            time_left: left,
-            ownership_lost: again,
+            request: replicated_request,
+            time_left,
+            ownership_lost,
         });
         match event {
             Some(Event::Acquired {
@@ -77,23 +84,26 @@
                 )))
             }
             Some(Event::Answered { answer, .. }) => {
-                self.client.counts.kept.fetch_add(1, Ordering::Relaxed);
+                self.client.counts.stored.fetch_add(1, Ordering::Relaxed);
                 Acquired::Stored(match answer {
                     Answer::Served(bytes) => StoredResponse::Served(bytes),
                     Answer::NotModified => StoredResponse::NotModified,
                     Answer::Failed => StoredResponse::Failed,
                 })
             }
-            // Once it was covered, a request that is lost is not run with no record of it.
-            Some(Event::Unreplicated { .. }) => self.uncovered(again),
-            Some(Event::Rejected { .. }) => self.uncovered(true),
-            None if self.client.is_gone() => self.uncovered(class.refuse || again),
+            // A request whose record this process owned and lost never runs without one.
+            Some(Event::Unreplicated { .. }) => self.not_replicated(ownership_lost),
+            Some(Event::Rejected { .. }) => self.not_replicated(true),
+            None if self.client.is_gone() => {
+                self.not_replicated(class.rejects_unreplicated || ownership_lost)
+            }
             _ => Acquired::Failed,
         }
     }
 }
 
-fn request_of(request: &ClientRequest) -> Request {
+/// The request as its record holds it.
+fn replicated_request(request: &ClientRequest) -> Request {
     let text = |text: &Option<String>| text.as_deref().map(Arc::from);
     Request {
         class: request.class_name.clone(),
@@ -106,6 +116,6 @@
         body: request
             .body
             .as_ref()
-            .map(|(lease, length)| Arc::from(&lease[..*length])),
+            .map(|(buffer, length)| Arc::from(&buffer[..*length])),
     }
 }
--- a/edge/proxy/src/cover/start.rs
+++ b/edge/proxy/src/cover/start.rs
@@ -1,10 +1,10 @@
-//! Start and end of replicated request records.
+//! Starts and stops replicated request records.
 
 use super::class_policies::{setup, ReplicatedClasses};
 use super::client::{EventSink, TakenOverRequest, TakeoverClient};
 use super::persistent::PersistentTakeover;
 use super::records::ReplicatedRecords;
-use super::take_over::begin;
+use super::take_over::start_request;
 use crossbeam_channel::{bounded, Receiver};
 use foldmux_core::Core;
 use foldmux_fleet::{Builder, Port};
@@ -19,15 +19,16 @@
 
 /// The number of the takeover state machine in frames.
 const PART: u8 = 1;
-const STACK: usize = 128 * 1024;
+/// Of the thread that starts requests that were taken over, in bytes.
+const STACK_BYTES: usize = 128 * 1024;
 
-/// Replicated request records, checked and not started yet.
+/// Replicated request records, configured and not started yet.
 pub struct PreparedCover {
     setup: Setup,
     classes: Arc<ReplicatedClasses>,
     client: Arc<TakeoverClient>,
-    taken: Receiver<TakenOverRequest>,
-    /// Where a replica's promises outlive the process.
+    taken_over: Receiver<TakenOverRequest>,
+    /// Where the replica's log files are. Without a folder nothing is persisted.
     folder: Option<PathBuf>,
 }
 
@@ -37,69 +38,74 @@
 }
 
 impl PreparedCover {
-    /// `None` where the file covers no class at all; a process is a replica for others even if it covers none itself. `places`:
-    /// the classes as the fronts serve them.
+    /// None if the operator's file covers no class. Where it covers any, a process is a replica for others even if it serves
+    /// none of the covered classes itself.
+    ///
+    /// `indices`: the classes that the fronts serve, with their indices in the router's list. The tuple holds the most
+    /// requests that are open at once, the memory that the process may use (MB), and the seed of random backoffs.
     ///
     /// # Errors
     ///
-    /// Where the file's classes or replicas can't be used.
+    /// When the operator's file lists no valid replica set, or a clock drift that is out of range.
     pub fn new<'a>(
         config: &FleetConfig,
         name: &str,
         decoded: &Decoded,
-        places: impl Iterator<Item = (&'a Arc<str>, &'a Arc<usize>)>,
-        (open, memory_mb, seed): (usize, u64, u64),
+        indices: impl Iterator<Item = (&'a Arc<str>, &'a Arc<usize>)>,
+        (max_requests, memory_mb, seed): (usize, u64, u64),
     ) -> Result<Option<PreparedCover>, String> {
         if config.covers.is_empty() {
             return Ok(None);
         }
-        let setup = setup(config, name, decoded, open, memory_mb, seed)?;
-        let classes = Arc::new(ReplicatedClasses::new(config, decoded, places));
-        let (sender, taken) = bounded(open);
-        // Where the platform gives this place a folder of its own, which a new version beside this one shares.
+        let setup = setup(config, name, decoded, max_requests, memory_mb, seed)?;
+        let classes = Arc::new(ReplicatedClasses::new(config, decoded, indices));
+        let (sender, taken_over) = bounded(max_requests);
+        // TMPDIR is this process's folder, which the process that replaces it in an upgrade shares.
         let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
-        let folder = folder.map(|own| own.join(format!("foldmux-seat-{}", config.listen.port())));
+        let folder =
+            folder.map(|parent| parent.join(format!("foldmux-seat-{}", config.listen.port())));
         Ok(Some(PreparedCover {
             setup,
             classes,
             client: TakeoverClient::new(sender),
-            taken,
+            taken_over,
             folder,
         }))
     }
 
     /// Adds the state machine to the fleet's thread, which is not started yet.
     pub fn add(&self, builder: &mut Builder) -> Port<Command> {
-        let part = PersistentTakeover::new(self.setup.clone(), self.folder.as_deref());
-        builder.add(PART, part, EventSink(self.client.clone()))
+        let takeover = PersistentTakeover::new(self.setup.clone(), self.folder.as_deref());
+        builder.add(PART, takeover, EventSink(self.client.clone()))
     }
 
-    /// Starts taking over requests. `began`: the start of the fleet's clock.
+    /// Starts replicating requests and taking them over. `started_at`: the start of the fleet's clock.
     ///
     /// # Errors
     ///
-    /// Where no thread can be had.
+    /// When the thread can't be started.
     pub fn start(
         self,
         core: &Arc<Core>,
         port: Port<Command>,
-        began: Instant,
+        started_at: Instant,
     ) -> Result<RunningCover, String> {
         let PreparedCover {
             classes,
             client,
-            taken,
+            taken_over,
             ..
         } = self;
-        client.open(port, began);
-        let (on, own_client, own_classes) = (core.clone(), client.clone(), classes.clone());
-        named("taken", STACK, move || {
-            for one in taken {
-                let begun = begin(&on, &own_classes, &own_client, one);
-                let count = if begun {
-                    &own_client.counts.taken
+        client.open(port, started_at);
+        let (thread_core, thread_client, thread_classes) =
+            (core.clone(), client.clone(), classes.clone());
+        named("taken", STACK_BYTES, move || {
+            for request in taken_over {
+                let started = start_request(&thread_core, &thread_classes, &thread_client, request);
+                let count = if started {
+                    &thread_client.counts.taken_over
                 } else {
-                    &own_client.counts.passed_on
+                    &thread_client.counts.passed_on
                 };
                 count.fetch_add(1, Ordering::Relaxed);
             }
@@ -115,8 +121,8 @@
 }
 
 impl RunningCover {
-    /// Hands over at once what another process can continue.
-    pub fn leave(&self) {
+    /// Releases at once every request that another process can continue.
+    pub fn release_all(&self) {
         self.client.send(Command::ReleaseAll);
     }
 
--- a/edge/proxy/src/fleet/services.rs
+++ b/edge/proxy/src/fleet/services.rs
@@ -158,7 +158,7 @@
 impl RunningServices {
     /// Hands over at once what other processes can continue.
     pub fn leave(&self) {
-        self.cover.iter().for_each(RunningCover::leave);
+        self.cover.iter().for_each(RunningCover::release_all);
         self.relay.iter().for_each(|relay| relay.readers.leave());
         self.pools.iter().for_each(|pools| pools.leave());
     }
