--- a/edge/proxy/src/cover/persistent.rs
+++ b/edge/proxy/src/cover/persistent.rs
@@ -66,7 +66,7 @@
                     tracing::info!(
                         "cover: another process of this name holds the replica's log file; waiting for its lock"
                     );
-                    self.takeover.mute();
+                    self.takeover.stop_voting();
                     self.log = LogState::Waiting {
                         until: now + self.window,
                     };
@@ -141,7 +141,7 @@
             }
         }
         self.log = LogState::None;
-        self.takeover.mute();
+        self.takeover.stop_voting();
     }
 }
 
--- a/pure/replicas/src/configuration.rs
+++ b/pure/replicas/src/configuration.rs
@@ -14,7 +14,11 @@
 
 impl fmt::Display for ReconfigurationInProgress {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the list of seats is changing until {}", self.until)
+        write!(
+            f,
+            "a change of the replica set is in progress until {} us",
+            self.until
+        )
     }
 }
 
@@ -22,10 +26,10 @@
 
 /// The replica set in force, and the former one while a change is in progress.
 ///
-/// The window of a change is the longest time for which a decision stays in force (lease, retention time,
+/// The window of a change must be the longest time for which a decision stays in force (lease, retention time,
 /// deadline) *plus* the time in which every process learns of the change. A process that has not learned of it
-/// by then asks the former set alone while others ask the new set alone; links find such pairs by
-/// [`ReplicaSet::fingerprint`].
+/// by then still uses the former set alone, while others use the new set alone. The links between processes detect
+/// such pairs by [`ReplicaSet::fingerprint`].
 ///
 /// ```
 /// use foldmux_replicas::{ClockDrift, Peer, ReplicaConfiguration, ReplicaSet};
@@ -104,7 +108,7 @@
         replicas
     }
 
-    /// The votes on a question that is asked now. Votes of a question asked before a change are void.
+    /// The votes on a question that is asked now. Votes on a question that was asked before a change don't count.
     pub fn votes(&self, now: Time, key: &[u8]) -> Votes {
         let current = self.current.replicas_of(key);
         match self.former(now) {
--- a/pure/replicas/src/peer.rs
+++ b/pure/replicas/src/peer.rs
@@ -6,8 +6,8 @@
 
 /// A process of the fleet, by its name in the operator's file.
 ///
-/// A restarted process keeps its name. The link's session, and terms where it matters, tell its incarnations
-/// apart.
+/// A restarted process keeps its name. Its incarnations are told apart by the session of the link and, where it
+/// matters, by terms.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Peer(pub Arc<str>);
 
--- a/pure/replicas/src/planted.rs
+++ b/pure/replicas/src/planted.rs
@@ -1,5 +1,5 @@
 //! Planted faults: each switches off one rule of this crate, and a test must find it. Only built with the
-//! feature `planted`. One fault at a time, for the whole process: model checkers have threads of their own.
+//! feature `planted`. One fault at a time is planted, for the whole process, as model checkers start threads.
 
 use std::sync::atomic::{AtomicU8, Ordering};
 
@@ -8,7 +8,7 @@
 #[repr(u8)]
 pub enum Fault {
     /// A quorum is a majority of the replicas that seem alive.
-    QuorumOfTheLiving = 1,
+    QuorumOfAliveReplicas = 1,
     /// A replica that lost its state votes at once.
     VoteAfterStateLoss,
     /// The holder's lease counts from the reply.
@@ -34,8 +34,8 @@
     }
 }
 
-/// Whether this fault is planted. Holders check [`Fault::LeaseFromReply`] themselves: from when a lease
-/// counts is decided in their code.
+/// Whether this fault is planted. The holders of leases check [`Fault::LeaseFromReply`] themselves, as their code
+/// decides from when a lease counts.
 pub fn is_planted(fault: Fault) -> bool {
     PLANTED.load(Ordering::SeqCst) == fault as u8
 }
--- a/pure/replicas/src/recovery.rs
+++ b/pure/replicas/src/recovery.rs
@@ -1,5 +1,5 @@
-//! When a replica may vote after a start. A replica that starts without its state may have granted something
-//! that it does not know of, so it abstains until nothing that it could have granted is in force any more.
+//! When a replica may vote after a start. A replica that starts without its state does not know what it has
+//! granted, so it abstains until nothing that it could have granted is in force any more.
 
 use crate::{ClockDrift, Micros, Time};
 
--- a/pure/replicas/src/rendezvous.rs
+++ b/pure/replicas/src/rendezvous.rs
@@ -6,7 +6,7 @@
 
 use crate::Peer;
 
-/// What an order is for. The orders are independent, so that the first successor of a key is no likelier to be
+/// What an order is used for. The orders are independent, so that the first successor of a key is no likelier to be
 /// one of its replicas than any other process is.
 #[derive(Clone, Copy)]
 pub(crate) enum Purpose {
--- a/pure/replicas/src/replica_set.rs
+++ b/pure/replicas/src/replica_set.rs
@@ -6,11 +6,11 @@
 use std::cmp::Reverse;
 use std::fmt;
 
-/// Replicas of one key.
+/// The number of replicas of a key.
 pub(crate) const REPLICAS_PER_KEY: usize = 3;
-/// Replicas of one key that decide.
+/// The number of a key's replicas that decide.
 pub(crate) const QUORUM: usize = 2;
-/// Members of a replica set. Every lookup hashes the key with each of them.
+/// The most members of a replica set. Every lookup hashes the key with each of them.
 const MAX_MEMBERS: usize = 256;
 
 /// Why a list of names is not a replica set.
@@ -92,14 +92,14 @@
         for member in &self.members {
             // Of two members with equal scores, the lesser name ranks first.
             let mut candidate = Some((score(Purpose::Replicas, member, key), Reverse(member)));
-            for place in &mut best {
-                if candidate > *place {
-                    std::mem::swap(place, &mut candidate);
+            for rank in &mut best {
+                if candidate > *rank {
+                    std::mem::swap(rank, &mut candidate);
                 }
             }
         }
-        best.map(|place| {
-            let (_, Reverse(member)) = place.expect("a set has three members or more");
+        best.map(|rank| {
+            let (_, Reverse(member)) = rank.expect("a set has three members or more");
             member
         })
     }
--- a/pure/replicas/src/votes.rs
+++ b/pure/replicas/src/votes.rs
@@ -3,7 +3,7 @@
 use crate::replica_set::{QUORUM, REPLICAS_PER_KEY};
 use crate::Peer;
 
-/// The votes on one question. Each replica counts once, by its first vote; those of other processes are
+/// The votes on one question. Each replica counts once, by its first vote; votes of other processes are
 /// ignored. A question that is asked again (another term, another renewal) has votes of its own.
 ///
 /// ```
@@ -126,7 +126,7 @@
     /// Whether a quorum of each set has granted.
     pub fn won(&self) -> bool {
         #[cfg(feature = "planted")]
-        if crate::planted::is_planted(crate::planted::Fault::QuorumOfTheLiving) {
+        if crate::planted::is_planted(crate::planted::Fault::QuorumOfAliveReplicas) {
             return self.sets().all(|ballots| {
                 ballots.count(Vote::Granted) * 2 > REPLICAS_PER_KEY - ballots.silent_and_dead()
             });
@@ -135,13 +135,13 @@
             .all(|ballots| ballots.count(Vote::Granted) >= QUORUM)
     }
 
-    /// Whether so many have rejected that it can't be won any more.
+    /// Whether so many replicas have rejected that a quorum is out of reach.
     pub fn lost(&self) -> bool {
         self.sets()
             .any(|ballots| ballots.count(Vote::Rejected) > REPLICAS_PER_KEY - QUORUM)
     }
 
-    /// Marks a replica that seems dead. Only a planted fault gives this any weight.
+    /// Marks a replica that seems dead. Only a planted fault uses the mark.
     #[cfg(feature = "planted")]
     pub fn mark_dead(&mut self, peer: &Peer) {
         for ballots in std::iter::once(&mut self.current).chain(&mut self.former) {
--- a/pure/replicas/tests/lease.rs
+++ b/pure/replicas/tests/lease.rs
@@ -87,9 +87,9 @@
     ) {
         let held = HeldLease::new(holder.at(sent), lease, drift);
         let granted = GrantedLease::new(granter.at(sent + delay), lease);
-        let ends = holder.first(sent, |now| !held.is_valid(now));
-        let frees = granter.first(sent + delay, |now| !granted.is_active(now));
-        prop_assert!(ends <= frees, "held to {ends} ns, granted to {frees} ns");
+        let held_until = holder.first(sent, |now| !held.is_valid(now));
+        let granted_until = granter.first(sent + delay, |now| !granted.is_active(now));
+        prop_assert!(held_until <= granted_until, "held until {held_until} ns, granted until {granted_until} ns");
         // The margin must not take up the whole lease.
         prop_assert!(held.expires_at() - holder.at(sent) + lease / 5 + 2 >= lease);
     }
--- a/pure/replicas/tests/lease_model.rs
+++ b/pure/replicas/tests/lease_model.rs
@@ -1,4 +1,5 @@
-//! All states of one lease, within bounds: it never has two holders at once. `docs/design/members.md` has the counts.
+//! Explores all states of one lease, within bounds: it never has two holders at once. `docs/design/members.md` has
+//! the counts of states.
 
 mod model;
 
@@ -9,7 +10,7 @@
 const PAUSED: &str = "the lease is held while its holder is paused";
 const CHANGES_HANDS: &str = "the lease changes hands";
 
-/// Explores all states. Each of `reachable` must be seen to happen.
+/// Explores all states. Each property of `reachable` must hold in some state. Returns the number of unique states.
 fn explore(rounds: u8, crashes: u8, pauses: u8, reachable: &[&'static str]) -> usize {
     let model = LeaseModel {
         rounds,
@@ -38,7 +39,7 @@
 fn at_most_one_holder_with_a_crash_and_a_pause() {
     assert!(
         explore(2, 1, 1, &[VOTES_AGAIN, PAUSED]) > 300_000,
-        "fewer states than the model has"
+        "the exploration reached fewer states than expected"
     );
 }
 
@@ -46,7 +47,7 @@
 fn at_most_one_holder_as_the_lease_changes_hands() {
     assert!(
         explore(3, 0, 0, &[CHANGES_HANDS]) > 150_000,
-        "fewer states than the model has"
+        "the exploration reached fewer states than expected"
     );
 }
 
--- a/pure/replicas/tests/model/mod.rs
+++ b/pure/replicas/tests/model/mod.rs
@@ -1,6 +1,5 @@
-//! One lease as a state machine that stateright explores: two holders, three replicas, messages that may take
-//! any time or be lost, a crash and a pause. The rules are the code of the crate; only the actions are the
-//! model's.
+//! One lease as a model that stateright explores: two holders, three replicas, messages that may take any time or
+//! be lost, a crash and a pause. Votes, leases and recovery are the crate's own code; the actions are the model's.
 //!
 //! Time advances in ticks, and the state keeps ages, so that it is finite. The clocks run as far apart as the
 //! drift allows, in the worst direction: those of the holders slow, those of the replicas fast.
@@ -15,10 +14,11 @@
 pub enum Action {
     Tick,
     Request(u8),
-    /// The replica receives the request of the holder; of an earlier round if `true`.
+    /// The replica (second) receives the request of the holder (first), one of an earlier round if `true`.
     DeliverRequest(u8, u8, bool),
-    /// The holder receives the reply.
+    /// The holder (first) receives the reply of the replica (second).
     DeliverReply(u8, u8),
+    /// The holder (first) comes to believe that the replica (second) is dead.
     Suspect(u8, u8),
     CrashReplica(u8),
     CrashHolder(u8),
@@ -26,7 +26,7 @@
     Resume(u8),
 }
 
-/// The bounds of the exploration, and from when the holders count.
+/// The bounds of the exploration, and from when the holders count their leases.
 pub struct LeaseModel {
     pub rounds: u8,
     pub crashes: u8,
--- a/pure/replicas/tests/model/state.rs
+++ b/pure/replicas/tests/model/state.rs
@@ -1,4 +1,4 @@
-//! The state of the model, and what the rules of the crate make of it.
+//! The state of the model, and its changes by the crate's rules.
 
 use foldmux_replicas::{
     ClockDrift, GrantedLease, HeldLease, Peer, RecoveryDelay, ReplicaSet, Time, Votes,
@@ -6,14 +6,15 @@
 
 pub const HOLDERS: usize = 2;
 pub const REPLICAS: usize = 3;
-/// A tick is 33 on an exact clock, and a lease three ticks. These are within 10 percent of it.
+/// The length of a tick on the slowest and the fastest clock. It is 33 on an exact one, of which these are within 10
+/// percent; a lease takes three ticks.
 const SLOW_TICK: Time = 30;
 const FAST_TICK: Time = 36;
 const LEASE: Time = 100;
 /// Ages above this are not distinguished.
 const MAX_AGE: u8 = 4;
 
-/// What is known between a holder and a replica of the request of the present round.
+/// The state of the request of the present round, from a holder to a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RequestState {
     Idle,
@@ -28,7 +29,7 @@
 pub struct Holder {
     /// Ticks since the request of the present round was sent.
     pub sent: Option<u8>,
-    /// What is left of the lease on its own clock.
+    /// What is left of the lease, on the holder's own clock.
     pub left: Time,
     pub paused: bool,
 }
@@ -38,7 +39,7 @@
     pub requests: [RequestState; HOLDERS],
     /// A request of an earlier round that is still under way; its reply is ignored.
     pub stale: [bool; HOLDERS],
-    /// To whom, and ticks since the request was received.
+    /// The holder that the lease is granted to, and ticks since its request was received.
     pub granted: Option<(u8, u8)>,
     /// Ticks since it started without its state.
     pub state_lost: Option<u8>,
@@ -48,7 +49,7 @@
 pub struct State {
     pub holders: Vec<Holder>,
     pub replicas: Vec<Replica>,
-    /// How much of the bounds is used up.
+    /// Counts against the bounds of [`super::LeaseModel`].
     pub rounds: u8,
     pub crashes: u8,
     pub pauses: u8,
@@ -101,8 +102,8 @@
         self.holders.iter().filter(|holder| holder.left > 0).count()
     }
 
-    /// Advances time. What has no effect any more is dropped, so that it doesn't distinguish states: grants that
-    /// have expired, and rounds whose lease would have expired (unless a holder counts from the replies).
+    /// Advances time. Drops what has no effect any more, so that it doesn't distinguish states: grants that have
+    /// expired, and rounds whose lease would have expired (unless a holder counts from the replies).
     pub fn tick(&mut self, lease_from_reply: bool) {
         for replica in &mut self.replicas {
             replica.granted = replica
--- a/pure/replicas/tests/planted.rs
+++ b/pure/replicas/tests/planted.rs
@@ -1,5 +1,5 @@
-//! Each planted fault is found by exploring the states of the lease. One test, as a fault is planted for the
-//! whole process. That nothing is found without a fault is in `tests/lease_model.rs`.
+//! Exploring the states of the lease finds each planted fault. There is one test, as a fault is planted for the
+//! whole process. `tests/lease_model.rs` checks that nothing is found without a fault.
 
 mod model;
 
@@ -8,9 +8,9 @@
 use stateright::{Checker, HasDiscoveries, Model};
 
 #[test]
-fn each_planted_fault_lets_two_hold_one_lease() {
+fn each_planted_fault_lets_two_holders_have_the_lease() {
     let faults = [
-        Fault::QuorumOfTheLiving,
+        Fault::QuorumOfAliveReplicas,
         Fault::VoteAfterStateLoss,
         Fault::LeaseFromReply,
         Fault::LeaseNotShortened,
@@ -21,10 +21,10 @@
             rounds: 2,
             crashes: u8::from(fault == Fault::VoteAfterStateLoss),
             pauses: 0,
-            suspicion: fault == Fault::QuorumOfTheLiving,
+            suspicion: fault == Fault::QuorumOfAliveReplicas,
             lease_from_reply: || is_planted(Fault::LeaseFromReply),
         };
-        let began = std::time::Instant::now();
+        let started_at = std::time::Instant::now();
         let exploration = model
             .checker()
             .threads(2)
@@ -34,7 +34,7 @@
         let found = checker
             .discovery("at most one holder")
             .unwrap_or_else(|| panic!("{fault:?} is not found"));
-        let (took, actions) = (began.elapsed().as_millis(), found.into_actions().len());
+        let (took, actions) = (started_at.elapsed().as_millis(), found.into_actions().len());
         println!(
             "{fault:?}: {took} ms, {} states, {actions} actions",
             checker.unique_state_count()
--- a/pure/replicas/tests/replica_set.rs
+++ b/pure/replicas/tests/replica_set.rs
@@ -1,4 +1,4 @@
-//! The replicas of keys, their votes, and changes of the replica set, against plain readings of the rules.
+//! The replicas of keys, their votes, and changes of the replica set, against simple implementations of the rules.
 
 use foldmux_replicas::*;
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_list_that_is_no_replica_set_is_an_error() {
+fn an_invalid_list_of_members_is_an_error() {
     assert_eq!(
         set_of(&[1, 2]).unwrap_err().to_string(),
         "2 seats are listed, at least 3 are needed"
@@ -100,10 +100,10 @@
 
 proptest! {
     #[test]
-    fn three_of_the_members_and_few_keys_move(
+    fn replicas_are_three_members_and_stay_when_another_member_is_removed(
         names in names(),
         key in any::<[u8; 4]>(),
-        gone in 0..9_usize,
+        removed in 0..9_usize,
     ) {
         let set = set_of(&names).unwrap();
         let of = set.replicas_of(&key);
@@ -113,10 +113,10 @@
         sorted.sort();
         let resorted = set_of(&sorted).unwrap();
         prop_assert_eq!(resorted.replicas_of(&key), of);
-        let left: Vec<usize> = names.iter().copied().filter(|n| *n != gone).collect();
-        if let Ok(fewer) = set_of(&left) {
-            let stay: Vec<&Peer> = of.into_iter().filter(|peer| peer.as_str() != format!("n{gone}")).collect();
-            prop_assert_eq!(&fewer.replicas_of(&key)[..stay.len()], &stay[..]);
+        let remaining: Vec<usize> = names.iter().copied().filter(|n| *n != removed).collect();
+        if let Ok(fewer) = set_of(&remaining) {
+            let remaining_replicas: Vec<&Peer> = of.into_iter().filter(|peer| peer.as_str() != format!("n{removed}")).collect();
+            prop_assert_eq!(&fewer.replicas_of(&key)[..remaining_replicas.len()], &remaining_replicas[..]);
         }
         let ranked = rendezvous::ranked(&key, set.members());
         prop_assert_eq!(rendezvous::first(&key, set.members()), Some(ranked[0]));
@@ -126,12 +126,12 @@
     #[test]
     fn votes_count_each_replica_once_by_its_first_vote(
         names in names(),
-        said in prop::collection::vec((0..10_usize, any::<bool>()), 0..12),
+        votes_cast in prop::collection::vec((0..10_usize, any::<bool>()), 0..12),
     ) {
         let set = set_of(&names).unwrap();
         let mut votes = Votes::new(set.replicas_of(b"k"));
         let mut first: BTreeMap<Peer, bool> = BTreeMap::new();
-        for (who, granted) in said {
+        for (who, granted) in votes_cast {
             let who = Peer::new(&format!("n{who}"));
             let counts = set.is_replica(b"k", &who) && !first.contains_key(&who);
             prop_assert_eq!(if granted { votes.grant(&who) } else { votes.reject(&who) }, counts);
@@ -139,18 +139,18 @@
                 first.insert(who, granted);
             }
         }
-        let granted: BTreeSet<&Peer> = first.iter().filter(|said| *said.1).map(|said| said.0).collect();
+        let granted: BTreeSet<&Peer> = first.iter().filter(|vote| *vote.1).map(|vote| vote.0).collect();
         prop_assert_eq!(votes.won(), granted.len() >= 2);
         prop_assert_eq!(votes.lost(), first.len() - granted.len() >= 2);
         prop_assert_eq!(votes.granted().collect::<BTreeSet<_>>(), granted);
     }
 
-    /// A decision in the window shares a replica with each by the old set alone, and each by the new.
+    /// A decision during a change shares a replica with any decision under the old set alone, and any under the new.
     #[test]
     fn decisions_overlap_through_a_change(
         (old, new) in (names(), names()),
-        here in any::<[bool; 9]>(),
-        there in any::<[bool; 9]>(),
+        granting_alone in any::<[bool; 9]>(),
+        granting_during in any::<[bool; 9]>(),
     ) {
         let (old, new) = (set_of(&old).unwrap(), set_of(&new).unwrap());
         let grants = |mut votes: Votes, who: &[bool; 9]| {
@@ -160,10 +160,10 @@
             votes.won().then(|| votes.granted().cloned().collect::<BTreeSet<Peer>>())
         };
         let mut configuration = ReplicaConfiguration::stable(old.clone());
-        let before = grants(configuration.votes(0, b"k"), &here);
+        let before = grants(configuration.votes(0, b"k"), &granting_alone);
         configuration.change(new.clone(), 0, 1_000, ClockDrift::default()).unwrap();
-        let during = grants(configuration.votes(1_000, b"k"), &there);
-        let after = grants(configuration.votes(1_031, b"k"), &here);
+        let during = grants(configuration.votes(1_000, b"k"), &granting_during);
+        let after = grants(configuration.votes(1_031, b"k"), &granting_alone);
         if let Some(during) = &during {
             let overlap = |set: &ReplicaSet, other: &Option<BTreeSet<Peer>>| {
                 other.iter().all(|other| other.intersection(during).any(|peer| set.is_replica(b"k", peer)))
--- a/pure/takeover/src/acquisition.rs
+++ b/pure/takeover/src/acquisition.rs
@@ -1,6 +1,6 @@
 //! The acquisition of a key: its three replicas are asked under a new term, in rounds, until a quorum grants,
-//! two replicas show the same final answer, or no client has time left. A grant alone keeps no later
-//! acquisition away: only a write or a renewal of the owner does.
+//! two replicas hold the same final answer, or no client has time left. A grant alone prevents no later
+//! acquisition: only a write or a renewal of the owner does.
 
 use crate::context::Context;
 use crate::messages::{AcquireReply, Message, Verdict};
@@ -17,7 +17,7 @@
 pub struct Acquisition {
     pub request: Option<Arc<Request>>,
     pub waiters: Vec<Waiter>,
-    /// A replica chose this process as successor: it goes on until then, without any waiter.
+    /// A replica chose this process as successor: the acquisition continues until then, even without a waiter.
     pub successor_until: Option<Time>,
     pub ballot: Ballot,
     pub replicas: [Peer; 3],
@@ -86,15 +86,15 @@
         deadlines.chain(self.successor_until).max().unwrap_or(now)
     }
 
-    /// Takes the reply of a replica; the first one counts.
+    /// Records the reply of a replica, unless it has replied in this round. Returns whether it is one of the key's.
     pub fn receive(&mut self, from: &Peer, reply: AcquireReply) -> bool {
-        let Some(place) = self.replicas.iter().position(|replica| replica == from) else {
+        let Some(index) = self.replicas.iter().position(|replica| replica == from) else {
             return false;
         };
         self.highest_term = self.highest_term.max(reply.promised.term);
         self.key_known |= reply.record.is_some()
             || matches!(reply.verdict, Verdict::Leased { .. } | Verdict::HigherTerm);
-        self.replies[place].get_or_insert(reply);
+        self.replies[index].get_or_insert(reply);
         true
     }
 
--- a/pure/takeover/src/context.rs
+++ b/pure/takeover/src/context.rs
@@ -1,4 +1,4 @@
-//! What every step of the state machine gets.
+//! The context of a step of the state machine.
 
 use crate::interface::Event;
 use crate::messages::Message;
--- a/pure/takeover/src/interface.rs
+++ b/pure/takeover/src/interface.rs
@@ -7,12 +7,12 @@
 
 /// A command of this process. Each ticket is answered by exactly one event.
 ///
-/// `term` is that of the record that the process was given as its own. A command under another term is stale.
+/// `term` is that of the record that the process was given. A command under another term is stale.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// A client's request has arrived.
     Acquire {
-        /// Answered by how the request goes on.
+        /// Answered by the event that says how the request continues.
         ticket: u64,
         /// The request's key.
         key: Key,
@@ -31,7 +31,7 @@
         key: Key,
         /// The record's term.
         term: u64,
-        /// Counts from the owner's first attempt.
+        /// The attempt's number within the term, from 1.
         number: u8,
         /// The group of caches that it goes to.
         group: u32,
--- a/pure/takeover/src/lib.rs
+++ b/pure/takeover/src/lib.rs
@@ -1,15 +1,15 @@
 //! Failover of requests: a record of each request is replicated at the three replicas of its key, so that
 //! another process takes the request over, and only one.
 //!
-//! [`Takeover`] is the state machine of a process. It is three things at once:
+//! [`Takeover`] is the state machine of a process. It has three roles:
 //!
 //! - a *replica* (`replica`), which stores records, grants leases to owners and notifies successors,
 //! - an *owner* (`owner`), which acquires a key by ballot and writes the record at the replicas before an
 //!   attempt is sent and before the client is answered,
-//! - a *successor* (`owner::succession`), which continues what an owner left.
+//! - a *successor* (`owner::succession`), which continues a request whose owner is gone.
 //!
-//! Of two owners of a key, whenever they lived, the later one has the greater term. The crate does no I/O,
-//! reads no clock, starts no threads, selects no cache and knows no front.
+//! Of any two owners of a key, the later one has the greater term. The crate does no I/O, reads no clock, starts
+//! no threads, selects no cache and knows no front.
 //!
 //! Dependencies run one way: `machine` uses `replica` and `owner`; these use `owned`, `acquisition`, `waiter`
 //! and `context`; all use `messages`, `interface`, `record`, `policy` and `setup`.
--- a/pure/takeover/src/machine.rs
+++ b/pure/takeover/src/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine: replica and owner in one. It routes what comes in to the side that it is for.
+//! The state machine: it passes each message, command and timer to its replica or its owner.
 
 use crate::context::Context;
 use crate::interface::{Command, Event, Lease};
@@ -16,7 +16,8 @@
     setup: Setup,
     replica: Replica,
     owner: Owner,
-    /// The processes that may be successors: all that are said to be alive. Bounded by whoever says so.
+    /// The processes that the membership reports alive: successors are chosen from them. The membership bounds their
+    /// number.
     alive: BTreeSet<Peer>,
 }
 
@@ -31,7 +32,7 @@
         }
     }
 
-    /// A state machine whose replica recovers what the process before it persisted, and votes after
+    /// A state machine whose replica recovers what the former process of its name persisted, and votes after
     /// `votes_in`.
     pub fn recovered(
         now: Time,
@@ -44,8 +45,8 @@
         takeover
     }
 
-    /// Recovers what another process persisted, for a replica that was muted until now. From then on
-    /// [`Takeover::take_changed`] reports what is to be persisted.
+    /// Recovers what the former process of this name persisted, for a replica that abstained until now. From then
+    /// on [`Takeover::take_changed`] reports what has to be persisted.
     pub fn recover(
         &mut self,
         now: Time,
@@ -56,28 +57,29 @@
             .recover(now, votes_in, self.setup.lease, persisted);
     }
 
-    /// What has changed since the last call, and has to be persisted before a message leaves. Empty where
+    /// What has changed since the last call, and has to be persisted before a message is sent. Empty where
     /// nothing is persisted.
     pub fn take_changed(&mut self, now: Time) -> Vec<(Key, PersistedEntry)> {
         self.replica.take_changed(now)
     }
 
-    /// Changes are no longer reported by [`Takeover::take_changed`].
+    /// Makes [`Takeover::take_changed`] report no more changes.
     pub fn stop_persisting(&mut self) {
         self.replica.stop_persisting();
     }
 
-    /// Everything that there is to persist.
+    /// The replica's whole state, as it is persisted.
     pub fn persisted(&self, now: Time) -> Vec<(Key, PersistedEntry)> {
         self.replica.persisted(now)
     }
 
-    /// Silences the replica: its promises can't be persisted any more, or another process is this replica.
-    pub fn mute(&mut self) {
-        self.replica.mute();
+    /// Stops the replica from voting until [`Takeover::recover`] is called. For a replica whose promises can't be
+    /// persisted any more, or while another process of its name is the replica.
+    pub fn stop_voting(&mut self) {
+        self.replica.stop_voting();
     }
 
-    /// The keys that the replica knows, and the requests that this process owns or acquires.
+    /// The number of keys that the replica knows, and of requests that this process owns or acquires.
     pub fn counts(&self) -> (usize, usize) {
         (self.replica.len(), self.owner.len())
     }
@@ -87,7 +89,7 @@
         self.owner.lease(key)
     }
 
-    /// Whether this process's replica votes yet.
+    /// Whether this process's replica may vote.
     pub fn may_vote(&self, now: Time) -> bool {
         self.replica.may_vote(now, &self.setup)
     }
@@ -108,7 +110,7 @@
 }
 
 impl Takeover {
-    /// Whether a message is from the owner that it names. Only an owner speaks for its ballot.
+    /// Whether a message under a ballot is from the owner that the ballot names.
     fn is_authentic(message: &Message, from: &Peer) -> bool {
         match message {
             Message::Acquire { ballot, .. }
--- a/pure/takeover/src/messages.rs
+++ b/pure/takeover/src/messages.rs
@@ -40,7 +40,7 @@
         key: Key,
         /// The owner's ballot.
         ballot: Ballot,
-        /// The owner's clock when it sent this. The reply returns it; nobody else interprets it.
+        /// The owner's clock when it sent this. The reply returns it, and only the owner interprets it.
         sent_at: Time,
         /// What is written.
         write: RecordWrite,
@@ -76,7 +76,7 @@
         /// No successor is needed.
         abandoned: bool,
     },
-    /// From a replica to the next in line: nobody owns this key any more.
+    /// From a replica to the next in line: this key has no owner any more.
     TakeOver {
         /// The request's key.
         key: Key,
@@ -103,7 +103,7 @@
     pub answer: Option<Answer>,
 }
 
-/// What a replica says to an acquisition or a write.
+/// A replica's decision on an acquisition, a write or a renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Verdict {
     /// Granted, or accepted.
@@ -132,7 +132,7 @@
 }
 
 impl AcquireReply {
-    /// A reply of a replica that has promised nothing and knows no record.
+    /// A reply that carries neither a promise nor a record.
     pub fn without_promise(verdict: Verdict) -> AcquireReply {
         AcquireReply {
             verdict,
--- a/pure/takeover/src/owned.rs
+++ b/pure/takeover/src/owned.rs
@@ -1,5 +1,5 @@
-//! One request that this process owns: the record as it last wrote it, what each replica has of it, and until
-//! when attempts may be sent.
+//! One request that this process owns: the record as last written, which version each replica has acknowledged,
+//! and until when attempts may be sent.
 
 use crate::acquisition::Acquisition;
 use crate::context::Context;
@@ -13,8 +13,8 @@
 
 /// The owner renews its lease this many times per lease.
 const RENEWALS_PER_LEASE: u64 = 3;
-/// The places of a key's replicas.
-const PLACES: std::ops::Range<usize> = 0..3;
+/// The indices of a key's replicas.
+const REPLICA_INDICES: std::ops::Range<usize> = 0..3;
 
 /// What a write is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,13 +43,13 @@
 pub struct OwnedRequest {
     pub ballot: Ballot,
     replicas: [Peer; 3],
-    /// As last written, right at `record_as_of`.
+    /// As last written. Its spans are as of `record_as_of`.
     pub record: Record,
     record_as_of: Time,
     /// The version that each replica has acknowledged.
     acknowledged: [u32; 3],
     has_request: [bool; 3],
-    /// Replicas that take no more writes of this owner.
+    /// Replicas that accept no more writes of this owner.
     rejected: [bool; 3],
     /// When the last message was sent that each replica has accepted.
     accepted_sent_at: [Option<Time>; 3],
@@ -106,7 +106,7 @@
         self.record.proof(repeatability)
     }
 
-    pub fn place_of(&self, peer: &Peer) -> Option<usize> {
+    pub fn index_of(&self, peer: &Peer) -> Option<usize> {
         self.replicas.iter().position(|replica| replica == peer)
     }
 
@@ -128,7 +128,8 @@
             .any(|acknowledged| *acknowledged < version)
     }
 
-    /// The lease is valid while those of two replicas are, and no longer than a repeat is dropped.
+    /// Sets until when attempts may be sent: while the lease is valid at two replicas, and neither the time for
+    /// repeats nor the deadline has passed.
     pub fn update_lease(&self, ctx: &Context) {
         let mut sent_at = self.accepted_sent_at;
         sent_at.sort();
@@ -146,47 +147,47 @@
         }
     }
 
-    /// A replica has accepted a message of this owner.
-    pub fn accepted(&mut self, ctx: &Context, place: usize, sent_at: Time, version: u32) {
+    /// Notes that a replica has accepted a message that this owner sent at `sent_at`.
+    pub fn accepted(&mut self, ctx: &Context, index: usize, sent_at: Time, version: u32) {
         let sent_at = match ctx.setup.planted(Fault::LeaseFromReply) {
             true => ctx.now,
             false => sent_at.min(ctx.now),
         };
-        self.accepted_sent_at[place] = self.accepted_sent_at[place].max(Some(sent_at));
-        self.acknowledged[place] = self.acknowledged[place].max(version);
-        self.has_request[place] = true;
+        self.accepted_sent_at[index] = self.accepted_sent_at[index].max(Some(sent_at));
+        self.acknowledged[index] = self.acknowledged[index].max(version);
+        self.has_request[index] = true;
         self.update_lease(ctx);
     }
 
-    /// A replica takes no more writes. Returns whether that leaves no quorum.
-    pub fn rejected(&mut self, place: usize) -> bool {
-        self.rejected[place] = true;
+    /// Notes that a replica accepts no more writes. Returns whether that leaves no quorum.
+    pub fn rejected(&mut self, index: usize) -> bool {
+        self.rejected[index] = true;
         self.rejected.iter().filter(|rejected| **rejected).count() >= 2
     }
 
-    /// A replica has granted the ballot after a quorum had: it joins in.
-    pub fn late_grant(&mut self, ctx: &mut Context, key: Key, place: usize) {
-        self.has_request[place] = true;
-        self.renew(ctx, key, place);
+    /// Handles a grant that arrived after a quorum had granted: the lease is renewed at this replica, too.
+    pub fn late_grant(&mut self, ctx: &mut Context, key: Key, index: usize) {
+        self.has_request[index] = true;
+        self.renew(ctx, key, index);
     }
 
-    /// A replica doesn't know the request: it is asked for its grant anew, with the request.
-    pub fn reintroduce(&mut self, ctx: &mut Context, key: Key, place: usize) {
-        self.has_request[place] = false;
+    /// Handles a replica that doesn't know the request: it is sent the acquisition again, with the request.
+    pub fn reintroduce(&mut self, ctx: &mut Context, key: Key, index: usize) {
+        self.has_request[index] = false;
         let message = Message::Acquire {
             key,
             ballot: self.ballot.clone(),
             request: Some(self.record.request.clone()),
             time_left: self.deadline.saturating_sub(ctx.now),
         };
-        ctx.send(&self.replicas[place], message);
+        ctx.send(&self.replicas[index], message);
     }
 
-    fn send_record(&self, ctx: &mut Context, key: Key, place: usize) {
+    fn send_record(&self, ctx: &mut Context, key: Key, index: usize) {
         let record = self.record.aged(ctx.now - self.record_as_of);
         let write = RecordWrite {
             version: record.version,
-            request: (!self.has_request[place]).then_some(record.request),
+            request: (!self.has_request[index]).then_some(record.request),
             time_left: record.time_left,
             attempts: record.attempts,
             answer: record.answer,
@@ -197,10 +198,10 @@
             sent_at: ctx.now,
             write,
         };
-        ctx.send(&self.replicas[place], message);
+        ctx.send(&self.replicas[index], message);
     }
 
-    /// Writes the record as it has become to all replicas.
+    /// Writes the present record to all replicas, as a new version.
     pub fn write(&mut self, ctx: &mut Context, key: Key, waiter: Option<WriteWaiter>) {
         self.refresh(ctx.now);
         self.record.version += 1;
@@ -208,45 +209,45 @@
         self.pending
             .extend(waiter.map(|waiter| PendingWrite { version, waiter }));
         self.resend_at = ctx.now + ctx.setup.resend_interval();
-        for place in PLACES.filter(|place| !self.rejected[*place]) {
-            self.send_record(ctx, key, place);
+        for index in REPLICA_INDICES.filter(|index| !self.rejected[*index]) {
+            self.send_record(ctx, key, index);
         }
     }
 
-    fn renew(&self, ctx: &mut Context, key: Key, place: usize) {
+    fn renew(&self, ctx: &mut Context, key: Key, index: usize) {
         let message = Message::Renew {
             key,
             ballot: self.ballot.clone(),
             sent_at: ctx.now,
         };
-        ctx.send(&self.replicas[place], message);
+        ctx.send(&self.replicas[index], message);
     }
 
     /// Renews the lease at all replicas.
     pub fn renew_all(&self, ctx: &mut Context, key: Key) {
-        PLACES.for_each(|place| self.renew(ctx, key, place));
+        REPLICA_INDICES.for_each(|index| self.renew(ctx, key, index));
     }
 
-    /// Resends what replicas lack, and renews the lease, when these are due.
+    /// Resends the record to replicas that lack it, and renews the lease, where these are due.
     pub fn refresh_replicas(&mut self, ctx: &mut Context, key: Key) {
         if self.is_behind() && self.resend_at <= ctx.now {
             self.resend_at = ctx.now + ctx.setup.resend_interval();
             let version = self.record.version;
-            let lacks_it =
-                |place: &usize| !self.rejected[*place] && self.acknowledged[*place] < version;
-            for place in PLACES.filter(lacks_it) {
-                self.send_record(ctx, key, place);
+            let lacks_record =
+                |index: &usize| !self.rejected[*index] && self.acknowledged[*index] < version;
+            for index in REPLICA_INDICES.filter(lacks_record) {
+                self.send_record(ctx, key, index);
             }
         }
         if self.renew_at <= ctx.now {
             self.renew_at = ctx.now + ctx.setup.lease / RENEWALS_PER_LEASE;
-            for place in PLACES.filter(|place| !self.rejected[*place]) {
-                self.renew(ctx, key, place);
+            for index in REPLICA_INDICES.filter(|index| !self.rejected[*index]) {
+                self.renew(ctx, key, index);
             }
         }
     }
 
-    /// Tells the replicas that this owner stops.
+    /// Revokes the lease, and releases the key at the replicas.
     pub fn release(&self, ctx: &mut Context, key: Key, abandoned: bool) {
         self.lease.revoke();
         for replica in &self.replicas {
@@ -283,7 +284,7 @@
         answered
     }
 
-    /// Tells whoever waits for a write that it won't be committed by this owner.
+    /// Answers all pending writes: this owner won't commit them.
     pub fn fail_writes(&mut self, ctx: &mut Context) {
         for pending in self.pending.drain(..) {
             if let Some(ticket) = pending.waiter.ticket {
--- a/pure/takeover/src/owner.rs
+++ b/pure/takeover/src/owner.rs
@@ -1,6 +1,6 @@
 //! The owner's side: it acquires keys, writes the record at the replicas before an attempt is sent and before
-//! a client is answered, renews its lease, and stops when it loses it. A write counts once a quorum has stored
-//! it.
+//! a client is answered, renews its lease, and stops when it loses it. A write is committed once a quorum has
+//! stored it.
 
 mod acquire;
 mod attempts;
@@ -79,7 +79,7 @@
         self.arm(key);
     }
 
-    /// Sets the timer of a key to when something is due.
+    /// Sets the timer of a key to when its next action is due.
     fn arm(&mut self, key: Key) {
         let acquisition_due = self.acquisitions.get(&key).map(Acquisition::due);
         let owned_due = || self.owned.get(&key).map(OwnedRequest::due);
--- a/pure/takeover/src/owner/acquire.rs
+++ b/pure/takeover/src/owner/acquire.rs
@@ -1,4 +1,4 @@
-//! The rounds of an acquisition, and what comes of them.
+//! The rounds of an acquisition, and their outcomes.
 
 use super::Owner;
 use crate::acquisition::Acquisition;
@@ -11,9 +11,9 @@
 use crate::waiter;
 use foldmux_replicas::{Peer, Time};
 
-/// The fraction of the resend interval to wait for the last reply of a round, where that decides it: its
+/// A round that only its last reply can decide waits for it at least `resend interval / LAST_REPLY_DIVISOR`; its
 /// replica may be dead.
-const LAST_REPLY_FRACTION: u64 = 5;
+const LAST_REPLY_DIVISOR: u64 = 5;
 
 impl Owner {
     pub(super) fn start_round(&mut self, ctx: &mut Context, key: Key) {
@@ -73,13 +73,14 @@
             self.end_lost_round(ctx, key);
         } else if missing == 1 {
             let lease_left = acquisition.lease_time_left().unwrap_or(0);
-            let patience = ctx.setup.resend_interval() / LAST_REPLY_FRACTION;
+            let patience = ctx.setup.resend_interval() / LAST_REPLY_DIVISOR;
             let round_end = ctx.now + lease_left.max(patience);
             acquisition.next_at = acquisition.next_at.min(round_end);
         }
     }
 
-    /// The round can't be won, or has timed out.
+    /// Ends a round that can't be won or has timed out. The next one starts after a pause, unless the acquisition
+    /// ends, too.
     fn end_lost_round(&mut self, ctx: &mut Context, key: Key) {
         let backoff = self.draw_backoff(ctx.setup.resend_interval()) + 1;
         let Some(acquisition) = self.acquisitions.get_mut(&key) else {
@@ -96,7 +97,7 @@
                 waiter.join(ctx);
             }
             if acquisition.waiters.is_empty() {
-                // Another process owns it, and nobody waits here.
+                // Another process owns the request, and no client waits here.
                 self.acquisitions.remove(&key);
                 return;
             }
@@ -132,7 +133,7 @@
         }
     }
 
-    /// A quorum has granted the key: the record that was written last is the one to continue.
+    /// A quorum has granted the key: this process continues the record that was written last.
     fn own(&mut self, ctx: &mut Context, key: Key, acquisition: Acquisition) {
         let Some(mut record) = latest_record(&acquisition) else {
             return;
@@ -148,7 +149,7 @@
                 attempt.age = 0;
             }
         }
-        // Ages were right when the replica replied: at the earliest, when it was asked.
+        // The ages held when the replicas replied, which was after the round was sent.
         let sent_at = acquisition.sent_at.unwrap_or(ctx.now);
         let deadline = acquisition
             .waiters
@@ -165,13 +166,13 @@
         self.resume(ctx, key, acquisition.waiters);
     }
 
-    /// The reply of a replica to a ballot that a quorum had already granted, or that it was asked for anew.
+    /// Handles the reply to a ballot that a quorum had already granted, or to an acquisition that was sent again.
     fn on_late_reply(&mut self, ctx: &mut Context, from: &Peer, key: Key, verdict: Verdict) {
         let Some(owned) = self.owned.get_mut(&key) else {
             return;
         };
-        if let (Some(place), Verdict::Granted) = (owned.place_of(from), verdict) {
-            owned.late_grant(ctx, key, place);
+        if let (Some(index), Verdict::Granted) = (owned.index_of(from), verdict) {
+            owned.late_grant(ctx, key, index);
         }
     }
 }
--- a/pure/takeover/src/owner/attempts.rs
+++ b/pure/takeover/src/owner/attempts.rs
@@ -1,5 +1,4 @@
-//! The commands of whoever works on an owned request: an attempt begins, an attempt has ended, the final
-//! answer is known.
+//! The commands for an owned request: an attempt begins, an attempt has ended, the final answer is known.
 
 use super::Owner;
 use crate::context::Context;
@@ -8,7 +7,7 @@
 use crate::record::{Answer, Attempt, AttemptOutcome, Key, Proof, MAX_ATTEMPTS};
 use crate::setup::Fault;
 
-/// A request as it was given to its process: a command under a stale term has no effect on it.
+/// An owned request, as a command names it. A command under a stale term has no effect.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnedKey {
     pub key: Key,
@@ -51,7 +50,7 @@
             Proof::NotRepeatable => return ctx.emit(Event::Rejected { ticket }),
         };
         let attempts = &mut owned.record.attempts;
-        let is_duplicate = attempts.iter().any(|a| a.is(id.term, number));
+        let is_duplicate = attempts.iter().any(|a| a.has_id(id.term, number));
         if is_duplicate || attempts.len() >= MAX_ATTEMPTS {
             return ctx.emit(Event::Rejected { ticket });
         }
@@ -84,11 +83,11 @@
         };
         owned.refresh(ctx.now);
         let mut attempts = owned.record.attempts.iter_mut();
-        let Some(attempt) = attempts.find(|a| a.is(id.term, number)) else {
+        let Some(attempt) = attempts.find(|a| a.has_id(id.term, number)) else {
             return;
         };
         attempt.outcome = Some(outcome);
-        // An attempt without an outcome may have run, so only this outcome is news to the replicas.
+        // Without an outcome the replicas assume that the attempt may have run, so only this outcome is written.
         if outcome == AttemptOutcome::NeverRan {
             owned.write(ctx, id.key, None);
         }
--- a/pure/takeover/src/owner/join.rs
+++ b/pure/takeover/src/owner/join.rs
@@ -1,5 +1,5 @@
-//! A client's request, at whichever process it arrives: it begins the request, joins it where it is in
-//! progress, or gets the answer that is stored.
+//! A client's request, at whichever process it arrives: it acquires the key, waits for the owner where there is
+//! one, or gets the stored answer.
 
 use super::Owner;
 use crate::acquisition::Acquisition;
@@ -10,9 +10,9 @@
 use foldmux_replicas::Micros;
 use std::sync::Arc;
 
-/// A process that shuts down waits this fraction of the lease before it acquires a key that it released, so
-/// that a successor comes first.
-const SHUTDOWN_HEAD_START: u64 = 4;
+/// A process that shuts down waits `lease / SHUTDOWN_HEAD_START_DIVISOR` before it acquires a key that it released,
+/// so that a successor comes first.
+const SHUTDOWN_HEAD_START_DIVISOR: u64 = 4;
 
 impl Owner {
     pub fn acquire(
@@ -53,7 +53,7 @@
         acquisition.waiters.push(waiter);
         acquisition.key_known = ownership_lost;
         let head_start = match ownership_lost && self.shutting_down {
-            true => ctx.setup.lease / SHUTDOWN_HEAD_START,
+            true => ctx.setup.lease / SHUTDOWN_HEAD_START_DIVISOR,
             false => 0,
         };
         acquisition.next_at = ctx.now + head_start;
@@ -76,7 +76,7 @@
             return self.arm(key);
         }
         let pause = match self.shutting_down {
-            true => ctx.setup.lease / SHUTDOWN_HEAD_START,
+            true => ctx.setup.lease / SHUTDOWN_HEAD_START_DIVISOR,
             false => self.draw_backoff(ctx.setup.resend_interval()),
         };
         let acquisition = Acquisition {
--- a/pure/takeover/src/owner/release.rs
+++ b/pure/takeover/src/owner/release.rs
@@ -1,11 +1,11 @@
-//! An owner that stops, or loses a request, and what becomes of the clients that wait for it.
+//! An owner releases or loses a request, and the clients that wait for it here acquire it anew.
 
 use super::{OwnedKey, Owner};
 use crate::context::Context;
 use crate::record::{Key, Proof};
 
 impl Owner {
-    /// Releases a request. The next client that waits here continues it, else whoever the replicas notify.
+    /// Releases a request. The next client that waits here continues it, else a process that the replicas notify.
     pub fn release(&mut self, ctx: &mut Context, id: OwnedKey, abandoned: bool) {
         let Some(owned) = self.unanswered_under(id) else {
             return;
@@ -14,7 +14,7 @@
         owned.fail_writes(ctx);
         let proof = owned.proof(ctx);
         if !owned.waiters.is_empty() && proof != Proof::NotRepeatable {
-            // Under the same term: the numbers of attempts continue.
+            // The term stays, so the numbers of attempts continue.
             owned.hand_over(ctx, id.key, proof);
         } else {
             owned.release(ctx, id.key, abandoned);
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Another process owns the request, or may.
+    /// Gives up a request that another process owns, or may own.
     pub(super) fn lose(&mut self, ctx: &mut Context, key: Key) {
         if let Some(owned) = self.owned.get_mut(&key) {
             owned.lease.revoke();
--- a/pure/takeover/src/owner/replication.rs
+++ b/pure/takeover/src/owner/replication.rs
@@ -23,17 +23,17 @@
         if reply.ballot != owned.ballot {
             return;
         }
-        let Some(place) = owned.place_of(from) else {
+        let Some(index) = owned.index_of(from) else {
             return;
         };
         match reply.verdict {
             Verdict::Granted => {
-                owned.accepted(ctx, place, reply.sent_at, reply.version);
+                owned.accepted(ctx, index, reply.sent_at, reply.version);
                 self.commit_writes(ctx, key);
             }
-            Verdict::Unknown => owned.reintroduce(ctx, key, place),
+            Verdict::Unknown => owned.reintroduce(ctx, key, index),
             Verdict::HigherTerm | Verdict::Full => {
-                if owned.rejected(place) {
+                if owned.rejected(index) {
                     self.lose(ctx, key);
                 }
             }
@@ -51,7 +51,7 @@
         self.arm(key);
     }
 
-    /// The final answer is committed: everybody who waits here gets it.
+    /// The final answer is committed: all clients that wait here get it.
     fn finish(&mut self, ctx: &mut Context, key: Key) {
         let Some(mut owned) = self.owned.remove(&key) else {
             return;
--- a/pure/takeover/src/owner/succession.rs
+++ b/pure/takeover/src/owner/succession.rs
@@ -1,5 +1,5 @@
-//! A successor: whoever a replica notifies acquires the key under the next term, as for a client's retry, and
-//! continues by what the record proves.
+//! A successor: a process that a replica notifies acquires the key under the next term, as for a client's retry,
+//! and continues by what the record proves.
 
 use super::Owner;
 use crate::acquisition::Acquisition;
@@ -17,7 +17,7 @@
 };
 
 impl Owner {
-    /// A replica says that this process is next in line.
+    /// Handles a replica's notice that this process is next in line.
     pub fn on_take_over(&mut self, ctx: &mut Context, key: Key) {
         let is_alone = ctx.setup.replicas.members().len() <= 1;
         if self.owned.contains_key(&key) || (self.shutting_down && !is_alone) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// A replica says that a key that clients wait for has changed: the next round begins at once.
+    /// Handles a replica's notice that a key has changed that clients wait for: the next round begins at once.
     pub fn on_changed(&mut self, ctx: &mut Context, key: Key) {
         let acquisition = self.acquisitions.get(&key);
         if acquisition.is_some_and(|acquisition| acquisition.sent_at.is_none()) {
@@ -65,7 +65,7 @@
         if owned.record.answer.is_some() {
             owned.write(ctx, key, Some(ANSWER_WITHOUT_TICKET));
         } else if proof == Proof::NotRepeatable {
-            // It may have run, and nobody may repeat it: the answer is a failure, never a guess.
+            // It may have run, and must not be repeated: the answer is a failure, as its outcome is unknown.
             owned.record.answer = Some(Answer::Failed);
             owned.write(ctx, key, Some(ANSWER_WITHOUT_TICKET));
         } else {
--- a/pure/takeover/src/record.rs
+++ b/pure/takeover/src/record.rs
@@ -1,5 +1,5 @@
-//! The replicated record of one request, and what it proves. Spans in it are right at the moment that goes
-//! with the record: clocks of two processes are never compared.
+//! The replicated record of one request, and what it proves. Its spans (ages and times left) hold at the time
+//! that whoever holds the record keeps beside it: clocks of two processes are never compared.
 //!
 //! The types that go into messages or to disk are encoded with postcard: the order of variants and fields is
 //! the format.
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Attempts that a record holds. A further one is rejected.
+/// The most attempts that a record holds. A further one is rejected.
 pub const MAX_ATTEMPTS: usize = 16;
 
 /// Identifies a request at whichever process its client retries: a hash of its class and its key.
@@ -81,7 +81,7 @@
 }
 
 impl Request {
-    /// The memory that it is counted with.
+    /// What it counts against memory bounds, in bytes.
     pub fn bytes(&self) -> usize {
         let length = |text: &Option<Arc<str>>| text.as_ref().map_or(0, |text| text.len());
         let body = self.body.as_ref().map_or(0, |body| body.len());
@@ -107,7 +107,7 @@
     pub number: u8,
     /// The group of caches that it went to.
     pub group: u32,
-    /// How it ended. Without an outcome it may have run.
+    /// How it ended, if it has. Without an outcome it may have run.
     pub outcome: Option<AttemptOutcome>,
     /// An upper bound on the time since it was begun.
     pub age: Micros,
@@ -118,7 +118,8 @@
         self.outcome != Some(AttemptOutcome::NeverRan)
     }
 
-    pub(crate) fn is(&self, term: u64, number: u8) -> bool {
+    /// Whether it is the attempt with this number under this term.
+    pub(crate) fn has_id(&self, term: u64, number: u8) -> bool {
         self.term == term && self.number == number
     }
 }
@@ -135,7 +136,7 @@
 }
 
 impl Answer {
-    /// The memory that it is counted with.
+    /// What it counts against memory bounds, in bytes.
     pub fn bytes(&self) -> usize {
         match self {
             Answer::Served(bytes) => bytes.len(),
@@ -190,7 +191,7 @@
         }
     }
 
-    /// The record after some time.
+    /// The record as it is `by` later.
     pub fn aged(&self, by: Micros) -> Record {
         let mut record = self.clone();
         record.time_left = record.time_left.saturating_sub(by);
@@ -210,7 +211,7 @@
     pub fn raise_ages(&mut self, others: &[Attempt]) {
         for attempt in &mut self.attempts {
             for other in others {
-                if other.is(attempt.term, attempt.number) {
+                if other.has_id(attempt.term, attempt.number) {
                     attempt.age = attempt.age.max(other.age);
                 }
             }
@@ -248,7 +249,7 @@
         }
     }
 
-    /// The memory that it is counted with.
+    /// What it counts against memory bounds, in bytes.
     pub fn bytes(&self) -> usize {
         self.request.bytes() + self.answer.as_ref().map_or(0, Answer::bytes)
     }
--- a/pure/takeover/src/replica.rs
+++ b/pure/takeover/src/replica.rs
@@ -1,5 +1,5 @@
-//! The replica's side of a key: the ballot it has promised, the record, the owner's lease, and who waits for a
-//! change. It grants each term once, and none while another owner's lease is active. A replica that lost its
+//! The replica's side of a key: the ballot it has promised, the record, the owner's lease, and the processes that
+//! wait for a change. It grants each term once, and none while another owner's lease is active. A replica that lost its
 //! state neither grants nor accepts writes until its recovery delay has passed.
 
 mod acquire;
@@ -24,17 +24,17 @@
 struct Entry {
     /// The highest ballot that was granted.
     promised: Ballot,
-    /// The owner stopped by itself: its late messages extend nothing.
+    /// The owner released the key: its late messages no longer extend the lease.
     released: bool,
     /// The owner said that no successor is needed.
     abandoned: bool,
     lease_expires_at: Time,
-    /// As last written, right at `record_as_of`.
+    /// As last written. Its spans are as of `record_as_of`.
     record: Option<Record>,
     record_as_of: Time,
     watchers: Vec<Peer>,
     successors_notified: usize,
-    /// When a successor is looked for next.
+    /// When a successor is chosen next.
     next_succession: Option<Time>,
     forget_at: Time,
 }
@@ -139,7 +139,7 @@
     }
 }
 
-/// When an entry may be forgotten: not while a repeat of its request may be answered from it.
+/// When an entry is forgotten: not before the last repeat of its request that it may have to answer.
 fn forget_at(ctx: &Context, class: Option<&str>, time_left: Micros) -> Time {
     let policy = class.and_then(|class| ctx.setup.policies.get(class));
     let retention = policy.map_or(0, |policy| policy.retention);
--- a/pure/takeover/src/replica/acquire.rs
+++ b/pure/takeover/src/replica/acquire.rs
@@ -1,4 +1,4 @@
-//! A replica grants a ballot, or says why not.
+//! How a replica replies to an acquisition: it grants the ballot, or rejects it with a reason.
 
 use super::{forget_at, Entry, Replica, MAX_WATCHERS};
 use crate::context::Context;
@@ -59,7 +59,7 @@
             return entry.reject_stale(ctx.now);
         }
         if entry.is_leased(ctx.now) {
-            // A successor without a client is notified in its turn instead.
+            // A successor without a client does not watch the key: it is notified when it is next in line.
             return entry.reject_leased(ctx.now, ballot, request.is_some());
         }
         let reply = entry.promise(ctx, ballot, forget_at);
@@ -112,7 +112,8 @@
         !self.is_answered() && !self.released && now < self.lease_expires_at
     }
 
-    /// The promised ballot again, delayed or duplicated. Once released it grants no more.
+    /// The reply to a delayed or duplicated acquisition under the promised ballot, which is not granted again once
+    /// it was released.
     fn repeat_grant(&self, now: Time) -> AcquireReply {
         AcquireReply {
             verdict: match self.released {
@@ -155,7 +156,7 @@
         self.promised = ballot.clone();
         self.released = false;
         self.abandoned = false;
-        // A grant alone is no lease. But the new owner may die before it writes.
+        // A grant alone starts no lease. A successor is due all the same, as the new owner may die before it writes.
         self.lease_expires_at = ctx.now;
         self.next_succession = (!is_answered).then_some(ctx.now + ctx.setup.lease);
         if !is_answered {
--- a/pure/takeover/src/replica/persistence.rs
+++ b/pure/takeover/src/replica/persistence.rs
@@ -1,5 +1,5 @@
-//! What a replica persists of a key, so that the next process of its name knows what this one promised. It is
-//! persisted whenever a promise or a record changes, before another process hears of the change.
+//! What a replica persists of a key, so that the next process of its name keeps this one's promises. It is
+//! persisted whenever a promise or a record changes, before any message tells of the change.
 
 use super::{ChangedKeys, Entry, Replica};
 use crate::record::{Ballot, Key, Record};
@@ -7,24 +7,24 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The persisted state of one key. Its spans are right at the time at which it was taken. It is encoded with
+/// The persisted state of one key. Its spans hold at the time at which it was taken. It is encoded with
 /// postcard: the order of its fields is the format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PersistedEntry {
     /// The highest ballot that was granted.
     pub promised: Ballot,
-    /// The owner stopped by itself.
+    /// The owner released the key.
     pub released: bool,
     /// The owner said that no successor is needed.
     pub abandoned: bool,
     /// The record as last written.
     pub record: Option<Record>,
-    /// Until all this is forgotten.
+    /// Until the entry is forgotten.
     pub time_left: Micros,
 }
 
 impl PersistedEntry {
-    /// The entry after some time; none once it is forgotten.
+    /// The entry as it is `by` later. None once it is forgotten.
     pub fn aged(self, by: Micros) -> Option<PersistedEntry> {
         let time_left = self.time_left.checked_sub(by).filter(|left| *left > 0)?;
         Some(PersistedEntry {
@@ -46,8 +46,8 @@
         }
     }
 
-    /// The owner that was promised the key may hold a lease that only the former process knew of: a whole
-    /// lease is assumed.
+    /// The promised owner may hold a lease that only the former process knew of, so a whole lease is assumed to
+    /// start now.
     fn recover(now: Time, lease: Micros, persisted: PersistedEntry) -> Entry {
         let record = persisted.record.as_ref();
         let is_answered = record.is_some_and(|record| record.answer.is_some());
@@ -71,7 +71,7 @@
 }
 
 impl Replica {
-    /// Recovers the persisted state. From then on changes are reported.
+    /// Recovers the persisted state. From then on [`Replica::take_changed`] reports changes.
     pub fn recover(
         &mut self,
         now: Time,
@@ -107,8 +107,8 @@
             .collect()
     }
 
-    /// Never votes again, unless it recovers.
-    pub fn mute(&mut self) {
+    /// Stops voting, unless [`Replica::recover`] is called.
+    pub fn stop_voting(&mut self) {
         self.recovery = RecoveryDelay::state_recovered(Time::MAX);
         self.stop_persisting();
     }
--- a/pure/takeover/src/replica/succession.rs
+++ b/pure/takeover/src/replica/succession.rs
@@ -1,4 +1,4 @@
-//! A replica finds a successor for a request that nobody owns: the processes that wait for it, else the next
+//! How a replica finds a successor for a request that has no owner: the processes that wait for it, else the next
 //! in line.
 
 use super::{Entry, Replica};
@@ -9,15 +9,15 @@
 use foldmux_replicas::{rendezvous, Peer};
 use std::collections::BTreeSet;
 
-/// Successors that a replica notifies: each of them may fail in turn, but not without end.
+/// The most successors that a replica notifies for a key, one after another: each may fail, but the search ends.
 const MAX_SUCCESSORS: usize = 8;
-/// The fraction of the lease in which a watcher may acquire the key before the next in line is notified.
-const WATCHER_HEAD_START: u64 = 2;
-/// The fraction of the lease after which the next successor is notified.
-const SUCCESSOR_INTERVAL: u64 = 4;
+/// The next in line is notified `lease / WATCHER_HEAD_START_DIVISOR` after the watchers.
+const WATCHER_HEAD_START_DIVISOR: u64 = 2;
+/// Each further successor is notified `lease / SUCCESSOR_INTERVAL_DIVISOR` after the one before it.
+const SUCCESSOR_INTERVAL_DIVISOR: u64 = 4;
 
 impl Replica {
-    /// Notifies whoever may continue the request: its watchers, else the next in line of those alive.
+    /// Notifies the processes that may continue the request: its watchers, else the next in line of those alive.
     pub(super) fn find_successor(&mut self, ctx: &mut Context, key: Key, alive: &BTreeSet<Peer>) {
         let Some(entry) = self.entries.get_mut(&key) else {
             return;
@@ -35,11 +35,11 @@
         let needs_successor = finishes && !entry.abandoned;
         if !entry.watchers.is_empty() {
             entry.notify_watchers(ctx, key);
-            let next = ctx.now + ctx.setup.lease / WATCHER_HEAD_START;
+            let next = ctx.now + ctx.setup.lease / WATCHER_HEAD_START_DIVISOR;
             entry.next_succession = needs_successor.then_some(next);
         } else if needs_successor {
             entry.notify_successor(ctx, key, alive);
-            entry.next_succession = Some(ctx.now + ctx.setup.lease / SUCCESSOR_INTERVAL);
+            entry.next_succession = Some(ctx.now + ctx.setup.lease / SUCCESSOR_INTERVAL_DIVISOR);
         }
         self.arm(key);
     }
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Notifies the next in line that is not the former owner; the former owner if it is alone.
+    /// Notifies the next in line that is not the former owner, or the former owner if no other process is alive.
     fn notify_successor(&mut self, ctx: &mut Context, key: Key, alive: &BTreeSet<Peer>) {
         let ranked = rendezvous::ranked(&key.bytes(), alive);
         let others: Vec<&Peer> = ranked
@@ -60,9 +60,9 @@
             .copied()
             .filter(|peer| **peer != self.promised.owner)
             .collect();
-        let place = self.successors_notified % others.len().max(1);
+        let index = self.successors_notified % others.len().max(1);
         self.successors_notified += 1;
-        if let Some(successor) = others.get(place).or(ranked.first()) {
+        if let Some(successor) = others.get(index).or(ranked.first()) {
             ctx.send(successor, Message::TakeOver { key });
         }
     }
--- a/pure/takeover/src/replica/write.rs
+++ b/pure/takeover/src/replica/write.rs
@@ -1,4 +1,4 @@
-//! A replica accepts writes, renewals and releases of an owner.
+//! How a replica handles an owner's writes, renewals and releases.
 
 use super::{forget_at, Replica};
 use crate::context::Context;
@@ -70,7 +70,7 @@
         }
         let held_version = entry.version_under(ballot);
         if *ballot > entry.promised {
-            // A quorum of other replicas has granted it, so that no other owner's lease is valid.
+            // A quorum of other replicas has granted this ballot, so no other owner's lease is valid.
             entry.promised = ballot.clone();
             entry.released = false;
             entry.abandoned = false;
--- a/pure/takeover/src/setup.rs
+++ b/pure/takeover/src/setup.rs
@@ -13,7 +13,7 @@
     pub name: Peer,
     /// Its incarnation; no two are equal.
     pub session: u64,
-    /// Where the replicas of keys are.
+    /// The processes that the replicas of keys are chosen from.
     pub replicas: ReplicaSet,
     /// The replicated classes.
     pub policies: ClassPolicies,
@@ -25,15 +25,15 @@
     pub max_deadline: Micros,
     /// The replica recovered everything that it had promised, or never promised anything.
     pub state_recovered: bool,
-    /// Records that the replica holds.
+    /// The most records that the replica holds.
     pub max_records: usize,
-    /// Bytes of all records that the replica holds.
+    /// The most bytes of all records that the replica holds.
     pub max_record_bytes: usize,
-    /// Requests that this process owns or acquires.
+    /// The most requests that this process owns or acquires.
     pub max_requests: usize,
-    /// Clients that wait at this process for one key.
+    /// The most clients that wait at this process for one key.
     pub max_waiters: usize,
-    /// For the random backoff.
+    /// Seeds the random backoff.
     pub seed: u64,
     /// The planted fault.
     #[cfg(feature = "planted")]
--- a/pure/takeover/src/waiter.rs
+++ b/pure/takeover/src/waiter.rs
@@ -42,8 +42,8 @@
     });
 }
 
-/// Answers a client whose request can't be replicated, by its class. A request of which something is known
-/// never runs unreplicated.
+/// Answers a client whose request can't be replicated, by the policy of its class. A request whose key a replica
+/// knows never runs unreplicated.
 pub fn answer_unreplicated(ctx: &mut Context, ticket: u64, class: Option<&str>, key_known: bool) {
     let policy = class.and_then(|class| ctx.setup.policies.get(class));
     let rejects = policy.is_some_and(|policy| policy.unreplicated == UnreplicatedPolicy::Reject);
--- a/pure/takeover/tests/kept.rs
+++ b/pure/takeover/tests/kept.rs
@@ -222,7 +222,7 @@
         Verdict::Abstained
     );
     assert_eq!(claim(&mut part, 700 * MS, ballot(1, 1)).0, Verdict::Granted);
-    part.mute();
+    part.stop_voting();
     assert_eq!(
         claim(&mut part, 100_000 * MS, ballot(2, 1)).0,
         Verdict::Abstained
