--- a/pure/replicas/src/votes.rs
+++ b/pure/replicas/src/votes.rs
@@ -76,7 +76,7 @@
     }
 
     #[cfg(feature = "planted")]
-    fn silent_and_dead(&self) -> usize {
+    fn dead_without_vote(&self) -> usize {
         (0..REPLICAS_PER_KEY)
             .filter(|i| self.seems_dead[*i] && self.votes[*i].is_none())
             .count()
@@ -128,7 +128,7 @@
         #[cfg(feature = "planted")]
         if crate::planted::is_planted(crate::planted::Fault::QuorumOfAliveReplicas) {
             return self.sets().all(|ballots| {
-                ballots.count(Vote::Granted) * 2 > REPLICAS_PER_KEY - ballots.silent_and_dead()
+                ballots.count(Vote::Granted) * 2 > REPLICAS_PER_KEY - ballots.dead_without_vote()
             });
         }
         self.sets()
--- a/pure/takeover/src/owner.rs
+++ b/pure/takeover/src/owner.rs
@@ -73,7 +73,7 @@
         waiter::expire(ctx, &mut owned.waiters, true);
         if owned.deadline <= ctx.now {
             owned.release(ctx, key, true);
-            return self.lose(ctx, key);
+            return self.lose_ownership(ctx, key);
         }
         owned.refresh_replicas(ctx, key);
         self.arm(key);
--- a/pure/takeover/src/owner/acquire.rs
+++ b/pure/takeover/src/owner/acquire.rs
@@ -67,7 +67,7 @@
             self.acquisitions.remove(&key);
         } else if grants >= quorum {
             if let Some(acquisition) = self.acquisitions.remove(&key) {
-                self.own(ctx, key, acquisition);
+                self.become_owner(ctx, key, acquisition);
             }
         } else if grants + missing < 2 {
             self.end_lost_round(ctx, key);
@@ -134,7 +134,7 @@
     }
 
     /// A quorum has granted the key: this process continues the record that was written last.
-    fn own(&mut self, ctx: &mut Context, key: Key, acquisition: Acquisition) {
+    fn become_owner(&mut self, ctx: &mut Context, key: Key, acquisition: Acquisition) {
         let Some(mut record) = latest_record(&acquisition) else {
             return;
         };
--- a/pure/takeover/src/owner/release.rs
+++ b/pure/takeover/src/owner/release.rs
@@ -44,7 +44,7 @@
     }
 
     /// Gives up a request that another process owns, or may own.
-    pub(super) fn lose(&mut self, ctx: &mut Context, key: Key) {
+    pub(super) fn lose_ownership(&mut self, ctx: &mut Context, key: Key) {
         if let Some(owned) = self.owned.get_mut(&key) {
             owned.lease.revoke();
             owned.fail_writes(ctx);
--- a/pure/takeover/src/owner/replication.rs
+++ b/pure/takeover/src/owner/replication.rs
@@ -34,7 +34,7 @@
             Verdict::Unknown => owned.reintroduce(ctx, key, index),
             Verdict::HigherTerm | Verdict::Full => {
                 if owned.rejected(index) {
-                    self.lose(ctx, key);
+                    self.lose_ownership(ctx, key);
                 }
             }
             Verdict::Abstained | Verdict::Leased { .. } => {}
--- a/pure/takeover/src/record.rs
+++ b/pure/takeover/src/record.rs
@@ -239,7 +239,7 @@
             one_group &= attempt.group == first.group;
             age = age.max(attempt.age);
         }
-        // No group remembers the attempts of another one.
+        // Each group drops repeats of its own attempts alone.
         if !one_group || age >= window {
             return Proof::NotRepeatable;
         }
--- a/pure/takeover/tests/common/client.rs
+++ b/pure/takeover/tests/common/client.rs
@@ -1,8 +1,8 @@
 //! The clients: each sends its request to a process, and to another one if it gets no answer.
 
-use super::request_thread::{request, Purpose};
+use super::request_thread::request;
 use super::schedule::Scheduled;
-use super::simulation::Simulation;
+use super::simulation::{Purpose, Simulation};
 use super::{MAX_DEADLINE, MS};
 use foldmux_takeover::*;
 
--- a/pure/takeover/tests/common/request_thread.rs
+++ b/pure/takeover/tests/common/request_thread.rs
@@ -2,7 +2,7 @@
 
 use super::archive::ArchiveReply;
 use super::schedule::Scheduled;
-use super::simulation::Simulation;
+use super::simulation::{Purpose, Simulation};
 use super::MS;
 use foldmux_takeover::*;
 use std::sync::Arc;
@@ -37,22 +37,6 @@
     pub may_have_run: bool,
 }
 
-/// The command that a ticket belongs to.
-#[derive(Clone, Copy, Debug)]
-pub enum Purpose {
-    Acquire {
-        client: usize,
-    },
-    BeginAttempt {
-        key: u8,
-    },
-    Complete {
-        key: u8,
-        client: Option<usize>,
-        answer: Option<u8>,
-    },
-}
-
 impl Simulation {
     pub fn on_event(&mut self, at: usize, event: Event) {
         let purpose_of =
--- a/pure/takeover/tests/common/simulation.rs
+++ b/pure/takeover/tests/common/simulation.rs
@@ -2,7 +2,7 @@
 
 use super::archive::Archive;
 use super::client::Client;
-use super::request_thread::{Purpose, RequestThread};
+use super::request_thread::RequestThread;
 use super::schedule::Scheduled;
 use super::{Plan, Random, Summary, MAX_DEADLINE, MS};
 use foldmux_replicas::{Effect, StateMachine};
@@ -10,6 +10,22 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 
+/// The command that a ticket belongs to.
+#[derive(Clone, Copy, Debug)]
+pub enum Purpose {
+    Acquire {
+        client: usize,
+    },
+    BeginAttempt {
+        key: u8,
+    },
+    Complete {
+        key: u8,
+        client: Option<usize>,
+        answer: Option<u8>,
+    },
+}
+
 pub struct Process {
     /// None while it is dead.
     pub takeover: Option<Takeover>,
