--- a/pure/takeover/src/owner.rs
+++ b/pure/takeover/src/owner.rs
@@ -1,6 +1,6 @@
 //! The owner's side: it acquires keys, writes the record at the replicas before an attempt is sent and before
-//! a client is answered, renews its lease, and stops when it loses it. A write counts once a quorum has stored
-//! it.
+//! a client is answered, renews its lease, and stops when it loses it. A write is committed once a quorum has
+//! stored it.
 
 mod acquire;
 mod attempts;
@@ -73,13 +73,13 @@
         waiter::expire(ctx, &mut owned.waiters, true);
         if owned.deadline <= ctx.now {
             owned.release(ctx, key, true);
-            return self.lose(ctx, key);
+            return self.lose_ownership(ctx, key);
         }
         owned.refresh_replicas(ctx, key);
         self.arm(key);
     }
 
-    /// Sets the timer of a key to when something is due.
+    /// Sets the timer of a key to when its next action is due.
     fn arm(&mut self, key: Key) {
         let acquisition_due = self.acquisitions.get(&key).map(Acquisition::due);
         let owned_due = || self.owned.get(&key).map(OwnedRequest::due);
