--- a/edge/proxy/tests/client_closes.rs
+++ b/edge/proxy/tests/client_closes.rs
@@ -1,5 +1,5 @@
-//! A client that closed its connection has gone: its requests are given up and no further attempt begins, also where the
-//! process leaves, and where nothing more of what the client sends can be read.
+//! When a client closes its connection, its requests are cancelled and no further attempt starts, also while the proxy drains
+//! and while it reads no more requests from that client.
 
 use test_proxy::TestProxy;
 
@@ -7,117 +7,121 @@
 #[path = "common/test_proxy.rs"]
 mod test_proxy;
 
-const ONE: u64 = 0x1111_0000_0000_0001;
-const TWO: u64 = 0x2222_0000_0000_0002;
+const OBJECT_A: u64 = 0x1111_0000_0000_0001;
+const OBJECT_B: u64 = 0x2222_0000_0000_0002;
 
 #[test]
-fn while_the_process_leaves_a_client_that_closes_has_gone() {
+fn a_close_during_the_drain_cancels_the_requests() {
     let mut proxy = TestProxy::start();
     let (mut closes, mut stays) = (proxy.client(), proxy.client());
-    closes.ask(ONE);
-    let mut first = proxy.attempt();
-    stays.ask(TWO);
-    let mut second = proxy.attempt();
-    proxy.leave();
+    closes.send_request(OBJECT_A);
+    let mut first = proxy.next_attempt();
+    stays.send_request(OBJECT_B);
+    let mut second = proxy.next_attempt();
+    proxy.start_drain();
     drop(closes);
-    first.is_given_up();
-    // The process was there all the time: another's request is served.
-    second.give(b"ok");
-    assert!(stays.answer().contains("\\xc4\\x02ok"));
-    stays.ends();
+    first.assert_cancelled();
+    // The proxy has not exited meanwhile: the other client's request is served.
+    second.respond(b"ok");
+    assert!(stays.read_response().contains("\\xc4\\x02ok"));
+    stays.assert_closed();
     drop(stays);
-    proxy.ends_well();
+    proxy.assert_clean_exit();
     assert_eq!(
-        proxy.waiting_attempts(),
+        proxy.pending_attempts(),
         0,
-        "a further attempt for a client that had gone"
+        "a further attempt after the client had closed"
     );
 }
 
 #[test]
-fn after_a_message_that_cannot_be_read_the_close_is_heard() {
+fn a_close_after_an_invalid_message_cancels_the_requests() {
     let proxy = TestProxy::start();
     let mut client = proxy.client();
-    client.ask(ONE);
-    let mut attempt = proxy.attempt();
+    client.send_request(OBJECT_A);
+    let mut attempt = proxy.next_attempt();
     client.send(b"\xc1");
-    // What follows is not taken, however much it is.
+    // The proxy discards all that follows.
     (0..64).for_each(|_| client.send(&[0xc1; 1024]));
     drop(client);
-    attempt.is_given_up();
-    assert_eq!(proxy.waiting_attempts(), 0);
+    attempt.assert_cancelled();
+    assert_eq!(proxy.pending_attempts(), 0);
 }
 
 #[test]
-fn after_half_a_message_that_came_too_late_the_close_is_heard() {
+fn a_close_after_an_incomplete_message_timed_out_cancels_the_requests() {
     let proxy = TestProxy::start();
     let (mut client, mut late) = (proxy.client(), proxy.client());
-    client.ask(ONE);
-    let mut attempt = proxy.attempt();
+    client.send_request(OBJECT_A);
+    let mut attempt = proxy.next_attempt();
     client.send(b"\x94\x00");
-    // One that began no earlier is ended for it: by then the first is late too.
+    // The second client's message began no earlier; once it has timed out, so has the first.
     late.send(b"\x94\x00");
-    late.ends();
+    late.assert_closed();
     drop(client);
-    attempt.is_given_up();
-    assert_eq!(proxy.waiting_attempts(), 0);
+    attempt.assert_cancelled();
+    assert_eq!(proxy.pending_attempts(), 0);
 }
 
 #[test]
-fn after_a_number_that_does_not_count_up_a_forget_and_the_close_are_heard() {
+fn forget_and_close_after_a_repeated_number_cancel_the_requests() {
     let proxy = TestProxy::start();
     let mut client = proxy.client();
-    let one = client.ask(ONE);
-    let mut first = proxy.attempt();
-    let two = client.ask(TWO);
-    let mut second = proxy.attempt();
-    client.ask(TWO + 1);
-    let mut third = proxy.attempt();
-    // The first number once more: what is open under it is given up, and this call is not sent on.
-    client.send(&test_proxy::call(one, TWO + 2));
-    first.is_given_up();
-    assert!(client.answer().contains("two requests under one number"));
-    client.forget(two);
-    second.is_given_up();
-    // A call behind it is not taken either.
-    client.ask(TWO + 3);
+    let first_number = client.send_request(OBJECT_A);
+    let mut first = proxy.next_attempt();
+    let second_number = client.send_request(OBJECT_B);
+    let mut second = proxy.next_attempt();
+    client.send_request(OBJECT_B + 1);
+    let mut third = proxy.next_attempt();
+    // The first number again: its open request is cancelled, and the new one is not forwarded.
+    client.send(&test_proxy::encode_request(first_number, OBJECT_B + 2));
+    first.assert_cancelled();
+    assert!(client
+        .read_response()
+        .contains("two requests under one number"));
+    client.send_forget(second_number);
+    second.assert_cancelled();
+    // A request after it is not forwarded either.
+    client.send_request(OBJECT_B + 3);
     drop(client);
-    third.is_given_up();
+    third.assert_cancelled();
     assert_eq!(
-        proxy.waiting_attempts(),
+        proxy.pending_attempts(),
         0,
-        "a call was sent on after the end was decided"
+        "a request was forwarded on a connection that was about to close"
     );
 }
 
 #[test]
-fn after_a_number_that_does_not_count_up_what_is_owed_is_answered_and_the_connection_ends() {
+fn after_a_repeated_number_open_requests_are_served_and_the_connection_ends() {
     let proxy = TestProxy::start();
     let mut client = proxy.client();
-    let one = client.ask(ONE);
-    let mut first = proxy.attempt();
-    client.ask(TWO);
-    let mut second = proxy.attempt();
-    client.send(&test_proxy::call(one, TWO + 2));
-    first.is_given_up();
-    assert!(client.answer().contains("two requests under one number"));
-    second.give(b"ok");
-    assert!(client.answer().contains("\\xc4\\x02ok"));
-    client.ends();
-    assert_eq!(proxy.waiting_attempts(), 0);
+    let first_number = client.send_request(OBJECT_A);
+    let mut first = proxy.next_attempt();
+    client.send_request(OBJECT_B);
+    let mut second = proxy.next_attempt();
+    client.send(&test_proxy::encode_request(first_number, OBJECT_B + 2));
+    first.assert_cancelled();
+    assert!(client
+        .read_response()
+        .contains("two requests under one number"));
+    second.respond(b"ok");
+    assert!(client.read_response().contains("\\xc4\\x02ok"));
+    client.assert_closed();
+    assert_eq!(proxy.pending_attempts(), 0);
 }
 
 #[test]
-fn calls_sent_at_once_by_a_client_that_goes_are_all_given_up() {
+fn all_requests_of_a_client_that_closes_are_cancelled() {
     let proxy = TestProxy::start();
     let mut client = proxy.client();
     for n in 0..32 {
-        client.ask(ONE + n);
+        client.send_request(OBJECT_A + n);
     }
-    let mut attempts: Vec<_> = (0..32).map(|_| proxy.attempt()).collect();
+    let mut attempts: Vec<_> = (0..32).map(|_| proxy.next_attempt()).collect();
     drop(client);
     attempts
         .iter_mut()
-        .for_each(|attempt| attempt.is_given_up());
-    assert_eq!(proxy.waiting_attempts(), 0);
+        .for_each(|attempt| attempt.assert_cancelled());
+    assert_eq!(proxy.pending_attempts(), 0);
 }
--- a/edge/proxy/tests/common/admin_process.rs
+++ b/edge/proxy/tests/common/admin_process.rs
@@ -1,4 +1,4 @@
-//! The program with its admin interface.
+//! The proxy as a process with an admin interface.
 #![allow(dead_code)]
 
 use crate::common;
@@ -8,13 +8,15 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// The time limit of every wait: longer than any step takes, so that only a failing test reaches it.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// A running proxy; it is killed on drop.
 pub struct AdminProcess {
     pub child: Child,
     pub log: Receiver<String>,
-    pub serves: SocketAddr,
-    pub operator: SocketAddr,
+    pub client_address: SocketAddr,
+    pub admin_address: SocketAddr,
 }
 
 impl Drop for AdminProcess {
@@ -25,7 +27,7 @@
 }
 
 impl AdminProcess {
-    /// What the log says of a reload of `file` with this text.
+    /// Writes `text` to the configuration file, sends SIGHUP and returns the log line of the reload.
     pub fn reload(&self, file: &std::path::Path, text: &str) -> String {
         std::fs::write(file, text).unwrap();
         let id = self.child.id().to_string();
@@ -34,18 +36,18 @@
             .status()
             .unwrap()
             .success());
-        let mut lines = std::iter::from_fn(|| self.log.recv_timeout(PATIENCE).ok());
+        let mut lines = std::iter::from_fn(|| self.log.recv_timeout(TEST_TIMEOUT).ok());
         lines.find(|line| line.contains("reload: ")).unwrap()
     }
 }
 
-/// Starts the program on `config`, its client address overridden by `listen` where given.
+/// Starts the proxy with the configuration file `config`; `listen` overrides its client address.
 pub fn start(config: &std::path::Path, listen: Option<SocketAddr>) -> Result<AdminProcess, String> {
-    start_in(config, listen, None)
+    start_with_tmpdir(config, listen, None)
 }
 
-/// As `start`, with `$TMPDIR` where given: there the pop caches out by hand are kept.
-pub fn start_in(
+/// As [`start`], with `tmp` as TMPDIR: the proxy stores there which pop caches are in maintenance.
+pub fn start_with_tmpdir(
     config: &std::path::Path,
     listen: Option<SocketAddr>,
     tmp: Option<&std::path::Path>,
@@ -61,65 +63,74 @@
     if let Some(listen) = listen {
         command.env("GW_LISTEN", listen.to_string());
     }
-    spawned(command)
+    spawn(command)
 }
 
-/// Starts the program by this command; once it serves and its operator line does.
-pub fn spawned(mut command: Command) -> Result<AdminProcess, String> {
-    let mut child = command.stderr(Stdio::piped()).spawn().expect("the program");
+/// Starts the proxy with `command` and returns once it listens for clients and for admin commands.
+///
+/// # Errors
+///
+/// The log, if the process ends first.
+pub fn spawn(mut command: Command) -> Result<AdminProcess, String> {
+    let mut child = command
+        .stderr(Stdio::piped())
+        .spawn()
+        .expect("a running proxy");
     let mut lines = BufReader::new(child.stderr.take().unwrap())
         .lines()
         .map_while(Result::ok);
-    let (mut serves, mut operator, mut said) = (None, None, String::new());
-    while serves.is_none() || operator.is_none() {
+    let (mut client_address, mut admin_address, mut log_so_far) = (None, None, String::new());
+    while client_address.is_none() || admin_address.is_none() {
         let Some(line) = lines.next() else {
             let _ = child.wait();
-            return Err(said);
+            return Err(log_so_far);
         };
-        let after = |words: &str| {
+        let address_after = |words: &str| {
             line.split_once(words)
-                .and_then(|(_, at)| at.trim().parse().ok())
+                .and_then(|(_, address)| address.trim().parse().ok())
         };
-        serves = serves.or(after(" is listening on "));
-        operator = operator.or(after("admin interface on "));
-        said += &line;
+        client_address = client_address.or(address_after(" is listening on "));
+        admin_address = admin_address.or(address_after("admin interface on "));
+        log_so_far += &line;
     }
-    let (told, log) = channel();
-    std::thread::spawn(move || lines.for_each(|line| drop(told.send(line))));
+    let (sender, log) = channel();
+    std::thread::spawn(move || lines.for_each(|line| drop(sender.send(line))));
     Ok(AdminProcess {
         child,
         log,
-        serves: serves.unwrap(),
-        operator: operator.unwrap(),
+        client_address: client_address.unwrap(),
+        admin_address: admin_address.unwrap(),
     })
 }
 
-pub fn configured(name: &str) -> (std::path::PathBuf, TcpListener, TcpListener) {
+/// Writes the standard configuration to a file named after `name`, and returns the file with the listeners of its caches
+/// and its journal service.
+pub fn write_config(name: &str) -> (std::path::PathBuf, TcpListener, TcpListener) {
     let listener = || TcpListener::bind("127.0.0.1:0").unwrap();
     let (caches, journal) = (listener(), listener());
     let config = common::config(caches.local_addr().unwrap(), journal.local_addr().unwrap());
-    let file = std::env::temp_dir().join(format!("foldmux-days-{name}-{}", std::process::id()));
+    let file = std::env::temp_dir().join(format!("foldmux-admin-{name}-{}", std::process::id()));
     std::fs::write(&file, config).unwrap();
     (file, caches, journal)
 }
 
-/// Sends `line` on a new connection and reads the answer: one line, or up to `end` after `stats`.
-pub fn call(operator: SocketAddr, line: &[u8]) -> String {
-    let stream = TcpStream::connect(operator).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+/// Sends `line` to the admin interface on a new connection and reads the response: one line, or up to `end` after `stats`.
+pub fn send_command(admin_address: SocketAddr, line: &[u8]) -> String {
+    let stream = TcpStream::connect(admin_address).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     (&stream).write_all(line).unwrap();
     let mut reader = BufReader::new(stream);
-    let mut answer = String::new();
+    let mut response = String::new();
     loop {
-        let mut one = String::new();
-        if reader.read_line(&mut one).unwrap() == 0 {
+        let mut next_line = String::new();
+        if reader.read_line(&mut next_line).unwrap() == 0 {
             break;
         }
-        answer += &one;
-        let whole = !answer.starts_with("done\n") || one == "end\n";
-        if whole {
+        response += &next_line;
+        let complete = !response.starts_with("done\n") || next_line == "end\n";
+        if complete {
             break;
         }
     }
-    answer
+    response
 }
--- a/edge/proxy/tests/common/dns_front.rs
+++ b/edge/proxy/tests/common/dns_front.rs
@@ -1,4 +1,4 @@
-//! A DNS front on an event loop of its own, and a client of it.
+//! A DNS front with its own event loop inside the test process, and DNS queries to it.
 #![allow(dead_code)]
 
 use crate::common;
@@ -23,47 +23,52 @@
 use std::time::Duration;
 
 pub const OBJECT: &str = "7f3a9c21e0b4d655";
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// The time limit of every wait: longer than any step takes, so that only a failing test reaches it.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-pub struct Rig {
+/// A running DNS front.
+pub struct DnsFront {
     pub core: Arc<Core>,
-    pub desk: EventLoopHandle,
+    pub event_loop: EventLoopHandle,
     pub clock: Clock,
-    pub at: [Option<SocketAddr>; 3],
+    /// Its addresses for UDP, TCP and TLS.
+    pub addresses: [Option<SocketAddr>; 3],
     pub zone: String,
 }
 
-/// An event loop with two caches, a parent and the origin, and the DNS front that `setup` describes.
-pub fn rig(zone: &str, more: &str, most: usize) -> Rig {
-    limited(zone, more, most, "")
+/// Starts a DNS front for `zone` with two pop caches (1 and 2), a parent (3) and the origin (4).
+///
+/// `arguments` are further arguments of `dns(...)` in the operator's file; `max_open` is the most requests that may be open.
+pub fn start(zone: &str, arguments: &str, max_open: usize) -> DnsFront {
+    start_with_limits(zone, arguments, max_open, "")
 }
 
-/// With limits, as the operator's file sets them.
-pub fn limited(zone: &str, more: &str, most: usize, limits: &str) -> Rig {
-    let decoded = foldmux_settings::parse(common::SETTINGS).unwrap();
+/// As [`start`], with `limits` as further lines of the operator's file.
+pub fn start_with_limits(zone: &str, arguments: &str, max_open: usize, limits: &str) -> DnsFront {
+    let parsed = foldmux_settings::parse(common::SETTINGS).unwrap();
     let account = foldmux_proxy::limits::account(
-        &decoded,
+        &parsed,
         &foldmux_proxy::config::Limits {
             sockets: 1_024,
             memory_mb: 192,
         },
     );
-    let repeats = decoded
+    let retry_safety = parsed
         .settings
         .classes
         .iter()
         .map(|class| class.retry_safety)
         .collect();
-    let (clock, members, pool) = (
+    let (clock, servers, pool) = (
         Clock::default(),
         Arc::new(ServerList::default()),
         Pool::new(8, Duration::from_secs(15)),
     );
-    let router = Router::new(decoded.settings, 1);
-    let (mut desk, handle) = EventLoop::new(router, clock.clone(), members.clone());
+    let router = Router::new(parsed.settings, 1);
+    let (mut event_loop, handle) = EventLoop::new(router, clock.clone(), servers.clone());
     let dial_timeout = Duration::from_millis(400);
     let upstream = Upstream {
-        servers: members.clone(),
+        servers: servers.clone(),
         pool,
         clock: clock.clone(),
         dial_timeout,
@@ -73,51 +78,57 @@
         event_loop: handle.clone(),
         clock: clock.clone(),
         buffers,
-        servers: members,
+        servers,
         upstream: Box::new(upstream),
         retry_after: Duration::ZERO,
         warm_up: Duration::from_secs(21),
-        max_open: most,
+        max_open,
     });
     let setup = format!(
-        "dns(zone = {zone:?}, udp = \"127.0.0.1:0\", tcp = \"127.0.0.1:0\", patience_ms = 20000{more})\n{limits}"
+        "dns(zone = {zone:?}, udp = \"127.0.0.1:0\", tcp = \"127.0.0.1:0\", patience_ms = 20000{arguments})\n{limits}"
     );
     let operator = evaluate("dns.star", setup).unwrap();
     if let Some(draft) = &operator.limits {
         let table = foldmux_proxy::limits::table(&account, draft).unwrap();
         assert!(core
             .limiter
-            .set(Limiter::new(table, clock.clone(), "edge".into(), repeats))
+            .set(Limiter::new(
+                table,
+                clock.clone(),
+                "edge".into(),
+                retry_safety
+            ))
             .is_ok());
     }
     let mut bound = Bound::new(operator.dns.unwrap()).unwrap();
-    let (at, serial) = (bound.addresses(), bound.notify(&mut desk).unwrap());
-    let routed = |place: usize, name: &str| Routed {
+    let (addresses, serial) = (bound.addresses(), bound.notify(&mut event_loop).unwrap());
+    let routed = |class: usize, name: &str| Routed {
         name: name.into(),
-        place: place.into(),
-        writes: place == 1,
+        place: class.into(),
+        writes: class == 1,
     };
     let classes = vec![routed(0, "sheet"), routed(1, "record")];
     bound.serve(core.clone(), classes, serial, 8).unwrap();
-    std::thread::spawn(move || desk.run());
-    let rig = Rig {
+    std::thread::spawn(move || event_loop.run());
+    let front = DnsFront {
         core,
-        desk: handle,
+        event_loop: handle,
         clock,
-        at,
+        addresses,
         zone: zone.to_string(),
     };
-    let all =
-        [(1, 0), (2, 0), (3, 1), (4, 2)].map(|(n, kind)| rig.line(n, kind, MemberState::Ready, 0));
-    rig.desk.send(Command::Servers {
+    let initial_servers = [(1, 0), (2, 0), (3, 1), (4, 2)]
+        .map(|(n, kind)| front.server(n, kind, MemberState::Ready, 0));
+    front.event_loop.send(Command::Servers {
         full: true,
-        servers: all.to_vec(),
+        servers: initial_servers.to_vec(),
     });
-    rig
+    front
 }
 
-impl Rig {
-    pub fn line(&self, n: u32, kind: usize, state: MemberState, boot: u64) -> Server {
+impl DnsFront {
+    /// A server with the number `n`, which is also the last byte of its address.
+    pub fn server(&self, n: u32, kind: usize, state: MemberState, started_at: u64) -> Server {
         let zone = if kind == 0 { 1 } else { 0 };
         let member = Member {
             cache: CacheId(n),
@@ -125,7 +136,7 @@
             kind,
             state,
             weight: 1.0,
-            started_at: boot,
+            started_at,
             ..Member::default()
         };
         let address = SocketAddr::from(([127, 0, 0, n as u8], 7001));
@@ -136,14 +147,16 @@
         }
     }
 
-    pub fn change(&self, n: u32, state: MemberState, boot: u64) {
-        self.desk.send(Command::Servers {
+    /// Sends the event loop a change of one pop cache.
+    pub fn change_server(&self, n: u32, state: MemberState, started_at: u64) {
+        self.event_loop.send(Command::Servers {
             full: false,
-            servers: vec![self.line(n, 0, state, boot)],
+            servers: vec![self.server(n, 0, state, started_at)],
         });
     }
 
-    pub fn query(&self, name: &str, kind: RecordType) -> Vec<u8> {
+    /// A query with EDNS and the id 7.
+    pub fn encode_query(&self, name: &str, kind: RecordType) -> Vec<u8> {
         let mut message = Message::new();
         message
             .set_id(7)
@@ -152,47 +165,52 @@
         message.to_vec().unwrap()
     }
 
-    pub fn part(&self, part: u32) -> String {
+    /// The name of a part of [`OBJECT`].
+    pub fn part_name(&self, part: u32) -> String {
         format!("{part}.{OBJECT}.sheet.{}", self.zone)
     }
 
-    pub fn udp(&self, bytes: &[u8]) -> Message {
+    /// Sends a message over UDP and returns the response.
+    pub fn send_udp(&self, bytes: &[u8]) -> Message {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        socket.set_read_timeout(Some(PATIENCE)).unwrap();
-        socket.send_to(bytes, self.at[0].unwrap()).unwrap();
-        let mut answer = [0; 4096];
-        let n = socket.recv(&mut answer).unwrap();
-        Message::from_vec(&answer[..n]).unwrap()
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        socket.send_to(bytes, self.addresses[0].unwrap()).unwrap();
+        let mut response = [0; 4096];
+        let n = socket.recv(&mut response).unwrap();
+        Message::from_vec(&response[..n]).unwrap()
     }
 
-    pub fn ask(&self, name: &str, kind: RecordType) -> Message {
-        self.udp(&self.query(name, kind))
+    /// Queries a name over UDP.
+    pub fn query(&self, name: &str, kind: RecordType) -> Message {
+        self.send_udp(&self.encode_query(name, kind))
     }
 }
 
-pub fn over_tcp(mut stream: impl Read + Write, bytes: &[u8]) -> std::io::Result<Message> {
+/// Sends a message with its length prefix on a TCP or TLS stream and returns the response.
+pub fn send_tcp(mut stream: impl Read + Write, bytes: &[u8]) -> std::io::Result<Message> {
     stream.write_all(&[&(bytes.len() as u16).to_be_bytes()[..], bytes].concat())?;
     let mut length = [0; 2];
     stream.read_exact(&mut length)?;
-    let mut answer = vec![0; u16::from_be_bytes(length) as usize];
-    stream.read_exact(&mut answer)?;
-    Ok(Message::from_vec(&answer).unwrap())
+    let mut response = vec![0; u16::from_be_bytes(length) as usize];
+    stream.read_exact(&mut response)?;
+    Ok(Message::from_vec(&response).unwrap())
 }
 
-/// The last byte of the address that an answer gives: the number of the cache.
-pub fn cache(message: &Message) -> Option<u8> {
-    let a = message.answers().first()?;
-    assert_eq!(a.ttl(), 0);
-    match a.data() {
+/// The last byte of the address in a response, which is the cache's number. Its TTL must be 0.
+pub fn cache_number(message: &Message) -> Option<u8> {
+    let record = message.answers().first()?;
+    assert_eq!(record.ttl(), 0);
+    match record.data() {
         RData::A(ip) => Some(ip.0.octets()[3]),
-        other => panic!("no address: {other}"),
+        other => panic!("not an A record: {other}"),
     }
 }
 
-pub fn ede(message: &Message) -> Option<u16> {
+/// The code of the Extended DNS Error (EDNS option 15) in a response.
+pub fn extended_error(message: &Message) -> Option<u16> {
     let option = message.extensions().as_ref()?.option(EdnsCode::from(15))?;
     match option {
         EdnsOption::Unknown(15, bytes) => Some(u16::from_be_bytes([bytes[0], bytes[1]])),
-        other => panic!("no extended error: {other:?}"),
+        other => panic!("not an extended error: {other:?}"),
     }
 }
--- a/edge/proxy/tests/common/fake_cache.rs
+++ b/edge/proxy/tests/common/fake_cache.rs
@@ -1,27 +1,28 @@
-//! A scripted pop cache, parent or origin: the test takes each connection and each request on it.
+//! A scripted pop cache, parent or origin: the test accepts each connection and responds to each request on it.
 #![allow(dead_code)]
 
 use crate::common;
-use crate::fake_journal::{accept, PATIENCE};
+use crate::fake_journal::{accept, TEST_TIMEOUT};
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Longer than a dial on loopback takes that the accept queue has room for.
-const DIAL: Duration = Duration::from_millis(200);
+/// Longer than a connection to loopback takes while the accept queue has room.
+const DIAL_TIMEOUT: Duration = Duration::from_millis(200);
 
-pub struct Cache {
+/// A listener that accepts only when the test does.
+pub struct FakeCache {
     listener: TcpListener,
 }
 
-/// A connection that the program opened.
+/// A connection that the proxy opened.
 pub struct Connection {
     stream: BufReader<TcpStream>,
 }
 
-impl Cache {
-    pub fn start() -> Cache {
-        Cache {
+impl FakeCache {
+    pub fn start() -> FakeCache {
+        FakeCache {
             listener: TcpListener::bind("127.0.0.1:0").unwrap(),
         }
     }
@@ -36,25 +37,26 @@
         }
     }
 
-    /// Whether a connection waits to be taken.
-    pub fn is_dialled(&self) -> bool {
+    /// Whether a connection is in the accept queue; it is accepted and closed.
+    pub fn has_pending_connection(&self) -> bool {
         self.listener.set_nonblocking(true).unwrap();
-        let dialled = self.listener.accept().is_ok();
+        let pending = self.listener.accept().is_ok();
         self.listener.set_nonblocking(false).unwrap();
-        dialled
+        pending
     }
 
-    /// Fills the accept queue, so that the next dial hangs: its first packet is dropped until there is room.
-    pub fn fill(&self) -> Vec<TcpStream> {
-        std::iter::from_fn(|| TcpStream::connect_timeout(&self.address(), DIAL).ok()).collect()
+    /// Fills the accept queue, so that the next dial hangs: the kernel drops its SYN until the queue has room.
+    pub fn fill_accept_queue(&self) -> Vec<TcpStream> {
+        std::iter::from_fn(|| TcpStream::connect_timeout(&self.address(), DIAL_TIMEOUT).ok())
+            .collect()
     }
 
-    /// Takes the connections of [`Cache::fill`] and leaves room for those that wait.
-    pub fn release(&self, filled: Vec<TcpStream>) {
-        filled.iter().for_each(|_| drop(accept(&self.listener)));
+    /// Accepts the connections of [`FakeCache::fill_accept_queue`], so that a hung dial succeeds.
+    pub fn drain_accept_queue(&self, queued: Vec<TcpStream>) {
+        queued.iter().for_each(|_| drop(accept(&self.listener)));
     }
 
-    /// Answers everything that comes, with these bytes, on threads of its own.
+    /// Serves all connections in background threads, with this body for every request.
     pub fn serve(self, bytes: &'static str) {
         std::thread::spawn(move || {
             for stream in self.listener.incoming() {
@@ -63,9 +65,9 @@
                     let mut connection = Connection {
                         stream: BufReader::new(stream),
                     };
-                    while connection.is_asked() {
-                        connection.request();
-                        connection.answer(bytes);
+                    while connection.has_request() {
+                        connection.read_request();
+                        connection.respond(bytes);
                     }
                 });
             }
@@ -74,16 +76,16 @@
 }
 
 impl Connection {
-    /// Waits for a request; false at the end of the connection.
-    fn is_asked(&mut self) -> bool {
+    /// Waits for a request; false if the connection has ended.
+    fn has_request(&mut self) -> bool {
         std::io::BufRead::fill_buf(&mut self.stream).is_ok_and(|bytes| !bytes.is_empty())
     }
 
-    pub fn request(&mut self) -> String {
-        common::request(&mut self.stream)
+    pub fn read_request(&mut self) -> String {
+        common::read_request(&mut self.stream)
     }
 
-    pub fn answer(&mut self, bytes: &str) {
+    pub fn respond(&mut self, bytes: &str) {
         let text = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{bytes}",
             bytes.len()
@@ -91,16 +93,16 @@
         self.stream.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// Reads on until the program closes; all that it wrote.
-    pub fn rest(mut self) -> String {
+    /// Reads until the proxy closes the connection, and returns all that it wrote.
+    pub fn read_to_end(mut self) -> String {
         self.stream
             .get_ref()
-            .set_read_timeout(Some(PATIENCE))
+            .set_read_timeout(Some(TEST_TIMEOUT))
             .unwrap();
         let mut rest = Vec::new();
         self.stream
             .read_to_end(&mut rest)
-            .expect("the program closes");
+            .expect("the proxy closes the connection");
         String::from_utf8_lossy(&rest).into_owned()
     }
 }
--- a/edge/proxy/tests/common/fake_journal.rs
+++ b/edge/proxy/tests/common/fake_journal.rs
@@ -1,4 +1,4 @@
-//! A scripted journal service: the test takes each call on a real socket and answers it piece by piece.
+//! A scripted journal service: the test accepts each poll on a real socket and responds to it piece by piece.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -6,23 +6,24 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-/// Longer than anything takes; it ends a test that waits for what never comes.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// The time limit of every wait: longer than any step takes, so that only a failing test reaches it.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// A journal service on a loopback address.
 pub struct FakeJournal {
     listener: TcpListener,
 }
 
-/// A call of the journal service that is not answered yet.
-pub struct Call {
+/// A long poll that has no response yet.
+pub struct Poll {
     stream: BufReader<TcpStream>,
-    /// The number of the last event that the program has.
+    /// The number of the last event that the proxy has applied.
     pub tail: u64,
 }
 
-/// One line of a list. Its id is `s-` and eight hex digits.
+/// A member in an event. Its name is `s-` and the id in eight hexadecimal digits.
 #[derive(Clone, Copy)]
-pub struct Line {
+pub struct Endpoint {
     pub id: u32,
     pub zone: &'static str,
     pub kind: &'static str,
@@ -31,9 +32,10 @@
     pub since_ms: u64,
 }
 
-impl Line {
-    pub fn pop_cache(id: u32, address: SocketAddr) -> Line {
-        Line {
+impl Endpoint {
+    /// A pop cache that is ready, in the zone `edge`.
+    pub fn pop_cache(id: u32, address: SocketAddr) -> Endpoint {
+        Endpoint {
             id,
             zone: "edge",
             kind: "box",
@@ -43,16 +45,17 @@
         }
     }
 
-    pub fn hub(id: u32, kind: &'static str, address: SocketAddr) -> Line {
-        Line {
+    /// A parent or origin that is ready, in the zone `hub`.
+    pub fn hub(id: u32, kind: &'static str, address: SocketAddr) -> Endpoint {
+        Endpoint {
             zone: "hub",
             kind,
-            ..Line::pop_cache(id, address)
+            ..Endpoint::pop_cache(id, address)
         }
     }
 
-    pub fn now(self, status: &'static str) -> Line {
-        Line { status, ..self }
+    pub fn with_status(self, status: &'static str) -> Endpoint {
+        Endpoint { status, ..self }
     }
 
     pub fn name(&self) -> String {
@@ -60,7 +63,7 @@
     }
 
     fn json(&self) -> String {
-        let Line {
+        let Endpoint {
             zone,
             kind,
             address,
@@ -75,34 +78,34 @@
     }
 }
 
-/// An event that tells of members; `whole` where it is the list.
-pub fn hosts(pos: u64, whole: bool, lines: &[Line]) -> String {
-    let lines: Vec<String> = lines.iter().map(Line::json).collect();
+/// An event with members: the complete list if `snapshot`, otherwise changes.
+pub fn hosts_event(pos: u64, snapshot: bool, endpoints: &[Endpoint]) -> String {
+    let endpoints: Vec<String> = endpoints.iter().map(Endpoint::json).collect();
     format!(
-        r#"{{"pos":{pos},"hosts":{{"index":{pos},"snapshot":{whole},"endpoints":[{}]}}}}"#,
-        lines.join(",")
+        r#"{{"pos":{pos},"hosts":{{"index":{pos},"snapshot":{snapshot},"endpoints":[{}]}}}}"#,
+        endpoints.join(",")
     )
 }
 
-/// An event that purges a group.
-pub fn purge(pos: u64, group: u32) -> String {
+/// An event that purges a group of objects.
+pub fn purge_event(pos: u64, group: u32) -> String {
     format!(r#"{{"pos":{pos},"expire":{{"set":{group},"stamp":1764576000480}}}}"#)
 }
 
-/// The body of an answer with these events, the last of which has the number `last`.
-pub fn feed(last: u64, events: &[String]) -> String {
+/// The body of a response with these events; `last` is the number of the last one.
+pub fn event_batch(last: u64, events: &[String]) -> String {
     format!(r#"{{"pos":{last},"entries":[{}]}}"#, events.join(","))
 }
 
-/// An answer as it goes over the socket.
-pub fn answer(body: &str) -> String {
+/// An HTTP response with this body.
+pub fn http_response(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-/// The program's configuration with these events for `known`.
+/// The proxy's configuration; `known` is the event batch that it starts with.
 pub fn config(journal: SocketAddr, settings: &str, known: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"1","limits":{{"memory_mb":192,"sockets":1024}},
@@ -110,26 +113,30 @@
     )
 }
 
-/// The next connection; a program that makes none fails the test.
+/// Accepts the next connection.
+///
+/// # Panics
+///
+/// If none comes in time.
 pub fn accept(listener: &TcpListener) -> TcpStream {
-    let (told, heard) = channel();
+    let (sender, receiver) = channel();
     let listener = listener.try_clone().unwrap();
-    std::thread::spawn(move || drop(told.send(listener.accept())));
-    let stream = heard
-        .recv_timeout(PATIENCE)
+    std::thread::spawn(move || drop(sender.send(listener.accept())));
+    let stream = receiver
+        .recv_timeout(TEST_TIMEOUT)
         .expect("a connection")
         .unwrap()
         .0;
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
 }
 
 impl FakeJournal {
     pub fn start() -> FakeJournal {
-        FakeJournal::at(SocketAddr::from(([127, 0, 0, 1], 0)))
+        FakeJournal::bind(SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
-    pub fn at(address: SocketAddr) -> FakeJournal {
+    pub fn bind(address: SocketAddr) -> FakeJournal {
         FakeJournal {
             listener: TcpListener::bind(address).unwrap(),
         }
@@ -139,24 +146,25 @@
         self.listener.local_addr().unwrap()
     }
 
-    /// The next connection, and the call on it.
-    pub fn call(&self) -> Call {
+    /// Accepts the next connection and reads the poll on it.
+    pub fn next_poll(&self) -> Poll {
         let stream = BufReader::new(accept(&self.listener));
-        Call::read(stream).expect("a call on a new connection")
+        Poll::read(stream).expect("a poll on a new connection")
     }
 }
 
-impl Call {
-    fn read(mut stream: BufReader<TcpStream>) -> Option<Call> {
+impl Poll {
+    /// Reads a poll; `None` if the connection ended before one.
+    fn read(mut stream: BufReader<TcpStream>) -> Option<Poll> {
         let mut tail = None;
         loop {
             let mut line = String::new();
-            stream.read_line(&mut line).expect("a call");
+            stream.read_line(&mut line).expect("a poll");
             if line.is_empty() {
                 return None;
             }
             if line == "\r\n" {
-                return Some(Call {
+                return Some(Poll {
                     stream,
                     tail: tail.expect("a tail"),
                 });
@@ -173,34 +181,34 @@
         self.stream.get_mut().write_all(bytes.as_bytes()).unwrap();
     }
 
-    /// Answers with these events, and returns the call that follows on the same connection.
-    pub fn answer(mut self, last: u64, events: &[String]) -> Call {
-        self.write(&answer(&feed(last, events)));
-        Call::read(self.stream).expect("the call that follows on an answer")
+    /// Responds with these events, and returns the poll that follows on the same connection.
+    pub fn respond(mut self, last: u64, events: &[String]) -> Poll {
+        self.write(&http_response(&event_batch(last, events)));
+        Poll::read(self.stream).expect("the poll that follows a response")
     }
 
-    /// The program closes the connection and writes nothing more on it.
-    pub fn closed(mut self) {
+    /// Asserts that the proxy closes the connection without writing anything more.
+    pub fn assert_closed(mut self) {
         let mut rest = Vec::new();
-        // A reset ends it as well: what was written to it stays unread.
+        // The proxy may also reset the connection, because it leaves data unread.
         let _ = self.stream.read_to_end(&mut rest);
         assert!(
             rest.is_empty(),
-            "the program wrote on: {}",
+            "the proxy wrote more: {}",
             String::from_utf8_lossy(&rest)
         );
     }
 
-    /// Writes no more, as a service that ends; the program must close as well.
-    pub fn end(self) {
+    /// Shuts down the write side, as a service that exits does, and asserts that the proxy closes the connection.
+    pub fn close_write(self) {
         self.stream
             .get_ref()
             .shutdown(std::net::Shutdown::Write)
             .unwrap();
-        self.closed();
+        self.assert_closed();
     }
 
-    /// The socket, to write to it while the call is waited on.
+    /// A handle of the socket, to write from another thread or after [`Poll::write`].
     pub fn socket(&self) -> TcpStream {
         self.stream.get_ref().try_clone().unwrap()
     }
--- a/edge/proxy/tests/common/held_attempts.rs
+++ b/edge/proxy/tests/common/held_attempts.rs
@@ -1,8 +1,8 @@
-//! The other ends of the program, held by the test: a client's request in a thread of its own, and the cache's side of each
-//! attempt, answered or cut when the test says so.
+//! Clients and a cache that the test drives: each request waits in a background thread, and each attempt is answered or
+//! closed when the test does so.
 #![allow(dead_code)]
 
-use crate::common::request;
+use crate::common::read_request;
 use foldmux_fakes::rpc::{Said, Terminal};
 use std::collections::BTreeMap;
 use std::io::{BufReader, Write};
@@ -10,30 +10,33 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-/// Ends a test that waits for what never comes.
-pub const PATIENCE: Duration = Duration::from_secs(30);
-/// What the cache serves.
+/// The time limit of every wait: longer than any step takes, so that only a failing test reaches it.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+/// The body of the cache's responses.
 pub const BODY: &[u8] = b"ok";
 
-/// One request as a client waits for it.
+/// A request whose client waits for the response.
 pub struct PendingResponse(Receiver<std::io::Result<Said>>);
 
 impl PendingResponse {
-    /// The answer; `None` where the connection ended without one.
-    pub fn said(self) -> Option<Said> {
-        self.0.recv_timeout(PATIENCE).expect("an end").ok()
+    /// Waits for the response; `None` if the connection ended without one.
+    pub fn wait(self) -> Option<Said> {
+        self.0
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("a response or the end of the connection")
+            .ok()
     }
 }
 
-/// Asks for an object on a connection of its own; the client would wait for 20 s.
-pub fn ask(serves: SocketAddr, class: &str, object: u64) -> PendingResponse {
-    let (told, heard) = channel();
+/// Requests an object on a new connection; the client waits for 20 s.
+pub fn send_request(address: SocketAddr, class: &str, object: u64) -> PendingResponse {
+    let (sender, receiver) = channel();
     let class = class.to_string();
     std::thread::spawn(move || {
-        let mut terminal = Terminal::connect(serves, PATIENCE).unwrap();
-        let _ = told.send(terminal.ask(&class, &fields(object), &[]));
+        let mut client = Terminal::connect(address, TEST_TIMEOUT).unwrap();
+        let _ = sender.send(client.ask(&class, &fields(object), &[]));
     });
-    PendingResponse(heard)
+    PendingResponse(receiver)
 }
 
 fn fields(object: u64) -> BTreeMap<&'static str, String> {
@@ -48,32 +51,35 @@
     ])
 }
 
-/// One attempt as the cache has it.
+/// The cache's side of an attempt.
 pub struct Attempt {
     stream: BufReader<TcpStream>,
-    /// Its head on one line.
+    /// The whole request on one line.
     pub head: String,
 }
 
 impl Attempt {
-    /// The next attempt on a connection of its own.
-    pub fn next(caches: &TcpListener) -> Attempt {
-        let (told, heard) = channel();
+    /// Accepts the next connection and reads the request on it.
+    pub fn accept(caches: &TcpListener) -> Attempt {
+        let (sender, receiver) = channel();
         let listener = caches.try_clone().unwrap();
-        std::thread::spawn(move || drop(told.send(listener.accept())));
-        let (stream, _) = heard.recv_timeout(PATIENCE).expect("an attempt").unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        std::thread::spawn(move || drop(sender.send(listener.accept())));
+        let (stream, _) = receiver
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("an attempt")
+            .unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let mut stream = BufReader::new(stream);
-        let head = request(&mut stream);
+        let head = read_request(&mut stream);
         Attempt { stream, head }
     }
 
-    /// Answers with the object, and closes.
+    /// Responds with the object, and closes the connection.
     pub fn serve(mut self) {
-        let answer = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok";
-        self.stream.get_mut().write_all(answer).unwrap();
+        let response = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok";
+        self.stream.get_mut().write_all(response).unwrap();
     }
 
-    /// Ends without an answer: the attempt may have run.
-    pub fn cut(self) {}
+    /// Closes the connection without a response: the attempt may have run.
+    pub fn close_without_response(self) {}
 }
--- a/edge/proxy/tests/common/journal_follower.rs
+++ b/edge/proxy/tests/common/journal_follower.rs
@@ -1,8 +1,9 @@
-//! The journal client and its event loop in this process: a real journal service's socket at one end, the members at the other.
+//! The journal client and its event loop inside the test process: it polls over a real socket, and the test reads the
+//! resulting list of servers.
 #![allow(dead_code)]
 
 use crate::common;
-use crate::fake_journal::PATIENCE;
+use crate::fake_journal::TEST_TIMEOUT;
 use foldmux::interface::MemberState;
 use foldmux::Router;
 use foldmux_core::clock::Clock;
@@ -16,38 +17,39 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+/// A journal client that follows the journal service in a background thread.
 pub struct JournalFollower {
     pub members: Arc<ServerList>,
     pub service: Arc<JournalService>,
-    /// A whole list is in.
-    pub listed: Arc<AtomicBool>,
-    /// The names of members whose start took no more work, in the order in which it ended.
+    /// Whether the client has applied a complete list.
+    pub has_list: Arc<AtomicBool>,
+    /// The names of members whose incarnation ended, in order.
     ended: Arc<Mutex<Vec<String>>>,
 }
 
 impl JournalFollower {
-    /// With these events known, it follows the journal service at this address.
+    /// Starts with the events `known` applied, and polls the journal service at `address`.
     pub fn start(address: SocketAddr, known: &str) -> JournalFollower {
         let decoded = foldmux_settings::parse(common::SETTINGS).unwrap();
         let (clock, members) = (Clock::default(), Arc::new(ServerList::default()));
-        let (mut desk, handle) = EventLoop::new(
+        let (mut event_loop, handle) = EventLoop::new(
             Router::new(decoded.settings, 1),
             clock.clone(),
             members.clone(),
         );
         let ended: Arc<Mutex<Vec<String>>> = Arc::default();
-        let heard = ended.clone();
-        desk.on_incarnation_ended(move |former| {
-            heard.lock().unwrap().push(former.name.to_string())
+        let recorded = ended.clone();
+        event_loop.on_incarnation_ended(move |ended_server| {
+            recorded.lock().unwrap().push(ended_server.name.to_string())
         });
-        std::thread::spawn(move || desk.run());
+        std::thread::spawn(move || event_loop.run());
         let names = Names {
             zones: decoded.zones,
             kinds: decoded.kinds,
         };
         let pool = Pool::new(8, Duration::from_secs(10));
-        let listed = Arc::new(AtomicBool::new(false));
-        let mut journal = JournalClient::new(names, clock, handle, pool, listed.clone());
+        let has_list = Arc::new(AtomicBool::new(false));
+        let mut journal = JournalClient::new(names, clock, handle, pool, has_list.clone());
         let known: EventBatch =
             simd_json::serde::from_slice(&mut known.as_bytes().to_vec()).unwrap();
         assert!(journal.apply(&known));
@@ -57,32 +59,32 @@
         JournalFollower {
             members,
             service,
-            listed,
+            has_list,
             ended,
         }
     }
 
-    pub fn is_listed(&self) -> bool {
-        self.listed.load(Ordering::SeqCst)
+    pub fn has_list(&self) -> bool {
+        self.has_list.load(Ordering::SeqCst)
     }
 
-    /// What the list says of a member, or that it has none of this name.
+    /// The state of a member; `None` if it is not listed.
     pub fn state(&self, id: u32) -> Option<MemberState> {
         self.members
             .get(cache_id(&format!("s-{id:08x}")))
             .map(|listed| listed.member.state)
     }
 
-    /// Returns once the event loop has applied a list with this member, and so all that was told before it.
-    pub fn knows(&self, id: u32) {
-        let until = Instant::now() + PATIENCE;
+    /// Waits until the event loop lists this member, and so has applied all earlier events.
+    pub fn wait_until_listed(&self, id: u32) {
+        let deadline = Instant::now() + TEST_TIMEOUT;
         while self.state(id).is_none() {
-            assert!(Instant::now() < until, "s-{id:08x} is never listed");
+            assert!(Instant::now() < deadline, "s-{id:08x} is never listed");
             std::thread::yield_now();
         }
     }
 
-    pub fn ended(&self) -> Vec<String> {
+    pub fn ended_incarnations(&self) -> Vec<String> {
         self.ended.lock().unwrap().clone()
     }
 }
--- a/edge/proxy/tests/common/mod.rs
+++ b/edge/proxy/tests/common/mod.rs
@@ -1,9 +1,19 @@
-//! The helper of all exchange tests: it starts the program, plays a text file against it and returns what the
-//! program sent. Lines: `client NAME > BYTES`, `client NAME <` (one message), `client NAME end` (it closes),
-//! `client NAME closed` (the program closed it), `cache > BYTES`, `cache <` (one request), `cache closed`,
-//! `journal > EVENTS` (in answer to the next call), `journal moves` (SIGHUP, and the call that comes at the new
-//! address), `reload TEXT` (SIGHUP with this for a configuration, and the log's line), `term`, `ended`. The one cache is s-00000001, the
-//! parent s-00000002, the origin s-00000003. Bytes are text with \r, \n, \\ and \xNN.
+//! Starts the proxy as a process, and plays recorded exchanges against it.
+//!
+//! A script has one step per line, and the transcript shows what the proxy sent below the step that read it:
+//!
+//! - `client NAME > BYTES` sends bytes, on a new connection if the client has none; `client NAME <` reads one message;
+//!   `client NAME end` closes the connection; `client NAME closed` expects the proxy to close it.
+//! - `cache > BYTES` sends a response; `cache <` reads one request; `cache end` closes the connection; `cache closed`
+//!   expects the proxy to close it.
+//! - `journal > EVENTS` answers the next poll; `journal <` reads the poll that follows; `journal closed` expects the proxy
+//!   to close the connection; `journal moves` reloads with another journal address and expects a poll there.
+//! - `reload TEXT` writes a new configuration, sends SIGHUP and shows the log line of the reload.
+//! - `term` sends SIGTERM; `ended` waits for the process and shows its exit status.
+//! - Lines that start with `#` are comments.
+//!
+//! The pop cache is s-00000001, the parent s-00000002 and the origin s-00000003; all have the address of one listener.
+//! Bytes are text with the escapes \r, \n, \\ and \xNN.
 #![allow(dead_code)]
 
 use std::collections::HashMap;
@@ -19,8 +29,8 @@
 
 mod transcript;
 
-/// Longer than anything takes; it ends a test that waits for what never comes.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// The time limit of every wait: longer than any step takes, so that only a failing test reaches it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub const SETTINGS: &str = r#"{"index":0,"balancers":1,"locality":1,"dcs":["hub","edge"],
 "kinds":["box","parent","origin"],"classes":[{"name":"sheet","slo":20000000,"hardLimit":30000000,
@@ -32,44 +42,50 @@
 "instancesByZone":[0,1],"parentFloor":0.1,"parentCold":21000000,"parentBreaksAt":2.0,"purgeSlack":1000000,
 "purgeDone":6000000}}"#;
 
+/// The standard configuration: a pop cache, a parent and an origin, all at `cache`, and the journal service at `journal`.
 pub fn config(cache: SocketAddr, journal: SocketAddr) -> String {
-    let line = |n: u32, kind: &str, zone: &str| {
+    let endpoint = |n: u32, kind: &str, zone: &str| {
         format!(
             r#"{{"name":"s-{n:08x}","address":"{cache}","zone":"{zone}","type":"{kind}","group":0,
             "status":"ready","weight":1,"since_ms":0}}"#
         )
     };
-    let lines = [
-        line(1, "box", "edge"),
-        line(2, "parent", "hub"),
-        line(3, "origin", "hub"),
+    let endpoints = [
+        endpoint(1, "box", "edge"),
+        endpoint(2, "parent", "hub"),
+        endpoint(3, "origin", "hub"),
     ]
     .join(",");
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"1","limits":{{"memory_mb":192,"sockets":1024}},
         "journal":"{journal}","known":{{"pos":1,"entries":[{{"pos":1,"hosts":{{"index":1,"snapshot":true,
-        "endpoints":[{lines}]}}}}]}},"settings":{SETTINGS}}}"#
+        "endpoints":[{endpoints}]}}}}]}},"settings":{SETTINGS}}}"#
     )
 }
 
-pub struct Program {
+/// A running proxy; it is killed on drop.
+pub struct ProxyProcess {
     child: Child,
-    file: PathBuf,
+    config_file: PathBuf,
     log: Receiver<String>,
 }
 
-impl Drop for Program {
+impl Drop for ProxyProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.config_file);
     }
 }
 
-impl Program {
-    /// The next line of the log that has these words.
-    pub fn line(&self, words: &str) -> String {
-        let mut lines = std::iter::from_fn(|| self.log.recv_timeout(PATIENCE).ok());
+impl ProxyProcess {
+    /// Reads the log up to the next line that contains `words`, and returns that line.
+    ///
+    /// # Panics
+    ///
+    /// If no such line comes in time.
+    pub fn wait_for_log(&self, words: &str) -> String {
+        let mut lines = std::iter::from_fn(|| self.log.recv_timeout(TEST_TIMEOUT).ok());
         lines
             .find(|line| line.contains(words))
             .expect("a line in the log")
@@ -79,10 +95,12 @@
         self.child.id()
     }
 
-    pub fn ended(&mut self) -> std::process::ExitStatus {
+    /// Waits for the process to exit.
+    pub fn wait(&mut self) -> std::process::ExitStatus {
         self.child.wait().unwrap()
     }
 
+    /// Sends a signal, named as `kill` takes it: `-TERM`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill")
@@ -92,16 +110,17 @@
             .success());
     }
 
-    /// Puts another configuration in place of the first; what the log says of it.
+    /// Replaces the configuration file, sends SIGHUP and returns the log's text from `reload: ` on.
     pub fn reload(&self, config: &str) -> String {
-        std::fs::write(&self.file, config).unwrap();
+        std::fs::write(&self.config_file, config).unwrap();
         self.signal("-HUP");
-        std::iter::from_fn(|| self.log.recv_timeout(PATIENCE).ok())
+        std::iter::from_fn(|| self.log.recv_timeout(TEST_TIMEOUT).ok())
             .find_map(|line| line.find("reload: ").map(|at| line[at..].to_string()))
             .expect("a line in the log")
     }
 }
 
+/// The proxy's program with these arguments, without the environment variables that would change its configuration.
 pub fn command(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_foldmux"));
     command
@@ -113,74 +132,86 @@
     command
 }
 
-/// Starts the program on this configuration; where it says that it serves.
-pub fn start(config: &str) -> (Program, SocketAddr) {
-    let (program, [serves, _]) = start_with(config, &[]);
-    (program, serves.expect("an address"))
+/// Starts the proxy with this configuration, and returns the address on which it listens for clients.
+pub fn start(config: &str) -> (ProxyProcess, SocketAddr) {
+    let (proxy, [address, _]) = start_with_args(config, &[]);
+    (proxy, address.expect("an address"))
 }
 
-/// With more arguments; where it serves, and where its external processor is.
-pub fn start_with(config: &str, arguments: &[&str]) -> (Program, [Option<SocketAddr>; 2]) {
-    start_by(command(&[&["serve"], arguments].concat()), config)
+/// Starts the proxy with more arguments; returns the addresses of its client listener and of its external processor.
+pub fn start_with_args(
+    config: &str,
+    arguments: &[&str],
+) -> (ProxyProcess, [Option<SocketAddr>; 2]) {
+    start_command(command(&[&["serve"], arguments].concat()), config)
 }
 
-/// Starts the program by this command.
-pub fn start_by(mut command: Command, config: &str) -> (Program, [Option<SocketAddr>; 2]) {
-    let file = std::env::temp_dir().join(format!(
+/// As [`start_with_args`], with a command that runs the proxy. Returns once the proxy listens for clients.
+pub fn start_command(
+    mut command: Command,
+    config: &str,
+) -> (ProxyProcess, [Option<SocketAddr>; 2]) {
+    let config_file = std::env::temp_dir().join(format!(
         "foldmux-{}-{:?}",
         std::process::id(),
         config.as_ptr()
     ));
-    std::fs::write(&file, config).unwrap();
+    std::fs::write(&config_file, config).unwrap();
     let mut child = command
-        .env("GW_CONFIG", &file)
+        .env("GW_CONFIG", &config_file)
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program");
+        .expect("a running proxy");
     let mut lines = BufReader::new(child.stderr.take().unwrap())
         .lines()
         .map_while(Result::ok);
-    let (mut at, mut said) = ([None; 2], String::new());
-    while at[0].is_none() {
+    let (mut addresses, mut log_so_far) = ([None; 2], String::new());
+    while addresses[0].is_none() {
         let line = lines
             .next()
-            .unwrap_or_else(|| panic!("the program said: {said}"));
-        let after = |words: &str| {
+            .unwrap_or_else(|| panic!("the proxy exited with the log: {log_so_far}"));
+        let address_after = |words: &str| {
             line.split_once(words)
-                .and_then(|(_, at)| at.trim().parse().ok())
+                .and_then(|(_, address)| address.trim().parse().ok())
         };
-        at = [
-            after(" is listening on "),
-            at[1].or(after("external processor on ")),
+        addresses = [
+            address_after(" is listening on "),
+            addresses[1].or(address_after("external processor on ")),
         ];
-        said += &line;
+        log_so_far += &line;
     }
-    let (told, log) = channel();
-    std::thread::spawn(move || lines.for_each(|line| drop(told.send(line))));
-    (Program { child, file, log }, at)
+    let (sender, log) = channel();
+    std::thread::spawn(move || lines.for_each(|line| drop(sender.send(line))));
+    let proxy = ProxyProcess {
+        child,
+        config_file,
+        log,
+    };
+    (proxy, addresses)
 }
 
-/// A listener at an address of its own.
-pub fn listener() -> TcpListener {
+/// A listener on a free loopback port.
+pub fn bind_loopback() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
-/// Plays the lines and returns them, with what the program sent in its places.
-pub fn play(script: &str) -> String {
-    let (caches, mut journal) = (listener(), listener());
-    let (mut program, address) = start(&config(
+/// Plays a script and returns its transcript. The steps are described at the head of this module.
+pub fn play_script(script: &str) -> String {
+    let (caches, mut journal) = (bind_loopback(), bind_loopback());
+    let (mut proxy, address) = start(&config(
         caches.local_addr().unwrap(),
         journal.local_addr().unwrap(),
     ));
     let mut clients: HashMap<String, BufReader<TcpStream>> = HashMap::new();
     let mut cache: Option<BufReader<TcpStream>> = None;
     let mut poll = None;
-    let mut out = String::new();
+    let mut transcript = String::new();
     for line in script.lines().filter(|l| !l.is_empty()) {
         let words: Vec<&str> = line.splitn(4, ' ').collect();
-        let told = match words[..] {
+        let received = match words[..] {
             ["client", name, ">", ref rest @ ..] => {
-                let open = || BufReader::new(connected(TcpStream::connect(address).unwrap()));
+                let open =
+                    || BufReader::new(with_read_timeout(TcpStream::connect(address).unwrap()));
                 let client = clients.entry(name.to_string()).or_insert_with(open);
                 client
                     .get_mut()
@@ -188,18 +219,18 @@
                     .unwrap();
                 String::new()
             }
-            ["client", name, "<"] => message(clients.get_mut(name).unwrap()),
+            ["client", name, "<"] => read_message(clients.get_mut(name).unwrap()),
             ["client", name, "end"] => {
                 drop(clients.remove(name));
                 String::new()
             }
-            ["client", name, "closed"] => ended(clients.get_mut(name).unwrap()),
+            ["client", name, "closed"] => read_until_closed(clients.get_mut(name).unwrap()),
             ["cache", "<"] => {
-                // A connection is kept between requests; a new one comes where there is none.
-                let mut held = cache.take().unwrap_or_else(|| accept(&caches));
-                let told = request(&mut held);
-                cache = Some(held);
-                told
+                // The connection stays open between requests.
+                let mut connection = cache.take().unwrap_or_else(|| accept(&caches));
+                let received = read_request(&mut connection);
+                cache = Some(connection);
+                received
             }
             ["cache", ">", ..] => {
                 let bytes = line.split_once("> ").unwrap().1;
@@ -211,79 +242,88 @@
                     .unwrap();
                 String::new()
             }
-            ["cache", "closed"] => ended(&mut cache.take().unwrap()),
+            ["cache", "closed"] => read_until_closed(&mut cache.take().unwrap()),
             ["cache", "end"] => {
                 drop(cache.take());
                 String::new()
             }
             ["journal", ">", ..] => {
-                let mut called = poll.take().unwrap_or_else(|| accept(&journal));
-                let told = request(&mut called);
+                let mut connection = poll.take().unwrap_or_else(|| accept(&journal));
+                let received = read_request(&mut connection);
                 let body = line.split_once("> ").unwrap().1;
-                let answer = format!(
+                let response = format!(
                     "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
                     body.len()
                 );
-                called.get_mut().write_all(answer.as_bytes()).unwrap();
-                poll = Some(called);
-                told
+                connection.get_mut().write_all(response.as_bytes()).unwrap();
+                poll = Some(connection);
+                received
             }
-            // The program closes after an answer that it could not use.
-            ["journal", "closed"] => ended(&mut poll.take().unwrap()),
-            // The call that follows on an answer shows that it was taken.
-            ["journal", "<"] => request(poll.as_mut().unwrap()),
+            // The proxy closes the connection after a response that it can't use.
+            ["journal", "closed"] => read_until_closed(&mut poll.take().unwrap()),
+            // The poll that follows a response shows that the response was applied.
+            ["journal", "<"] => read_request(poll.as_mut().unwrap()),
             ["journal", "moves"] => {
-                journal = listener();
+                journal = bind_loopback();
                 let (cache, address) =
                     (caches.local_addr().unwrap(), journal.local_addr().unwrap());
-                program.reload(&config(cache, address));
-                let mut left = poll
+                proxy.reload(&config(cache, address));
+                let mut old_poll = poll
                     .replace(accept(&journal))
-                    .expect("a call at the old address");
-                format!("{}{}", ended(&mut left), request(poll.as_mut().unwrap()))
+                    .expect("a poll at the old address");
+                format!(
+                    "{}{}",
+                    read_until_closed(&mut old_poll),
+                    read_request(poll.as_mut().unwrap())
+                )
             }
-            ["reload", ..] => program.reload(line.split_once(' ').unwrap().1),
+            ["reload", ..] => proxy.reload(line.split_once(' ').unwrap().1),
             ["term"] => {
-                program.signal("-TERM");
-                // The signal is on its way until the program says so: what comes before that is not late.
-                program.line("draining: ");
+                proxy.signal("-TERM");
+                // What the script sends before this log line may still be handled as if before the signal.
+                proxy.wait_for_log("draining: ");
                 String::new()
             }
-            ["ended"] => program.child.wait().unwrap().to_string(),
+            ["ended"] => proxy.child.wait().unwrap().to_string(),
             _ if line.starts_with('#') => String::new(),
-            _ => panic!("no such line: {line}"),
+            _ => panic!("unknown step: {line}"),
         };
         writeln!(
-            out,
-            "{line}{}{told}",
-            if told.is_empty() { "" } else { "\n    " }
+            transcript,
+            "{line}{}{received}",
+            if received.is_empty() { "" } else { "\n    " }
         )
         .unwrap();
     }
-    out
+    transcript
 }
 
-pub fn connected(stream: TcpStream) -> TcpStream {
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+/// Sets the read timeout of all tests on a stream.
+pub fn with_read_timeout(stream: TcpStream) -> TcpStream {
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
 }
 
-/// The next connection; a program that makes none fails the test.
+/// Accepts the next connection.
+///
+/// # Panics
+///
+/// If none comes in time.
 fn accept(listener: &TcpListener) -> BufReader<TcpStream> {
-    let (told, heard) = channel();
+    let (sender, receiver) = channel();
     let listener = listener.try_clone().unwrap();
-    std::thread::spawn(move || drop(told.send(listener.accept())));
-    BufReader::new(connected(
-        heard
-            .recv_timeout(PATIENCE)
+    std::thread::spawn(move || drop(sender.send(listener.accept())));
+    BufReader::new(with_read_timeout(
+        receiver
+            .recv_timeout(TEST_TIMEOUT)
             .expect("a connection")
             .unwrap()
             .0,
     ))
 }
 
-/// The end of a connection: the program sent nothing more, and closed.
-fn ended(stream: &mut BufReader<TcpStream>) -> String {
+/// Reads until the proxy closes the connection or resets it, and returns what it sent before.
+fn read_until_closed(stream: &mut BufReader<TcpStream>) -> String {
     let mut rest = Vec::new();
     let _ = stream.read_to_end(&mut rest);
     escape(&rest)
--- a/edge/proxy/tests/common/rpc_calls.rs
+++ b/edge/proxy/tests/common/rpc_calls.rs
@@ -1,26 +1,26 @@
-//! Calls as clients write them.
+//! MessagePack-RPC requests as clients write them.
 
-/// What a client waits in these tests (ms): as long as its class's deadline.
-pub const WAIT_MS: u32 = 300_000;
+/// How long a client waits for a response (ms): as long as the deadline of its class.
+pub const CLIENT_TIMEOUT_MS: u32 = 300_000;
 
-/// A call of the class `sheet`, whole. The id is that of the object.
-pub fn call(number: u32, object: u64) -> Vec<u8> {
-    call_of("sheet", number, object, WAIT_MS, &[], &[0xc0])
+/// A complete request of the class `sheet`. Its request id is the object's number.
+pub fn encode_request(number: u32, object: u64) -> Vec<u8> {
+    encode_request_with("sheet", number, object, CLIENT_TIMEOUT_MS, &[], &[0xc0])
 }
 
-/// A call with these fields beside the usual ones, and this body as it stands in the message.
-pub fn call_of(
+/// A request with `extra` fields after the standard ones; `body` is the encoded MessagePack value.
+pub fn encode_request_with(
     class: &str,
     number: u32,
     object: u64,
-    wait_ms: u32,
-    more: &[(&str, &str)],
+    timeout_ms: u32,
+    extra: &[(&str, &str)],
     body: &[u8],
 ) -> Vec<u8> {
-    let (id, wait) = (format!("{object:016x}"), wait_ms.to_string());
-    let usual = [
+    let (id, timeout) = (format!("{object:016x}"), timeout_ms.to_string());
+    let standard = [
         ("i", &*id),
-        ("d", &*wait),
+        ("d", &*timeout),
         ("o", &*id),
         ("nth", "3"),
         ("batch", "17"),
@@ -28,22 +28,23 @@
     ];
     let mut bytes = b"\x94\x00\xce".to_vec();
     bytes.extend(number.to_be_bytes());
-    text(&mut bytes, class);
-    bytes.extend([0x92, 0x80 | (usual.len() + more.len()) as u8]);
-    for (name, value) in usual.iter().chain(more) {
-        text(&mut bytes, name);
-        text(&mut bytes, value);
+    push_text(&mut bytes, class);
+    bytes.extend([0x92, 0x80 | (standard.len() + extra.len()) as u8]);
+    for (name, value) in standard.iter().chain(extra) {
+        push_text(&mut bytes, name);
+        push_text(&mut bytes, value);
     }
     bytes.extend(body);
     bytes
 }
 
-fn text(bytes: &mut Vec<u8>, text: &str) {
+/// Appends a MessagePack str 8.
+fn push_text(bytes: &mut Vec<u8>, text: &str) {
     bytes.extend([0xd9, text.len() as u8]);
     bytes.extend(text.as_bytes());
 }
 
-/// The head of a binary value.
-pub fn binary(length: u16) -> Vec<u8> {
+/// The header of a MessagePack bin 16 of this length.
+pub fn bin16_header(length: u16) -> Vec<u8> {
     [&[0xc5], &length.to_be_bytes()[..]].concat()
 }
--- a/edge/proxy/tests/common/test_proxy.rs
+++ b/edge/proxy/tests/common/test_proxy.rs
@@ -1,8 +1,8 @@
-//! The program between clients and a cache that the test holds and releases step by step. No request is over by its own
-//! time: the class's deadline is longer than any test.
+//! The proxy between clients and a pop cache, both driven step by step by the test. No request ends by its deadline:
+//! that of its class is longer than any test.
 #![allow(dead_code)]
 
-use crate::common::{self, connected, message, Program};
+use crate::common::{self, read_message, with_read_timeout, ProxyProcess};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::Command;
@@ -14,39 +14,41 @@
 #[path = "rpc_calls.rs"]
 mod rpc_calls;
 
-/// Longer than anything takes; it ends a test that waits for what never comes.
-pub const PATIENCE: Duration = Duration::from_secs(30);
-/// The class's deadline (us): far beyond `PATIENCE`.
-const DEADLINE: &str = "\"hardLimit\":300000000";
+/// The time limit of every wait: longer than any step takes, so that only a failing test reaches it.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+/// The setting with the class's deadline (us): far longer than `TEST_TIMEOUT`.
+const CLASS_DEADLINE: &str = "\"hardLimit\":300000000";
 
+/// A running proxy, the listener of its caches and a journal service that never responds.
 pub struct TestProxy {
-    pub program: Program,
-    pub serves: SocketAddr,
+    pub process: ProxyProcess,
+    /// Where it listens for clients.
+    pub address: SocketAddr,
     pub config: String,
     caches: TcpListener,
-    /// Held so that calls to it neither fail nor are answered.
+    /// Kept open so that polls neither fail nor get a response.
     _journal: TcpListener,
 }
 
 impl TestProxy {
     pub fn start() -> TestProxy {
-        TestProxy::start_with(|config| config)
+        TestProxy::start_with_config(|config| config)
     }
 
-    /// With another configuration, made from the usual one.
-    pub fn start_with(change: impl FnOnce(String) -> String) -> TestProxy {
-        TestProxy::start_by(common::command(&["serve"]), change)
+    /// Starts the proxy with the standard configuration as changed by `change`.
+    pub fn start_with_config(change: impl FnOnce(String) -> String) -> TestProxy {
+        TestProxy::start_command(common::command(&["serve"]), change)
     }
 
-    /// With another configuration, by this command.
-    pub fn start_by(command: Command, change: impl FnOnce(String) -> String) -> TestProxy {
-        let (caches, journal) = (common::listener(), common::listener());
+    /// As [`TestProxy::start_with_config`], with a command that runs the proxy.
+    pub fn start_command(command: Command, change: impl FnOnce(String) -> String) -> TestProxy {
+        let (caches, journal) = (common::bind_loopback(), common::bind_loopback());
         let config = common::config(caches.local_addr().unwrap(), journal.local_addr().unwrap());
-        let config = change(config.replace("\"hardLimit\":30000000", DEADLINE));
-        let (program, [serves, _]) = common::start_by(command, &config);
+        let config = change(config.replace("\"hardLimit\":30000000", CLASS_DEADLINE));
+        let (process, [address, _]) = common::start_command(command, &config);
         TestProxy {
-            program,
-            serves: serves.expect("an address"),
+            process,
+            address: address.expect("an address"),
             config,
             caches,
             _journal: journal,
@@ -54,116 +56,119 @@
     }
 
     pub fn client(&self) -> Client {
-        Client::over(TcpStream::connect(self.serves).unwrap())
+        Client::new(TcpStream::connect(self.address).unwrap())
     }
 
     pub fn caches(&self) -> &TcpListener {
         &self.caches
     }
 
-    /// The next connection to the cache, with the request on it.
-    pub fn attempt(&self) -> Attempt {
-        let (told, heard) = channel();
+    /// Accepts the next connection to the cache and reads the request on it.
+    pub fn next_attempt(&self) -> Attempt {
+        let (sender, receiver) = channel();
         let listener = self.caches.try_clone().unwrap();
-        std::thread::spawn(move || drop(told.send(listener.accept())));
-        let stream = heard
-            .recv_timeout(PATIENCE)
+        std::thread::spawn(move || drop(sender.send(listener.accept())));
+        let stream = receiver
+            .recv_timeout(TEST_TIMEOUT)
             .expect("a connection to the cache")
             .unwrap()
             .0;
-        let mut stream = BufReader::new(connected(stream));
-        let head = head(&mut stream);
+        let mut stream = BufReader::new(with_read_timeout(stream));
+        let head = read_head(&mut stream);
         Attempt { stream, head }
     }
 
-    /// As `attempt`, if there is one now.
-    pub fn attempt_now(&self) -> Option<Attempt> {
+    /// As [`TestProxy::next_attempt`], without waiting: `None` if no connection is in the accept queue.
+    pub fn try_next_attempt(&self) -> Option<Attempt> {
         self.caches.set_nonblocking(true).unwrap();
         let accepted = self.caches.accept();
         self.caches.set_nonblocking(false).unwrap();
         let stream = accepted.ok()?.0;
         stream.set_nonblocking(false).unwrap();
-        let mut stream = BufReader::new(connected(stream));
-        let head = head(&mut stream);
+        let mut stream = BufReader::new(with_read_timeout(stream));
+        let head = read_head(&mut stream);
         Some(Attempt { stream, head })
     }
 
-    /// Connections to the cache that nobody has taken yet.
-    pub fn waiting_attempts(&self) -> usize {
+    /// Accepts and closes the connections in the cache's accept queue, and returns how many there were.
+    pub fn pending_attempts(&self) -> usize {
         self.caches.set_nonblocking(true).unwrap();
         let count = std::iter::from_fn(|| self.caches.accept().ok()).count();
         self.caches.set_nonblocking(false).unwrap();
         count
     }
 
-    /// Whether no request under this id is open any more: one under the id of an open one fails at once.
-    pub fn is_over(&self, id: u64) -> bool {
+    /// Whether no request with this id is open: a second request with the id of an open one fails at once.
+    pub fn request_has_ended(&self, id: u64) -> bool {
         let mut client = self.client();
-        client.ask(id);
+        client.send_request(id);
         loop {
-            if let Some(mut attempt) = self.attempt_now() {
-                attempt.give(b"ok");
-                assert!(client.answer().contains("ok"));
+            if let Some(mut attempt) = self.try_next_attempt() {
+                attempt.respond(b"ok");
+                assert!(client.read_response().contains("ok"));
                 return true;
             }
-            if client.has_answer() {
-                assert!(client.answer().contains("Fault"));
+            if client.has_response() {
+                assert!(client.read_response().contains("Fault"));
                 return false;
             }
             std::thread::yield_now();
         }
     }
 
-    /// A client with one answer behind it, at rest. The cache closes its connection: what is sent on later comes on another.
-    pub fn rested(&self, object: u64) -> Client {
+    /// A client whose one request has been served and whose connection is idle. The cache closes its own connection, so
+    /// that a later attempt arrives on a new one.
+    pub fn idle_client(&self, object: u64) -> Client {
         let mut client = self.client();
-        client.ask(object);
-        self.attempt().give(b"ok");
-        assert!(client.answer().contains("\\xc4\\x02ok"));
+        client.send_request(object);
+        self.next_attempt().respond(b"ok");
+        assert!(client.read_response().contains("\\xc4\\x02ok"));
         client
     }
 
     pub fn signal(&self, name: &str) {
-        self.program.signal(name);
+        self.process.signal(name);
     }
 
-    /// The program is stopped: what happens from here on happens, for it, at one moment. Returns once it has stopped.
-    pub fn stop(&self) {
+    /// Stops the process with SIGSTOP and returns once it has stopped. It finds all that arrives meanwhile at once, when
+    /// it resumes.
+    pub fn pause(&self) {
         self.signal("-STOP");
         let state =
-            || std::fs::read_to_string(format!("/proc/{}/stat", self.program.id())).unwrap();
+            || std::fs::read_to_string(format!("/proc/{}/stat", self.process.id())).unwrap();
         while !state().rsplit(") ").next().unwrap().starts_with('T') {
             std::thread::yield_now();
         }
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// SIGTERM, and the program has begun to leave; what its log says then.
-    pub fn leave(&self) -> String {
+    /// Sends SIGTERM and returns the log line of the drain that it starts.
+    pub fn start_drain(&self) -> String {
         self.signal("-TERM");
-        self.program.line("draining: ")
+        self.process.wait_for_log("draining: ")
     }
 
-    /// The program ended by itself, in order.
-    pub fn ends_well(&mut self) {
-        let status = self.program.ended();
+    /// Waits for the process to exit by itself, with status 0.
+    pub fn assert_clean_exit(&mut self) {
+        let status = self.process.wait();
         assert!(status.success(), "{status}");
     }
 }
 
+/// A client connection, with MessagePack-RPC requests numbered from 1.
 pub struct Client {
     pub stream: BufReader<TcpStream>,
-    next: u32,
+    next_number: u32,
 }
 
 impl Client {
-    pub fn over(stream: TcpStream) -> Client {
+    pub fn new(stream: TcpStream) -> Client {
         Client {
-            stream: BufReader::new(connected(stream)),
-            next: 1,
+            stream: BufReader::new(with_read_timeout(stream)),
+            next_number: 1,
         }
     }
 
@@ -171,33 +176,34 @@
         self.stream.get_mut().write_all(bytes).unwrap();
     }
 
-    /// Asks for an object, under the next number; which one that is.
-    pub fn ask(&mut self, object: u64) -> u32 {
-        let number = self.next;
-        self.send(&call(number, object));
-        self.next += 1;
+    /// Requests an object with the next request number, and returns that number.
+    pub fn send_request(&mut self, object: u64) -> u32 {
+        let number = self.next_number;
+        self.send(&encode_request(number, object));
+        self.next_number += 1;
         number
     }
 
-    pub fn forget(&mut self, number: u32) {
+    /// Cancels the request with this number.
+    pub fn send_forget(&mut self, number: u32) {
         let mut bytes = b"\x93\x02\xa6forget\x91\xce".to_vec();
         bytes.extend(number.to_be_bytes());
         self.send(&bytes);
     }
 
-    /// The next message, escaped.
-    pub fn answer(&mut self) -> String {
-        message(&mut self.stream)
+    /// Reads the next message and returns it escaped.
+    pub fn read_response(&mut self) -> String {
+        read_message(&mut self.stream)
     }
 
-    /// Whether the connection is served, and not ended for lack of a place.
-    pub fn finds_a_place(&mut self) -> bool {
+    /// Whether the proxy serves the connection, rather than closing it because all client slots are in use.
+    pub fn is_admitted(&mut self) -> bool {
         self.send(b"\x94\x00\x01\xa6isWell\x91\x80");
         self.stream.fill_buf().is_ok_and(|bytes| !bytes.is_empty())
     }
 
-    /// Whether something to read has come.
-    pub fn has_answer(&mut self) -> bool {
+    /// Whether there is something to read, without waiting.
+    pub fn has_response(&mut self) -> bool {
         let stream = self.stream.get_ref();
         stream.set_nonblocking(true).unwrap();
         let seen = stream.peek(&mut [0]);
@@ -205,8 +211,8 @@
         seen.is_ok()
     }
 
-    /// The program ends the connection in order, with nothing more on it: no reset.
-    pub fn ends(&mut self) {
+    /// Asserts that the proxy closes the connection without a reset and without sending anything more.
+    pub fn assert_closed(&mut self) {
         let mut rest = Vec::new();
         self.stream
             .read_to_end(&mut rest)
@@ -214,10 +220,10 @@
         assert_eq!(common::escape(&rest), "");
     }
 
-    /// Whether the program says that it is well.
+    /// Whether the proxy's response to `isWell` is true.
     pub fn is_well(&mut self) -> bool {
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
         self.send(
             &[
                 &b"\x94\x00\xce"[..],
@@ -226,39 +232,41 @@
             ]
             .concat(),
         );
-        self.answer().contains("\\xc3")
+        self.read_response().contains("\\xc3")
     }
 }
 
+/// The cache's side of an attempt.
 pub struct Attempt {
     pub stream: BufReader<TcpStream>,
-    /// Of the last request on it.
+    /// The head of the last request on this connection.
     pub head: String,
 }
 
 impl Attempt {
-    pub fn give(&mut self, body: &[u8]) {
+    /// Sends a complete response with this body, and leaves the connection open.
+    pub fn respond(&mut self, body: &[u8]) {
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         self.stream.get_mut().write_all(head.as_bytes()).unwrap();
         self.stream.get_mut().write_all(body).unwrap();
     }
 
-    /// The next request on the same connection.
-    pub fn again(&mut self) {
-        self.head = head(&mut self.stream);
+    /// Reads the next request on the same connection.
+    pub fn read_next_request(&mut self) {
+        self.head = read_head(&mut self.stream);
     }
 
-    /// A field of the request.
-    pub fn field(&self, name: &str) -> &str {
-        let mut fields = self.head.lines().filter_map(|line| line.split_once(": "));
-        fields
-            .find(|(field, _)| *field == name)
-            .expect("the field")
+    /// The value of a header of the request.
+    pub fn header(&self, name: &str) -> &str {
+        let mut headers = self.head.lines().filter_map(|line| line.split_once(": "));
+        headers
+            .find(|(header, _)| *header == name)
+            .expect("the header")
             .1
     }
 
-    /// The program gave this attempt up: it closed the connection, with no other request on it.
-    pub fn is_given_up(&mut self) {
+    /// Asserts that the proxy cancels this attempt: it closes or resets the connection without another request on it.
+    pub fn assert_cancelled(&mut self) {
         let mut rest = Vec::new();
         match self.stream.read_to_end(&mut rest) {
             Err(e) if e.kind() != std::io::ErrorKind::ConnectionReset => panic!("still open: {e}"),
@@ -267,7 +275,8 @@
     }
 }
 
-fn head(stream: &mut BufReader<TcpStream>) -> String {
+/// Reads up to the blank line after the headers.
+fn read_head(stream: &mut BufReader<TcpStream>) -> String {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         assert!(
--- a/edge/proxy/tests/common/transcript.rs
+++ b/edge/proxy/tests/common/transcript.rs
@@ -1,12 +1,12 @@
-//! What the program sent, as text: requests, MessagePack values, bytes.
+//! Reads what the proxy sent and writes it as text: HTTP requests, MessagePack values, bytes.
 
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpStream;
 
-/// One request, on one line; what differs from run to run is left out.
-pub fn request(stream: &mut BufReader<TcpStream>) -> String {
-    let mut told = Vec::new();
+/// Reads one HTTP request and returns it on one line; values that differ between runs are replaced by `-`.
+pub fn read_request(stream: &mut BufReader<TcpStream>) -> String {
+    let mut parts = Vec::new();
     let mut length = 0;
     loop {
         let mut line = String::new();
@@ -16,7 +16,7 @@
         );
         let line = line.trim_end();
         match line.split_once(": ") {
-            // Each poll draws how long it asks to be held.
+            // Each poll draws its maximum wait (ms) at random.
             None if line.contains("max_wait=") => {
                 let (before, after) = line.split_once("max_wait=").unwrap();
                 let (wait, after) = after.split_once(' ').unwrap();
@@ -24,32 +24,32 @@
                     (800..=1_000).contains(&wait.parse::<u64>().unwrap()),
                     "{line}"
                 );
-                told.push(format!("{before}max_wait=- {after}"));
+                parts.push(format!("{before}max_wait=- {after}"));
             }
             _ if line.is_empty() => break,
-            Some(("Host", _)) => told.push("Host: -".to_string()),
-            Some((name @ ("Via-Wait" | "X-Max-Age-Ms"), time)) => {
-                assert!(time.parse::<u64>().unwrap() > 0);
-                told.push(format!("{name}: -"));
+            Some(("Host", _)) => parts.push("Host: -".to_string()),
+            Some((name @ ("Via-Wait" | "X-Max-Age-Ms"), ms)) => {
+                assert!(ms.parse::<u64>().unwrap() > 0);
+                parts.push(format!("{name}: -"));
             }
             Some(("Content-Length", n)) => {
                 length = n.parse().unwrap();
-                told.push(line.to_string());
+                parts.push(line.to_string());
             }
-            _ => told.push(line.to_string()),
+            _ => parts.push(line.to_string()),
         }
     }
     let mut body = vec![0; length];
     stream.read_exact(&mut body).unwrap();
-    told.push(escape(&body));
-    told.join(" | ")
+    parts.push(escape(&body));
+    parts.join(" | ")
 }
 
-/// One MessagePack value, as its bytes.
-pub fn message(stream: &mut BufReader<TcpStream>) -> String {
+/// Reads one MessagePack value and returns its bytes, escaped.
+pub fn read_message(stream: &mut BufReader<TcpStream>) -> String {
     let mut bytes = Vec::new();
-    value(stream, &mut bytes);
-    // The wait of a refusal has chance in it.
+    read_value(stream, &mut bytes);
+    // The wait that a rejection advises (`w`) is partly random.
     let text = escape(&bytes);
     match text.split_once("\\xa1w\\xa3") {
         Some((before, after)) => format!("{before}\\xa1w\\xa3---{}", &after[3..]),
@@ -57,9 +57,10 @@
     }
 }
 
-fn value(stream: &mut BufReader<TcpStream>, bytes: &mut Vec<u8>) {
-    let from = bytes.len();
-    let mut more = |n: usize| {
+/// Appends the bytes of one MessagePack value, with all values nested in it.
+fn read_value(stream: &mut BufReader<TcpStream>, bytes: &mut Vec<u8>) {
+    let start = bytes.len();
+    let mut read_number = |n: usize| {
         let at = bytes.len();
         bytes.resize(at + n, 0);
         stream.read_exact(&mut bytes[at..]).unwrap();
@@ -67,22 +68,23 @@
             .iter()
             .fold(0, |number, byte| number << 8 | *byte as usize)
     };
-    let (skip, values) = match more(1) as u8 {
+    let (skip, values) = match read_number(1) as u8 {
         mark @ 0x80..=0x8f => (0, 2 * (mark & 15) as usize),
         mark @ 0x90..=0x9f => (0, (mark & 15) as usize),
         mark @ 0xa0..=0xbf => ((mark & 31) as usize, 0),
-        0xc4 | 0xd9 => (more(1), 0),
-        0xc5 | 0xda => (more(2), 0),
+        0xc4 | 0xd9 => (read_number(1), 0),
+        0xc5 | 0xda => (read_number(2), 0),
         0xcc => (1, 0),
         0xcd => (2, 0),
         0xce => (4, 0),
         _ => (0, 0),
     };
-    more(skip);
-    (0..values).for_each(|_| value(stream, bytes));
-    assert!(bytes.len() > from);
+    read_number(skip);
+    (0..values).for_each(|_| read_value(stream, bytes));
+    assert!(bytes.len() > start);
 }
 
+/// Writes bytes other than printable ASCII as `\xNN`, and a backslash as two.
 pub fn escape(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
         match byte {
@@ -94,6 +96,7 @@
     })
 }
 
+/// The bytes of a text with the escapes \r, \n, \\ and \xNN.
 pub fn unescape(text: &str) -> Vec<u8> {
     let (mut bytes, mut chars) = (Vec::new(), text.chars());
     while let Some(c) = chars.next() {
--- a/edge/proxy/tests/descriptors.rs
+++ b/edge/proxy/tests/descriptors.rs
@@ -1,9 +1,10 @@
-//! Idle clients, open requests and idle operators together ask for more descriptors than the process has, while discovery
-//! is down: what is kept back for discovery, caches and the admin interface remains, and all goes on without a restart.
+//! Idle clients, open requests and idle admin connections together need more descriptors than the process has, while the
+//! journal service is down: the descriptors reserved for the journal, caches and the admin interface stay available, and the
+//! proxy recovers without a restart.
 
-use admin_process::{call, spawned, AdminProcess, PATIENCE};
+use admin_process::{send_command, spawn, AdminProcess, TEST_TIMEOUT};
 use foldmux_fakes::rpc::{Said, Terminal};
-use held_attempts::{ask, Attempt, BODY};
+use held_attempts::{send_request, Attempt, BODY};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
@@ -15,19 +16,19 @@
 #[path = "common/held_attempts.rs"]
 mod held_attempts;
 
-/// The process's limit on descriptors, also as its configuration says.
+/// The process's limit on descriptors, and the value in its configuration.
 const DESCRIPTORS: usize = 128;
-/// More connections than any part may have: idle clients, idle callers of the admin interface.
-const MANY: usize = 150;
-/// Numbers that the system gives out ahead, to a thread that waits in `accept`, and that no list of descriptors shows: that of
-/// the admin interface, which waits there without a limit.
-const GIVEN_AHEAD: usize = 1;
-/// The system's name for a listening socket.
-const LISTEN: &str = "0A";
-/// Requests open at the caches at once, each on a connection of its own at both sides.
-const OPEN: u64 = 40;
+/// More connections than the client listener or the admin interface may hold.
+const IDLE_CONNECTIONS: usize = 150;
+/// Descriptors that the kernel reserves for a thread that waits in `accept`, and that `/proc` doesn't show: that of the admin
+/// interface, which waits there without a timeout.
+const RESERVED_BY_ACCEPT: usize = 1;
+/// The state of a listening socket in `/proc/net/tcp`.
+const TCP_LISTEN: &str = "0A";
+/// Requests that are open at once, each on its own connection to the proxy and to the cache.
+const OPEN_REQUESTS: u64 = 40;
 
-/// The program under the limit.
+/// Starts the proxy with the limit.
 fn start(config: &Path) -> AdminProcess {
     let mut command = Command::new("sh");
     let script = format!("ulimit -n {DESCRIPTORS} && exec \"$0\" serve");
@@ -44,30 +45,30 @@
     command
         .env("GW_CONFIG", config)
         .env("GW_OPERATOR", "127.0.0.1:0");
-    spawned(command).expect("it serves")
+    spawn(command).expect("a running proxy")
 }
 
-fn descriptors(running: &AdminProcess) -> usize {
-    std::fs::read_dir(format!("/proc/{}/fd", running.child.id()))
+fn descriptors(proxy: &AdminProcess) -> usize {
+    std::fs::read_dir(format!("/proc/{}/fd", proxy.child.id()))
         .unwrap()
         .count()
 }
 
-/// Connections in the queue of the listener at this address: come up, and accepted by nobody.
-fn queued(at: SocketAddr) -> usize {
-    let port = format!(":{:04X}", at.port());
+/// The length of the accept queue of the listener at this address.
+fn accept_queue_length(address: SocketAddr) -> usize {
+    let port = format!(":{:04X}", address.port());
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let mut listeners = table.lines().skip(1).filter_map(|line| {
         let fields: Vec<&str> = line.split_whitespace().collect();
-        let listens = fields[1].ends_with(&port) && fields[3] == LISTEN;
+        let listens = fields[1].ends_with(&port) && fields[3] == TCP_LISTEN;
         listens.then(|| usize::from_str_radix(fields[4].split_once(':').unwrap().1, 16).unwrap())
     });
     listeners.next().expect("its listener")
 }
 
-/// Whether the thread that takes connections is asleep at this moment.
-fn accepts_asleep(running: &AdminProcess) -> bool {
-    let tasks = std::fs::read_dir(format!("/proc/{}/task", running.child.id())).unwrap();
+/// Whether the acceptor's thread is asleep now.
+fn acceptor_is_asleep(proxy: &AdminProcess) -> bool {
+    let tasks = std::fs::read_dir(format!("/proc/{}/task", proxy.child.id())).unwrap();
     let stats =
         tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("stat")).ok());
     let mut accepts = stats.filter(|stat| stat.contains("(accept)"));
@@ -77,14 +78,15 @@
     })
 }
 
+/// Connects to `address`; `None` if the connection is refused.
 fn dial(address: SocketAddr) -> Option<TcpStream> {
     let stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     Some(stream)
 }
 
-/// Reads one poll of discovery up to the end of its head.
-fn poll(stream: &mut TcpStream) -> String {
+/// Reads the head of one poll of the journal service.
+fn read_poll(stream: &mut TcpStream) -> String {
     let (mut head, mut byte) = (Vec::new(), [0]);
     while !head.ends_with(b"\r\n\r\n") {
         stream.read_exact(&mut byte).expect("a poll");
@@ -94,10 +96,10 @@
 }
 
 #[test]
-fn what_is_kept_back_remains_while_all_others_fill_the_descriptors_and_discovery_is_down() {
+fn reserved_descriptors_stay_available_while_all_others_are_used_and_the_journal_is_down() {
     let [caches, journal] = [0; 2].map(|_| TcpListener::bind("127.0.0.1:0").unwrap());
-    let at = journal.local_addr().unwrap();
-    let text = common::config(caches.local_addr().unwrap(), at);
+    let address = journal.local_addr().unwrap();
+    let text = common::config(caches.local_addr().unwrap(), address);
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     std::fs::write(
@@ -105,38 +107,42 @@
         text.replace("\"sockets\":1024", &format!("\"sockets\":{DESCRIPTORS}")),
     )
     .unwrap();
-    let running = start(&file);
-    // Discovery was there once; then it goes, and nobody listens at its address.
+    let proxy = start(&file);
+    // The journal service is reached once; then it stops, and nobody listens at its address.
     let (mut polling, _) = journal.accept().unwrap();
-    assert!(poll(&mut polling).contains("tail=1"));
+    assert!(read_poll(&mut polling).contains("tail=1"));
     drop((polling, journal));
-    // Requests that their caches hold open.
-    let (mut attempts, mut asked) = (Vec::new(), Vec::new());
-    for object in 1..=OPEN {
-        asked.push(ask(running.serves, "sheet", object));
-        attempts.push(Attempt::next(&caches));
+    // Requests that the cache keeps open.
+    let (mut attempts, mut requests) = (Vec::new(), Vec::new());
+    for object in 1..=OPEN_REQUESTS {
+        requests.push(send_request(proxy.client_address, "sheet", object));
+        attempts.push(Attempt::accept(&caches));
     }
-    // Idle ones, at the front and at the admin interface: far more than there are places for.
-    let idle: Vec<TcpStream> = (0..MANY).filter_map(|_| dial(running.serves)).collect();
-    let operators: Vec<TcpStream> = (0..MANY).filter_map(|_| dial(running.operator)).collect();
-    // One without a place is told so: the line still takes connections.
-    let mut refused = String::new();
-    operators
+    // Idle connections to the front and to the admin interface, more than either has slots for.
+    let idle_clients: Vec<TcpStream> = (0..IDLE_CONNECTIONS)
+        .filter_map(|_| dial(proxy.client_address))
+        .collect();
+    let admin_connections: Vec<TcpStream> = (0..IDLE_CONNECTIONS)
+        .filter_map(|_| dial(proxy.admin_address))
+        .collect();
+    // A connection beyond the limit gets an error: the admin interface still accepts.
+    let mut rejection = String::new();
+    admin_connections
         .last()
         .unwrap()
-        .read_to_string(&mut refused)
+        .read_to_string(&mut rejection)
         .unwrap();
-    assert!(refused.starts_with("error busy"), "{refused}");
-    let held = descriptors(&running);
-    println!("{held} descriptors of {DESCRIPTORS} in use");
-    assert!(held < DESCRIPTORS, "{held} in use: none is kept back");
-    // Discovery comes back where it was: it is found again, and what it says is taken.
-    let journal = TcpListener::bind(at).expect("the address of discovery");
+    assert!(rejection.starts_with("error busy"), "{rejection}");
+    let in_use = descriptors(&proxy);
+    println!("{in_use} descriptors of {DESCRIPTORS} in use");
+    assert!(in_use < DESCRIPTORS, "{in_use} in use: none is reserved");
+    // The journal service returns at its address: the proxy polls it and applies its events.
+    let journal = TcpListener::bind(address).expect("the address of the journal service");
     let (mut polling, _) = journal.accept().unwrap();
-    polling.set_read_timeout(Some(PATIENCE)).unwrap();
+    polling.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     assert!(
-        poll(&mut polling).contains("tail=1"),
-        "it goes on from the event that it had"
+        read_poll(&mut polling).contains("tail=1"),
+        "it continues from its last event"
     );
     let events = r#"{"pos":2,"entries":[{"pos":2,"expire":{"set":17,"stamp":1764576000480}}]}"#;
     write!(
@@ -145,59 +151,64 @@
         events.len()
     )
     .unwrap();
-    assert!(poll(&mut polling).contains("tail=2"), "the event was taken");
-    // All that were open are served.
+    assert!(
+        read_poll(&mut polling).contains("tail=2"),
+        "the event was applied"
+    );
+    // All open requests are served.
     attempts.into_iter().for_each(Attempt::serve);
-    for one in asked {
-        assert_eq!(one.said(), Some(Said::Served(BODY.to_vec())));
+    for request in requests {
+        assert_eq!(request.wait(), Some(Said::Served(BODY.to_vec())));
     }
-    drop(operators);
-    // A place of the line is free once the program has read that its callers went.
-    let mut answers = std::iter::repeat_with(|| call(running.operator, b"status\n")).take(1_000);
+    drop(admin_connections);
+    // The admin interface has a free slot once the proxy has read the end of a connection.
+    let mut responses =
+        std::iter::repeat_with(|| send_command(proxy.admin_address, b"status\n")).take(1_000);
     assert_eq!(
-        answers
-            .find(|answer| !answer.starts_with("error busy"))
+        responses
+            .find(|response| !response.starts_with("error busy"))
             .as_deref(),
         Some("done yes\n")
     );
-    drop(idle);
-    assert!(Terminal::connect(running.serves, PATIENCE)
+    drop(idle_clients);
+    assert!(Terminal::connect(proxy.client_address, TEST_TIMEOUT)
         .unwrap()
         .well()
         .unwrap());
 }
 
-/// Descriptors that run out all the same, here by a limit far under what the configuration says.
+/// The process runs out of descriptors, because its limit is far below the configured value.
 #[test]
-fn a_listener_without_descriptors_pauses_and_takes_clients_again_later() {
+fn a_listener_without_descriptors_pauses_and_accepts_clients_again_later() {
     let [caches, journal] = [0; 2].map(|_| TcpListener::bind("127.0.0.1:0").unwrap());
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
-    // It believes in eight times as many descriptors as there are.
+    // The configuration allows eight times as many descriptors as the process has.
     let text = common::config(caches.local_addr().unwrap(), journal.local_addr().unwrap());
     std::fs::write(&file, text).unwrap();
-    let running = start(&file);
-    let idle: Vec<TcpStream> = (0..MANY).filter_map(|_| dial(running.serves)).collect();
-    assert_eq!(idle.len(), MANY);
-    let mut looks = std::iter::repeat_with(|| descriptors(&running)).take(1_000_000);
+    let proxy = start(&file);
+    let idle_clients: Vec<TcpStream> = (0..IDLE_CONNECTIONS)
+        .filter_map(|_| dial(proxy.client_address))
+        .collect();
+    assert_eq!(idle_clients.len(), IDLE_CONNECTIONS);
+    let mut counts = std::iter::repeat_with(|| descriptors(&proxy)).take(1_000_000);
     assert!(
-        looks.any(|held| held + GIVEN_AHEAD >= DESCRIPTORS),
-        "none is left"
+        counts.any(|in_use| in_use + RESERVED_BY_ACCEPT >= DESCRIPTORS),
+        "free descriptors are left"
     );
-    // Connections wait in its queue, so that a listener which does not pause after an error finds the next one at once: it
-    // never sleeps then.
-    let mut asleep = std::iter::repeat_with(|| accepts_asleep(&running)).take(1_000);
+    // Connections wait in the accept queue, so that a listener without a pause after an error would never sleep.
+    let mut asleep = std::iter::repeat_with(|| acceptor_is_asleep(&proxy)).take(1_000);
     assert!(asleep.any(|asleep| asleep), "the listener pauses");
     assert!(
-        queued(running.serves) > 0,
-        "all were taken: there were descriptors left"
+        accept_queue_length(proxy.client_address) > 0,
+        "all connections were accepted: descriptors were left"
     );
-    drop(idle);
+    drop(idle_clients);
     assert!(
-        Terminal::connect(running.serves, PATIENCE)
+        Terminal::connect(proxy.client_address, TEST_TIMEOUT)
             .unwrap()
             .well()
             .unwrap(),
-        "it takes clients again"
+        "it accepts clients again"
     );
 }
--- a/edge/proxy/tests/dns_resolvers.rs
+++ b/edge/proxy/tests/dns_resolvers.rs
@@ -1,5 +1,5 @@
-//! The DNS front against stand-ins written here: resolvers that keep answers, one obeying the time to live and one not, and
-//! callers that prove an identity. Nothing is timed: what is asserted is the order of what happens.
+//! The DNS front with fake resolvers, one that obeys the TTL and one that caches regardless of it, and with TLS clients that
+//! present SPIFFE certificates. The tests assert the order of events, not their timing.
 
 use dns_front::*;
 use foldmux::interface::MemberState;
@@ -14,37 +14,39 @@
 #[path = "common/dns_front.rs"]
 mod dns_front;
 
-/// A resolver that keeps answers, and lets go of all of them when it is notified.
+/// A resolver with a cache that it clears on NOTIFY.
 struct Resolver {
-    kept: HashMap<u32, u8>,
+    cached: HashMap<u32, u8>,
     socket: UdpSocket,
-    obeys: bool,
+    obeys_ttl: bool,
 }
 
 impl Resolver {
-    fn new(obeys: bool) -> Resolver {
+    fn new(obeys_ttl: bool) -> Resolver {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        socket.set_read_timeout(Some(PATIENCE)).unwrap();
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Resolver {
-            kept: HashMap::new(),
+            cached: HashMap::new(),
             socket,
-            obeys,
+            obeys_ttl,
         }
     }
 
-    fn look_up(&mut self, rig: &Rig, part: u32) -> Option<u8> {
-        if let Some(kept) = self.kept.get(&part) {
-            return Some(*kept);
+    /// The cache's number for a part, from the resolver's own cache if it has one there.
+    fn look_up(&mut self, front: &DnsFront, part: u32) -> Option<u8> {
+        if let Some(cached) = self.cached.get(&part) {
+            return Some(*cached);
         }
-        let found = cache(&rig.ask(&rig.part(part), RecordType::A))?;
-        // The time to live was 0.
-        if !self.obeys {
-            self.kept.insert(part, found);
+        let placed = cache_number(&front.query(&front.part_name(part), RecordType::A))?;
+        // The TTL was 0, so that a resolver which obeys it caches nothing.
+        if !self.obeys_ttl {
+            self.cached.insert(part, placed);
         }
-        Some(found)
+        Some(placed)
     }
 
-    fn notified(&mut self, answers: bool) -> u16 {
+    /// Receives a NOTIFY and returns its id; acknowledges it and clears the cache if `respond`.
+    fn receive_notify(&mut self, respond: bool) -> u16 {
         let mut bytes = [0; 512];
         let (n, from) = self.socket.recv_from(&mut bytes).unwrap();
         let mut message = Message::from_vec(&bytes[..n]).unwrap();
@@ -52,8 +54,8 @@
             (message.op_code(), message.queries()[0].query_type()),
             (OpCode::Notify, RecordType::SOA)
         );
-        if answers {
-            self.kept.clear();
+        if respond {
+            self.cached.clear();
             message.set_message_type(MessageType::Response);
             self.socket
                 .send_to(&message.to_vec().unwrap(), from)
@@ -64,51 +66,58 @@
 }
 
 #[test]
-fn a_draining_cache_leaves_all_answers_and_keeping_resolvers_are_told_until_they_answer() {
-    let (mut obeying, mut keeping) = (Resolver::new(true), Resolver::new(false));
-    let notify = format!(r#", notify = ["{}"]"#, keeping.socket.local_addr().unwrap());
-    let rig = rig("route.example.", &notify, 64);
+fn a_draining_cache_is_no_longer_returned_and_notify_repeats_until_acknowledged() {
+    let (mut obeying, mut caching) = (Resolver::new(true), Resolver::new(false));
+    let notify = format!(r#", notify = ["{}"]"#, caching.socket.local_addr().unwrap());
+    let front = start("route.example.", &notify, 64);
     let parts = 0..20;
     let before: Vec<_> = parts
         .clone()
-        .map(|p| (obeying.look_up(&rig, p), keeping.look_up(&rig, p)))
+        .map(|p| (obeying.look_up(&front, p), caching.look_up(&front, p)))
         .collect();
     assert!(before.iter().any(|b| b.0 == Some(1)) && before.iter().all(|b| b.0 == b.1));
-    rig.change(1, MemberState::Draining, 0);
-    // The first query after the notice no longer gives it, to whoever asks.
-    assert!(parts.clone().all(|p| obeying.look_up(&rig, p) == Some(2)));
-    assert!(parts.clone().any(|p| keeping.look_up(&rig, p) == Some(1)));
-    // A notice that is lost comes again; answered, it is the last.
-    let first = keeping.notified(false);
-    assert_eq!(keeping.notified(true), first);
-    assert!(parts.clone().all(|p| keeping.look_up(&rig, p) == Some(2)));
+    front.change_server(1, MemberState::Draining, 0);
+    // Placements no longer use it from the first query after the drain.
+    assert!(parts.clone().all(|p| obeying.look_up(&front, p) == Some(2)));
+    assert!(parts.clone().any(|p| caching.look_up(&front, p) == Some(1)));
+    // A NOTIFY without a response is repeated with the same id; the response ends the repetition.
+    let first = caching.receive_notify(false);
+    assert_eq!(caching.receive_notify(true), first);
+    assert!(parts.clone().all(|p| caching.look_up(&front, p) == Some(2)));
     assert_eq!(
-        rig.ask("s-00000001.node.route.example.", RecordType::A)
+        front
+            .query("s-00000001.node.route.example.", RecordType::A)
             .response_code(),
         ResponseCode::NXDomain
     );
-    // Back, but cold: how many hold a stale answer is unknown, so it stays out, by all names.
-    rig.change(1, MemberState::Ready, rig.clock.now());
-    assert!(parts.clone().all(|p| obeying.look_up(&rig, p) == Some(2)));
+    // Ready again but cold: it is unknown how many resolvers still cache its address, so no name returns it yet.
+    front.change_server(1, MemberState::Ready, front.clock.now());
+    assert!(parts.clone().all(|p| obeying.look_up(&front, p) == Some(2)));
     assert_eq!(
-        rig.ask("s-00000001.node.route.example.", RecordType::A)
+        front
+            .query("s-00000001.node.route.example.", RecordType::A)
             .response_code(),
         ResponseCode::NXDomain
     );
 }
 
-fn over_tls(rig: &Rig, trusted: &Authority, shown: &Svid) -> std::io::Result<Message> {
+/// A query over TLS from a client that trusts `authority` and presents `svid`.
+fn query_over_tls(
+    front: &DnsFront,
+    authority: &Authority,
+    svid: &Svid,
+) -> std::io::Result<Message> {
     let name = ServerName::try_from("localhost").unwrap();
-    let connection = rustls::ClientConnection::new(trusted.peer(shown, &[]), name).unwrap();
-    let stream = common::connected(TcpStream::connect(rig.at[2].unwrap())?);
-    over_tcp(
+    let connection = rustls::ClientConnection::new(authority.peer(svid, &[]), name).unwrap();
+    let stream = common::with_read_timeout(TcpStream::connect(front.addresses[2].unwrap())?);
+    send_tcp(
         rustls::StreamOwned::new(connection, stream),
-        &rig.query(&rig.part(0), RecordType::A),
+        &front.encode_query(&front.part_name(0), RecordType::A),
     )
 }
 
 #[test]
-fn dns_over_tls_serves_allowed_spiffe_ids_alone_and_follows_rotation() {
+fn dns_over_tls_serves_only_allowed_spiffe_ids_and_follows_rotation() {
     let folder = std::env::temp_dir().join(format!("foldmux-svid-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let (old, new) = (Authority::new(), Authority::new());
@@ -121,23 +130,26 @@
         at("key.pem"),
         at("bundle.pem")
     );
-    let rig = rig("route.example.", &tls, 8);
+    let front = start("route.example.", &tls, 8);
     let resolver = ["spiffe://colour.example/resolver"];
-    assert!(cache(&over_tls(&rig, &old, &old.svid(&resolver)).unwrap()).is_some());
-    // Another ID, none, two, or a chain that ends elsewhere.
+    assert!(cache_number(&query_over_tls(&front, &old, &old.svid(&resolver)).unwrap()).is_some());
+    // Another id, no id, two ids, or a chain to another authority.
     for ids in [
         &["spiffe://colour.example/other"][..],
         &[],
         &[resolver[0], "spiffe://colour.example/b"],
     ] {
-        assert!(over_tls(&rig, &old, &old.svid(ids)).is_err(), "{ids:?}");
+        assert!(
+            query_over_tls(&front, &old, &old.svid(ids)).is_err(),
+            "{ids:?}"
+        );
     }
-    assert!(over_tls(&rig, &old, &new.svid(&resolver)).is_err());
-    // Half a rotation leaves what was held; a whole one is taken up, and the former bundle is void.
+    assert!(query_over_tls(&front, &old, &new.svid(&resolver)).is_err());
+    // An incomplete rotation leaves the old certificate in use; a complete one replaces it and the trust bundle.
     std::fs::write(folder.join("svid.pem"), "half").unwrap();
-    assert!(over_tls(&rig, &old, &old.svid(&resolver)).is_ok());
+    assert!(query_over_tls(&front, &old, &old.svid(&resolver)).is_ok());
     new.lay(&folder, "spiffe://colour.example/foldmux");
-    assert!(over_tls(&rig, &new, &new.svid(&resolver)).is_ok());
-    assert!(over_tls(&rig, &new, &old.svid(&resolver)).is_err());
+    assert!(query_over_tls(&front, &new, &new.svid(&resolver)).is_ok());
+    assert!(query_over_tls(&front, &new, &old.svid(&resolver)).is_err());
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/edge/proxy/tests/endpoint_lists.rs
+++ b/edge/proxy/tests/endpoint_lists.rs
@@ -1,5 +1,5 @@
-//! Lists of sixty caches, six in ten of them replaced, as the journal service may tell them: late, repeated, out of order,
-//! cut short, with ids that come back and addresses that another id takes over.
+//! Lists of 60 caches, of which 36 are replaced, as the journal service may send them: late, repeated, out of order,
+//! truncated, with ids that return and addresses that another id takes over.
 
 use foldmux::Router;
 use foldmux_core::clock::Clock;
@@ -19,29 +19,30 @@
 
 const CACHES: u32 = 60;
 
-struct Place {
+/// A journal client and the event loop that applies its changes.
+struct JournalTest {
     journal: JournalClient,
     members: Arc<ServerList>,
-    /// Starts that took no more work.
+    /// The number of incarnations that have ended.
     ended: Arc<AtomicUsize>,
-    desk: JoinHandle<()>,
+    event_loop: JoinHandle<()>,
 }
 
-impl Place {
-    fn new() -> Place {
+impl JournalTest {
+    fn new() -> JournalTest {
         let decoded = foldmux_settings::parse(common::SETTINGS).unwrap();
         let (clock, members) = (Clock::default(), Arc::new(ServerList::default()));
-        let (mut desk, handle) = EventLoop::new(
+        let (mut event_loop, handle) = EventLoop::new(
             Router::new(decoded.settings, 1),
             clock.clone(),
             members.clone(),
         );
         let ended = Arc::new(AtomicUsize::new(0));
         let counted = ended.clone();
-        desk.on_incarnation_ended(move |_| {
+        event_loop.on_incarnation_ended(move |_| {
             counted.fetch_add(1, Ordering::SeqCst);
         });
-        let desk = std::thread::spawn(move || desk.run());
+        let event_loop = std::thread::spawn(move || event_loop.run());
         let names = Names {
             zones: decoded.zones,
             kinds: decoded.kinds,
@@ -49,48 +50,49 @@
         let pool = Pool::new(8, Duration::from_secs(10));
         let journal =
             JournalClient::new(names, clock, handle, pool, Arc::new(AtomicBool::new(false)));
-        Place {
+        JournalTest {
             journal,
             members,
             ended,
-            desk,
+            event_loop,
         }
     }
 
-    /// What the event loop has once it applied all: the members, and how many starts ended.
-    fn end(self) -> (Arc<ServerList>, usize) {
+    /// Waits until the event loop has applied all events; the members, and the number of incarnations that ended.
+    fn finish(self) -> (Arc<ServerList>, usize) {
         drop(self.journal);
-        self.desk.join().unwrap();
+        self.event_loop.join().unwrap();
         (self.members, self.ended.load(Ordering::SeqCst))
     }
 }
 
-fn line(id: u32, port: u16, status: &str, since_ms: u64) -> String {
+fn endpoint(id: u32, port: u16, status: &str, since_ms: u64) -> String {
     format!(
         r#"{{"name":"s-{id:08x}","address":"127.0.0.1:{port}","zone":"edge","type":"box","status":"{status}","since_ms":{since_ms}}}"#
     )
 }
 
-fn event(pos: u64, whole: bool, lines: &[String]) -> String {
+fn event(pos: u64, snapshot: bool, endpoints: &[String]) -> String {
     format!(
-        r#"{{"pos":{pos},"hosts":{{"index":{pos},"snapshot":{whole},"endpoints":[{}]}}}}"#,
-        lines.join(",")
+        r#"{{"pos":{pos},"hosts":{{"index":{pos},"snapshot":{snapshot},"endpoints":[{}]}}}}"#,
+        endpoints.join(",")
     )
 }
 
-fn read(text: &str) -> Option<EventBatch> {
+fn parse(text: &str) -> Option<EventBatch> {
     simd_json::serde::from_slice(&mut text.as_bytes().to_vec()).ok()
 }
 
-fn feed(events: &[String]) -> String {
+fn event_batch(events: &[String]) -> String {
     format!(r#"{{"pos":0,"entries":[{}]}}"#, events.join(","))
 }
 
-const BEGAN: u64 = 1_764_576_000_000;
+/// The start of the first cache (Unix ms).
+const START_MS: u64 = 1_764_576_000_000;
 
-fn first() -> Vec<String> {
+fn initial_endpoints() -> Vec<String> {
     (0..CACHES)
-        .map(|n| line(n + 1, 7_000 + n as u16, "ready", BEGAN + n as u64))
+        .map(|n| endpoint(n + 1, 7_000 + n as u16, "ready", START_MS + n as u64))
         .collect()
 }
 
@@ -99,96 +101,103 @@
 }
 
 #[test]
-fn a_list_that_is_told_again_is_no_start_and_costs_no_connection() {
-    let mut place = Place::new();
-    let mut events = vec![event(1, true, &first())];
+fn a_repeated_list_starts_and_ends_no_incarnation() {
+    let mut test = JournalTest::new();
+    let mut events = vec![event(1, true, &initial_endpoints())];
     for _ in 0..30 {
-        // Line by line, and whole.
-        let lines = first().into_iter();
-        lines.for_each(|line| events.push(event(events.len() as u64 + 1, false, &[line])));
-        events.push(event(events.len() as u64 + 1, true, &first()));
+        // Endpoint by endpoint, and as a complete list.
+        let endpoints = initial_endpoints().into_iter();
+        endpoints
+            .for_each(|endpoint| events.push(event(events.len() as u64 + 1, false, &[endpoint])));
+        events.push(event(events.len() as u64 + 1, true, &initial_endpoints()));
     }
-    assert!(place.journal.apply(&read(&feed(&events)).unwrap()));
-    let (members, ended) = place.end();
+    assert!(test.journal.apply(&parse(&event_batch(&events)).unwrap()));
+    let (members, ended) = test.finish();
     assert_eq!(
         (members.census(|_| false), ended),
         (all_ready(CACHES as usize), 0)
     );
 }
 
-/// The events of 36 replacements; and who is listed then: port, and the stamp of its start.
-fn replaced() -> (Vec<String>, BTreeMap<u32, (u16, u64)>) {
-    let mut events = vec![event(1, true, &first())];
-    let mut then: BTreeMap<u32, (u16, u64)> = (0..CACHES)
-        .map(|n| (n + 1, (7_000 + n as u16, BEGAN + n as u64)))
+/// The events of 36 replacements, and the expected members: each id with its port and the time of its start.
+fn replacement_events() -> (Vec<String>, BTreeMap<u32, (u16, u64)>) {
+    let mut events = vec![event(1, true, &initial_endpoints())];
+    let mut expected: BTreeMap<u32, (u16, u64)> = (0..CACHES)
+        .map(|n| (n + 1, (7_000 + n as u16, START_MS + n as u64)))
         .collect();
-    let tell = |events: &mut Vec<String>, lines: &[String]| {
+    let announce = |events: &mut Vec<String>, endpoints: &[String]| {
         let pos = events.len() as u64 + 1;
-        events.push(event(pos, false, lines));
+        events.push(event(pos, false, endpoints));
     };
     for n in 0..36u32 {
-        let (id, port, since) = (n + 1, 7_000 + n as u16, BEGAN + 100_000 + n as u64 * 190);
-        let was = then[&id];
-        tell(&mut events, &[line(id, was.0, "draining", was.1)]);
+        let (id, port, since) = (n + 1, 7_000 + n as u16, START_MS + 100_000 + n as u64 * 190);
+        let old = expected[&id];
+        announce(&mut events, &[endpoint(id, old.0, "draining", old.1)]);
         match n % 3 {
-            // Another id on another address.
+            // Another id at another address.
             0 => {
-                tell(&mut events, &[line(id + 100, port + 500, "ready", since)]);
-                tell(&mut events, &[line(id, was.0, "gone", was.1)]);
-                then.remove(&id);
-                then.insert(id + 100, (port + 500, since));
+                announce(
+                    &mut events,
+                    &[endpoint(id + 100, port + 500, "ready", since)],
+                );
+                announce(&mut events, &[endpoint(id, old.0, "gone", old.1)]);
+                expected.remove(&id);
+                expected.insert(id + 100, (port + 500, since));
             }
-            // The same id comes back elsewhere, started anew.
+            // The same id restarts at another address.
             1 => {
-                tell(&mut events, &[line(id, was.0, "gone", was.1)]);
-                tell(&mut events, &[line(id, port + 500, "ready", since)]);
-                then.insert(id, (port + 500, since));
+                announce(&mut events, &[endpoint(id, old.0, "gone", old.1)]);
+                announce(&mut events, &[endpoint(id, port + 500, "ready", since)]);
+                expected.insert(id, (port + 500, since));
             }
-            // Another id takes the address over, before the former holder is said to be gone, and after that comes
-            // what is late of it.
+            // Another id takes over the address before the old holder is reported as gone; late events of the old holder
+            // follow.
             _ => {
-                tell(&mut events, &[line(id + 100, port, "ready", since)]);
-                tell(&mut events, &[line(id, port, "ready", was.1)]);
-                tell(&mut events, &[line(id, port, "gone", was.1)]);
-                then.remove(&id);
-                then.insert(id + 100, (port, since));
+                announce(&mut events, &[endpoint(id + 100, port, "ready", since)]);
+                announce(&mut events, &[endpoint(id, port, "ready", old.1)]);
+                announce(&mut events, &[endpoint(id, port, "gone", old.1)]);
+                expected.remove(&id);
+                expected.insert(id + 100, (port, since));
             }
         }
     }
-    (events, then)
+    (events, expected)
 }
 
 #[test]
-fn lists_late_repeated_out_of_order_and_cut_end_as_the_list_in_order_does() {
-    let (events, then) = replaced();
+fn late_repeated_reordered_and_truncated_lists_give_the_same_result_as_lists_in_order() {
+    let (events, expected) = replacement_events();
     for seed in 0..40 {
-        let (mut place, mut draws) = (Place::new(), SeededRng::new(seed));
-        let (mut had, mut refused) = (0, 0);
-        while had < events.len() {
-            let below =
-                |draws: &mut SeededRng, n: usize| (draws.next_u64() % n.max(1) as u64) as usize;
-            // From before what was taken (repeated) to beyond it (something is missing).
-            let from = (had + below(&mut draws, 4))
+        let (mut test, mut rng) = (JournalTest::new(), SeededRng::new(seed));
+        let (mut applied, mut rejected) = (0, 0);
+        while applied < events.len() {
+            let random_below =
+                |rng: &mut SeededRng, n: usize| (rng.next_u64() % n.max(1) as u64) as usize;
+            // Starts before the next event (a repetition) or after it (a gap).
+            let from = (applied + random_below(&mut rng, 4))
                 .saturating_sub(2)
                 .min(events.len() - 1);
-            let mut told =
-                events[from..(from + 1 + below(&mut draws, 20)).min(events.len())].to_vec();
-            let odd = below(&mut draws, 4);
-            if odd == 0 {
-                let (a, b) = (below(&mut draws, told.len()), below(&mut draws, told.len()));
-                told.swap(a, b);
+            let mut sent =
+                events[from..(from + 1 + random_below(&mut rng, 20)).min(events.len())].to_vec();
+            let fault = random_below(&mut rng, 4);
+            if fault == 0 {
+                let (a, b) = (
+                    random_below(&mut rng, sent.len()),
+                    random_below(&mut rng, sent.len()),
+                );
+                sent.swap(a, b);
             }
-            let mut text = feed(&told);
-            if odd == 1 {
-                text.truncate(below(&mut draws, text.len() - 1));
+            let mut text = event_batch(&sent);
+            if fault == 1 {
+                text.truncate(random_below(&mut rng, text.len() - 1));
             }
-            let Some(read) = read(&text) else {
-                assert_eq!(odd, 1, "an answer cut short is none");
+            let Some(batch) = parse(&text) else {
+                assert_eq!(fault, 1, "only a truncated response fails to parse");
                 continue;
             };
-            // What follows is taken without a gap: all of it, or none.
-            let (mut last, mut gapless) = (had, true);
-            for entry in &read.entries {
+            // New events are applied only if none is missing: all of them, or none.
+            let (mut last, mut gapless) = (applied, true);
+            for entry in &batch.entries {
                 match entry.pos as usize {
                     pos if pos <= last => {}
                     pos if gapless && pos == last + 1 => last = pos,
@@ -196,27 +205,27 @@
                 }
             }
             assert_eq!(
-                place.journal.apply(&read),
+                test.journal.apply(&batch),
                 gapless,
-                "seed {seed} after {had}"
+                "seed {seed} after {applied}"
             );
-            had = if gapless { last } else { had };
-            refused += !gapless as u32;
+            applied = if gapless { last } else { applied };
+            rejected += !gapless as u32;
         }
-        assert!(refused > 0, "seed {seed}: nothing was missing");
-        let (members, _) = place.end();
+        assert!(rejected > 0, "seed {seed}: no response had a gap");
+        let (members, _) = test.finish();
         assert_eq!(
             members.census(|_| false),
-            all_ready(then.len()),
+            all_ready(expected.len()),
             "seed {seed}"
         );
-        for (id, (port, _)) in &then {
+        for (id, (port, _)) in &expected {
             let name = format!("s-{id:08x}");
-            let held = members
+            let server = members
                 .get(cache_id(&name))
                 .unwrap_or_else(|| panic!("seed {seed}: {name}"));
             assert_eq!(
-                (held.address.port(), &*held.name),
+                (server.address.port(), &*server.name),
                 (*port, name.as_str()),
                 "seed {seed}"
             );
--- a/edge/proxy/tests/extproc.rs
+++ b/edge/proxy/tests/extproc.rs
@@ -1,7 +1,8 @@
-//! The external processor in the program: both proxies retry, instances are killed and come back, and at the archive no
-//! key runs twice (the scenario of `make demo-extproc`); set up by the operator's file, re-keyed by SIGHUP, left by SIGTERM.
+//! The external processor as a process: both proxies retry, instances are killed and restarted, and no key runs twice at the
+//! archive (the scenario of `make demo-extproc`); also its setup by the operator's file, a change of its token keys at SIGHUP,
+//! and SIGTERM.
 
-use common::{command, config, start_with};
+use common::{command, config, start_with_args};
 use foldmux_demo::extproc::{run, Trial};
 use std::net::TcpListener;
 use std::path::Path;
@@ -9,7 +10,7 @@
 mod common;
 
 #[test]
-fn no_key_runs_twice_and_no_answer_is_lost_over_cancels_resets_and_kills() {
+fn no_key_runs_twice_and_no_response_is_lost_across_cancels_resets_and_kills() {
     let folder = tempfile::tempdir().unwrap();
     let trial = Trial {
         requests: 10_000,
@@ -26,10 +27,10 @@
     assert!(report.sound(), "{report}\n{report:?}");
 }
 
-/// A caller that loses its tokens on the way to the other instance: the archive must be seen to count what comes of it,
-/// or its noughts elsewhere say nothing.
+/// A planted fault: the caller drops its tokens on the way to the other instance. The archive must count the keys that then
+/// run twice; otherwise a count of 0 in the other test would prove nothing.
 #[test]
-fn the_audit_counts_what_runs_twice_and_beside_a_running_one_where_a_fault_is_planted() {
+fn the_audit_counts_repeated_and_concurrent_runs_under_a_planted_fault() {
     let folder = tempfile::tempdir().unwrap();
     let trial = Trial {
         requests: 4_000,
@@ -49,7 +50,7 @@
     );
 }
 
-fn script(keys: &str, ledger: &Path) -> String {
+fn operator_file(keys: &str, ledger: &Path) -> String {
     format!(
         r#"
 ext_proc(listen = "127.0.0.1:0", good_for_ms = 100)
@@ -63,10 +64,10 @@
 }
 
 #[test]
-fn it_is_set_up_by_the_file_asked_by_the_command_re_keyed_and_left() {
+fn the_processor_starts_from_the_operators_file_takes_new_token_keys_and_shuts_down() {
     let folder = tempfile::tempdir().unwrap();
     let (file, ledger) = (folder.path().join("o.star"), folder.path().join("ledger"));
-    let write = |keys: &str| std::fs::write(&file, script(keys, &ledger)).unwrap();
+    let write = |keys: &str| std::fs::write(&file, operator_file(keys, &ledger)).unwrap();
     let key = |n: u32| {
         format!("token_key(number = {n}, secret = \"{n}123456789abcdef0123456789abcdef\")\n")
     };
@@ -74,10 +75,10 @@
     let cache = TcpListener::bind("127.0.0.1:0").unwrap();
     let text = config(cache.local_addr().unwrap(), cache.local_addr().unwrap());
     let operator = file.display().to_string();
-    let (mut program, [_, processor]) = start_with(&text, &["--operator", &operator]);
-    let at = processor.expect("an external processor").to_string();
+    let (mut proxy, [_, processor]) = start_with_args(&text, &["--operator", &operator]);
+    let processor_address = processor.expect("an external processor").to_string();
     let check = |arguments: &[&str]| {
-        let out = command(&[&["extproc-check", &at], arguments].concat())
+        let out = command(&[&["extproc-check", &processor_address], arguments].concat())
             .output()
             .unwrap();
         String::from_utf8(if out.status.success() {
@@ -87,10 +88,10 @@
         })
         .unwrap()
     };
-    let told = check(&["--path", "/cards/helsinki-blue"]);
+    let output = check(&["--path", "/cards/helsinki-blue"]);
     assert!(
-        told.starts_with("placed\n") && told.contains("  :path: /v2/q/sheet/"),
-        "{told}"
+        output.starts_with("placed\n") && output.contains("  :path: /v2/q/sheet/"),
+        "{output}"
     );
     let record = [
         "--method",
@@ -100,26 +101,28 @@
         "--header",
         "Idempotency-Key: k",
     ];
-    let told = check(&record);
-    let token = told
+    let output = check(&record);
+    let token = output
         .lines()
         .find_map(|line| line.trim().strip_prefix("x-foldmux-attempt: "))
         .expect("a token");
-    // Both keys are known, and the new one signs: the former one's token is still believed.
+    // Both keys are in the file and the new one signs: a token signed with the old key is still valid.
     write(&(key(1) + &key(2)));
-    program.signal("-HUP");
-    assert!(program.line("token keys").contains("2 signs"));
-    let shown = format!("x-foldmux-attempt:{token}");
-    let told = check(&[&record[..], &["--header", &shown]].concat());
+    proxy.signal("-HUP");
+    assert!(proxy.wait_for_log("token keys").contains("2 signs"));
+    let token_header = format!("x-foldmux-attempt:{token}");
+    let output = check(&[&record[..], &["--header", &token_header]].concat());
     assert!(
-        told.starts_with("answered 503") && told.contains("may be running"),
-        "{told}"
+        output.starts_with("answered 503") && output.contains("may be running"),
+        "{output}"
     );
-    // A file that can't be used changes nothing.
+    // An invalid file changes nothing.
     std::fs::write(&file, "ext_proc(").unwrap();
-    program.signal("-HUP");
-    assert!(program.line("token keys").contains("all stays as it was"));
-    // Two processes on one ledger would not know of each other's attempts.
+    proxy.signal("-HUP");
+    assert!(proxy
+        .wait_for_log("token keys")
+        .contains("all stays as it was"));
+    // A second process on the same ledger is rejected: neither would know of the other's attempts.
     write(&key(1));
     std::fs::write(folder.path().join("c.json"), &text).unwrap();
     let mut second = command(&["serve", "--operator", &operator]);
@@ -127,18 +130,18 @@
         .env("GW_CONFIG", folder.path().join("c.json"))
         .output()
         .unwrap();
-    let told = String::from_utf8_lossy(&out.stderr);
+    let output = String::from_utf8_lossy(&out.stderr);
     assert!(
-        !out.status.success() && told.contains("external processor: ledger: "),
-        "{told}"
+        !out.status.success() && output.contains("external processor: ledger: "),
+        "{output}"
     );
-    program.signal("-TERM");
-    assert!(program
-        .line("external processor: placed")
+    proxy.signal("-TERM");
+    assert!(proxy
+        .wait_for_log("external processor: placed")
         .contains("all streams ended: true"));
-    assert!(program.ended().success());
+    assert!(proxy.wait().success());
     assert!(
-        check(&["--path", "/cards/x"]).contains(&at),
-        "nobody serves there any more"
+        check(&["--path", "/cards/x"]).contains(&processor_address),
+        "no processor listens there any more"
     );
 }
--- a/edge/proxy/tests/fleet.rs
+++ b/edge/proxy/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Three real programs by one operator's file: they see each other, miss one that is killed, and see it again.
+//! Three proxy processes of one fleet: they find each other, notice that one is killed, and find it again after its restart.
 
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener};
@@ -9,8 +9,9 @@
 
 mod common;
 
-const PATIENCE: Duration = Duration::from_secs(25);
+const TEST_TIMEOUT: Duration = Duration::from_secs(25);
 
+/// The files and addresses of a fleet of three.
 struct Fleet {
     folder: PathBuf,
     addresses: Vec<SocketAddr>,
@@ -25,25 +26,30 @@
     fn new(name: &str) -> Fleet {
         let folder = std::env::temp_dir().join(format!("foldmux-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        // A loopback address of this process's own: no other takes its ports between draw and use.
+        // A loopback address derived from the process id: no other process takes its ports between choice and use.
         let process = std::process::id();
         let ip = [127, 192 + (process >> 8 & 31) as u8, process as u8, 1];
-        let held: Vec<_> = (0..3)
+        let listeners: Vec<_> = (0..3)
             .map(|_| TcpListener::bind(SocketAddr::from((ip, 0))).unwrap())
             .collect();
-        let addresses: Vec<SocketAddr> = held.iter().map(|l| l.local_addr().unwrap()).collect();
-        let nowhere = "127.0.0.1:9".parse().unwrap();
-        std::fs::write(folder.join("config.json"), common::config(nowhere, nowhere)).unwrap();
+        let addresses: Vec<SocketAddr> =
+            listeners.iter().map(|l| l.local_addr().unwrap()).collect();
+        let unused_address = "127.0.0.1:9".parse().unwrap();
+        std::fs::write(
+            folder.join("config.json"),
+            common::config(unused_address, unused_address),
+        )
+        .unwrap();
         std::fs::write(folder.join("fleet.key"), "0123456789abcdef".repeat(4)).unwrap();
         Fleet { folder, addresses }
     }
 
-    fn file(&self, name: &str) -> String {
+    fn path(&self, name: &str) -> String {
         self.folder.join(name).display().to_string()
     }
 
-    fn operator(&self, n: usize) -> String {
-        let key = self.file("fleet.key");
+    fn operator_file(&self, n: usize) -> String {
+        let key = self.path("fleet.key");
         let mut text = format!(
             "fleet(listen = \"{}\", key_file = \"{key}\")\n",
             self.addresses[n]
@@ -56,10 +62,10 @@
         text
     }
 
-    fn command(&self, n: usize, operator: &str) -> Command {
-        let file = self.file(&format!("n{n}.star"));
-        std::fs::write(&file, operator).unwrap();
-        let config = self.file("config.json");
+    fn command(&self, n: usize, operator_file: &str) -> Command {
+        let file = self.path(&format!("n{n}.star"));
+        std::fs::write(&file, operator_file).unwrap();
+        let config = self.path("config.json");
         let mut command = common::command(&["serve", "--config", &config, "--operator", &file]);
         command
             .env("GW_NAME", format!("n{n}"))
@@ -68,31 +74,31 @@
     }
 
     fn start(&self, n: usize) -> Process {
-        let mut child = self.command(n, &self.operator(n)).spawn().unwrap();
-        let (told, log) = channel();
+        let mut child = self.command(n, &self.operator_file(n)).spawn().unwrap();
+        let (sender, log) = channel();
         let lines = BufReader::new(child.stderr.take().unwrap())
             .lines()
             .map_while(Result::ok);
-        std::thread::spawn(move || lines.for_each(|line| drop(told.send(line))));
+        std::thread::spawn(move || lines.for_each(|line| drop(sender.send(line))));
         Process { child, log }
     }
 
-    /// What a start that fails says.
-    fn refused(&self, n: usize, operator: &str) -> String {
-        let output = self.command(n, operator).output().unwrap();
+    /// The error output of a start that must fail.
+    fn failed_start(&self, n: usize, operator_file: &str) -> String {
+        let output = self.command(n, operator_file).output().unwrap();
         assert!(!output.status.success());
         String::from_utf8(output.stderr).unwrap()
     }
 }
 
 impl Process {
-    /// Waits for lines with each of these words, in any order.
-    fn lines(&self, words: &[&str]) {
-        let (mut left, mut log) = (words.to_vec(), String::new());
-        while !left.is_empty() {
-            let line = self.log.recv_timeout(PATIENCE);
-            let line = line.unwrap_or_else(|_| panic!("no line with {left:?} in\n{log}"));
-            left.retain(|words| !line.contains(words));
+    /// Waits for log lines that contain each of these patterns, in any order.
+    fn wait_for_log(&self, patterns: &[&str]) {
+        let (mut missing, mut log) = (patterns.to_vec(), String::new());
+        while !missing.is_empty() {
+            let line = self.log.recv_timeout(TEST_TIMEOUT);
+            let line = line.unwrap_or_else(|_| panic!("no line with {missing:?} in\n{log}"));
+            missing.retain(|pattern| !line.contains(pattern));
             log += &format!("{line}\n");
         }
     }
@@ -117,38 +123,38 @@
 }
 
 #[test]
-fn three_processes_see_each_other_and_one_that_is_killed_started_again_and_told_to_leave() {
+fn three_processes_see_a_peer_that_is_killed_restarted_and_shut_down() {
     let fleet = Fleet::new("fleet");
-    let mut all: Vec<Process> = (0..3).map(|n| fleet.start(n)).collect();
-    all[0].lines(&[
+    let mut processes: Vec<Process> = (0..3).map(|n| fleet.start(n)).collect();
+    processes[0].wait_for_log(&[
         "fleet: n1 is up",
         "fleet: n2 is up",
         "members: n1 at",
         "members: n2 at",
     ]);
-    all[1].lines(&[
+    processes[1].wait_for_log(&[
         "fleet: n0 is up",
         "fleet: n2 is up",
         "members: n0 at",
         "members: n2 at",
     ]);
-    all[2].lines(&[
+    processes[2].wait_for_log(&[
         "fleet: n0 is up",
         "fleet: n1 is up",
         "members: n0 at",
         "members: n1 at",
     ]);
-    all[2].kill();
-    (0..2).for_each(|n| all[n].lines(&["fleet: n2 is down"]));
-    all[2] = fleet.start(2);
-    (0..2).for_each(|n| all[n].lines(&["fleet: n2 is up"]));
-    all[2].lines(&[
+    processes[2].kill();
+    (0..2).for_each(|n| processes[n].wait_for_log(&["fleet: n2 is down"]));
+    processes[2] = fleet.start(2);
+    (0..2).for_each(|n| processes[n].wait_for_log(&["fleet: n2 is up"]));
+    processes[2].wait_for_log(&[
         "fleet: n0 is up",
         "fleet: n1 is up",
         "members: n0 at",
         "members: n1 at",
     ]);
-    let id = all[1].child.id().to_string();
+    let id = processes[1].child.id().to_string();
     assert!(Command::new("kill")
         .args(["-TERM", &id])
         .status()
@@ -156,44 +162,46 @@
         .success());
     [0, 2]
         .iter()
-        .for_each(|&n| all[n].lines(&["members: n1 left", "fleet: n1 is down"]));
-    assert!(all[1].child.wait().unwrap().success());
+        .for_each(|&n| processes[n].wait_for_log(&["members: n1 left", "fleet: n1 is down"]));
+    assert!(processes[1].child.wait().unwrap().success());
 }
 
 #[test]
-fn a_fleet_that_cannot_be_is_one_line_at_the_start_and_one_without_this_process_is_off() {
+fn an_invalid_fleet_fails_the_start_with_one_line_and_one_without_this_process_is_disabled() {
     let fleet = Fleet::new("no-fleet");
-    let whole = fleet.operator(0);
-    let missing = fleet.refused(0, &whole.replace("fleet.key", "none.key"));
+    let valid = fleet.operator_file(0);
+    let missing = fleet.failed_start(0, &valid.replace("fleet.key", "none.key"));
     assert!(
         missing.starts_with("foldmux: fleet: key_file ") && missing.contains("none.key: "),
         "{missing}"
     );
     std::fs::write(fleet.folder.join("short.key"), "abc").unwrap();
-    let short = fleet.refused(0, &whole.replace("fleet.key", "short.key"));
+    let short = fleet.failed_start(0, &valid.replace("fleet.key", "short.key"));
     assert!(
         short.contains("short.key: 64 hexadecimal digits are wanted"),
         "{short}"
     );
-    let strange = fleet.refused(0, &(whole.clone() + "cover(\"nothing\")\n"));
+    let unknown_class = fleet.failed_start(0, &(valid.clone() + "cover(\"nothing\")\n"));
     assert!(
-        strange.contains("n0.star:8: cover names the class nothing"),
-        "{strange}"
+        unknown_class.contains("n0.star:8: cover names the class nothing"),
+        "{unknown_class}"
     );
-    let mut stranger = fleet
-        .command(0, &whole)
+    let mut outsider = fleet
+        .command(0, &valid)
         .env("GW_NAME", "n7")
         .spawn()
         .unwrap();
-    let mut lines = BufReader::new(stranger.stderr.take().unwrap())
+    let mut lines = BufReader::new(outsider.stderr.take().unwrap())
         .lines()
         .map_while(Result::ok);
-    let off = lines.find(|line| line.contains("fleet: ") || line.contains(" is listening on "));
-    let _ = stranger.kill();
-    let _ = stranger.wait();
+    let first_line =
+        lines.find(|line| line.contains("fleet: ") || line.contains(" is listening on "));
+    let _ = outsider.kill();
+    let _ = outsider.wait();
     assert!(
-        off.as_ref()
+        first_line
+            .as_ref()
             .is_some_and(|line| line.contains("\"n7\" is no peer of it")),
-        "{off:?}"
+        "{first_line:?}"
     );
 }
--- a/edge/proxy/tests/idle_connections.rs
+++ b/edge/proxy/tests/idle_connections.rs
@@ -1,5 +1,5 @@
-//! Connections that the program ends by itself while it serves: after a rest, and to make way. A request across such an
-//! end meets no reset, and one that arrived before it is served.
+//! Connections that the proxy closes by itself while it serves: after the idle timeout, and to free a slot for a new client.
+//! A request that crosses such a close causes no reset, and one that arrived before it is served.
 
 use test_proxy::{Client, TestProxy};
 
@@ -7,52 +7,52 @@
 #[path = "common/test_proxy.rs"]
 mod test_proxy;
 
-const ONE: u64 = 0x1111_0000_0000_0001;
-const TWO: u64 = 0x2222_0000_0000_0002;
+const OBJECT_A: u64 = 0x1111_0000_0000_0001;
+const OBJECT_B: u64 = 0x2222_0000_0000_0002;
 
 #[test]
-fn a_request_across_the_end_of_a_long_rest_meets_no_reset_and_is_not_sent_on() {
+fn a_request_that_crosses_the_idle_close_causes_no_reset_and_is_not_forwarded() {
     let proxy = TestProxy::start();
-    let mut client = proxy.rested(ONE);
-    client.ends();
+    let mut client = proxy.idle_client(OBJECT_A);
+    client.assert_closed();
     for n in 0..3 {
-        // After a reset it could not be written.
-        client.ask(TWO + n);
-        client.ends();
+        // After a reset this write would fail.
+        client.send_request(OBJECT_B + n);
+        client.assert_closed();
     }
-    assert_eq!(proxy.waiting_attempts(), 0);
+    assert_eq!(proxy.pending_attempts(), 0);
 }
 
 #[test]
-fn whoever_makes_way_sees_an_end_and_one_whose_request_has_arrived_does_not_make_way() {
-    // 64 descriptors: 21 places for clients, of which one is kept free ahead.
+fn the_longest_idle_connection_makes_room_but_not_if_its_request_has_arrived() {
+    // 64 descriptors give 21 client slots, of which the proxy keeps one free.
     let proxy =
-        TestProxy::start_with(|config| config.replace("\"sockets\":1024", "\"sockets\":64"));
-    let mut resting: Vec<Client> = (0..20).map(|n| proxy.rested(ONE + n)).collect();
-    proxy.stop();
-    resting[0].ask(TWO);
+        TestProxy::start_with_config(|config| config.replace("\"sockets\":1024", "\"sockets\":64"));
+    let mut idle: Vec<Client> = (0..20).map(|n| proxy.idle_client(OBJECT_A + n)).collect();
+    proxy.pause();
+    idle[0].send_request(OBJECT_B);
     let mut newcomer = proxy.client();
-    newcomer.ask(TWO + 1);
-    proxy.go_on();
-    let (mut one, mut other) = (proxy.attempt(), proxy.attempt());
-    one.give(b"ok");
-    other.give(b"ok");
-    assert!(resting[0].answer().contains("\\xc4\\x02ok"));
-    assert!(newcomer.answer().contains("\\xc4\\x02ok"));
-    // The one that rested for longest beside it went.
-    resting[1].ends();
+    newcomer.send_request(OBJECT_B + 1);
+    proxy.resume();
+    let (mut first, mut second) = (proxy.next_attempt(), proxy.next_attempt());
+    first.respond(b"ok");
+    second.respond(b"ok");
+    assert!(idle[0].read_response().contains("\\xc4\\x02ok"));
+    assert!(newcomer.read_response().contains("\\xc4\\x02ok"));
+    // Of the other connections the longest idle one is closed.
+    idle[1].assert_closed();
     for n in 2..5 {
-        resting[1].ask(TWO + n);
-        resting[1].ends();
+        idle[1].send_request(OBJECT_B + n);
+        idle[1].assert_closed();
     }
-    assert_eq!(proxy.waiting_attempts(), 0);
+    assert_eq!(proxy.pending_attempts(), 0);
     drop(newcomer);
 }
 
 #[test]
-fn without_descriptors_the_acceptor_sleeps_and_takes_connections_again_when_they_come_back() {
+fn without_descriptors_the_acceptor_sleeps_and_accepts_again_once_some_are_free() {
     let proxy = TestProxy::start();
-    let process = proxy.program.id();
+    let process = proxy.process.id();
     let used = std::fs::read_dir(format!("/proc/{process}/fd"))
         .unwrap()
         .count();
@@ -61,22 +61,22 @@
         .args(["--pid", &process.to_string(), &limit])
         .status();
     assert!(limited.unwrap().success());
-    let mut taken: Vec<Client> = (0..3).map(|_| proxy.client()).collect();
-    taken
+    let mut accepted: Vec<Client> = (0..3).map(|_| proxy.client()).collect();
+    accepted
         .iter_mut()
         .for_each(|client| assert!(client.is_well()));
     let mut queued = proxy.client();
-    // It leaves the processor by itself, again and again.
-    let sleeps = || acceptor_sleeps(process);
-    let from = sleeps();
-    while sleeps() < from + 10 {
+    // The acceptor sleeps between its attempts rather than spin.
+    let count_sleeps = || acceptor_sleeps(process);
+    let initial = count_sleeps();
+    while count_sleeps() < initial + 10 {
         std::thread::yield_now();
     }
-    drop(taken);
+    drop(accepted);
     assert!(queued.is_well());
 }
 
-/// How often the acceptor's thread has gone to sleep.
+/// The number of voluntary context switches of the acceptor's thread.
 fn acceptor_sleeps(process: u32) -> u64 {
     let tasks = std::fs::read_dir(format!("/proc/{process}/task")).unwrap();
     let mut status =
--- a/edge/proxy/tests/invalid_config.rs
+++ b/edge/proxy/tests/invalid_config.rs
@@ -1,17 +1,16 @@
-//! A configuration that can't be used ends the start with one plain line for each fault and a code that is not 0, and
-//! `check-config` says the same.
+//! With an invalid configuration `serve` prints one line per error and exits with status 1, and `check-config` does the same.
 
 use std::process::Output;
 
 mod common;
 
-fn good() -> String {
-    let nowhere = "127.0.0.1:9".parse().unwrap();
-    common::config(nowhere, nowhere)
+fn valid_config() -> String {
+    let unused_address = "127.0.0.1:9".parse().unwrap();
+    common::config(unused_address, unused_address)
 }
 
-/// What the program says of this text, started by `command`.
-fn ran(command: &str, text: &str) -> Output {
+/// The output of `foldmux COMMAND` with this configuration.
+fn run_with_config(command: &str, text: &str) -> Output {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     std::fs::write(&file, text).unwrap();
@@ -20,10 +19,10 @@
         .env("GW_CONFIG", &file)
         .env_remove("GW_OPERATOR")
         .output()
-        .expect("the program")
+        .expect("a running proxy")
 }
 
-fn lines(output: &Output) -> Vec<String> {
+fn stderr_lines(output: &Output) -> Vec<String> {
     String::from_utf8(output.stderr.clone())
         .unwrap()
         .lines()
@@ -31,38 +30,40 @@
         .collect()
 }
 
-/// One text in the place of another, and what is said of it.
-fn said(is: &str, becomes: &str) -> Vec<String> {
-    let good = good();
-    assert!(good.contains(is), "{is}");
-    let text = good.replacen(is, becomes, 1);
-    // This first: what it takes by mistake, `serve` would serve with for ever.
-    let checked = ran("check-config", &text);
+/// Replaces `original` in the valid configuration once, and returns the errors, which `serve` and `check-config` must agree
+/// on.
+fn errors_after(original: &str, replacement: &str) -> Vec<String> {
+    let valid_config = valid_config();
+    assert!(valid_config.contains(original), "{original}");
+    let text = valid_config.replacen(original, replacement, 1);
+    // `check-config` comes first: `serve` would not exit with a configuration that is accepted by mistake.
+    let checked = run_with_config("check-config", &text);
     assert_eq!(
         checked.status.code(),
         Some(1),
-        "{becomes}: {:?}",
-        lines(&checked)
+        "{replacement}: {:?}",
+        stderr_lines(&checked)
     );
-    let started = ran("serve", &text);
+    let started = run_with_config("serve", &text);
     assert_eq!(
         started.status.code(),
         Some(1),
-        "{becomes}: {:?}",
-        lines(&started)
+        "{replacement}: {:?}",
+        stderr_lines(&started)
     );
     assert_eq!(
-        lines(&started),
-        lines(&checked),
-        "{becomes}: both say the same"
+        stderr_lines(&started),
+        stderr_lines(&checked),
+        "{replacement}: serve and check-config print the same"
     );
-    lines(&started)
+    stderr_lines(&started)
 }
 
 #[test]
-fn each_kind_of_fault_is_one_plain_line() {
-    let twice = r#"{"name":"record","slo":1,"hardLimit":1,"idempotency":"free"},{"name":"record""#;
-    for (is, becomes, key) in [
+fn each_kind_of_error_is_one_line_that_names_the_key() {
+    let duplicate =
+        r#"{"name":"record","slo":1,"hardLimit":1,"idempotency":"free"},{"name":"record""#;
+    for (original, replacement, key) in [
         ("\"listen\":", "\"lisen\":", "listen"),
         (
             "\"listen\":\"127.0.0.1:0\"",
@@ -100,7 +101,11 @@
             "settings.domain.originKind",
         ),
         ("\"midKind\":1", "\"midKind\":3", "settings.domain.midKind"),
-        ("{\"name\":\"record\"", twice, "settings.classes[2].name"),
+        (
+            "{\"name\":\"record\"",
+            duplicate,
+            "settings.classes[2].name",
+        ),
         (
             "\"name\":\"record\"",
             "\"name\":\"\"",
@@ -134,19 +139,19 @@
             "settings.rules.fallMultiple",
         ),
     ] {
-        let lines = said(is, becomes);
-        assert_eq!(lines.len(), 1, "{becomes}: {lines:?}");
+        let lines = errors_after(original, replacement);
+        assert_eq!(lines.len(), 1, "{replacement}: {lines:?}");
         assert!(
             lines[0].starts_with(&format!("foldmux: configuration.{key}: ")),
-            "{becomes}: {lines:?}"
+            "{replacement}: {lines:?}"
         );
     }
-    // Where JSON itself is broken, there is no key to name.
-    for (is, becomes) in [
+    // A JSON syntax error has no key to name.
+    for (original, replacement) in [
         ("\"fallMultiple\":4.0", "\"fallMultiple\":NaN"),
         ("\"settings\":{", "\"settings\":"),
     ] {
-        let lines = said(is, becomes);
+        let lines = errors_after(original, replacement);
         assert!(
             lines.len() == 1 && lines[0].starts_with("foldmux: configuration: "),
             "{lines:?}"
@@ -155,8 +160,8 @@
 }
 
 #[test]
-fn a_key_that_stands_twice_in_one_object_is_refused_by_name() {
-    for (is, becomes, key) in [
+fn a_duplicate_key_is_rejected_by_name() {
+    for (original, replacement, key) in [
         (
             "\"locality\":1",
             "\"locality\":1,\"locality\":0",
@@ -169,8 +174,8 @@
             "slo",
         ),
     ] {
-        let lines = said(is, becomes);
-        assert_eq!(lines.len(), 1, "{becomes}: {lines:?}");
+        let lines = errors_after(original, replacement);
+        assert_eq!(lines.len(), 1, "{replacement}: {lines:?}");
         assert!(
             lines[0].contains(&format!("key \"{key}\" stands twice in one object")),
             "{lines:?}"
@@ -179,16 +184,16 @@
 }
 
 #[test]
-fn faults_of_several_kinds_are_a_line_each() {
-    let good = good();
-    let text = good
+fn errors_of_several_kinds_are_one_line_each() {
+    let valid_config = valid_config();
+    let text = valid_config
         .replace("\"sockets\":1024", "\"sockets\":8")
         .replace("\"name\":\"record\"", "\"name\":\"sheet\"")
         .replace("\"maxAttempts\":4", "\"maxAttempts\":0")
         .replace("\"slo\":20000000", "\"slo\":true")
         .replace("\"seed\":\"1\"", "\"seed\":\"x\"");
-    let output = ran("serve", &text);
-    let lines = lines(&output);
+    let output = run_with_config("serve", &text);
+    let lines = stderr_lines(&output);
     assert_eq!(
         (output.status.code(), lines.len()),
         (Some(1), 6),
@@ -203,12 +208,15 @@
 }
 
 #[test]
-fn an_empty_file_and_one_that_is_cut_off_anywhere_are_one_line() {
-    let good = good();
-    let places = (0..good.len()).step_by(good.len() / 8);
-    for text in places.map(|end| &good[..end]).chain(["null", "[]", "7"]) {
-        let output = ran("check-config", text);
-        let lines = lines(&output);
+fn an_empty_file_and_a_truncated_one_are_one_line() {
+    let valid_config = valid_config();
+    let lengths = (0..valid_config.len()).step_by(valid_config.len() / 8);
+    for text in lengths
+        .map(|end| &valid_config[..end])
+        .chain(["null", "[]", "7"])
+    {
+        let output = run_with_config("check-config", text);
+        let lines = stderr_lines(&output);
         assert_eq!(
             (output.status.code(), lines.len()),
             (Some(1), 1),
--- a/edge/proxy/tests/journal_drains.rs
+++ b/edge/proxy/tests/journal_drains.rs
@@ -1,6 +1,7 @@
-//! A drain, an end or another holder of the address that is told between the choice of a cache and the first byte.
+//! The journal service announces a drain, or a new server at an address, after a cache was chosen for a request and
+//! before the request is sent: nothing may be sent to the old choice.
 
-use fake_cache::Cache;
+use fake_cache::FakeCache;
 use fake_journal::*;
 use std::net::{SocketAddr, TcpStream};
 use std::time::Instant;
@@ -14,61 +15,62 @@
 #[path = "common/test_client.rs"]
 mod test_client;
 
-/// The dial may hang for this long (us) in place of the settings' time: far beyond what the test needs to release it.
-const DIAL_TIME_OUT: [&str; 2] = [r#""dialTimeout":400000"#, r#""dialTimeout":20000000"#];
-/// Idle connections are kept for longer (us) than any wait of the test: no idle time closes them.
-const KEEP_ALIVE: [&str; 2] = [r#""keepalive":15000000"#, r#""keepalive":100000000"#];
-/// When the one that takes an address over started (Unix ms).
-const STARTED_LATE_MS: u64 = 1_764_576_000_000;
+/// Setting and replacement: a dial timeout (us) far longer than the test needs to let the dial succeed.
+const LONG_DIAL_TIMEOUT: [&str; 2] = [r#""dialTimeout":400000"#, r#""dialTimeout":20000000"#];
+/// Setting and replacement: an idle timeout (us) longer than any wait of the test, so that it closes no connection.
+const LONG_KEEPALIVE: [&str; 2] = [r#""keepalive":15000000"#, r#""keepalive":100000000"#];
+/// The start of the server that takes an address over (Unix ms).
+const LATER_START_MS: u64 = 1_764_576_000_000;
 
-/// The settings with one figure in place of another, which they must have.
-fn settings_with([former, wanted]: [&str; 2]) -> String {
-    assert_eq!(common::SETTINGS.matches(former).count(), 1, "{former}");
-    common::SETTINGS.replace(former, wanted)
+/// The settings with one value replaced; it must occur exactly once.
+fn settings_with([current, replacement]: [&str; 2]) -> String {
+    assert_eq!(common::SETTINGS.matches(current).count(), 1, "{current}");
+    common::SETTINGS.replace(current, replacement)
 }
 
-struct Scene {
-    _program: common::Program,
+/// A proxy whose dial to the chosen cache hangs.
+struct HungDial {
+    _proxy: common::ProxyProcess,
     _client: Client,
-    call: Call,
-    /// The pop cache that is chosen, with its accept queue full: the dial hangs.
-    cache: Cache,
-    filled: Vec<TcpStream>,
-    lines: [Line; 3],
+    poll: Poll,
+    /// The chosen pop cache; its accept queue is full.
+    cache: FakeCache,
+    queued: Vec<TcpStream>,
+    endpoints: [Endpoint; 3],
 }
 
-/// One pop cache, its parent and the origin; a request has been decided, and its dial hangs.
-fn held_in_the_dial() -> Scene {
-    let (cache, hubs, service) = (Cache::start(), Cache::start(), FakeJournal::start());
-    let lines = [
-        Line::pop_cache(1, cache.address()),
-        Line::hub(2, "parent", hubs.address()),
-        Line::hub(3, "origin", hubs.address()),
+/// Starts a proxy with one pop cache, its parent and the origin, sends a request and waits until its dial hangs.
+fn start_hung_dial() -> HungDial {
+    let (cache, hubs, service) = (FakeCache::start(), FakeCache::start(), FakeJournal::start());
+    let endpoints = [
+        Endpoint::pop_cache(1, cache.address()),
+        Endpoint::hub(2, "parent", hubs.address()),
+        Endpoint::hub(3, "origin", hubs.address()),
     ];
-    // The hubs serve what is sent to them past the pop cache.
+    // Parent and origin serve requests that go past the pop cache.
     hubs.serve("direct");
-    let settings = settings_with(DIAL_TIME_OUT);
-    let known = feed(1, &[hosts(1, true, &lines)]);
-    let (program, address) = common::start(&config(service.address(), &settings, &known));
-    let filled = cache.fill();
+    let settings = settings_with(LONG_DIAL_TIMEOUT);
+    let known = event_batch(1, &[hosts_event(1, true, &endpoints)]);
+    let (proxy, address) = common::start(&config(service.address(), &settings, &known));
+    let queued = cache.fill_accept_queue();
     let mut client = Client::connect(address);
-    client.ask(1);
-    hangs_in_a_dial(cache.address());
-    Scene {
-        _program: program,
+    client.send_request(1);
+    wait_for_hung_dial(cache.address());
+    HungDial {
+        _proxy: proxy,
         _client: client,
-        call: service.call(),
+        poll: service.next_poll(),
         cache,
-        filled,
-        lines,
+        queued,
+        endpoints,
     }
 }
 
-/// Returns once a dial to this address has sent its first packet and has no answer, by the system's table of sockets.
-fn hangs_in_a_dial(address: SocketAddr) {
+/// Waits until `/proc/net/tcp` shows a socket in SYN_SENT to this address.
+fn wait_for_hung_dial(address: SocketAddr) {
     const SYN_SENT: &str = "02";
     let remote = format!("0100007F:{:04X}", address.port());
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
         let mut sockets = table
@@ -77,92 +79,93 @@
         if sockets.any(|fields| fields[2..4] == [remote.as_str(), SYN_SENT]) {
             return;
         }
-        assert!(Instant::now() < until, "no dial to {address} hangs");
+        assert!(Instant::now() < deadline, "no dial to {address} hangs");
         std::thread::yield_now();
     }
 }
 
-impl Scene {
-    /// Tells of these lines, and then opens the way for the dial; all that was written on its connection.
-    fn tell_and_release(self, lines: &[Line]) -> String {
-        let told = self.call.answer(2, &[hosts(2, false, lines)]);
-        assert_eq!(told.tail, 2);
-        self.cache.release(self.filled);
-        self.cache.connection().rest()
+impl HungDial {
+    /// Announces these endpoints, then lets the dial succeed, and returns all that was written on its connection.
+    fn announce_and_accept(self, endpoints: &[Endpoint]) -> String {
+        let next = self.poll.respond(2, &[hosts_event(2, false, endpoints)]);
+        assert_eq!(next.tail, 2);
+        self.cache.drain_accept_queue(self.queued);
+        self.cache.connection().read_to_end()
     }
 }
 
 #[test]
 fn nothing_is_sent_to_a_cache_that_drains_while_it_is_dialled() {
-    let scene = held_in_the_dial();
-    let drains = scene.lines[0].now("draining");
-    assert_eq!(scene.tell_and_release(&[drains]), "");
+    let hung = start_hung_dial();
+    let drains = hung.endpoints[0].with_status("draining");
+    assert_eq!(hung.announce_and_accept(&[drains]), "");
 }
 
 #[test]
 fn nothing_is_sent_for_a_source_that_drains_while_its_cache_is_dialled() {
-    let scene = held_in_the_dial();
-    let drains = scene.lines[1].now("draining");
-    assert_eq!(scene.tell_and_release(&[drains]), "");
+    let hung = start_hung_dial();
+    let drains = hung.endpoints[1].with_status("draining");
+    assert_eq!(hung.announce_and_accept(&[drains]), "");
 }
 
 #[test]
-fn nothing_is_sent_to_the_address_that_another_has_taken_over_while_it_was_dialled() {
-    let scene = held_in_the_dial();
-    let taker = Line {
+fn nothing_is_sent_to_an_address_that_another_server_took_over_during_the_dial() {
+    let hung = start_hung_dial();
+    let successor = Endpoint {
         id: 9,
-        since_ms: STARTED_LATE_MS,
-        ..scene.lines[0]
+        since_ms: LATER_START_MS,
+        ..hung.endpoints[0]
     };
-    assert_eq!(scene.tell_and_release(&[taker]), "");
+    assert_eq!(hung.announce_and_accept(&[successor]), "");
 }
 
-/// A connection that rests at a cache is closed, and not used again, once another start holds the address.
-fn rests_until_taken_over(taker: impl Fn(Line) -> Line) {
-    let (cache, hub, service) = (Cache::start(), Cache::start(), FakeJournal::start());
-    let lines = [
-        Line::pop_cache(1, cache.address()),
-        Line::hub(3, "origin", hub.address()),
+/// Asserts that an idle connection to a cache is closed without another request once `successor`, which is given the
+/// cache's endpoint, is announced at its address.
+fn assert_idle_connection_closed_by(successor: impl Fn(Endpoint) -> Endpoint) {
+    let (cache, hub, service) = (FakeCache::start(), FakeCache::start(), FakeJournal::start());
+    let endpoints = [
+        Endpoint::pop_cache(1, cache.address()),
+        Endpoint::hub(3, "origin", hub.address()),
     ];
     hub.serve("direct");
-    let settings = settings_with(KEEP_ALIVE);
-    let known = feed(1, &[hosts(1, true, &lines)]);
-    let (_program, address) = common::start(&config(service.address(), &settings, &known));
+    let settings = settings_with(LONG_KEEPALIVE);
+    let known = event_batch(1, &[hosts_event(1, true, &endpoints)]);
+    let (_proxy, address) = common::start(&config(service.address(), &settings, &known));
     let mut client = Client::connect(address);
-    client.ask(1);
-    let mut resting = cache.connection();
-    resting.request();
-    resting.answer("first");
-    assert!(client.answer().contains("first"));
-    let call = service
-        .call()
-        .answer(2, &[hosts(2, false, &[taker(lines[0])])]);
-    assert_eq!(call.tail, 2);
-    client.ask(2);
+    client.send_request(1);
+    let mut idle = cache.connection();
+    idle.read_request();
+    idle.respond("first");
+    assert!(client.read_response().contains("first"));
+    let poll = service
+        .next_poll()
+        .respond(2, &[hosts_event(2, false, &[successor(endpoints[0])])]);
+    assert_eq!(poll.tail, 2);
+    client.send_request(2);
     assert_eq!(
-        resting.rest(),
+        idle.read_to_end(),
         "",
-        "the resting connection ends without another request"
+        "the idle connection ends without another request"
     );
     let mut dialled = cache.connection();
-    dialled.request();
-    dialled.answer("second");
-    assert!(client.answer().contains("second"));
+    dialled.read_request();
+    dialled.respond("second");
+    assert!(client.read_response().contains("second"));
 }
 
 #[test]
-fn a_resting_connection_is_closed_when_another_takes_the_address_over() {
-    rests_until_taken_over(|line| Line {
+fn an_idle_connection_is_closed_when_another_server_takes_over_its_address() {
+    assert_idle_connection_closed_by(|endpoint| Endpoint {
         id: 9,
-        since_ms: STARTED_LATE_MS,
-        ..line
+        since_ms: LATER_START_MS,
+        ..endpoint
     });
 }
 
 #[test]
-fn a_resting_connection_is_closed_when_its_cache_starts_anew_at_the_address() {
-    rests_until_taken_over(|line| Line {
-        since_ms: STARTED_LATE_MS,
-        ..line
+fn an_idle_connection_is_closed_when_its_cache_restarts_at_the_address() {
+    assert_idle_connection_closed_by(|endpoint| Endpoint {
+        since_ms: LATER_START_MS,
+        ..endpoint
     });
 }
--- a/edge/proxy/tests/journal_lists.rs
+++ b/edge/proxy/tests/journal_lists.rs
@@ -1,4 +1,5 @@
-//! Whole, old, repeated, torn and renumbered lists, each told over a real socket to a journal client with its event loop behind it.
+//! Complete, old, repeated, truncated and renumbered lists, each sent over a real socket to a journal client and its event
+//! loop.
 
 use fake_journal::*;
 use foldmux::interface::MemberState;
@@ -11,20 +12,20 @@
 #[path = "common/journal_follower.rs"]
 mod journal_follower;
 
-/// A member that no event but the last of a test tells of: once it is listed, the event loop has applied all before it.
-const LAST: u32 = 99;
+/// A member that occurs only in the last event of a test: once it is listed, the event loop has applied all earlier events.
+const LAST_MEMBER: u32 = 99;
 
-fn member(id: u32) -> Line {
-    Line::pop_cache(id, SocketAddr::from(([127, 0, 0, 1], 7_000 + id as u16)))
+fn member(id: u32) -> Endpoint {
+    Endpoint::pop_cache(id, SocketAddr::from(([127, 0, 0, 1], 7_000 + id as u16)))
 }
 
-/// Three are listed; the first drains and comes to nothing more, the third goes.
+/// Events 1 to 4: members 1 to 3 are listed, 1 drains, a group is purged, 3 is removed.
 fn history() -> Vec<String> {
     vec![
-        hosts(1, true, &[member(1), member(2), member(3)]),
-        hosts(2, false, &[member(1).now("draining")]),
-        purge(3, 17),
-        hosts(4, false, &[member(3).now("gone")]),
+        hosts_event(1, true, &[member(1), member(2), member(3)]),
+        hosts_event(2, false, &[member(1).with_status("draining")]),
+        purge_event(3, 17),
+        hosts_event(4, false, &[member(3).with_status("gone")]),
     ]
 }
 
@@ -32,52 +33,55 @@
     ids.iter().map(|id| member(*id).name()).collect()
 }
 
-/// A journal client that has applied the history, and its next call.
-fn watched(service: &FakeJournal) -> (JournalFollower, Call) {
-    let follower = JournalFollower::start(service.address(), &feed(1, &history()[..1]));
-    let first = service.call();
+/// A journal client that has applied [`history`], and its next poll.
+fn follower_at_event_4(service: &FakeJournal) -> (JournalFollower, Poll) {
+    let follower = JournalFollower::start(service.address(), &event_batch(1, &history()[..1]));
+    let first = service.next_poll();
     assert_eq!(first.tail, 1);
-    let mut call = first;
+    let mut poll = first;
     for event in 2..=4 {
-        call = call.answer(event, &history()[event as usize - 1..event as usize]);
-        assert_eq!(call.tail, event);
+        poll = poll.respond(event, &history()[event as usize - 1..event as usize]);
+        assert_eq!(poll.tail, event);
     }
-    (follower, call)
+    (follower, poll)
 }
 
-/// Tells the last member, and returns once the event loop has it.
-fn tell_last(follower: &JournalFollower, call: Call, pos: u64) {
-    let next = call.answer(pos, &[hosts(pos, false, &[member(LAST)])]);
+/// Announces [`LAST_MEMBER`] and waits until the event loop lists it.
+fn announce_last_member(follower: &JournalFollower, poll: Poll, pos: u64) {
+    let next = poll.respond(pos, &[hosts_event(pos, false, &[member(LAST_MEMBER)])]);
     assert_eq!(next.tail, pos);
-    follower.knows(LAST);
+    follower.wait_until_listed(LAST_MEMBER);
 }
 
 #[test]
-fn a_service_that_numbers_anew_is_asked_from_the_first_and_told_as_one_list() {
+fn a_renumbered_journal_is_read_from_the_start_and_applied_as_one_list() {
     let service = FakeJournal::start();
-    let (follower, mut call) = watched(&service);
-    // Its numbers have begun again: this alone changes nothing, and the next call asks for all on another connection.
-    call.write(&answer(&feed(2, &[])));
-    let recount = service.call();
-    assert_eq!(recount.tail, 0);
-    call.closed();
-    // The whole telling passes through a state in which the first is ready and the second is there.
-    let anew = [
-        hosts(1, true, &[member(1), member(2), member(3), member(4)]),
-        hosts(
+    let (follower, mut poll) = follower_at_event_4(&service);
+    // A lower event number alone changes nothing: the next poll asks for all events, on a new connection.
+    poll.write(&http_response(&event_batch(2, &[])));
+    let full_poll = service.next_poll();
+    assert_eq!(full_poll.tail, 0);
+    poll.assert_closed();
+    // Between these events member 1 is ready and member 2 is listed; neither state may become visible.
+    let renumbered = [
+        hosts_event(1, true, &[member(1), member(2), member(3), member(4)]),
+        hosts_event(
             2,
             false,
-            &[member(1).now("draining"), member(2).now("gone")],
+            &[
+                member(1).with_status("draining"),
+                member(2).with_status("gone"),
+            ],
         ),
-        hosts(3, false, &[member(3).now("gone")]),
+        hosts_event(3, false, &[member(3).with_status("gone")]),
     ];
-    let call = recount.answer(3, &anew);
-    assert_eq!(call.tail, 3);
-    tell_last(&follower, call, 4);
+    let poll = full_poll.respond(3, &renumbered);
+    assert_eq!(poll.tail, 3);
+    announce_last_member(&follower, poll, 4);
     assert_eq!(
-        follower.ended(),
+        follower.ended_incarnations(),
         names(&[1, 3, 2]),
-        "neither the first nor the third was ready again"
+        "neither member 1 nor member 3 became ready again"
     );
     let states = [1, 2, 3, 4].map(|id| follower.state(id));
     assert_eq!(
@@ -92,20 +96,20 @@
 }
 
 #[test]
-fn an_old_answer_told_again_is_no_new_numbering() {
+fn a_repeated_old_response_is_not_a_renumbering() {
     let service = FakeJournal::start();
-    let (follower, mut call) = watched(&service);
-    call.write(&answer(&feed(1, &history()[..1])));
-    let recount = service.call();
-    assert_eq!(recount.tail, 0);
-    call.closed();
-    let call = recount.answer(4, &history());
-    assert_eq!(call.tail, 4, "it goes on from where it was");
-    tell_last(&follower, call, 5);
+    let (follower, mut poll) = follower_at_event_4(&service);
+    poll.write(&http_response(&event_batch(1, &history()[..1])));
+    let full_poll = service.next_poll();
+    assert_eq!(full_poll.tail, 0);
+    poll.assert_closed();
+    let poll = full_poll.respond(4, &history());
+    assert_eq!(poll.tail, 4, "it continues from event 4");
+    announce_last_member(&follower, poll, 5);
     assert_eq!(
-        follower.ended(),
+        follower.ended_incarnations(),
         names(&[1, 3]),
-        "nothing came up or ended for it"
+        "no incarnation started or ended"
     );
     assert_eq!(
         [1, 2, 3].map(|id| follower.state(id)),
@@ -114,44 +118,50 @@
 }
 
 #[test]
-fn a_new_numbering_is_taken_from_a_whole_telling_alone() {
+fn a_renumbering_is_applied_only_from_a_complete_response() {
     let service = FakeJournal::start();
-    let (follower, mut call) = watched(&service);
-    let whole = hosts(1, true, &[member(2)]);
-    let torn = [
-        // Its first event, one within, or its last is missing; it has no whole list; it is out of order.
-        feed(3, &[purge(2, 1), purge(3, 1)]),
-        feed(3, &[whole.clone(), purge(3, 1)]),
-        feed(3, &[whole.clone(), purge(2, 1)]),
-        feed(2, &[hosts(1, false, &[member(2).now("gone")]), purge(2, 1)]),
-        feed(2, &[purge(2, 1), whole.clone()]),
+    let (follower, mut poll) = follower_at_event_4(&service);
+    let complete = hosts_event(1, true, &[member(2)]);
+    let invalid = [
+        // The first event, one in between, or the last is missing; there is no complete list; events are out of order.
+        event_batch(3, &[purge_event(2, 1), purge_event(3, 1)]),
+        event_batch(3, &[complete.clone(), purge_event(3, 1)]),
+        event_batch(3, &[complete.clone(), purge_event(2, 1)]),
+        event_batch(
+            2,
+            &[
+                hosts_event(1, false, &[member(2).with_status("gone")]),
+                purge_event(2, 1),
+            ],
+        ),
+        event_batch(2, &[purge_event(2, 1), complete.clone()]),
     ];
-    for body in &torn {
-        call.write(&answer(&feed(2, &[])));
-        let mut recount = service.call();
-        assert_eq!(recount.tail, 0);
-        call.closed();
-        recount.write(&answer(body));
-        call = service.call();
-        assert_eq!(call.tail, 4, "{body}");
-        recount.closed();
+    for body in &invalid {
+        poll.write(&http_response(&event_batch(2, &[])));
+        let mut full_poll = service.next_poll();
+        assert_eq!(full_poll.tail, 0);
+        poll.assert_closed();
+        full_poll.write(&http_response(body));
+        poll = service.next_poll();
+        assert_eq!(poll.tail, 4, "{body}");
+        full_poll.assert_closed();
     }
-    // One that has nothing yet is asked again, from the first, and the list stays.
-    call.write(&answer(&feed(0, &[])));
-    let recount = service.call().answer(0, &[]);
-    assert_eq!(recount.tail, 0);
-    call.closed();
-    let call = recount.answer(
+    // A journal service without events is polled again from the start, and the list stays.
+    poll.write(&http_response(&event_batch(0, &[])));
+    let full_poll = service.next_poll().respond(0, &[]);
+    assert_eq!(full_poll.tail, 0);
+    poll.assert_closed();
+    let poll = full_poll.respond(
         1,
-        &[hosts(
+        &[hosts_event(
             1,
             true,
-            &[member(1).now("draining"), member(2), member(4)],
+            &[member(1).with_status("draining"), member(2), member(4)],
         )],
     );
-    assert_eq!(call.tail, 1);
-    tell_last(&follower, call, 2);
-    assert_eq!(follower.ended(), names(&[1, 3]));
+    assert_eq!(poll.tail, 1);
+    announce_last_member(&follower, poll, 2);
+    assert_eq!(follower.ended_incarnations(), names(&[1, 3]));
     let states = [1, 2, 3, 4].map(|id| follower.state(id));
     assert_eq!(
         states,
@@ -165,31 +175,34 @@
 }
 
 #[test]
-fn events_told_in_one_answer_are_one_list() {
+fn events_in_one_response_are_applied_as_one_list() {
     let service = FakeJournal::start();
-    let (follower, call) = watched(&service);
-    // The first comes back and drains once more, the second restarts, the third returns; all is told late, in one answer.
-    let again = Line {
+    let (follower, poll) = follower_at_event_4(&service);
+    // Member 1 becomes ready and drains again, 2 restarts, 3 returns: all in one late response.
+    let restarted = Endpoint {
         since_ms: 1_764_576_000_000,
         ..member(2)
     };
     let events = [
-        hosts(5, false, &[member(1)]),
-        hosts(6, false, &[member(2).now("draining")]),
-        hosts(
+        hosts_event(5, false, &[member(1)]),
+        hosts_event(6, false, &[member(2).with_status("draining")]),
+        hosts_event(
             7,
             false,
-            &[member(1).now("draining"), member(2).now("gone")],
+            &[
+                member(1).with_status("draining"),
+                member(2).with_status("gone"),
+            ],
         ),
-        hosts(8, false, &[again, member(3)]),
+        hosts_event(8, false, &[restarted, member(3)]),
     ];
-    let call = call.answer(8, &events);
-    assert_eq!(call.tail, 8);
-    tell_last(&follower, call, 9);
+    let poll = poll.respond(8, &events);
+    assert_eq!(poll.tail, 8);
+    announce_last_member(&follower, poll, 9);
     assert_eq!(
-        follower.ended(),
+        follower.ended_incarnations(),
         names(&[1, 3, 2]),
-        "the first was not ready in between, the second ended once"
+        "member 1 did not become ready in between, and member 2 ended once"
     );
     let states = [1, 2, 3].map(|id| follower.state(id));
     assert_eq!(
@@ -203,21 +216,25 @@
 }
 
 #[test]
-fn a_whole_list_leaves_none_that_it_does_not_name() {
+fn a_complete_list_removes_members_that_it_does_not_name() {
     let service = FakeJournal::start();
-    let (follower, call) = watched(&service);
-    let call = call.answer(5, &[hosts(5, true, &[member(1), member(4)])]);
-    assert_eq!(call.tail, 5);
-    // An older list told again under its own number, alone or before what follows, changes nothing.
-    let call = call.answer(5, &history());
-    assert_eq!(call.tail, 5);
-    let call = call.answer(
+    let (follower, poll) = follower_at_event_4(&service);
+    let poll = poll.respond(5, &[hosts_event(5, true, &[member(1), member(4)])]);
+    assert_eq!(poll.tail, 5);
+    // A repeated older list changes nothing, whether alone or before new events.
+    let poll = poll.respond(5, &history());
+    assert_eq!(poll.tail, 5);
+    let poll = poll.respond(
         6,
-        &[&history()[..], &[hosts(5, true, &[member(2)]), purge(6, 1)]].concat(),
+        &[
+            &history()[..],
+            &[hosts_event(5, true, &[member(2)]), purge_event(6, 1)],
+        ]
+        .concat(),
     );
-    assert_eq!(call.tail, 6);
-    tell_last(&follower, call, 7);
-    assert_eq!(follower.ended(), names(&[1, 3, 2]));
+    assert_eq!(poll.tail, 6);
+    announce_last_member(&follower, poll, 7);
+    assert_eq!(follower.ended_incarnations(), names(&[1, 3, 2]));
     let states = [1, 2, 3, 4].map(|id| follower.state(id));
     assert_eq!(
         states,
@@ -231,35 +248,38 @@
 }
 
 #[test]
-fn a_torn_answer_changes_nothing_and_is_asked_for_again() {
+fn an_invalid_response_changes_nothing_and_the_poll_is_repeated() {
     let service = FakeJournal::start();
-    let (follower, mut call) = watched(&service);
-    let gone = |pos| hosts(pos, false, &[member(2).now("gone")]);
-    let empty = hosts(5, true, &[]);
-    let whole = answer(&feed(5, &[gone(5)]));
-    let torn = [
-        // Cut in the head, in the body, in a chunk; no JSON.
-        whole[..20].to_string(),
-        whole[..whole.len() - 3].to_string(),
+    let (follower, mut poll) = follower_at_event_4(&service);
+    let gone = |pos| hosts_event(pos, false, &[member(2).with_status("gone")]);
+    let empty = hosts_event(5, true, &[]);
+    let complete = http_response(&event_batch(5, &[gone(5)]));
+    let invalid = [
+        // Truncated in the head, in the body, in a chunk, in the JSON text.
+        complete[..20].to_string(),
+        complete[..complete.len() - 3].to_string(),
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10\r\n{\"pos\":5,".to_string(),
-        answer(r#"{"pos":5,"entries":[{"pos":5,"hosts":"#),
-        // Events are missing, first or last or within, or out of order.
-        answer(&feed(6, &[gone(6)])),
-        answer(&feed(5, &[])),
-        answer(&feed(7, &[gone(5), purge(7, 1)])),
-        answer(&feed(6, &[purge(6, 1), gone(5)])),
-        answer(&feed(7, &[empty, purge(7, 1), purge(6, 1)])),
-        // The service is not well.
+        http_response(r#"{"pos":5,"entries":[{"pos":5,"hosts":"#),
+        // The first event, the last or one in between is missing, or events are out of order.
+        http_response(&event_batch(6, &[gone(6)])),
+        http_response(&event_batch(5, &[])),
+        http_response(&event_batch(7, &[gone(5), purge_event(7, 1)])),
+        http_response(&event_batch(6, &[purge_event(6, 1), gone(5)])),
+        http_response(&event_batch(
+            7,
+            &[empty, purge_event(7, 1), purge_event(6, 1)],
+        )),
+        // The journal service reports an error.
         "HTTP/1.1 500 Not Well\r\nContent-Length: 0\r\n\r\n".to_string(),
     ];
-    for text in &torn {
-        call.write(text);
-        call.end();
-        call = service.call();
-        assert_eq!(call.tail, 4, "{text}");
+    for text in &invalid {
+        poll.write(text);
+        poll.close_write();
+        poll = service.next_poll();
+        assert_eq!(poll.tail, 4, "{text}");
     }
-    tell_last(&follower, call, 5);
-    assert_eq!(follower.ended(), names(&[1, 3]));
+    announce_last_member(&follower, poll, 5);
+    assert_eq!(follower.ended_incarnations(), names(&[1, 3]));
     assert_eq!(
         [1, 2, 3].map(|id| follower.state(id)),
         [Some(MemberState::Draining), Some(MemberState::Ready), None]
@@ -267,15 +287,21 @@
 }
 
 #[test]
-fn an_answer_that_nobody_asked_for_is_none_to_the_next_call() {
+fn an_unsolicited_response_is_not_taken_for_the_next_poll() {
     let service = FakeJournal::start();
-    let (follower, mut call) = watched(&service);
-    // Two answers to one call: the second is what a later call would read first. The connection is given up.
-    let taken = answer(&feed(5, &[purge(5, 1)]));
-    call.write(&(taken + &answer(&feed(6, &[hosts(6, false, &[member(2).now("gone")])]))));
-    let next = service.call();
+    let (follower, mut poll) = follower_at_event_4(&service);
+    // Two responses to one poll: the next poll on this connection would read the second. The proxy closes the connection.
+    let first_response = http_response(&event_batch(5, &[purge_event(5, 1)]));
+    poll.write(
+        &(first_response
+            + &http_response(&event_batch(
+                6,
+                &[hosts_event(6, false, &[member(2).with_status("gone")])],
+            ))),
+    );
+    let next = service.next_poll();
     assert_eq!(next.tail, 5);
-    call.closed();
-    tell_last(&follower, next, 6);
+    poll.assert_closed();
+    announce_last_member(&follower, next, 6);
     assert_eq!(follower.state(2), Some(MemberState::Ready));
 }
--- a/edge/proxy/tests/journal_moves.rs
+++ b/edge/proxy/tests/journal_moves.rs
@@ -1,4 +1,4 @@
-//! The journal service moves to another address while an answer of the old one is on its way.
+//! The journal service moves to another address while a response from the old address is under way.
 
 use fake_journal::*;
 use journal_follower::JournalFollower;
@@ -10,20 +10,20 @@
 #[path = "common/journal_follower.rs"]
 mod journal_follower;
 
-/// Members of an answer that takes some milliseconds to be decoded, close under the longest answer.
-const MANY: u32 = 6_000;
-/// How often the move is tried in the middle of the decoding.
+/// Members in a response that takes some milliseconds to decode and is close to the maximum size (1 MiB).
+const MEMBERS: u32 = 6_000;
+/// How often the test moves the service during the decoding.
 const ROUNDS: usize = 20;
 
-fn member(id: u32) -> Line {
-    Line::pop_cache(id, SocketAddr::from(([127, 0, 0, 1], 7_000)))
+fn member(id: u32) -> Endpoint {
+    Endpoint::pop_cache(id, SocketAddr::from(([127, 0, 0, 1], 7_000)))
 }
 
-/// What the old address tells has been taken by the time the move returns, or never is.
+/// A response from the old address is applied before the move returns, or never.
 #[test]
-fn an_answer_of_the_old_address_that_is_read_as_the_service_moves_is_not_taken_after_the_move() {
-    let many: Vec<Line> = (1..=MANY).map(member).collect();
-    let old_answer = answer(&feed(1, &[hosts(1, true, &many)]));
+fn a_response_from_the_old_address_is_not_applied_after_the_move() {
+    let members: Vec<Endpoint> = (1..=MEMBERS).map(member).collect();
+    let old_answer = http_response(&event_batch(1, &[hosts_event(1, true, &members)]));
     assert!(
         old_answer.len() > 700 * 1024 && old_answer.len() < 1024 * 1024,
         "{}",
@@ -31,44 +31,44 @@
     );
     for round in 0..ROUNDS {
         let (old, new) = (FakeJournal::start(), FakeJournal::start());
-        let follower = JournalFollower::start(old.address(), &feed(0, &[]));
-        let mut call = old.call();
-        assert_eq!(call.tail, 0);
-        call.write(&old_answer);
+        let follower = JournalFollower::start(old.address(), &event_batch(0, &[]));
+        let mut poll = old.next_poll();
+        assert_eq!(poll.tail, 0);
+        poll.write(&old_answer);
         follower.service.move_to(Some(new.address()));
-        let taken = follower.is_listed() as u64;
-        let moved = new.call();
+        let applied = follower.has_list() as u64;
+        let next = new.next_poll();
         assert_eq!(
-            moved.tail, taken,
-            "round {round}: an answer of the old address won after the move"
+            next.tail, applied,
+            "round {round}: a response from the old address was applied after the move"
         );
-        // What is told at the new address follows on what was taken.
-        let list = hosts(taken + 1, true, &[member(MANY + 1)]);
-        assert_eq!(moved.answer(taken + 1, &[list]).tail, taken + 1);
-        follower.knows(MANY + 1);
+        // The event numbers at the new address follow those already applied.
+        let list = hosts_event(applied + 1, true, &[member(MEMBERS + 1)]);
+        assert_eq!(next.respond(applied + 1, &[list]).tail, applied + 1);
+        follower.wait_until_listed(MEMBERS + 1);
         assert_eq!(follower.state(1), None);
     }
 }
 
-/// The same with the program and SIGHUP: the old address holds half an answer back until the move is logged.
+/// The same with the process and SIGHUP: the old address sends the end of its response after the move is logged.
 #[test]
-fn an_answer_of_the_old_address_that_ends_after_sighup_is_not_taken() {
+fn a_response_from_the_old_address_that_ends_after_sighup_is_not_applied() {
     let (old, new) = (FakeJournal::start(), FakeJournal::start());
-    let known = feed(1, &[hosts(1, true, &[member(1)])]);
-    let (program, _) = common::start(&config(old.address(), common::SETTINGS, &known));
-    let mut call = old.call();
-    let text = answer(&feed(2, &[hosts(2, true, &[])]));
-    call.write(&text[..text.len() - 1]);
-    let moved = config(new.address(), common::SETTINGS, &known);
-    let said = program.reload(&moved);
+    let known = event_batch(1, &[hosts_event(1, true, &[member(1)])]);
+    let (proxy, _) = common::start(&config(old.address(), common::SETTINGS, &known));
+    let mut poll = old.next_poll();
+    let response = http_response(&event_batch(2, &[hosts_event(2, true, &[])]));
+    poll.write(&response[..response.len() - 1]);
+    let moved_config = config(new.address(), common::SETTINGS, &known);
+    let log_line = proxy.reload(&moved_config);
     assert!(
-        said.contains(&format!("the journal service is at {}", new.address())),
-        "{said}"
+        log_line.contains(&format!("the journal service is at {}", new.address())),
+        "{log_line}"
     );
-    let mut socket = call.socket();
-    let _ = std::io::Write::write_all(&mut socket, &text.as_bytes()[text.len() - 1..]);
-    call.closed();
-    let next = new.call();
+    let mut socket = poll.socket();
+    let _ = std::io::Write::write_all(&mut socket, &response.as_bytes()[response.len() - 1..]);
+    poll.assert_closed();
+    let next = new.next_poll();
     assert_eq!(next.tail, 1);
-    assert_eq!(next.answer(2, &[purge(2, 1)]).tail, 2);
+    assert_eq!(next.respond(2, &[purge_event(2, 1)]).tail, 2);
 }
