--- a/edge/proxy/tests/journal_silence.rs
+++ b/edge/proxy/tests/journal_silence.rs
@@ -1,6 +1,7 @@
-//! The journal service falls silent, or writes a byte now and then: one bounded wait, then another connection.
+//! The journal service stops responding, or sends a byte now and then: after a bounded wait the proxy polls again on a new
+//! connection.
 
-use fake_cache::Cache;
+use fake_cache::FakeCache;
 use fake_journal::*;
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr};
@@ -15,59 +16,62 @@
 #[path = "common/test_client.rs"]
 mod test_client;
 
-/// Between two bytes of an answer that never ends.
-const DRIP: Duration = Duration::from_millis(100);
+/// The interval between two bytes of a response that never ends.
+const DRIP_INTERVAL: Duration = Duration::from_millis(100);
 
 fn known() -> String {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
-    feed(1, &[hosts(1, true, &[Line::pop_cache(1, nowhere)])])
+    event_batch(
+        1,
+        &[hosts_event(1, true, &[Endpoint::pop_cache(1, nowhere)])],
+    )
 }
 
-fn program(service: &FakeJournal) -> common::Program {
+fn start_proxy(service: &FakeJournal) -> common::ProxyProcess {
     common::start(&config(service.address(), common::SETTINGS, &known())).0
 }
 
-/// The program gives the silent call up, closes its connection and asks the same on another.
-fn is_asked_again(service: &FakeJournal, silent: Call) -> Call {
+/// Asserts that the proxy cancels the silent poll, closes its connection and repeats the poll on a new one.
+fn expect_new_poll(service: &FakeJournal, silent: Poll) -> Poll {
     let tail = silent.tail;
-    let again = service.call();
-    assert_eq!(again.tail, tail);
-    silent.closed();
-    again
+    let next = service.next_poll();
+    assert_eq!(next.tail, tail);
+    silent.assert_closed();
+    next
 }
 
 #[test]
-fn a_watch_that_is_silent_from_any_byte_of_its_answer_on_is_given_up_for_another() {
+fn a_poll_whose_response_stalls_at_any_byte_is_repeated_on_a_new_connection() {
     let service = FakeJournal::start();
-    let _program = program(&service);
-    let whole = answer(&feed(2, &[hosts(2, true, &[])]));
-    let body = whole.find("\r\n\r\n").unwrap() + 4;
-    let mut call = service.call();
-    // Before the header, in its first line, before its end; before the body, within it, before its last byte.
-    for length in [0, 12, body - 1, body, body + 20, whole.len() - 1] {
-        assert_eq!(call.tail, 1);
-        call.write(&whole[..length]);
-        call = is_asked_again(&service, call);
+    let _proxy = start_proxy(&service);
+    let response = http_response(&event_batch(2, &[hosts_event(2, true, &[])]));
+    let body = response.find("\r\n\r\n").unwrap() + 4;
+    let mut poll = service.next_poll();
+    // Nothing sent; in the status line; before the end of the head; before the body; within it; before its last byte.
+    for length in [0, 12, body - 1, body, body + 20, response.len() - 1] {
+        assert_eq!(poll.tail, 1);
+        poll.write(&response[..length]);
+        poll = expect_new_poll(&service, poll);
     }
-    assert_eq!(call.answer(2, &[purge(2, 1)]).tail, 2);
+    assert_eq!(poll.respond(2, &[purge_event(2, 1)]).tail, 2);
 }
 
-/// Writes the head of an answer, and then bytes of the text over and over, until the program closes the connection.
-fn drip(call: &mut Call, head: &str, text: &'static str) {
-    call.write(head);
-    let mut socket = call.socket();
+/// Writes the start of a response, and then the bytes of `text` repeatedly until the proxy closes the connection.
+fn send_slowly(poll: &mut Poll, head: &str, text: &'static str) {
+    poll.write(head);
+    let mut socket = poll.socket();
     std::thread::spawn(move || {
         let mut bytes = text.bytes().cycle();
         while socket.write_all(&[bytes.next().unwrap()]).is_ok() {
-            std::thread::sleep(DRIP);
+            std::thread::sleep(DRIP_INTERVAL);
         }
     });
 }
 
 #[test]
-fn an_answer_that_drips_for_ever_does_not_hold_the_watch() {
-    // Within the header, within the body, chunk by chunk, and interim answers that no final one follows.
-    let drips = [
+fn a_response_sent_byte_by_byte_without_end_does_not_block_the_journal_client() {
+    // In a header; in the body; chunk by chunk; interim responses without a final one.
+    let responses = [
         ("HTTP/1.1 200 OK\r\nX: ", "x"),
         ("HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n", " "),
         (
@@ -77,103 +81,106 @@
         ("", "HTTP/1.1 103 Early Hints\r\n\r\n"),
     ];
     std::thread::scope(|scope| {
-        for (head, text) in drips {
+        for (head, text) in responses {
             scope.spawn(move || {
                 let service = FakeJournal::start();
-                let _program = program(&service);
-                let mut call = service.call();
-                drip(&mut call, head, text);
-                let again = is_asked_again(&service, call);
-                assert_eq!(again.answer(2, &[purge(2, 1)]).tail, 2);
+                let _proxy = start_proxy(&service);
+                let mut poll = service.next_poll();
+                send_slowly(&mut poll, head, text);
+                let next = expect_new_poll(&service, poll);
+                assert_eq!(next.respond(2, &[purge_event(2, 1)]).tail, 2);
             });
         }
     });
 }
 
 #[test]
-fn a_watch_that_falls_silent_after_many_answers_is_given_up_for_another() {
+fn a_poll_that_stalls_after_many_responses_is_repeated_on_a_new_connection() {
     let service = FakeJournal::start();
-    let _program = program(&service);
-    let mut call = service.call();
+    let _proxy = start_proxy(&service);
+    let mut poll = service.next_poll();
     for pos in 2..=14 {
-        call = call.answer(pos, &[purge(pos, 1)]);
-        assert_eq!(call.tail, pos);
+        poll = poll.respond(pos, &[purge_event(pos, 1)]);
+        assert_eq!(poll.tail, pos);
     }
-    let again = is_asked_again(&service, call);
-    assert_eq!(again.answer(15, &[purge(15, 1)]).tail, 15);
+    let next = expect_new_poll(&service, poll);
+    assert_eq!(next.respond(15, &[purge_event(15, 1)]).tail, 15);
 }
 
 #[test]
 fn watches_that_all_fall_silent_at_once_are_all_given_up_for_others() {
     let service = FakeJournal::start();
-    let _programs: Vec<_> = (0..4).map(|_| program(&service)).collect();
-    let silent: Vec<Call> = (0..4).map(|_| service.call()).collect();
+    let _proxies: Vec<_> = (0..4).map(|_| start_proxy(&service)).collect();
+    let silent: Vec<Poll> = (0..4).map(|_| service.next_poll()).collect();
     for _ in 0..4 {
-        let call = service.call();
-        assert_eq!(call.answer(2, &[purge(2, 1)]).tail, 2);
+        let poll = service.next_poll();
+        assert_eq!(poll.respond(2, &[purge_event(2, 1)]).tail, 2);
     }
-    silent.into_iter().for_each(Call::closed);
+    silent.into_iter().for_each(Poll::assert_closed);
 }
 
-/// Drains that are told while the service is silent count from the next connection's first answer on.
+/// A drain that is announced while a poll stalls is applied from the first response on the next connection.
 #[test]
-fn a_drain_told_in_the_silence_is_known_before_the_next_request() {
+fn a_drain_announced_while_a_poll_stalls_is_applied_before_the_next_request() {
     let service = FakeJournal::start();
-    let (drains, stays) = (Cache::start(), Cache::start());
-    let first = Line::pop_cache(1, drains.address());
-    let lines = [
+    let (drains, stays) = (FakeCache::start(), FakeCache::start());
+    let first = Endpoint::pop_cache(1, drains.address());
+    let endpoints = [
         first,
-        Line::pop_cache(2, stays.address()),
-        Line::hub(3, "origin", stays.address()),
+        Endpoint::pop_cache(2, stays.address()),
+        Endpoint::hub(3, "origin", stays.address()),
     ];
     let settings = common::SETTINGS.to_string();
-    let known = feed(1, &[hosts(1, true, &lines)]);
-    let (_program, address) = common::start(&config(service.address(), &settings, &known));
-    let silent = service.call();
-    let again = is_asked_again(&service, silent);
-    let call = again.answer(2, &[hosts(2, false, &[first.now("draining")])]);
-    assert_eq!(call.tail, 2);
+    let known = event_batch(1, &[hosts_event(1, true, &endpoints)]);
+    let (_proxy, address) = common::start(&config(service.address(), &settings, &known));
+    let silent = service.next_poll();
+    let next = expect_new_poll(&service, silent);
+    let poll = next.respond(
+        2,
+        &[hosts_event(2, false, &[first.with_status("draining")])],
+    );
+    assert_eq!(poll.tail, 2);
     stays.serve("whole");
     let mut client = Client::connect(address);
     for object in 1..=30 {
         assert!(client.is_served(object, "whole"), "object {object}");
     }
-    assert!(!drains.is_dialled());
+    assert!(!drains.has_pending_connection());
 }
 
-/// A close behind a whole answer costs nothing of it.
+/// A connection that is closed after a complete response loses none of its events.
 #[test]
-fn a_service_that_ends_its_connections_is_asked_again_at_once() {
+fn a_journal_service_that_closes_connections_is_polled_again() {
     let service = FakeJournal::start();
-    let _program = program(&service);
-    let mut call = service.call();
+    let _proxy = start_proxy(&service);
+    let mut poll = service.next_poll();
     for pos in 2..=5 {
-        call.write(&answer(&feed(pos, &[purge(pos, 1)])));
-        // Closed behind a whole answer, before the next call or as it comes.
-        call.socket().shutdown(Shutdown::Both).unwrap();
-        call = service.call();
-        assert_eq!(call.tail, pos);
+        poll.write(&http_response(&event_batch(pos, &[purge_event(pos, 1)])));
+        // The close comes before or while the proxy sends the next poll.
+        poll.socket().shutdown(Shutdown::Both).unwrap();
+        poll = service.next_poll();
+        assert_eq!(poll.tail, pos);
     }
 }
 
-/// Calls that a program may make while another waits for one answer that never comes: with the shortest pause (10 ms) after
-/// each, for the longest such wait (1.7 s and one pause).
-const MOST_CALLS: usize = 185;
+/// The most polls of one proxy while another waits for a response that never comes: that wait is 1.7 s and one pause at
+/// most, and the shortest pause after a poll is 10 ms.
+const MAX_POLLS: usize = 185;
 
 #[test]
-fn a_service_that_does_not_hold_its_calls_is_asked_with_pauses() {
-    let (silent, hasty) = (FakeJournal::start(), FakeJournal::start());
-    let _waits = program(&silent);
-    let held = silent.call();
-    let _asks = program(&hasty);
-    let again = std::thread::spawn(move || is_asked_again(&silent, held));
-    let (mut call, mut calls) = (hasty.call(), 0);
-    while !again.is_finished() && calls <= MOST_CALLS {
-        call = call.answer(1, &[]);
-        calls += 1;
+fn a_journal_service_that_responds_at_once_is_polled_with_pauses() {
+    let (silent, immediate) = (FakeJournal::start(), FakeJournal::start());
+    let _waits = start_proxy(&silent);
+    let held = silent.next_poll();
+    let _asks = start_proxy(&immediate);
+    let next = std::thread::spawn(move || expect_new_poll(&silent, held));
+    let (mut poll, mut polls) = (immediate.next_poll(), 0);
+    while !next.is_finished() && polls <= MAX_POLLS {
+        poll = poll.respond(1, &[]);
+        polls += 1;
     }
-    assert!(calls <= MOST_CALLS, "asked in a loop");
-    // The first event that follows is taken from the same connection.
-    assert_eq!(call.answer(2, &[purge(2, 1)]).tail, 2);
-    again.join().unwrap();
+    assert!(polls <= MAX_POLLS, "polled without pauses");
+    // The next event is applied from the same connection.
+    assert_eq!(poll.respond(2, &[purge_event(2, 1)]).tail, 2);
+    next.join().unwrap();
 }
--- a/edge/proxy/tests/journal_start.rs
+++ b/edge/proxy/tests/journal_start.rs
@@ -1,6 +1,6 @@
-//! The start without a list, and the service's return: refused until a list is known, served from then on.
+//! Start without a list of members: requests are rejected until the journal service gives one, and served from then on.
 
-use fake_cache::Cache;
+use fake_cache::FakeCache;
 use fake_journal::*;
 use std::net::SocketAddr;
 use test_client::Client;
@@ -13,30 +13,38 @@
 #[path = "common/test_client.rs"]
 mod test_client;
 
-/// An address of this test's own on loopback: no other takes its port while nobody listens there.
-fn own_address(last: u8) -> SocketAddr {
+/// A loopback address derived from the process id, so that no other process takes its port while nobody listens there.
+fn unused_address(last_octet: u8) -> SocketAddr {
     let process = std::process::id();
-    let ip = [127, 224 + (process >> 8 & 15) as u8, process as u8, last];
-    FakeJournal::at(SocketAddr::from((ip, 0))).address()
+    let ip = [
+        127,
+        224 + (process >> 8 & 15) as u8,
+        process as u8,
+        last_octet,
+    ];
+    FakeJournal::bind(SocketAddr::from((ip, 0))).address()
 }
 
-fn lines(caches: SocketAddr) -> [Line; 2] {
-    [Line::pop_cache(1, caches), Line::hub(3, "origin", caches)]
+fn endpoints(caches: SocketAddr) -> [Endpoint; 2] {
+    [
+        Endpoint::pop_cache(1, caches),
+        Endpoint::hub(3, "origin", caches),
+    ]
 }
 
-/// Not well, and each request is answered before there is any list.
-fn refuses(client: &mut Client) {
+/// Asserts that, without a list, the proxy reports that it is not well and rejects requests.
+fn assert_not_serving(client: &mut Client) {
     assert!(!client.is_well());
-    client.ask(1);
-    let refusal = client.answer();
+    client.send_request(1);
+    let refusal = client.read_response();
     assert!(refusal.contains("\\xa4Shed"), "{refusal}");
 }
 
-/// The service tells its first list: the program is well and serves by the time of the call that follows.
-fn recovers(call: Call, address: SocketAddr) {
-    let caches = Cache::start();
-    let told = call.answer(1, &[hosts(1, true, &lines(caches.address()))]);
-    assert_eq!(told.tail, 1);
+/// Responds with the first list, and asserts that the proxy is well and serves requests once it sends the next poll.
+fn assert_recovers(poll: Poll, address: SocketAddr) {
+    let caches = FakeCache::start();
+    let next = poll.respond(1, &[hosts_event(1, true, &endpoints(caches.address()))]);
+    assert_eq!(next.tail, 1);
     caches.serve("whole");
     let mut client = Client::connect(address);
     assert!(client.is_well());
@@ -44,70 +52,80 @@
 }
 
 #[test]
-fn a_service_that_refuses_at_the_start_is_asked_until_it_is_back() {
-    let at = own_address(1);
-    let (_program, address) = common::start(&config(at, common::SETTINGS, &feed(0, &[])));
+fn a_journal_service_that_refuses_connections_at_the_start_is_retried() {
+    let journal_address = unused_address(1);
+    let (_proxy, address) = common::start(&config(
+        journal_address,
+        common::SETTINGS,
+        &event_batch(0, &[]),
+    ));
     let mut client = Client::connect(address);
-    refuses(&mut client);
-    let service = FakeJournal::at(at);
-    let call = service.call();
-    refuses(&mut client);
-    recovers(call, address);
+    assert_not_serving(&mut client);
+    let service = FakeJournal::bind(journal_address);
+    let poll = service.next_poll();
+    assert_not_serving(&mut client);
+    assert_recovers(poll, address);
 }
 
 #[test]
-fn a_service_that_is_silent_or_slow_at_the_start_holds_nothing_up() {
+fn a_silent_or_slow_journal_service_at_the_start_does_not_block_clients() {
     let service = FakeJournal::start();
-    let (_program, address) =
-        common::start(&config(service.address(), common::SETTINGS, &feed(0, &[])));
-    let silent = service.call();
+    let (_proxy, address) = common::start(&config(
+        service.address(),
+        common::SETTINGS,
+        &event_batch(0, &[]),
+    ));
+    let silent = service.next_poll();
     let mut client = Client::connect(address);
-    refuses(&mut client);
-    // One that is silent, one that answers with half of its first list, one that has no list yet.
-    let mut half = service.call();
-    silent.closed();
-    let text = answer(&feed(1, &[hosts(1, true, &[])]));
-    half.write(&text[..text.len() - 1]);
-    refuses(&mut client);
-    let none = service.call();
-    half.closed();
-    let call = none.answer(0, &[]);
-    refuses(&mut client);
-    recovers(call, address);
+    assert_not_serving(&mut client);
+    // No response, then a truncated first list, then a response without events.
+    let mut truncated = service.next_poll();
+    silent.assert_closed();
+    let text = http_response(&event_batch(1, &[hosts_event(1, true, &[])]));
+    truncated.write(&text[..text.len() - 1]);
+    assert_not_serving(&mut client);
+    let without_list = service.next_poll();
+    truncated.assert_closed();
+    let poll = without_list.respond(0, &[]);
+    assert_not_serving(&mut client);
+    assert_recovers(poll, address);
 }
 
 #[test]
-fn a_list_that_is_known_makes_it_well_whatever_the_service_does() {
-    let caches = Cache::start();
-    let known = feed(1, &[hosts(1, true, &lines(caches.address()))]);
-    let (_program, address) = common::start(&config(own_address(2), common::SETTINGS, &known));
+fn a_configured_list_makes_the_proxy_well_without_the_journal_service() {
+    let caches = FakeCache::start();
+    let known = event_batch(1, &[hosts_event(1, true, &endpoints(caches.address()))]);
+    let (_proxy, address) = common::start(&config(unused_address(2), common::SETTINGS, &known));
     caches.serve("whole");
     let mut client = Client::connect(address);
     assert!(client.is_well());
     assert!(client.is_served(2, "whole"));
 }
 
-/// Down for a while, and a drain as the first that it tells: no request goes where it was told not to.
+/// The journal service returns after an outage, and its first event is a drain: no request goes to the draining cache.
 #[test]
-fn a_drain_told_at_the_return_of_the_service_is_known_before_the_next_request() {
-    let at = own_address(3);
-    let (drains, stays) = (Cache::start(), Cache::start());
-    let first = Line::pop_cache(1, drains.address());
-    let lines = [
+fn a_drain_announced_after_an_outage_is_applied_before_the_next_request() {
+    let journal_address = unused_address(3);
+    let (drains, stays) = (FakeCache::start(), FakeCache::start());
+    let first = Endpoint::pop_cache(1, drains.address());
+    let endpoints = [
         first,
-        Line::pop_cache(2, stays.address()),
-        Line::hub(3, "origin", stays.address()),
+        Endpoint::pop_cache(2, stays.address()),
+        Endpoint::hub(3, "origin", stays.address()),
     ];
-    let known = feed(1, &[hosts(1, true, &lines)]);
-    let (program, address) = common::start(&config(at, common::SETTINGS, &known));
-    // It has been refused often enough for the longest pause.
-    (0..6).for_each(|_| drop(program.line("journal service: no connection")));
-    let service = FakeJournal::at(at);
-    let call = service.call();
-    assert_eq!(call.tail, 1);
+    let known = event_batch(1, &[hosts_event(1, true, &endpoints)]);
+    let (proxy, address) = common::start(&config(journal_address, common::SETTINGS, &known));
+    // After this many refused connections the retry delay has reached its maximum.
+    (0..6).for_each(|_| drop(proxy.wait_for_log("journal service: no connection")));
+    let service = FakeJournal::bind(journal_address);
+    let poll = service.next_poll();
+    assert_eq!(poll.tail, 1);
     assert_eq!(
-        call.answer(2, &[hosts(2, false, &[first.now("draining")])])
-            .tail,
+        poll.respond(
+            2,
+            &[hosts_event(2, false, &[first.with_status("draining")])]
+        )
+        .tail,
         2
     );
     stays.serve("whole");
@@ -115,5 +133,5 @@
     for object in 1..=30 {
         assert!(client.is_served(object, "whole"), "object {object}");
     }
-    assert!(!drains.is_dialled());
+    assert!(!drains.has_pending_connection());
 }
--- a/edge/proxy/tests/load_reports.rs
+++ b/edge/proxy/tests/load_reports.rs
@@ -1,5 +1,5 @@
-//! Reports and settings by the program itself: an answer is served whatever it reports; settings that lack what all have end
-//! the start with one line, and a reload with the old ones whole.
+//! Load reports and their settings: a response is served whatever it reports; settings without a required field fail the
+//! start with one line per error, and leave the old settings in service at a reload.
 
 use foldmux_fakes::rpc::{Said, Terminal};
 use std::collections::BTreeMap;
@@ -12,34 +12,37 @@
 
 mod common;
 
-const PATIENCE: Duration = Duration::from_secs(20);
-const FIELDS: &str =
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+const REPORT_SETTINGS: &str =
     r#""report":{"how":"answers","names":["util","inflight","x0","x1"]},"charges":{"probe":0.01},"#;
 
-/// The configuration with reports and probes, as a deployment with both says it.
-fn reporting(cache: SocketAddr, journal: SocketAddr) -> String {
-    let whole = common::config(cache, journal);
-    let told = whole.replace(r#""settings":{"#, &format!(r#""settings":{{{FIELDS}"#));
-    let told = told.replace(
+/// The standard configuration with load reports and probes enabled.
+fn config_with_reports(cache: SocketAddr, journal: SocketAddr) -> String {
+    let config = common::config(cache, journal);
+    let config = config.replace(
+        r#""settings":{"#,
+        &format!(r#""settings":{{{REPORT_SETTINGS}"#),
+    );
+    let config = config.replace(
         r#""limits":{"maxAttempts""#,
         r#""limits":{"probes":true,"maxAttempts""#,
     );
     assert!(
-        told.contains("Attempts") && told.contains("probes") && told.contains("x0"),
-        "{told}"
+        config.contains("Attempts") && config.contains("probes") && config.contains("x0"),
+        "{config}"
     );
-    told
+    config
 }
 
-/// A cache whose answers to requests are these, one after the other; a probe gets none.
-fn cache(answers: Vec<String>) -> SocketAddr {
+/// Starts a cache that gives requests these responses in order, and doesn't respond to probes.
+fn start_cache(responses: Vec<String>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let answers = Arc::new(Mutex::new(answers.into_iter()));
+    let responses = Arc::new(Mutex::new(responses.into_iter()));
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let answers = answers.clone();
-            thread::spawn(move || serve(&stream, &mut || answers.lock().unwrap().next()));
+            let responses = responses.clone();
+            thread::spawn(move || serve(&stream, &mut || responses.lock().unwrap().next()));
         }
     });
     address
@@ -52,14 +55,14 @@
             return;
         }
         if first.starts_with("GET /v2/q/") {
-            let Some(answer) = next() else { return };
-            let _ = (&mut &*stream).write_all(answer.as_bytes());
+            let Some(response) = next() else { return };
+            let _ = (&mut &*stream).write_all(response.as_bytes());
         }
     }
 }
 
 #[test]
-fn an_answer_is_served_whole_whatever_it_reports_and_a_probe_without_end_holds_nothing_up() {
+fn responses_are_served_whatever_they_report_and_an_unanswered_probe_blocks_nothing() {
     let long = "x".repeat(9_000);
     let many = "util:0.5;".repeat(900);
     let reports = [
@@ -73,22 +76,24 @@
         &format!("Srv-Load: {many}"),
         "X-Other: 1",
     ];
-    let answer = |n: usize, report: &str| {
+    let response = |n: usize, report: &str| {
         let body = format!("part {n}");
         format!(
             "HTTP/1.1 200 OK\r\n{report}\r\nETag: {n}\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         )
     };
-    let answers = reports
+    let responses = reports
         .iter()
         .enumerate()
-        .map(|(n, report)| answer(n, report))
+        .map(|(n, report)| response(n, report))
         .collect();
     let journal = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (_program, serves) =
-        common::start(&reporting(cache(answers), journal.local_addr().unwrap()));
-    let mut client = Terminal::connect(serves, PATIENCE).unwrap();
+    let (_proxy, address) = common::start(&config_with_reports(
+        start_cache(responses),
+        journal.local_addr().unwrap(),
+    ));
+    let mut client = Terminal::connect(address, TEST_TIMEOUT).unwrap();
     for n in 0..reports.len() {
         let fields = BTreeMap::from([
             ("i", format!("{:016x}", 77 + n)),
@@ -98,14 +103,19 @@
             ("batch", "1".to_string()),
             ("m", "10".to_string()),
         ]);
-        let said = client.ask("sheet", &fields, b"").unwrap();
-        assert_eq!(said, Said::Served(format!("part {n}").into_bytes()), "{n}");
+        let outcome = client.ask("sheet", &fields, b"").unwrap();
+        assert_eq!(
+            outcome,
+            Said::Served(format!("part {n}").into_bytes()),
+            "{n}"
+        );
     }
 }
 
-struct Ran(Child, std::path::PathBuf);
+/// A running proxy and its configuration file; both are removed on drop.
+struct ProxyProcess(Child, std::path::PathBuf);
 
-impl Drop for Ran {
+impl Drop for ProxyProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -113,8 +123,8 @@
     }
 }
 
-/// The program on a file with this text, its log piped.
-fn run(name: &str, text: &str) -> Ran {
+/// Starts the proxy with this configuration, its log piped.
+fn start_proxy(name: &str, text: &str) -> ProxyProcess {
     let file = std::env::temp_dir().join(format!("foldmux-reports-{name}-{}", std::process::id()));
     std::fs::write(&file, text).unwrap();
     let mut command = common::command(&["serve"]);
@@ -123,15 +133,15 @@
         .env_remove("TMPDIR")
         .stderr(Stdio::piped())
         .spawn();
-    Ran(child.expect("the program"), file)
+    ProxyProcess(child.expect("a running proxy"), file)
 }
 
-/// Settings that lack a field which all deployments have, or say one in a way that none does.
-fn faulty(good: &str) -> Vec<(&'static str, String)> {
+/// Configurations that lack a required field or have one of the wrong type, each with the field's name.
+fn invalid_configs(valid: &str) -> Vec<(&'static str, String)> {
     let without = |key: &'static str| {
         (
             key,
-            good.replace(&format!("\"{key}\""), &format!("\"{key}Once\"")),
+            valid.replace(&format!("\"{key}\""), &format!("\"{key}Once\"")),
         )
     };
     let mut all: Vec<_> = [
@@ -147,60 +157,65 @@
     .into();
     all.push((
         "probe",
-        good.replace(r#""probe":0.01"#, r#""probe":"dear""#),
+        valid.replace(r#""probe":0.01"#, r#""probe":"dear""#),
     ));
-    all.push(("names", good.replace(r#""names":["#, r#""names":[7,"#)));
-    assert!(all.iter().all(|(_, text)| text != good), "each differs");
+    all.push(("names", valid.replace(r#""names":["#, r#""names":[7,"#)));
+    assert!(
+        all.iter().all(|(_, text)| text != valid),
+        "each differs from the valid one"
+    );
     all
 }
 
-fn whole() -> (String, TcpListener, TcpListener) {
+fn config() -> (String, TcpListener, TcpListener) {
     let [cache, journal] = [0; 2].map(|_| TcpListener::bind("127.0.0.1:0").unwrap());
     (
-        reporting(cache.local_addr().unwrap(), journal.local_addr().unwrap()),
+        config_with_reports(cache.local_addr().unwrap(), journal.local_addr().unwrap()),
         cache,
         journal,
     )
 }
 
 #[test]
-fn settings_without_what_all_deployments_say_end_the_start_with_one_clear_line() {
-    let (good, ..) = whole();
-    for (key, text) in faulty(&good) {
-        let mut ran = run(key, &text);
-        let mut said = String::new();
-        ran.0
+fn invalid_settings_fail_the_start_with_one_line_per_error_that_names_the_key() {
+    let (valid, ..) = config();
+    for (key, text) in invalid_configs(&valid) {
+        let mut process = start_proxy(key, &text);
+        let mut output = String::new();
+        process
+            .0
             .stderr
             .take()
             .unwrap()
-            .read_to_string(&mut said)
+            .read_to_string(&mut output)
             .unwrap();
-        assert!(!ran.0.wait().unwrap().success(), "{key}");
-        // One line for each place where it is faulty: both classes lack `slo` then.
-        let places = if key == "slo" { 2 } else { 1 };
-        assert_eq!(said.trim_end().lines().count(), places, "{key}: {said}");
+        assert!(!process.0.wait().unwrap().success(), "{key}");
+        // One line per error: without `slo` both classes are invalid.
+        let errors = if key == "slo" { 2 } else { 1 };
+        assert_eq!(output.trim_end().lines().count(), errors, "{key}: {output}");
         assert!(
-            said.lines()
+            output
+                .lines()
                 .all(|line| line.starts_with("foldmux: configuration")),
-            "{key}: {said}"
+            "{key}: {output}"
         );
         assert!(
-            said.lines().all(|line| line.contains(key)),
-            "{key} is named: {said}"
+            output.lines().all(|line| line.contains(key)),
+            "{key} is named: {output}"
         );
     }
 }
 
 #[test]
-fn what_no_deployment_says_is_passed_over_and_a_faulty_reload_leaves_the_old_settings_whole() {
-    let (good, _cache, _journal) = whole();
-    let more = good.replace(
+fn unknown_keys_are_ignored_and_an_invalid_reload_leaves_the_old_settings() {
+    let (valid, _cache, _journal) = config();
+    let with_unknown_keys = valid.replace(
         r#""settings":{"#,
         r#""settings":{"moonPhase":{"at":[1,null]},"rack":"b","#,
     );
-    assert_ne!(more, good);
-    let mut ran = run("reload", &more);
-    let mut lines = BufReader::new(ran.0.stderr.take().unwrap())
+    assert_ne!(with_unknown_keys, valid);
+    let mut process = start_proxy("reload", &with_unknown_keys);
+    let mut lines = BufReader::new(process.0.stderr.take().unwrap())
         .lines()
         .map_while(Result::ok);
     let mut line = |words: &str| {
@@ -208,30 +223,33 @@
             .find(|line| line.contains(words))
             .expect("a line in the log")
     };
-    let serves = line(" is listening on ");
-    let serves: SocketAddr = serves
+    let address = line(" is listening on ");
+    let address: SocketAddr = address
         .split_once(" is listening on ")
         .unwrap()
         .1
         .trim()
         .parse()
         .unwrap();
-    for (key, text) in faulty(&good) {
-        std::fs::write(&ran.1, &text).unwrap();
-        let id = ran.0.id().to_string();
+    for (key, text) in invalid_configs(&valid) {
+        std::fs::write(&process.1, &text).unwrap();
+        let id = process.0.id().to_string();
         assert!(std::process::Command::new("kill")
             .args(["-HUP", &id])
             .status()
             .unwrap()
             .success());
-        let said = line("reload: ");
+        let output = line("reload: ");
         assert!(
-            said.contains("WARN") && said.ends_with("all stays as it was"),
-            "{key}: {said}"
+            output.contains("WARN") && output.ends_with("all stays as it was"),
+            "{key}: {output}"
         );
     }
     assert!(
-        Terminal::connect(serves, PATIENCE).unwrap().well().unwrap(),
-        "it serves on as it did"
+        Terminal::connect(address, TEST_TIMEOUT)
+            .unwrap()
+            .well()
+            .unwrap(),
+        "the proxy is still well"
     );
 }
--- a/edge/proxy/tests/operations.rs
+++ b/edge/proxy/tests/operations.rs
@@ -1,4 +1,4 @@
-//! The operators' days by the program itself: the admin interface, and a new version beside the old one.
+//! Operation of the proxy as a process: the admin interface, reloads, and a new version beside the old one.
 
 use admin_process::*;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -9,15 +9,15 @@
 mod common;
 
 #[test]
-fn the_operator_line_answers_each_call_and_a_bad_line_costs_only_itself() {
-    let (file, _caches, _journal) = configured("line");
-    let running = start(&file, None).unwrap();
-    let at = running.operator;
-    // One that never sends a whole call holds no one else up.
-    let mut silent = TcpStream::connect(at).unwrap();
+fn the_admin_interface_answers_each_command_and_an_invalid_one_affects_no_other() {
+    let (file, _caches, _journal) = write_config("commands");
+    let proxy = start(&file, None).unwrap();
+    let admin_address = proxy.admin_address;
+    // A connection with an incomplete command delays no other.
+    let mut silent = TcpStream::connect(admin_address).unwrap();
     silent.write_all(b"sta").unwrap();
-    assert_eq!(call(at, b"status\n"), "done yes\n");
-    let stats = call(at, b"stats\n");
+    assert_eq!(send_command(admin_address, b"status\n"), "done yes\n");
+    let stats = send_command(admin_address, b"stats\n");
     for figure in [
         "proxy.answered.sheet:0|c",
         "proxy.sends.record:0|c",
@@ -30,15 +30,15 @@
         );
     }
     assert!(stats.ends_with("proxy.conf_invalid:0|c\nend\n"), "{stats}");
-    assert!(call(at, b"reboot\n").starts_with("error no call"));
-    assert!(call(at, b"maint-on s-0000cafe\n").starts_with("error no pop cache"));
+    assert!(send_command(admin_address, b"reboot\n").starts_with("error no call"));
+    assert!(send_command(admin_address, b"maint-on s-0000cafe\n").starts_with("error no pop cache"));
     assert!(
-        call(at, &[b'x'; 10_000]).starts_with("error"),
-        "a line too long, not yet ended"
+        send_command(admin_address, &[b'x'; 10_000]).starts_with("error"),
+        "a line that is too long, without its end"
     );
-    // Two calls out, one call back; and the connection goes on after a fault.
-    let stream = TcpStream::connect(at).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    // The same cache is taken out twice and brought back once; the connection stays usable after an invalid command.
+    let stream = TcpStream::connect(admin_address).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     (&stream)
         .write_all(b"maint-on s-00000001\nmaint-on s-00000001\nnonsense\nstats\n")
         .unwrap();
@@ -62,142 +62,149 @@
         "{lines:?}"
     );
     assert_eq!(
-        call(at, b"maint-off s-00000001\n"),
+        send_command(admin_address, b"maint-off s-00000001\n"),
         "done s-00000001 is back\n"
     );
-    assert!(call(at, b"stats\n").contains("proxy.cluster_unhealthy:0|g\n"));
+    assert!(send_command(admin_address, b"stats\n").contains("proxy.cluster_unhealthy:0|g\n"));
     silent.write_all(b"tus\n").unwrap();
-    let mut answer = [0; 9];
-    silent.set_read_timeout(Some(PATIENCE)).unwrap();
-    silent.read_exact(&mut answer).unwrap();
-    assert_eq!(&answer, b"done yes\n");
-    drop(running);
+    let mut response = [0; 9];
+    silent.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    silent.read_exact(&mut response).unwrap();
+    assert_eq!(&response, b"done yes\n");
+    drop(proxy);
     let _ = std::fs::remove_file(file);
 }
 
 #[test]
 fn a_new_version_listens_beside_the_old_one_on_the_same_address() {
-    let (file, _caches, _journal) = configured("beside");
-    let tmp = std::env::temp_dir().join(format!("foldmux-days-tmp-{}", std::process::id()));
+    let (file, _caches, _journal) = write_config("beside");
+    let tmp = std::env::temp_dir().join(format!("foldmux-admin-tmp-{}", std::process::id()));
     std::fs::create_dir_all(&tmp).unwrap();
-    let old = start_in(&file, None, Some(&tmp)).unwrap();
-    assert!(call(old.operator, b"maint-on s-00000002\n").starts_with("done"));
-    let new = start_in(&file, Some(old.serves), Some(&tmp))
+    let old = start_with_tmpdir(&file, None, Some(&tmp)).unwrap();
+    assert!(send_command(old.admin_address, b"maint-on s-00000002\n").starts_with("done"));
+    let new = start_with_tmpdir(&file, Some(old.client_address), Some(&tmp))
         .expect("a second process on the same address");
-    assert_eq!(new.serves, old.serves);
-    assert_eq!(call(new.operator, b"status\n"), "done yes\n");
-    // What was out before the new one started is out there too, and what the new one takes out is out for both.
-    assert!(call(new.operator, b"stats\n").contains("proxy.cluster_unhealthy:1|g\n"));
-    assert!(call(new.operator, b"maint-on s-00000001\n").starts_with("done"));
-    assert!(call(old.operator, b"stats\n").contains("proxy.cluster_unhealthy:2|g\n"));
-    assert!(call(new.operator, b"maint-off s-00000002\n").starts_with("done"));
-    assert!(call(old.operator, b"stats\n").contains("proxy.cluster_unhealthy:1|g\n"));
-    // The old one leaves on SIGTERM, saying no from then on, and the new one goes on taking clients.
+    assert_eq!(new.client_address, old.client_address);
+    assert_eq!(send_command(new.admin_address, b"status\n"), "done yes\n");
+    // Caches in maintenance before the new process started are so there too; later changes apply to both processes.
+    assert!(send_command(new.admin_address, b"stats\n").contains("proxy.cluster_unhealthy:1|g\n"));
+    assert!(send_command(new.admin_address, b"maint-on s-00000001\n").starts_with("done"));
+    assert!(send_command(old.admin_address, b"stats\n").contains("proxy.cluster_unhealthy:2|g\n"));
+    assert!(send_command(new.admin_address, b"maint-off s-00000002\n").starts_with("done"));
+    assert!(send_command(old.admin_address, b"stats\n").contains("proxy.cluster_unhealthy:1|g\n"));
+    // The old process shuts down on SIGTERM, and the new one continues to accept clients.
     let id = old.child.id().to_string();
     assert!(std::process::Command::new("kill")
         .args(["-TERM", &id])
         .status()
         .unwrap()
         .success());
-    let left = std::iter::from_fn(|| old.log.recv_timeout(PATIENCE).ok())
+    let shut_down = std::iter::from_fn(|| old.log.recv_timeout(TEST_TIMEOUT).ok())
         .find(|l| l.contains("shut down "));
-    assert!(left.is_some());
+    assert!(shut_down.is_some());
     for _ in 0..20 {
-        TcpStream::connect(new.serves).expect("the new one takes clients");
+        TcpStream::connect(new.client_address).expect("the new process accepts clients");
     }
     let _ = std::fs::remove_file(file);
     let _ = std::fs::remove_dir_all(tmp);
 }
 
 #[test]
-fn a_broken_file_at_sighup_leaves_the_settings_whole_and_is_counted() {
-    let (file, caches, journal) = configured("retune");
-    let running = start(&file, None).unwrap();
-    let good = common::config(caches.local_addr().unwrap(), journal.local_addr().unwrap());
-    let hup = |text: &str| running.reload(&file, text);
+fn an_invalid_configuration_at_sighup_leaves_the_settings_unchanged_and_is_counted() {
+    let (file, caches, journal) = write_config("invalid");
+    let proxy = start(&file, None).unwrap();
+    let valid = common::config(caches.local_addr().unwrap(), journal.local_addr().unwrap());
+    let reload = |text: &str| proxy.reload(&file, text);
     let broken = [
         String::new(),
-        good[..good.len() / 2].to_string(),
-        good.replace("\"listen\"", "\"lisen\""),
-        good.replace("\"hardLimit\":30000000", "\"hardLimit\":0"),
-        good.replace("\"maxAttempts\":4", "\"maxAttempts\":0"),
+        valid[..valid.len() / 2].to_string(),
+        valid.replace("\"listen\"", "\"lisen\""),
+        valid.replace("\"hardLimit\":30000000", "\"hardLimit\":0"),
+        valid.replace("\"maxAttempts\":4", "\"maxAttempts\":0"),
     ];
     for text in &broken {
-        let said = hup(text);
-        assert!(said.ends_with("all stays as it was"), "{text}");
+        let log_line = reload(text);
+        assert!(log_line.ends_with("all stays as it was"), "{text}");
         assert!(
-            said.contains("WARN"),
-            "staff who filter at WARN must see it: {said}"
+            log_line.contains("WARN"),
+            "operators who filter at WARN must see it: {log_line}"
         );
     }
-    let stats = call(running.operator, b"stats\n");
+    let stats = send_command(proxy.admin_address, b"stats\n");
     assert!(
         stats.contains("proxy.conf_invalid:5|c\n") && stats.contains("proxy.conf_loaded:0|c\n"),
         "{stats}"
     );
     assert!(!stats.contains(".video:"), "{stats}");
-    // A class added, and the changed rules of another, from one good file on.
-    let added = good.replace(
+    // A valid file adds a class and changes another one's settings.
+    let added = valid.replace(
         r#"{"name":"sheet","slo":20000000,"hardLimit":30000000,"#,
         r#"{"name":"video","slo":20000000,"hardLimit":30000000,"idempotency":"free"},{"name":"sheet","slo":10000000,"hardLimit":20000000,"#,
     );
-    let said = hup(&added.replace("\"passOn\":[false,true]", "\"passOn\":[false,false,true]"));
-    assert!(said.contains("classes video, sheet, record"), "{said}");
-    let stats = call(running.operator, b"stats\n");
+    let log_line =
+        reload(&added.replace("\"passOn\":[false,true]", "\"passOn\":[false,false,true]"));
+    assert!(
+        log_line.contains("classes video, sheet, record"),
+        "{log_line}"
+    );
+    let stats = send_command(proxy.admin_address, b"stats\n");
     assert!(
         stats.contains("proxy.answered.video:0|c\n") && stats.contains("proxy.conf_loaded:1|c\n"),
         "{stats}"
     );
-    assert_eq!(call(running.operator, b"status\n"), "done yes\n");
-    drop(running);
+    assert_eq!(send_command(proxy.admin_address, b"status\n"), "done yes\n");
+    drop(proxy);
     let _ = std::fs::remove_file(file);
 }
 
 #[test]
-fn a_configuration_without_a_journal_service_is_taken_at_sighup_as_at_the_start() {
-    let (file, caches, journal) = configured("nowhere");
-    let whole = common::config(caches.local_addr().unwrap(), journal.local_addr().unwrap());
-    let named = format!("\"journal\":\"{}\",", journal.local_addr().unwrap());
-    let without = whole.replace(&named, "");
-    assert_ne!(without, whole);
-    std::fs::write(&file, &without).unwrap();
-    let running = start(&file, None).unwrap();
-    assert_eq!(call(running.operator, b"status\n"), "done yes\n");
-    let said = running.reload(&file, &without);
+fn a_configuration_without_a_journal_service_is_accepted_at_start_and_at_sighup() {
+    let (file, caches, journal) = write_config("without-journal");
+    let with_journal = common::config(caches.local_addr().unwrap(), journal.local_addr().unwrap());
+    let journal_entry = format!("\"journal\":\"{}\",", journal.local_addr().unwrap());
+    let without_journal = with_journal.replace(&journal_entry, "");
+    assert_ne!(without_journal, with_journal);
+    std::fs::write(&file, &without_journal).unwrap();
+    let proxy = start(&file, None).unwrap();
+    assert_eq!(send_command(proxy.admin_address, b"status\n"), "done yes\n");
+    let log_line = proxy.reload(&file, &without_journal);
     assert!(
-        said.ends_with("no journal service: the list stays as it is"),
-        "{said}"
+        log_line.ends_with("no journal service: the list stays as it is"),
+        "{log_line}"
     );
-    // Named at a later reload, it is asked from then on.
-    let said = running.reload(&file, &whole);
-    assert!(said.contains("the journal service is at"), "{said}");
-    let (mut asks, _) = journal.accept().unwrap();
-    let mut begin = [0; 12];
-    asks.read_exact(&mut begin).unwrap();
-    assert_eq!(&begin, b"GET /journal");
-    let stats = call(running.operator, b"stats\n");
+    // A later reload names a journal service, which is polled from then on.
+    let log_line = proxy.reload(&file, &with_journal);
+    assert!(log_line.contains("the journal service is at"), "{log_line}");
+    let (mut poll, _) = journal.accept().unwrap();
+    let mut start_of_request = [0; 12];
+    poll.read_exact(&mut start_of_request).unwrap();
+    assert_eq!(&start_of_request, b"GET /journal");
+    let stats = send_command(proxy.admin_address, b"stats\n");
     assert!(
         stats.contains("proxy.conf_loaded:2|c\nproxy.conf_invalid:0|c\n"),
         "{stats}"
     );
-    drop(running);
+    drop(proxy);
     let _ = std::fs::remove_file(file);
 }
 
 #[test]
-fn seventy_retunes_of_a_changing_class_are_all_taken() {
-    let (file, caches, journal) = configured("seventy");
-    let running = start(&file, None).unwrap();
-    let good = common::config(caches.local_addr().unwrap(), journal.local_addr().unwrap());
+fn seventy_reloads_that_change_a_class_are_all_accepted() {
+    let (file, caches, journal) = write_config("seventy");
+    let proxy = start(&file, None).unwrap();
+    let valid = common::config(caches.local_addr().unwrap(), journal.local_addr().unwrap());
     for n in 1..=70 {
-        let other = good.replace(
+        let changed = valid.replace(
             "\"hardLimit\":30000000",
             &format!("\"hardLimit\":{}", 30_000_000 + n),
         );
-        assert_ne!(other, good);
-        let said = running.reload(&file, &other);
-        assert!(said.contains("classes sheet, record"), "retune {n}: {said}");
+        assert_ne!(changed, valid);
+        let log_line = proxy.reload(&file, &changed);
+        assert!(
+            log_line.contains("classes sheet, record"),
+            "reload {n}: {log_line}"
+        );
     }
-    drop(running);
+    drop(proxy);
     let _ = std::fs::remove_file(file);
 }
--- a/edge/proxy/tests/operator_file.rs
+++ b/edge/proxy/tests/operator_file.rs
@@ -1,4 +1,4 @@
-//! The operator's file from the command line: what is printed, and what SIGHUP takes or refuses, by the program.
+//! The operator's file: the output of `check-config` and `plan`, and which files a reload accepts or rejects.
 
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
@@ -8,20 +8,22 @@
 
 mod common;
 
-const PATIENCE: Duration = Duration::from_secs(30);
-const TREE: &str = "hierarchy(epoch = 2, domain = \"f.example\")\narchive(\"archive\")\n\
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+const HIERARCHY: &str = "hierarchy(epoch = 2, domain = \"f.example\")\narchive(\"archive\")\n\
     hub(\"hub\", parents = [\"archive\"])\nlocation(\"edge\", parents = [\"hub\"])\n";
 
-fn told(arguments: &[&str]) -> (bool, String) {
+/// Runs a command to its end; whether it succeeded, and its output and error output.
+fn run(arguments: &[&str]) -> (bool, String) {
     let output = common::command(arguments)
         .env_remove("GW_CONFIG")
         .output()
-        .expect("the program");
+        .expect("a running proxy");
     let text = [output.stdout, output.stderr].concat();
     (output.status.success(), String::from_utf8(text).unwrap())
 }
 
-fn root(file: &str) -> String {
+/// The path of a file of the repository.
+fn repository_file(file: &str) -> String {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../..")
         .join(file)
@@ -29,7 +31,7 @@
         .to_string()
 }
 
-/// A folder that goes with the test.
+/// A temporary folder that is removed on drop.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -53,44 +55,48 @@
 }
 
 #[test]
-fn the_files_that_are_shipped_are_sound_and_their_plan_is_told() {
-    let (well, text) = told(&["check-config", "--operator", &root("deploy/foldmux.star")]);
+fn the_shipped_files_are_valid_and_their_plan_is_printed() {
+    let (ok, text) = run(&[
+        "check-config",
+        "--operator",
+        &repository_file("deploy/foldmux.star"),
+    ]);
     assert!(
-        well && text.contains("10 locations, 3 hubs, 3 of them shields"),
+        ok && text.contains("10 locations, 3 hubs, 3 of them shields"),
         "{text}"
     );
     let (old, new) = (
-        root("deploy/foldmux.star"),
-        root("rigs/simulator/scenarios/rewired.star"),
+        repository_file("deploy/foldmux.star"),
+        repository_file("rigs/simulator/scenarios/rewired.star"),
     );
-    let (taken, text) = told(&["plan", &old, &new]);
-    assert!(taken, "{text}");
+    let (ok, text) = run(&["plan", &old, &new]);
+    assert!(ok, "{text}");
     insta::assert_snapshot!("plan", text);
-    let (taken, text) = told(&["plan", &new, &old]);
+    let (ok, text) = run(&["plan", &new, &old]);
     assert!(
-        !taken && text.contains("it would be refused: epoch 4 is older than epoch 5 in service"),
+        !ok && text.contains("it would be refused: epoch 4 is older than epoch 5 in service"),
         "{text}"
     );
 }
 
 #[test]
-fn a_faulty_file_is_one_line_for_each_fault_and_nothing_else() {
+fn an_invalid_file_prints_one_line_per_error_and_nothing_else() {
     let folder = Folder::new("faulty");
-    let faulty =
-        TREE.replace("[\"hub\"]", "[\"hub\", \"west\", \"archive\"]") + "relay(lease_ms = 1)\n";
-    let file = folder.file("a.star", &faulty);
-    let (well, text) = told(&["check-config", "--operator", &file]);
+    let invalid = HIERARCHY.replace("[\"hub\"]", "[\"hub\", \"west\", \"archive\"]")
+        + "relay(lease_ms = 1)\n";
+    let file = folder.file("a.star", &invalid);
+    let (ok, text) = run(&["check-config", "--operator", &file]);
     assert_eq!(
-        (well, text),
+        (ok, text),
         (
             false,
             format!("foldmux: {file}:5: lease_ms: lower than 10\n")
         )
     );
-    let file = folder.file("b.star", &faulty.replace("relay(lease_ms = 1)\n", ""));
-    let (well, text) = told(&["check-config", "--operator", &file]);
+    let file = folder.file("b.star", &invalid.replace("relay(lease_ms = 1)\n", ""));
+    let (ok, text) = run(&["check-config", "--operator", &file]);
     let lines: Vec<&str> = text.lines().collect();
-    assert!(!well && lines.len() == 2, "{text}");
+    assert!(!ok && lines.len() == 2, "{text}");
     assert_eq!(
         lines[0],
         format!("foldmux: {file}:4: edge names the parent west, which is no node")
@@ -99,8 +105,8 @@
         lines[1].contains(":4: location edge names the archive as a parent"),
         "{text}"
     );
-    // A tree without this proxy's zone can't be used by it; by itself it is sound.
-    let other = folder.file("c.star", &TREE.replace("\"edge\"", "\"porvoo\""));
+    // A hierarchy without this proxy's zone is valid by itself, but not together with this configuration.
+    let other = folder.file("c.star", &HIERARCHY.replace("\"edge\"", "\"porvoo\""));
     let config = folder.file(
         "config.json",
         &common::config(
@@ -108,27 +114,27 @@
             "127.0.0.1:9".parse().unwrap(),
         ),
     );
-    let (well, text) = told(&["check-config", "--config", &config, "--operator", &other]);
+    let (ok, text) = run(&["check-config", "--config", &config, "--operator", &other]);
     assert!(
-        !well && text.contains("edge, this proxy's zone, is no location of the tree"),
+        !ok && text.contains("edge, this proxy's zone, is no location of the tree"),
         "{text}"
     );
-    assert!(told(&["check-config", "--operator", &other]).0);
+    assert!(run(&["check-config", "--operator", &other]).0);
 }
 
-struct Serving {
+struct RunningProxy {
     child: Child,
     log: Receiver<String>,
 }
 
-impl Serving {
-    fn line(&self, holds: &str) -> String {
-        std::iter::from_fn(|| self.log.recv_timeout(PATIENCE).ok())
-            .find(|line| line.contains(holds))
-            .unwrap_or_else(|| panic!("no line with {holds}"))
+impl RunningProxy {
+    fn wait_for_log(&self, pattern: &str) -> String {
+        std::iter::from_fn(|| self.log.recv_timeout(TEST_TIMEOUT).ok())
+            .find(|line| line.contains(pattern))
+            .unwrap_or_else(|| panic!("no log line with {pattern}"))
     }
 
-    fn hup(&self) {
+    fn send_sighup(&self) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill")
             .args(["-HUP", &id])
@@ -138,7 +144,7 @@
     }
 }
 
-impl Drop for Serving {
+impl Drop for RunningProxy {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -146,11 +152,14 @@
 }
 
 #[test]
-fn a_new_epoch_is_taken_in_service_and_a_bad_one_changes_nothing() {
+fn a_reload_accepts_a_newer_epoch_and_rejects_an_invalid_hierarchy() {
     let folder = Folder::new("rewire");
-    let operator = folder.file("foldmux.star", TREE);
-    let nowhere = "127.0.0.1:9".parse().unwrap();
-    let config = folder.file("config.json", &common::config(nowhere, nowhere));
+    let operator = folder.file("foldmux.star", HIERARCHY);
+    let unused_address = "127.0.0.1:9".parse().unwrap();
+    let config = folder.file(
+        "config.json",
+        &common::config(unused_address, unused_address),
+    );
     let arguments = [
         "serve",
         "--config",
@@ -163,38 +172,42 @@
     let mut child = common::command(&arguments)
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program");
-    let (told, log) = channel();
+        .expect("a running proxy");
+    let (sender, log) = channel();
     let lines = BufReader::new(child.stderr.take().unwrap())
         .lines()
         .map_while(Result::ok);
-    std::thread::spawn(move || lines.for_each(|line| drop(told.send(line))));
-    let serving = Serving { child, log };
-    let first = serving.line(" is listening on ");
+    std::thread::spawn(move || lines.for_each(|line| drop(sender.send(line))));
+    let proxy = RunningProxy { child, log };
+    let first = proxy.wait_for_log(" is listening on ");
     assert!(
         first.starts_with('{') && first.contains("\"level\":\"INFO\""),
         "{first}"
     );
     for (text, line) in [
-        (TREE.replace("epoch = 2", "epoch = 3"), "rewire: tree 3-"),
         (
-            TREE.replace("epoch = 2", "epoch = 1"),
+            HIERARCHY.replace("epoch = 2", "epoch = 3"),
+            "rewire: tree 3-",
+        ),
+        (
+            HIERARCHY.replace("epoch = 2", "epoch = 1"),
             "epoch 1 is older than epoch 3 in service",
         ),
         (
-            TREE.replace("epoch = 2", "epoch = 9")
+            HIERARCHY
+                .replace("epoch = 2", "epoch = 9")
                 .replace("\"edge\"", "\"other\""),
             "is no location of the tree; all stays",
         ),
         ("hub(".to_string(), "foldmux.star:1: "),
         (
-            TREE.replace("epoch = 2", "epoch = 1, instead_of = 3"),
+            HIERARCHY.replace("epoch = 2", "epoch = 1, instead_of = 3"),
             "rewire: tree 1-",
         ),
     ] {
         std::fs::write(&operator, text).unwrap();
-        serving.hup();
-        let told = serving.line("rewire: ");
-        assert!(told.contains(line), "{told} has no {line}");
+        proxy.send_sighup();
+        let log_line = proxy.wait_for_log("rewire: ");
+        assert!(log_line.contains(line), "{log_line} doesn't contain {line}");
     }
 }
--- a/edge/proxy/tests/reload_hierarchy.rs
+++ b/edge/proxy/tests/reload_hierarchy.rs
@@ -1,8 +1,8 @@
-//! An operator's tree stays in service over a reload of the settings, whatever those say of hubs.
+//! The hierarchy of the operator's file stays in service across a reload of the settings, whatever hubs those name.
 
-use admin_process::{spawned, AdminProcess};
+use admin_process::{spawn, AdminProcess};
 use foldmux_fakes::rpc::Said;
-use held_attempts::{ask, Attempt, BODY};
+use held_attempts::{send_request, Attempt, BODY};
 use std::net::{SocketAddr, TcpListener};
 
 #[path = "common/admin_process.rs"]
@@ -11,8 +11,8 @@
 #[path = "common/held_attempts.rs"]
 mod held_attempts;
 
-/// The tree has this proxy's zone and `south` at one hub; the settings, this proxy's zone and `north`.
-const TREE: &str = r#"
+/// Here this proxy's zone shares its hub with `south`; in the settings it shares its hub with `north`.
+const HIERARCHY: &str = r#"
 hierarchy(epoch = 2, domain = "f.example")
 archive("archive")
 hub("hub", parents = ["archive"])
@@ -44,46 +44,52 @@
         )
 }
 
-/// Of which neighbour a miss is filled.
-fn is_filled_from(running: &AdminProcess, caches: &TcpListener, object: u64, sibling: &str) {
-    let asked = ask(running.serves, "sheet", object);
-    let attempt = Attempt::next(caches);
+/// Asserts that the attempt names this sibling as the source of a fill.
+fn assert_filled_from(proxy: &AdminProcess, caches: &TcpListener, object: u64, sibling: &str) {
+    let request = send_request(proxy.client_address, "sheet", object);
+    let attempt = Attempt::accept(caches);
     assert!(attempt.head.contains(sibling), "{}", attempt.head);
     attempt.serve();
-    assert_eq!(asked.said(), Some(Said::Served(BODY.to_vec())));
+    assert_eq!(request.wait(), Some(Said::Served(BODY.to_vec())));
 }
 
 #[test]
-fn a_reload_leaves_the_tree_in_service_also_where_the_operators_file_is_broken_by_then() {
+fn a_reload_keeps_the_hierarchy_also_if_the_operators_file_is_invalid_by_then() {
     let [caches, journal] = [0; 2].map(|_| TcpListener::bind("127.0.0.1:0").unwrap());
     let folder = tempfile::tempdir().unwrap();
-    let [file, operator] = ["config.json", "foldmux.star"].map(|name| folder.path().join(name));
+    let [config_file, operator_file] =
+        ["config.json", "foldmux.star"].map(|name| folder.path().join(name));
     let text = config(caches.local_addr().unwrap(), journal.local_addr().unwrap());
-    std::fs::write(&file, &text).unwrap();
-    std::fs::write(&operator, TREE).unwrap();
+    std::fs::write(&config_file, &text).unwrap();
+    std::fs::write(&operator_file, HIERARCHY).unwrap();
     let mut command = common::command(&["serve"]);
     command
-        .env("GW_CONFIG", &file)
+        .env("GW_CONFIG", &config_file)
         .env("GW_OPERATOR", "127.0.0.1:0")
         .env_remove("TMPDIR");
-    let running = spawned_with(command, &operator);
-    is_filled_from(&running, &caches, 1, SOUTH);
-    for (object, tree) in [(2, TREE), (3, "hub(")] {
-        std::fs::write(&operator, tree).unwrap();
-        assert!(running.reload(&file, &text).contains("reload: classes"));
-        // The file of the operator is read after the settings: its line says that both are over.
+    let proxy = spawn_with_operator_file(command, &operator_file);
+    assert_filled_from(&proxy, &caches, 1, SOUTH);
+    for (object, hierarchy) in [(2, HIERARCHY), (3, "hub(")] {
+        std::fs::write(&operator_file, hierarchy).unwrap();
+        assert!(proxy
+            .reload(&config_file, &text)
+            .contains("reload: classes"));
+        // The operator's file is read after the settings: its log line shows that both reloads are done.
         let mut lines =
-            std::iter::from_fn(|| running.log.recv_timeout(admin_process::PATIENCE).ok());
+            std::iter::from_fn(|| proxy.log.recv_timeout(admin_process::TEST_TIMEOUT).ok());
         assert!(lines.any(|line| line.contains("rewire: ")));
-        is_filled_from(&running, &caches, object, SOUTH);
+        assert_filled_from(&proxy, &caches, object, SOUTH);
     }
-    drop(running);
-    // Without the tree the settings hold: the test tells the two apart.
-    let running = admin_process::start(&file, None).unwrap();
-    is_filled_from(&running, &caches, 4, NORTH);
+    drop(proxy);
+    // Without the operator's file the hubs of the settings apply: the two cases differ as intended.
+    let proxy = admin_process::start(&config_file, None).unwrap();
+    assert_filled_from(&proxy, &caches, 4, NORTH);
 }
 
-fn spawned_with(mut command: std::process::Command, operator: &std::path::Path) -> AdminProcess {
-    command.env("FOLDMUX_OPERATOR", operator);
-    spawned(command).expect("it serves")
+fn spawn_with_operator_file(
+    mut command: std::process::Command,
+    operator_file: &std::path::Path,
+) -> AdminProcess {
+    command.env("FOLDMUX_OPERATOR", operator_file);
+    spawn(command).expect("a running proxy")
 }
--- a/edge/proxy/tests/shutdown_during_dial.rs
+++ b/edge/proxy/tests/shutdown_during_dial.rs
@@ -1,63 +1,63 @@
-//! SIGTERM while a request's connection is dialled: it is served where the dial comes up in time, and answered before SIGKILL
-//! may come where it does not.
+//! SIGTERM while the connection for a request is dialled: the request is served if the dial succeeds in time, and otherwise
+//! gets its response before SIGKILL can come.
 
 use foldmux_fakes::backlog::{is_dialled, Filled};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use test_proxy::{Client, TestProxy, PATIENCE};
+use test_proxy::{Client, TestProxy, TEST_TIMEOUT};
 
 mod common;
 #[path = "common/test_proxy.rs"]
 mod test_proxy;
 
-const ONE: u64 = 0x1111_0000_0000_0001;
+const OBJECT: u64 = 0x1111_0000_0000_0001;
 
-/// The program whose dials may take longer than any test.
-fn proxy() -> TestProxy {
-    TestProxy::start_with(|config| {
+/// A proxy whose dial timeout is longer than any test.
+fn start_proxy() -> TestProxy {
+    TestProxy::start_with_config(|config| {
         config.replace("\"dialTimeout\":400000", "\"dialTimeout\":60000000")
     })
 }
 
-/// A client whose request waits for its connection to the cache.
-fn dialling(proxy: &TestProxy, cache: SocketAddr) -> Client {
+/// A client whose request waits for the dial to the cache.
+fn client_with_hung_dial(proxy: &TestProxy, cache: SocketAddr) -> Client {
     let mut client = proxy.client();
-    client.ask(ONE);
-    let end = Instant::now() + PATIENCE;
+    client.send_request(OBJECT);
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !is_dialled(cache) {
-        assert!(Instant::now() < end, "no dial is under way");
+        assert!(Instant::now() < deadline, "the cache is not dialled");
         std::thread::sleep(Duration::from_millis(1));
     }
     client
 }
 
 #[test]
-fn a_dial_that_comes_up_after_sigterm_serves_its_request() {
-    let mut proxy = proxy();
-    let filled = Filled::new(proxy.caches());
-    let mut client = dialling(&proxy, proxy.caches().local_addr().unwrap());
-    proxy.leave();
-    filled.make_room(proxy.caches());
-    proxy.attempt().give(b"ok");
-    assert!(client.answer().contains("\\xc4\\x02ok"));
-    client.ends();
+fn a_request_is_served_if_its_dial_succeeds_after_sigterm() {
+    let mut proxy = start_proxy();
+    let full_queue = Filled::new(proxy.caches());
+    let mut client = client_with_hung_dial(&proxy, proxy.caches().local_addr().unwrap());
+    proxy.start_drain();
+    full_queue.make_room(proxy.caches());
+    proxy.next_attempt().respond(b"ok");
+    assert!(client.read_response().contains("\\xc4\\x02ok"));
+    client.assert_closed();
     drop(client);
-    proxy.ends_well();
+    proxy.assert_clean_exit();
 }
 
 #[test]
-fn a_request_whose_dial_does_not_come_up_is_answered_before_the_process_ends() {
-    let mut proxy = proxy();
-    let filled = Filled::new(proxy.caches());
-    let mut client = dialling(&proxy, proxy.caches().local_addr().unwrap());
-    proxy.leave();
+fn a_request_whose_dial_hangs_is_rejected_before_the_process_exits() {
+    let mut proxy = start_proxy();
+    let full_queue = Filled::new(proxy.caches());
+    let mut client = client_with_hung_dial(&proxy, proxy.caches().local_addr().unwrap());
+    proxy.start_drain();
     assert!(
-        client.answer().contains("Shed"),
-        "nothing was sent: trying again is harmless"
+        client.read_response().contains("Shed"),
+        "nothing was sent, so that the client may retry"
     );
-    client.ends();
+    client.assert_closed();
     drop(client);
-    proxy.ends_well();
-    filled.make_room(proxy.caches());
-    assert_eq!(proxy.waiting_attempts(), 0);
+    proxy.assert_clean_exit();
+    full_queue.make_room(proxy.caches());
+    assert_eq!(proxy.pending_attempts(), 0);
 }
--- a/edge/proxy/tests/size.rs
+++ b/edge/proxy/tests/size.rs
@@ -1,5 +1,5 @@
-//! What a process takes at the size of a larger fleet: sixty caches, six in ten of them replaced while more clients than it
-//! has places for ask. Counted in `/proc`.
+//! The resources of a proxy with a larger fleet: 60 pop caches, of which 36 are replaced while more clients than it has slots
+//! for send requests. Descriptors, threads and memory are read from `/proc`.
 
 use foldmux_fakes::journal::{hosts, Host, Journal};
 use foldmux_fakes::rpc::{Said, Terminal};
@@ -13,22 +13,22 @@
 
 mod common;
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 const CACHES: usize = 60;
 const REPLACED: usize = 36;
 const CLIENTS: usize = 140;
-/// Threads and descriptors that do not go with clients, requests and connections to caches: the event loop, the acceptor, the log,
-/// the journal, signals, the listener, what is inherited.
-const FIXED: usize = 24;
-const SOCKETS: usize = 384;
+/// Threads and descriptors besides those of clients, requests and connections to caches: the event loop, the acceptor, the
+/// log, the journal, signals, the listener, inherited descriptors.
+const FIXED_OVERHEAD: usize = 24;
+const MAX_SOCKETS: usize = 384;
 const MEMORY_MB: usize = 48;
 
-/// What a process takes of the machine.
+/// The resources that a process uses.
 #[derive(Clone, Copy, Debug)]
 struct Usage {
     descriptors: usize,
     threads: usize,
-    /// Its own memory.
+    /// Its anonymous resident memory (`RssAnon`).
     memory_kb: usize,
 }
 
@@ -49,6 +49,7 @@
         }
     }
 
+    /// The larger value of each field.
     fn max(self, other: Usage) -> Usage {
         Usage {
             descriptors: self.descriptors.max(other.descriptors),
@@ -58,15 +59,19 @@
     }
 }
 
-fn until(what: &str, mut is: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
-    while !is() {
-        assert!(Instant::now() < end, "never: {what}");
+/// Polls a condition until it is true.
+fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while !condition() {
+        assert!(
+            Instant::now() < deadline,
+            "timed out waiting until {description}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-fn ask(terminal: &mut Terminal, number: u64) -> std::io::Result<Said> {
+fn send_request(client: &mut Terminal, number: u64) -> std::io::Result<Said> {
     let fields = BTreeMap::from([
         ("i", format!("{:016x}", number ^ 0x5eed)),
         ("d", "20000".to_string()),
@@ -75,19 +80,20 @@
         ("batch", "1".to_string()),
         ("m", "4".to_string()),
     ]);
-    terminal.ask("sheet", &fields, b"")
+    client.ask("sheet", &fields, b"")
 }
 
+/// A cache that serves objects of 20 kB after 4 ms.
 fn start_cache() -> Source {
     Source::start(|_| Act::give(20_000, Duration::from_millis(4)))
 }
 
-/// The caches, the journal service that lists them, and the program.
+/// The caches, the journal service that lists them, and the proxy.
 struct Deployment {
-    // Dropped first: the program is ended before what it is connected to.
-    program: common::Program,
+    // The first field is dropped first: the proxy ends before the services that it is connected to.
+    proxy: common::ProxyProcess,
     journal: Journal,
-    // The caches fill from it, as far as the program knows.
+    // The caches fill from it as far as the proxy knows; it gets no requests.
     _origin: Source,
     caches: Vec<Source>,
     address: SocketAddr,
@@ -109,7 +115,7 @@
         });
         journal.tell(&hosts(true, &first));
         let config = format!(
-            r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"1","limits":{{"memory_mb":{MEMORY_MB},"sockets":{SOCKETS}}},
+            r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"1","limits":{{"memory_mb":{MEMORY_MB},"sockets":{MAX_SOCKETS}}},
         "journal":"{}","settings":{}}}"#,
             journal.address(),
             common::SETTINGS
@@ -117,9 +123,9 @@
         let bounds = foldmux_proxy::config::parse(config.clone().into_bytes())
             .unwrap()
             .bounds;
-        let (program, address) = common::start(&config);
-        until("it is well", || {
-            Terminal::connect(address, PATIENCE)
+        let (proxy, address) = common::start(&config);
+        wait_until("the proxy is well", || {
+            Terminal::connect(address, TEST_TIMEOUT)
                 .and_then(|mut t| t.well())
                 .unwrap_or(false)
         });
@@ -127,40 +133,40 @@
             caches,
             _origin: origin,
             journal,
-            program,
+            proxy,
             address,
             bounds,
         }
     }
 
     fn usage(&self) -> Usage {
-        Usage::of(self.program.id())
+        Usage::of(self.proxy.id())
     }
 
-    fn list(&self, n: usize, status: &'static str, since_ms: u64) {
+    fn announce(&self, n: usize, status: &'static str, since_ms: u64) {
         let changed = host(&self.caches, n, status, since_ms);
         self.journal.tell(&hosts(false, &[changed]));
     }
 
-    /// Replaces caches one after the other, with answers between; the most that the program took meanwhile.
+    /// Replaces caches one after the other, with responses in between, and returns the peak usage meanwhile.
     fn replace_caches(&self, clients: &Clients) -> Usage {
-        let mut most = self.usage();
-        let mut beyond = |answered: usize| {
-            let from = clients.answers.load(Ordering::SeqCst);
-            until("answers", || {
-                most = most.max(self.usage());
-                clients.answers.load(Ordering::SeqCst) >= from + answered
+        let mut peak = self.usage();
+        let mut wait_for_responses = |count: usize| {
+            let from = clients.responses.load(Ordering::SeqCst);
+            wait_until("enough responses came", || {
+                peak = peak.max(self.usage());
+                clients.responses.load(Ordering::SeqCst) >= from + count
             });
         };
-        beyond(600);
+        wait_for_responses(600);
         for n in 0..REPLACED {
-            self.list(n, "draining", 0);
-            self.list(CACHES + n, "ready", unix_ms());
-            beyond(20);
-            self.list(n, "gone", 0);
+            self.announce(n, "draining", 0);
+            self.announce(CACHES + n, "ready", unix_ms());
+            wait_for_responses(20);
+            self.announce(n, "gone", 0);
         }
-        beyond(600);
-        most
+        wait_for_responses(600);
+        peak
     }
 }
 
@@ -175,29 +181,29 @@
     }
 }
 
-/// What all clients count together.
+/// Counters that all clients share.
 #[derive(Default)]
 struct Clients {
-    over: AtomicBool,
-    answers: AtomicUsize,
+    stopped: AtomicBool,
+    responses: AtomicUsize,
     served: AtomicUsize,
 }
 
 impl Clients {
-    /// One client asks until all is over; where it finds no place it comes again.
+    /// Runs one client until the test stops; it reconnects when the proxy closes its connection.
     fn run_one(&self, address: SocketAddr, client: u64) {
         let mut number = client << 32;
-        while !self.over.load(Ordering::SeqCst) {
-            let Ok(mut terminal) = Terminal::connect(address, PATIENCE) else {
+        while !self.stopped.load(Ordering::SeqCst) {
+            let Ok(mut client) = Terminal::connect(address, TEST_TIMEOUT) else {
                 continue;
             };
-            while !self.over.load(Ordering::SeqCst) {
+            while !self.stopped.load(Ordering::SeqCst) {
                 number += 1;
-                let Ok(said) = ask(&mut terminal, number) else {
+                let Ok(outcome) = send_request(&mut client, number) else {
                     break;
                 };
-                self.answers.fetch_add(1, Ordering::SeqCst);
-                let served = matches!(said, Said::Served(_)) as usize;
+                self.responses.fetch_add(1, Ordering::SeqCst);
+                let served = matches!(outcome, Said::Served(_)) as usize;
                 self.served.fetch_add(served, Ordering::SeqCst);
                 std::thread::sleep(Duration::from_millis(10));
             }
@@ -207,12 +213,12 @@
 }
 
 #[test]
-fn sixty_caches_of_which_six_in_ten_are_replaced_and_many_clients_stay_within_the_bounds() {
+fn a_proxy_with_sixty_caches_36_replacements_and_many_clients_stays_within_its_bounds() {
     let deployment = Deployment::start();
     let bounds = deployment.bounds;
     let at_rest = deployment.usage();
     let clients = Clients::default();
-    let mut most = at_rest;
+    let mut peak = at_rest;
     std::thread::scope(|scope| {
         for client in 0..CLIENTS as u64 {
             let (clients, address) = (&clients, deployment.address);
@@ -221,34 +227,34 @@
                 .spawn_scoped(scope, move || clients.run_one(address, client))
                 .unwrap();
         }
-        most = most.max(deployment.replace_caches(&clients));
-        // What is gone is asked for nothing more, and has no connection.
-        let gone = &deployment.caches[..REPLACED];
-        until("connections to what is gone are closed", || {
-            gone.iter().all(|c| c.server.open() == 0)
+        peak = peak.max(deployment.replace_caches(&clients));
+        // Removed caches get no more requests, and their connections are closed.
+        let removed = &deployment.caches[..REPLACED];
+        wait_until("connections to removed caches are closed", || {
+            removed.iter().all(|c| c.server.open() == 0)
         });
-        clients.over.store(true, Ordering::SeqCst);
+        clients.stopped.store(true, Ordering::SeqCst);
     });
-    let (answers, served) = (clients.answers.into_inner(), clients.served.into_inner());
-    println!("at rest {at_rest:?}, most {most:?}; {served} of {answers} served; {bounds:?}");
+    let (responses, served) = (clients.responses.into_inner(), clients.served.into_inner());
+    println!("at rest {at_rest:?}, peak {peak:?}; {served} of {responses} served; {bounds:?}");
     let Usage {
         descriptors,
         threads,
         memory_kb,
-    } = most;
-    assert!(served * 2 > answers, "{served} of {answers} served");
+    } = peak;
+    assert!(served * 2 > responses, "{served} of {responses} served");
     assert!(
-        descriptors <= bounds.clients + bounds.upstream + FIXED,
+        descriptors <= bounds.clients + bounds.upstream + FIXED_OVERHEAD,
         "{descriptors} descriptors"
     );
-    assert!(descriptors < SOCKETS, "{descriptors} descriptors");
+    assert!(descriptors < MAX_SOCKETS, "{descriptors} descriptors");
     assert!(
-        threads <= bounds.clients + bounds.open + FIXED,
+        threads <= bounds.clients + bounds.open + FIXED_OVERHEAD,
         "{threads} threads"
     );
     assert!(memory_kb < MEMORY_MB * 1024, "{memory_kb} KB");
-    // With the clients gone their descriptors are given back.
-    until("descriptors of clients are given back", || {
+    // When the clients have left, their descriptors are closed.
+    wait_until("descriptors of clients are closed", || {
         deployment.usage().descriptors <= at_rest.descriptors + CACHES + bounds.upstream / 2
     });
 }
--- a/edge/proxy/tests/upgrade_maintenance.rs
+++ b/edge/proxy/tests/upgrade_maintenance.rs
@@ -1,4 +1,5 @@
-//! Two processes of one place, as in an upgrade, and calls at both at one moment.
+//! Two processes that share an address and a maintenance file, as during an upgrade, with concurrent maintenance commands
+//! to both.
 
 use admin_process::*;
 use std::net::SocketAddr;
@@ -11,60 +12,64 @@
 const CACHES: u32 = 40;
 
 fn config(journal: SocketAddr) -> String {
-    let line = |n: u32| {
+    let endpoint = |n: u32| {
         format!(
             r#"{{"name":"s-{n:08x}","address":"127.0.0.1:9","zone":"edge","type":"box","status":"ready","weight":1}}"#
         )
     };
-    let lines: Vec<String> = (1..=CACHES).map(line).collect();
+    let endpoints: Vec<String> = (1..=CACHES).map(endpoint).collect();
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"1","limits":{{"memory_mb":192,"sockets":1024}},"journal":"{journal}",
         "known":{{"pos":1,"entries":[{{"pos":1,"hosts":{{"index":1,"snapshot":true,"endpoints":[{}]}}}}]}},"settings":{}}}"#,
-        lines.join(","),
+        endpoints.join(","),
         common::SETTINGS
     )
 }
 
 #[test]
-fn calls_at_both_processes_of_an_upgrade_at_one_moment_all_hold_at_both() {
+fn concurrent_maintenance_commands_take_effect_in_both_processes_of_an_upgrade() {
     let journal = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let tmp = tempfile::tempdir().unwrap();
     let file = tmp.path().join("config.json");
     std::fs::write(&file, config(journal.local_addr().unwrap())).unwrap();
-    let old = start_in(&file, None, Some(tmp.path())).unwrap();
-    let new = start_in(&file, Some(old.serves), Some(tmp.path())).unwrap();
-    let at = [old.operator, new.operator];
-    // Each process takes half of them out, every call on a connection of its own, all at once.
-    let together = |call_of: &(dyn Fn(u32) -> String + Sync)| {
+    let old = start_with_tmpdir(&file, None, Some(tmp.path())).unwrap();
+    let new = start_with_tmpdir(&file, Some(old.client_address), Some(tmp.path())).unwrap();
+    let admin_addresses = [old.admin_address, new.admin_address];
+    // Each process gets half of the commands, all at once, each on its own connection.
+    let send_concurrently = |command_for: &(dyn Fn(u32) -> String + Sync)| {
         let ready = Barrier::new(CACHES as usize);
         std::thread::scope(|scope| {
             for n in 1..=CACHES {
                 let ready = &ready;
                 scope.spawn(move || {
                     ready.wait();
-                    let said = call(at[n as usize % 2], call_of(n).as_bytes());
-                    assert!(said.starts_with("done s-"), "{n}: {said}");
+                    let response =
+                        send_command(admin_addresses[n as usize % 2], command_for(n).as_bytes());
+                    assert!(response.starts_with("done s-"), "{n}: {response}");
                 });
             }
         });
     };
-    let out = |many: u32| format!("proxy.cluster_unhealthy:{many}|g\n");
-    together(&|n| format!("maint-on s-{n:08x}\n"));
-    for (process, operator) in at.iter().enumerate() {
-        let stats = call(*operator, b"stats\n");
-        assert!(stats.contains(&out(CACHES)), "process {process}: {stats}");
+    let out_of_service = |count: u32| format!("proxy.cluster_unhealthy:{count}|g\n");
+    send_concurrently(&|n| format!("maint-on s-{n:08x}\n"));
+    for (process, admin_address) in admin_addresses.iter().enumerate() {
+        let stats = send_command(*admin_address, b"stats\n");
+        assert!(
+            stats.contains(&out_of_service(CACHES)),
+            "process {process}: {stats}"
+        );
     }
-    // A third is brought back, while the others are called out once more.
-    together(&|n| {
+    // A third of the caches is brought back, while the others are taken out again.
+    send_concurrently(&|n| {
         format!(
             "maint-{} s-{n:08x}\n",
             if n % 3 == 0 { "off" } else { "on" }
         )
     });
-    for (process, operator) in at.iter().enumerate() {
-        let stats = call(*operator, b"stats\n");
+    for (process, admin_address) in admin_addresses.iter().enumerate() {
+        let stats = send_command(*admin_address, b"stats\n");
         assert!(
-            stats.contains(&out(CACHES - CACHES / 3)),
+            stats.contains(&out_of_service(CACHES - CACHES / 3)),
             "process {process}: {stats}"
         );
     }
