--- a/edge/proxy/tests/common/fault_injection.rs
+++ b/edge/proxy/tests/common/fault_injection.rs
@@ -109,7 +109,7 @@
         .env("LD_PRELOAD", shim_path())
         .env("FOLDMUX_FAULTS", file.path())
         .env("FOLDMUX_FAULT_TRACE", trace.path());
-    // The proxy listens only after the library has read the schedule, so that its file may go on return.
+    // The proxy listens only after the library has read the schedule, so the temporary file may be deleted on return.
     FaultyProxy {
         proxy: TestProxy::start_command(command, change),
         trace,
--- a/edge/proxy/tests/invalid_config.rs
+++ b/edge/proxy/tests/invalid_config.rs
@@ -19,7 +19,7 @@
         .env("GW_CONFIG", &file)
         .env_remove("GW_OPERATOR")
         .output()
-        .expect("a running proxy")
+        .expect("the output of the program")
 }
 
 fn stderr_lines(output: &Output) -> Vec<String> {
--- a/edge/proxy/tests/journal_silence.rs
+++ b/edge/proxy/tests/journal_silence.rs
@@ -20,10 +20,14 @@
 const DRIP_INTERVAL: Duration = Duration::from_millis(100);
 
 fn known() -> String {
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
+    let unused_address = SocketAddr::from(([127, 0, 0, 1], 9));
     event_batch(
         1,
-        &[hosts_event(1, true, &[Endpoint::pop_cache(1, nowhere)])],
+        &[hosts_event(
+            1,
+            true,
+            &[Endpoint::pop_cache(1, unused_address)],
+        )],
     )
 }
 
@@ -108,7 +112,7 @@
 }
 
 #[test]
-fn watches_that_all_fall_silent_at_once_are_all_given_up_for_others() {
+fn polls_that_all_stall_at_once_are_all_repeated_on_new_connections() {
     let service = FakeJournal::start();
     let _proxies: Vec<_> = (0..4).map(|_| start_proxy(&service)).collect();
     let silent: Vec<Poll> = (0..4).map(|_| service.next_poll()).collect();
--- a/edge/proxy/tests/journal_start.rs
+++ b/edge/proxy/tests/journal_start.rs
@@ -36,8 +36,8 @@
 fn assert_not_serving(client: &mut Client) {
     assert!(!client.is_well());
     client.send_request(1);
-    let refusal = client.read_response();
-    assert!(refusal.contains("\\xa4Shed"), "{refusal}");
+    let rejection = client.read_response();
+    assert!(rejection.contains("\\xa4Shed"), "{rejection}");
 }
 
 /// Responds with the first list, and asserts that the proxy is well and serves requests once it sends the next poll.
--- a/edge/proxy/tests/operator_file.rs
+++ b/edge/proxy/tests/operator_file.rs
@@ -17,7 +17,7 @@
     let output = common::command(arguments)
         .env_remove("GW_CONFIG")
         .output()
-        .expect("a running proxy");
+        .expect("the output of the program");
     let text = [output.stdout, output.stderr].concat();
     (output.status.success(), String::from_utf8(text).unwrap())
 }
--- a/edge/proxy/tests/socket_faults.rs
+++ b/edge/proxy/tests/socket_faults.rs
@@ -214,7 +214,7 @@
     // The first spawns belong to the start; then all fail for about two seconds.
     let proxy = start_with_faults("thread error=EAGAIN skip=5 count=200");
     let mut client = proxy.client();
-    // The proxy must respond, with or without a thread at first.
+    // Rejected for lack of a thread or served: the client must get a response.
     assert!(client.is_well());
     assert!(proxy.injected_faults() >= 150);
 }
