--- a/edge/proxy/src/admin.rs
+++ b/edge/proxy/src/admin.rs
@@ -1,9 +1,10 @@
-//! The admin interface: a listener of its own, one command a line, `done` or `error` at the start of each response.
+//! The admin interface: a line protocol on a listener of its own. Each line is a command; each response starts with
+//! `done` or `error`.
 //!
-//! [`commands`] answers a command, [`MaintenanceRegistry`] holds the pop caches that are out of service by hand. Each
-//! connection has a small thread, and there is a bound on their number. A response never waits for client work or for
-//! the event loop: it is made of counts that are read where they are kept. A connection beyond the bound is told so at
-//! once and closed.
+//! [`commands`] executes a command, [`MaintenanceRegistry`] has the pop caches that operators took out of service. Each
+//! connection has a thread with a small stack, and their number is bounded: a connection beyond the bound gets an error
+//! and is closed at once. A response never waits for requests of clients or for the event loop, because it is made from
+//! shared counters.
 
 use foldmux_fronts::listen::{named, pause};
 use foldmux_http1::io::write_all;
@@ -24,20 +25,20 @@
 mod maintenance_file;
 
 /// Stack of a thread of the admin interface (bytes).
-const STACK: usize = 64 * 1024;
-/// What is read from a connection at once (bytes).
-const READ_BUFFER: usize = 1024;
-/// A connection that sends no whole command for this long is closed.
+const STACK_SIZE: usize = 64 * 1024;
+/// Most bytes read from a connection at once.
+const READ_BUFFER_SIZE: usize = 1024;
+/// A connection that sends no complete command for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// A response that is not read for this long ends the connection.
+/// A connection whose client doesn't read a response for this long is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Listens at `address` and answers there until the process ends, at most `max_connections` at once. Returns the address
-/// that was bound.
+/// Serves the admin interface on `address` until the process ends, with at most `max_connections` at once. Returns the
+/// bound address.
 ///
 /// # Errors
 ///
-/// Where the address can't be bound, or no thread can be had.
+/// Returns an error if the address can't be bound, or no thread can be created.
 pub fn serve(
     address: SocketAddr,
     admin: Arc<Admin>,
@@ -48,12 +49,12 @@
     let bound = listener.local_addr().map_err(|error| error.to_string())?;
     if admin.maintenance.is_shared() {
         let registry = admin.maintenance.clone();
-        named("maintenance", STACK, move || loop {
+        named("maintenance", STACK_SIZE, move || loop {
             thread::sleep(SYNC_INTERVAL);
             registry.sync();
         })?;
     }
-    named("admin", STACK, move || {
+    named("admin", STACK_SIZE, move || {
         accept(&listener, &admin, max_connections)
     })?;
     Ok(bound)
@@ -80,7 +81,7 @@
 }
 
 fn spawn_connection(stream: TcpStream, admin: Arc<Admin>, permit: ConnectionPermit) {
-    let spawned = named("admin-client", STACK, move || {
+    let spawned = named("admin-client", STACK_SIZE, move || {
         let _permit = permit;
         serve_connection(stream, &admin);
     });
@@ -89,7 +90,8 @@
     }
 }
 
-/// One of the connections that may be open at once; given back however the connection ends, also where it never began.
+/// The right to have one of the connections that may be open at once. Dropping it releases the right, also when the
+/// connection's thread was never started.
 struct ConnectionPermit(Arc<AtomicUsize>);
 
 impl ConnectionPermit {
@@ -108,11 +110,11 @@
     }
 }
 
-/// Answers each whole line at once, in order, until the client closes or is idle for too long.
+/// Executes each command when its line is complete, in order, until the client closes or is idle for too long.
 fn serve_connection(stream: TcpStream, admin: &Admin) {
     stream::set_nodelay(&stream);
     let mut commands = CommandReader::default();
-    let mut buffer = [0; READ_BUFFER];
+    let mut buffer = [0; READ_BUFFER_SIZE];
     let mut last_command = Instant::now();
     loop {
         let read = match stream::read(&stream, &mut buffer, last_command + IDLE_TIMEOUT) {
@@ -138,7 +140,7 @@
     }
 }
 
-/// Whether the whole response was written in time.
+/// Writes a response. Returns whether it was written completely before the timeout.
 fn respond(stream: &TcpStream, response: &str) -> bool {
     let deadline = Instant::now() + WRITE_TIMEOUT;
     write_all(stream, &[response.as_bytes()], deadline).is_ok()
--- a/edge/proxy/src/admin/commands.rs
+++ b/edge/proxy/src/admin/commands.rs
@@ -1,4 +1,4 @@
-//! What each command of the admin interface does, and its response.
+//! Executes the commands of the admin interface.
 
 use super::maintenance::{MaintenanceRegistry, SYNC_INTERVAL};
 use foldmux_core::Core;
@@ -10,29 +10,30 @@
 use std::thread;
 use std::time::Instant;
 
-/// Longest id that an error repeats whole (bytes).
+/// Longest id that an error repeats in full (bytes).
 const MAX_QUOTED_ID: usize = 128;
-/// After a change, the process beside this one has read the maintenance file at least once within so many intervals.
+/// Within this many intervals after a change, another process that serves the port has read the maintenance file at
+/// least once.
 const SYNC_INTERVALS_TO_APPLY: u32 = 3;
 
-/// What the commands read and change.
+/// The state that the commands read and change.
 pub struct Admin {
-    /// Requests in flight, and the counters.
+    /// The core, for its requests in flight and counters.
     pub core: Arc<Core>,
-    /// The pop caches that are out of service by hand.
+    /// The pop caches that operators took out of service.
     pub maintenance: Arc<MaintenanceRegistry>,
-    /// Set once a whole endpoint list is known.
-    pub listed: Arc<AtomicBool>,
-    /// Set when the process begins to drain.
-    pub leave_by: Arc<OnceLock<Instant>>,
-    /// Reloads that took the configuration.
+    /// Set once a complete endpoint list is known.
+    pub endpoints_known: Arc<AtomicBool>,
+    /// Set when the process begins to drain: when every request must have been answered.
+    pub drain_deadline: Arc<OnceLock<Instant>>,
+    /// The number of reloads that applied the configuration.
     pub conf_loaded: AtomicU64,
-    /// Reloads that refused it.
+    /// The number of reloads that rejected it.
     pub conf_invalid: AtomicU64,
 }
 
 impl Admin {
-    /// Executes a command; its response ends with an end of line.
+    /// Executes a command. Returns the response, which ends with a newline.
     pub fn execute(&self, command: Command) -> String {
         match command {
             Command::Status if self.is_ready() => "done yes\n".to_string(),
@@ -49,7 +50,7 @@
     }
 
     fn is_ready(&self) -> bool {
-        self.listed.load(Ordering::SeqCst) && self.leave_by.get().is_none()
+        self.endpoints_known.load(Ordering::SeqCst) && self.drain_deadline.get().is_none()
     }
 
     fn statistics(&self) -> Statistics {
@@ -75,7 +76,7 @@
     fn set_maintenance(&self, id: &str, out_of_service: bool) -> String {
         let changed = self.maintenance.set(id, out_of_service);
         if matches!(changed, Ok(true)) && self.maintenance.is_shared() {
-            // A process beside this one, where there is one, has applied the change when the response is sent.
+            // When the response is sent, any other process that serves the port has applied the change.
             thread::sleep(SYNC_INTERVAL * SYNC_INTERVALS_TO_APPLY);
         }
         match changed {
--- a/edge/proxy/src/admin/maintenance.rs
+++ b/edge/proxy/src/admin/maintenance.rs
@@ -1,4 +1,5 @@
-//! The pop caches that are out of service by hand, applied to the endpoint list on its way to the event loop.
+//! Maintenance: the pop caches that operators took out of service. They are marked as draining in the endpoint list on
+//! its way to the event loop.
 
 use super::maintenance_file::MaintenanceFile;
 use foldmux::interface::MemberState;
@@ -11,42 +12,43 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How often the stored set is read, for what a process beside this one changed.
+/// How often the stored set is read, to apply the changes of another process that serves the port.
 pub(super) const SYNC_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The pop caches that are out of service by hand, and the last entry of each as the journal service listed it.
+/// The pop caches that operators took out of service, and the last entry of each listed one.
 ///
-/// One lock is held over both and over sending to the event loop, so that what the journal service says and what
-/// operators say reach the event loop in one order.
+/// One lock covers both and the sending to the event loop, so that changes by the journal service and by operators
+/// reach the event loop in the order in which they were applied.
 pub struct MaintenanceRegistry {
     state: Mutex<RegistryState>,
     event_loop: EventLoopHandle,
-    /// Where the set is stored, for this process's successor and for one beside it.
+    /// Where the set is stored, for a later process and for another one that serves the port at the same time.
     file: Option<MaintenanceFile>,
 }
 
 struct RegistryState {
     out_of_service: MaintenanceSet,
+    /// The endpoints by name, as the journal service listed them last.
     listed: HashMap<Arc<str>, Server>,
 }
 
-/// How many endpoints are known.
+/// The number of known endpoints.
 pub struct EndpointCounts {
-    /// All that are listed.
+    /// All listed endpoints.
     pub listed: usize,
-    /// Those of them that are not ready, or out of service by hand.
+    /// Those that are not ready, or that operators took out of service.
     pub unhealthy: usize,
 }
 
 impl MaintenanceRegistry {
-    /// With what an earlier process stored in `file`, where there is one.
+    /// A registry with the set that an earlier process stored in `file`, if there is one.
     pub fn new(event_loop: EventLoopHandle, file: Option<PathBuf>) -> MaintenanceRegistry {
         let file = file.map(MaintenanceFile::new);
         let stored = file.as_ref().and_then(MaintenanceFile::read);
         let out_of_service = stored.unwrap_or_default();
         if !out_of_service.is_empty() {
             let count = out_of_service.len();
-            tracing::info!("maintenance: {count} pop caches out by hand, as kept");
+            tracing::info!("maintenance: {count} pop caches are out of service, as stored");
         }
         MaintenanceRegistry {
             state: Mutex::new(RegistryState {
@@ -62,8 +64,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Forwards what the journal service listed, with those out of service by hand as draining. `full`: the list is whole,
-    /// and what it leaves out is gone.
+    /// Forwards the endpoints that the journal service listed, those out of service as draining. `full`: the list is
+    /// complete, so endpoints that it doesn't contain are gone.
     pub fn forward(&self, full: bool, listed: Vec<Server>) {
         let mut state = self.state();
         if full {
@@ -83,11 +85,11 @@
         });
     }
 
-    /// Takes a pop cache out of service, or brings it back. Returns whether that changed anything.
+    /// Takes a pop cache out of service, or brings it back. Returns whether that changed the set.
     ///
     /// # Errors
     ///
-    /// Where no pop cache has this id, or too many are out of service.
+    /// Returns an error if no pop cache has this id, or too many are out of service.
     pub fn set(&self, id: &str, out_of_service: bool) -> Result<bool, MaintenanceError> {
         let mut state = self.state();
         let listed = state.listed.contains_key(id);
@@ -107,7 +109,7 @@
         changed
     }
 
-    /// Puts another set in place of the present one. Returns how many listed pop caches that changes.
+    /// Replaces the set. Returns the number of listed pop caches whose state that changes.
     fn apply(&self, state: &mut RegistryState, set: MaintenanceSet) -> usize {
         let differs = |entry: &&Server| {
             set.contains(&entry.name) != state.out_of_service.contains(&entry.name)
@@ -129,7 +131,7 @@
         count
     }
 
-    /// Counts the endpoints as known here, which the event loop may be about to apply.
+    /// Counts the endpoints that were forwarded; the event loop may not have applied the last of them yet.
     pub fn endpoint_counts(&self) -> EndpointCounts {
         let state = self.state();
         let is_unhealthy = |entry: &&Server| {
@@ -141,11 +143,11 @@
         }
     }
 
-    /// Applies what another process that serves this port (a version beside this one) stored: both count as one edge
-    /// proxy, and a pop cache that one of them takes out of service is out for both.
+    /// Applies the set that another process stored. During an upgrade the processes of both versions serve the port and
+    /// count as one edge proxy: a pop cache that one of them takes out of service is out of service for both.
     pub fn sync(&self) {
         let Some(file) = &self.file else { return };
-        // Read under the lock: a command here may change the file between the reading and the applying.
+        // The file is read under the lock; otherwise a command could change it before the set is applied.
         let mut state = self.state();
         let stored = file.read();
         let Some(set) = stored.filter(|set| *set != state.out_of_service) else {
@@ -154,7 +156,7 @@
         let changed = self.apply(&mut state, set);
         if changed > 0 {
             tracing::info!(
-                "maintenance: {changed} pop caches changed by the process beside this one"
+                "maintenance: {changed} pop caches changed by another process on this port"
             );
         }
     }
--- a/edge/proxy/src/admin/maintenance_file.rs
+++ b/edge/proxy/src/admin/maintenance_file.rs
@@ -1,8 +1,8 @@
-//! The maintenance set as the processes that serve one port share it: one file, always whole, changed by one process at
-//! a time.
+//! The file by which the processes that serve one port share the maintenance set. It is always complete, and one
+//! process changes it at a time.
 //!
-//! A change reads the stored set, changes it and replaces the file by a rename, all under a lock on a file beside it, so
-//! that of two concurrent changes neither is lost. Reading takes no lock.
+//! A change reads the stored set, modifies it and replaces the file by a rename. It holds a lock on another file in the
+//! same directory meanwhile, so that neither of two concurrent changes is lost. Reading takes no lock.
 
 use foldmux_operations::maintenance::MaintenanceSet;
 use std::fs::{File, TryLockError};
@@ -11,29 +11,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest wait for the lock. A holder reads and writes one small file.
+/// Longest wait for the lock; its holder only reads and writes one small file.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(1_000);
 const LOCK_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Where the maintenance set is stored.
+/// The file with the maintenance set.
 pub struct MaintenanceFile {
     path: PathBuf,
 }
 
 impl MaintenanceFile {
-    /// At `path`; the lock is beside it.
+    /// A maintenance file at `path`. The lock file has the same name with the extension `lock`.
     pub fn new(path: PathBuf) -> MaintenanceFile {
         MaintenanceFile { path }
     }
 
-    /// The stored set; `None` where there is none, or it can't be read.
+    /// The stored set; `None` if there is none, or it can't be read.
     pub fn read(&self) -> Option<MaintenanceSet> {
         let text = std::fs::read_to_string(&self.path).ok()?;
         Some(MaintenanceSet::parse(&text))
     }
 
-    /// Changes the stored set, or `own` where none is stored. Returns the set as it is then, and what `change` returned.
-    /// Where it can't be stored the log says so, and the change holds in this process alone.
+    /// Changes the stored set, or `own` if none is stored. Returns the changed set and the result of `change`. A set
+    /// that can't be stored is logged, and the change applies to this process only.
     pub fn change<T>(
         &self,
         own: &MaintenanceSet,
@@ -42,20 +42,20 @@
         let locked = self.lock();
         let stored = self.read();
         let mut set = stored.clone().unwrap_or_else(|| own.clone());
-        let changed = change(&mut set);
+        let result = change(&mut set);
         let written = match stored.as_ref() == Some(&set) {
             true => Ok(()),
             false => self.write(&set),
         };
         let path = self.path.display();
         if let Err(error) = written {
-            tracing::warn!("maintenance: not kept in {path}: {error}");
+            tracing::warn!("maintenance: not stored in {path}: {error}");
         }
-        // Written all the same: mostly there is no other process.
+        // The set was written without the lock: usually there is no other process.
         if let Err(error) = locked {
             tracing::warn!("maintenance: {path} changed without its lock: {error}");
         }
-        (set, changed)
+        (set, result)
     }
 
     fn write(&self, set: &MaintenanceSet) -> io::Result<()> {
@@ -65,7 +65,7 @@
         std::fs::rename(&replacement, &self.path)
     }
 
-    /// The lock, released when the file is closed, also where the process dies.
+    /// Takes the lock. It is released when the file is closed, also when the process dies.
     fn lock(&self) -> io::Result<File> {
         let deadline = Instant::now() + LOCK_TIMEOUT;
         let file = File::options()
--- a/edge/proxy/src/admin/maintenance_file/tests.rs
+++ b/edge/proxy/src/admin/maintenance_file/tests.rs
@@ -1,9 +1,9 @@
-//! The maintenance file under changes of several processes, and where it can't be written.
+//! The maintenance file under concurrent changes of several processes, and in a directory that doesn't exist.
 
 use super::*;
 
 #[test]
-fn of_changes_at_one_moment_all_hold() {
+fn no_concurrent_change_is_lost() {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("maintenance");
     let start = std::sync::Barrier::new(4);
@@ -11,7 +11,7 @@
         for n in 0..4 {
             let (file, start) = (file.clone(), &start);
             scope.spawn(move || {
-                // Each as a process of its own would: the file is all that they share.
+                // As in separate processes, the file is all that the threads share.
                 let stored = MaintenanceFile::new(file);
                 start.wait();
                 for k in 0..20 {
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_set_that_cannot_be_stored_holds_in_this_process() {
+fn a_set_that_cannot_be_stored_applies_to_this_process() {
     let stored = MaintenanceFile::new("/nowhere/at/all/kept".into());
     let (set, changed) = stored.change(&MaintenanceSet::default(), |set| set.add("s-1", true));
     assert!(set.contains("s-1") && changed == Ok(true) && stored.read().is_none());
--- a/edge/proxy/src/check_config.rs
+++ b/edge/proxy/src/check_config.rs
@@ -1,4 +1,4 @@
-//! `foldmux check-config`: reads the configuration and the operator's file, and prints what they hold.
+//! `foldmux check-config`: checks the configuration and the operator's file, and prints a summary of them.
 
 use crate::config::{self, ConfigError, NEXT_LINE};
 use crate::hierarchy::{HierarchyError, Zones};
@@ -15,10 +15,10 @@
 /// Environment variable with the path of the configuration.
 const CONFIG_VARIABLE: &str = "GW_CONFIG";
 
-/// Why the files can't be used. Its text is what the program prints.
+/// Why the files can't be used. The program prints its text.
 #[derive(Debug)]
 pub enum CheckError {
-    /// No configuration is named.
+    /// Neither the command line nor the environment names a configuration.
     NoConfig,
     /// The configuration can't be used.
     Config(ConfigError),
@@ -26,16 +26,19 @@
     Operator(OperatorFileError),
     /// The hierarchy can't be used at this proxy.
     Hierarchy(HierarchyError),
-    /// The fleet or the limits can't be used: every fault.
+    /// The fleet or the limits can't be used; one line for each fault.
     Faults(Vec<String>),
-    /// The DNS front can't be used; the text says why.
+    /// The DNS front can't be used, for the given reason.
     Dns(String),
 }
 
 impl fmt::Display for CheckError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CheckError::NoConfig => write!(out, "no configuration: set {CONFIG_VARIABLE}"),
+            CheckError::NoConfig => write!(
+                out,
+                "no configuration: pass --config or set {CONFIG_VARIABLE}"
+            ),
             CheckError::Config(error) => write!(out, "{error}"),
             CheckError::Operator(error) => write!(out, "{error}"),
             CheckError::Hierarchy(error) => write!(out, "{error}"),
@@ -56,21 +59,21 @@
     }
 }
 
-/// Where the configuration is: `file`, else the one that GW_CONFIG names.
+/// The path of the configuration: `file`, else the value of `GW_CONFIG`.
 ///
 /// # Errors
 ///
-/// Where neither names one.
+/// Returns [`CheckError::NoConfig`] if neither is given.
 pub fn config_path(file: Option<OsString>) -> Result<PathBuf, CheckError> {
     let file = file.or_else(|| std::env::var_os(CONFIG_VARIABLE));
     Ok(file.ok_or(CheckError::NoConfig)?.into())
 }
 
-/// Prints what the files hold. The configuration is read where one is named, or where there is no operator's file.
+/// Checks the files and prints a summary. The configuration is read if one is named, or if there is no operator's file.
 ///
 /// # Errors
 ///
-/// Where a file can't be used; what comes before the fault has been printed.
+/// Returns an error if a file can't be used; the summary up to that fault has been printed then.
 pub fn check(config: Option<OsString>, operator: Option<PathBuf>) -> Result<(), CheckError> {
     let operator = match operator {
         Some(file) => {
@@ -91,7 +94,7 @@
     Ok(())
 }
 
-/// Prints the configuration, and checks that the operator's file goes with it. Returns the account's rules.
+/// Prints a summary of the configuration, and checks that the operator's file fits it. Returns the account's rules.
 fn check_config(
     file: Option<OsString>,
     operator: Option<&Operator>,
@@ -104,7 +107,10 @@
         config.listen,
         decoded.classes.join(", ")
     );
-    println!("{bounds:?}, {} events known", config.known.entries.len());
+    println!(
+        "{bounds:?}, {} events known",
+        config.known_events.entries.len()
+    );
     if let Some(fleet) = operator.and_then(|operator| operator.fleet.as_ref()) {
         let faults: Vec<String> = fleet.unknown(&decoded.classes).collect();
         if !faults.is_empty() {
@@ -119,7 +125,7 @@
     Ok(limits::account(decoded, &config.limits))
 }
 
-/// Prints what the operator's file sets, a line or more for each part.
+/// Checks the operator's file, and prints at least one line for each of its parts.
 fn check_operator(operator: &Operator, account: &Account) -> Result<(), CheckError> {
     match &operator.hierarchy {
         None => println!("  hierarchy: off"),
@@ -130,7 +136,7 @@
     }
     match &operator.limits {
         None => println!("  limits: off"),
-        Some(draft) => check_limits(draft, account)?,
+        Some(file) => check_limits(file, account)?,
     }
     match &operator.ext_proc {
         None => println!("  ext_proc: off"),
@@ -162,14 +168,17 @@
     );
 }
 
-fn check_limits(draft: &LimitsFile, account: &Account) -> Result<(), CheckError> {
-    let table = limits::table(account, draft).map_err(CheckError::Faults)?;
-    let own = limits::own_sets(&table);
-    println!("  limits: {own} sets, {} budgets", table.budgets.len());
+fn check_limits(file: &LimitsFile, account: &Account) -> Result<(), CheckError> {
+    let resolved = limits::resolve(account, file).map_err(CheckError::Faults)?;
+    let own_sets = limits::count_own_sets(&resolved);
+    println!(
+        "  limits: {own_sets} sets, {} budgets",
+        resolved.budgets.len()
+    );
     Ok(())
 }
 
-/// The fleet, and a line for each thing that it shares.
+/// Prints the fleet, and a line for each class, stream and pool that its peers share.
 fn print_fleet(fleet: &Fleet) {
     println!(
         "  fleet: {} peers, seats {}, on {}, leases of {} ms, clocks within {} percent",
--- a/edge/proxy/src/cli.rs
+++ b/edge/proxy/src/cli.rs
@@ -1,4 +1,4 @@
-//! The words of the command line.
+//! Parses the command line.
 
 use foldmux_proxy::log::{LogError, LogFormat};
 use lexopt::{Arg, Parser};
@@ -11,40 +11,40 @@
 foldmux, an edge proxy in front of pop caches, and a hub cache behind them
 
   foldmux serve [--config FILE] [--operator FILE]          run in the foreground until SIGTERM; SIGHUP reloads
-  foldmux hub --operator FILE --name NODE                  serve as a hub of the operator's tree; SIGHUP rewires
-  foldmux check-config [--config FILE] [--operator FILE]   read either or both and say what they hold
-  foldmux plan OLD NEW                                     what a rewiring would move, and whether it is taken
+  foldmux hub --operator FILE --name NODE                  serve as a hub of the operator's tree; SIGHUP reloads it
+  foldmux check-config [--config FILE] [--operator FILE]   check either or both and print a summary
+  foldmux plan OLD NEW                                     what a change of the tree would move, and whether it is valid
   foldmux extproc-check ADDRESS [--method M] [--path P] [--header NAME:VALUE]...
                                                            ask a running external processor for one decision
   foldmux limits show CLASS [--route R] | export | schema [--operator FILE]
-  foldmux limits diff OLD NEW                              what differs between two files' limits
+  foldmux limits diff OLD NEW                              compare the limits of two files
   foldmux version
   foldmux help
 
-  --log plain|json    form of the log on standard error
-  --log-level LEVEL   error, warn, info, debug, or a filter by module; else FOLDMUX_LOG, else info
+  --log plain|json    format of the log on standard error
+  --log-level LEVEL   error, warn, info, debug, or a filter by module; default: FOLDMUX_LOG, then info
 
 The configuration is FILE, else the file that GW_CONFIG names. GW_NAME and GW_LISTEN override it.
-The operator's file is a script (deploy/foldmux.star); without it, or FOLDMUX_OPERATOR, all that it could set is off.";
+The operator's file is a script (deploy/foldmux.star); without it and FOLDMUX_OPERATOR, all that it sets is off.";
 
-/// Environment variable with the path of the operator's file.
+/// Environment variable with the path of the operator's file, if `--operator` is not given.
 const OPERATOR_VARIABLE: &str = "FOLDMUX_OPERATOR";
-/// Most words after `limits`.
-const MAX_LIMITS_WORDS: usize = 3;
-/// The request that `extproc-check` asks about, unless others are named.
+/// Most arguments of `limits`.
+const MAX_LIMITS_ARGUMENTS: usize = 3;
+/// The method and path of the request that `extproc-check` sends by default.
 const DEFAULT_METHOD: &str = "GET";
 const DEFAULT_PATH: &str = "/v2/q/formula-card/0000000000000001/0";
 
-/// What the program is to do.
+/// The command to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Serve as an edge proxy.
     Serve,
     /// Serve as a hub.
     Hub,
-    /// Read the files and print what they hold.
+    /// Check the files and print a summary.
     CheckConfig,
-    /// Print what a change of the hierarchy would move.
+    /// Print what a change of the fill hierarchy would move.
     Plan,
     /// Ask a running external processor for one decision.
     ExtProcCheck,
@@ -56,7 +56,7 @@
     Help,
 }
 
-/// The command line, read.
+/// The parsed command line.
 #[derive(Debug)]
 pub struct CommandLine {
     /// The command.
@@ -65,15 +65,15 @@
     pub config: Option<OsString>,
     /// `--operator`, or FOLDMUX_OPERATOR.
     pub operator: Option<PathBuf>,
-    /// `--name`: of a hub.
+    /// `--name`: the node that `hub` serves.
     pub name: Option<String>,
-    /// The words after the command, but for `limits`.
-    pub files: Vec<PathBuf>,
-    /// The request that `extproc-check` asks about.
+    /// The files of `plan`, or the address of `extproc-check`.
+    pub operands: Vec<PathBuf>,
+    /// The request that `extproc-check` sends.
     pub request: CheckedRequest,
-    /// The words after `limits`.
-    pub limits_words: Vec<String>,
-    /// `--route`: of `limits show`.
+    /// The arguments of `limits`.
+    pub limits_arguments: Vec<String>,
+    /// `--route`: the route that `limits show` prints.
     pub route: Option<String>,
     /// `--log`.
     pub log_format: LogFormat,
@@ -81,33 +81,33 @@
     pub log_level: Option<String>,
 }
 
-/// The request that `extproc-check` asks about.
+/// The request that `extproc-check` sends.
 #[derive(Debug)]
 pub struct CheckedRequest {
     /// `--method`.
     pub method: String,
     /// `--path`.
     pub path: String,
-    /// Each `--header`: its name and value.
+    /// The name and value of each `--header`.
     pub headers: Vec<(String, String)>,
 }
 
-/// Why the command line can't be used. Its text is what the program prints.
+/// Why the command line can't be used. The program prints its text.
 #[derive(Debug)]
 pub enum UsageError {
     /// An option is unknown, or has no value.
     Option(lexopt::Error),
-    /// A word is not text.
-    NotText(OsString),
-    /// There is no command.
+    /// An argument is not valid UTF-8.
+    NotUtf8(OsString),
+    /// No command is given.
     NoCommand,
-    /// No command has this name.
+    /// There is no command of this name.
     UnknownCommand(String),
     /// A header has no colon.
     Header(String),
-    /// The log has no such format.
+    /// The log format is unknown.
     Log(LogError),
-    /// The command needs something more, as the text says.
+    /// The command needs another argument, which the text names.
     Missing(&'static str),
 }
 
@@ -115,12 +115,14 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             UsageError::Option(error) => write!(out, "{error}"),
-            UsageError::NotText(word) => write!(out, "{word:?} is no text"),
-            UsageError::NoCommand => write!(out, "no command; see foldmux help"),
+            UsageError::NotUtf8(word) => write!(out, "{word:?} is not valid UTF-8"),
+            UsageError::NoCommand => write!(out, "missing command; see foldmux help"),
             UsageError::UnknownCommand(name) => {
-                write!(out, "no command {name:?}; see foldmux help")
+                write!(out, "unknown command {name:?}; see foldmux help")
+            }
+            UsageError::Header(text) => {
+                write!(out, "header {text:?} is not of the form NAME:VALUE")
             }
-            UsageError::Header(text) => write!(out, "{text:?} is no NAME:VALUE"),
             UsageError::Log(error) => write!(out, "{error}"),
             UsageError::Missing(what) => write!(out, "{what}"),
         }
@@ -136,26 +138,26 @@
 }
 
 impl CommandLine {
-    /// Reads the words of this process.
+    /// Parses the arguments of this process.
     ///
     /// # Errors
     ///
-    /// Where a word can't be used, or there is no command.
-    pub fn read() -> Result<CommandLine, UsageError> {
+    /// Returns an error if an argument is invalid, or no command is given.
+    pub fn parse() -> Result<CommandLine, UsageError> {
         let mut parser = Parser::from_env();
         let mut command = None;
         let mut line = CommandLine::new();
         while let Some(argument) = parser.next()? {
             match argument {
                 Arg::Value(value) => match command {
-                    None => command = Some(parse_command(text(value)?)?),
-                    Some(command) => line.take_word(command, value)?,
+                    None => command = Some(parse_command(utf8(value)?)?),
+                    Some(command) => line.add_argument(command, value)?,
                 },
                 Arg::Long("help") | Arg::Short('h') => command = Some(Command::Help),
                 Arg::Long("version") | Arg::Short('V') => command = Some(Command::Version),
                 Arg::Long(option) => {
                     let option = option.to_string();
-                    line.take_option(&option, &mut parser)?;
+                    line.set_option(&option, &mut parser)?;
                 }
                 other => return Err(other.unexpected().into()),
             }
@@ -164,61 +166,64 @@
         Ok(line)
     }
 
-    /// A line without words.
+    /// A command line without arguments.
     fn new() -> CommandLine {
         CommandLine {
             command: Command::Help,
             config: None,
             operator: std::env::var_os(OPERATOR_VARIABLE).map(PathBuf::from),
             name: None,
-            files: Vec::new(),
+            operands: Vec::new(),
             request: CheckedRequest {
                 method: DEFAULT_METHOD.to_string(),
                 path: DEFAULT_PATH.to_string(),
                 headers: Vec::new(),
             },
-            limits_words: Vec::new(),
+            limits_arguments: Vec::new(),
             route: None,
             log_format: LogFormat::Plain,
             log_level: None,
         }
     }
 
-    /// A word after the command.
-    fn take_word(&mut self, command: Command, value: OsString) -> Result<(), UsageError> {
+    /// Adds an argument that follows the command.
+    fn add_argument(&mut self, command: Command, value: OsString) -> Result<(), UsageError> {
         match command {
-            Command::Plan if self.files.len() < 2 => self.files.push(value.into()),
-            Command::ExtProcCheck if self.files.is_empty() => self.files.push(value.into()),
-            Command::Limits if self.limits_words.len() < MAX_LIMITS_WORDS => {
-                self.limits_words.push(text(value)?)
+            Command::Plan if self.operands.len() < 2 => self.operands.push(value.into()),
+            Command::ExtProcCheck if self.operands.is_empty() => self.operands.push(value.into()),
+            Command::Limits if self.limits_arguments.len() < MAX_LIMITS_ARGUMENTS => {
+                self.limits_arguments.push(utf8(value)?)
             }
             _ => return Err(Arg::Value(value).unexpected().into()),
         }
         Ok(())
     }
 
-    fn take_option(&mut self, option: &str, parser: &mut Parser) -> Result<(), UsageError> {
+    fn set_option(&mut self, option: &str, parser: &mut Parser) -> Result<(), UsageError> {
         match option {
             "config" => self.config = Some(parser.value()?),
             "operator" => self.operator = Some(parser.value()?.into()),
-            "name" => self.name = Some(text(parser.value()?)?),
-            "route" => self.route = Some(text(parser.value()?)?),
-            "method" => self.request.method = text(parser.value()?)?,
-            "path" => self.request.path = text(parser.value()?)?,
-            "header" => self.request.headers.push(header(text(parser.value()?)?)?),
+            "name" => self.name = Some(utf8(parser.value()?)?),
+            "route" => self.route = Some(utf8(parser.value()?)?),
+            "method" => self.request.method = utf8(parser.value()?)?,
+            "path" => self.request.path = utf8(parser.value()?)?,
+            "header" => self
+                .request
+                .headers
+                .push(parse_header(utf8(parser.value()?)?)?),
             "log" => {
-                let format = text(parser.value()?)?.parse();
+                let format = utf8(parser.value()?)?.parse();
                 self.log_format = format.map_err(UsageError::Log)?;
             }
-            "log-level" => self.log_level = Some(text(parser.value()?)?),
+            "log-level" => self.log_level = Some(utf8(parser.value()?)?),
             unknown => return Err(Arg::Long(unknown).unexpected().into()),
         }
         Ok(())
     }
 }
 
-fn text(word: OsString) -> Result<String, UsageError> {
-    word.into_string().map_err(UsageError::NotText)
+fn utf8(word: OsString) -> Result<String, UsageError> {
+    word.into_string().map_err(UsageError::NotUtf8)
 }
 
 fn parse_command(name: String) -> Result<Command, UsageError> {
@@ -235,7 +240,7 @@
     })
 }
 
-fn header(text: String) -> Result<(String, String), UsageError> {
+fn parse_header(text: String) -> Result<(String, String), UsageError> {
     match text.split_once(':') {
         Some((name, value)) => Ok((name.to_string(), value.trim().to_string())),
         None => Err(UsageError::Header(text)),
--- a/edge/proxy/src/config.rs
+++ b/edge/proxy/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of an edge proxy: one JSON document, decoded once into the values that the program uses.
+//! The configuration of an edge proxy: one JSON document, decoded once to the values that the program uses.
 
 use foldmux_event_stream::journal::EventBatch;
 use foldmux_settings::Decoded;
@@ -13,70 +13,70 @@
 mod document;
 mod unique_keys;
 
-/// Environment variable in place of the configuration's `listen`.
+/// Environment variable that overrides the configuration's `listen`.
 const LISTEN_VARIABLE: &str = "GW_LISTEN";
-/// Environment variable in place of the configuration's `operator`.
-const OPERATOR_VARIABLE: &str = "GW_OPERATOR";
-/// Environment variable in place of the configuration's `name`.
+/// Environment variable that overrides the configuration's `operator`.
+const ADMIN_VARIABLE: &str = "GW_OPERATOR";
+/// Environment variable that overrides the configuration's `name`.
 const NAME_VARIABLE: &str = "GW_NAME";
 
-/// Separates several faults: the program prints each on a line of its own, after its name.
+/// Separates the faults of an error: the program prints each on a line of its own, after its name.
 pub(crate) const NEXT_LINE: &str = "\nfoldmux: ";
 
-/// The files that the process was started with, and reads again on SIGHUP.
+/// The files that the process was started with; it reads them again on SIGHUP.
 #[derive(Clone, Copy)]
 pub struct ConfigFiles<'a> {
     /// The platform's configuration.
     pub config: &'a Path,
-    /// The operator's file, where there is one.
+    /// The operator's file, if there is one.
     pub operator: Option<&'a Path>,
 }
 
-/// A configuration that holds all that the program needs.
+/// A valid configuration, with the environment's overrides applied.
 pub struct Config {
     /// The name of this proxy.
     pub name: String,
-    /// Where clients are served.
+    /// The address of the client listener.
     pub listen: SocketAddr,
     /// The seed of every random choice.
     pub seed: u64,
-    /// The journal service, where there is one.
-    pub journal: Option<SocketAddr>,
-    /// The admin interface's address, where there is one (`operator`, or `$GW_OPERATOR`).
-    pub operator: Option<SocketAddr>,
-    /// The events that are known before the journal service is asked.
-    pub known: EventBatch,
-    /// What follows from `limits`.
+    /// The address of the journal service, if there is one (`journal`).
+    pub journal_address: Option<SocketAddr>,
+    /// The address of the admin interface, if there is one (`operator`, or `$GW_OPERATOR`).
+    pub admin_address: Option<SocketAddr>,
+    /// The events that are applied before the journal service is polled (`known`).
+    pub known_events: EventBatch,
+    /// The bounds that follow from `limits`.
     pub bounds: Bounds,
     /// The limits on the process.
     pub limits: Limits,
-    /// The settings of the router, and names that go with them.
+    /// The router's settings, and the names that they refer to by number.
     pub decoded: Decoded,
 }
 
-/// Everything that is wrong with a configuration, a line each.
+/// Everything that is wrong with a configuration, one line for each fault.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ConfigError {
     faults: Vec<String>,
 }
 
 impl ConfigError {
-    /// One line for each fault.
+    /// `faults`: one line for each.
     pub fn new(faults: Vec<String>) -> ConfigError {
         ConfigError { faults }
     }
 
-    fn one(fault: String) -> ConfigError {
+    fn single(fault: String) -> ConfigError {
         ConfigError::new(vec![fault])
     }
 
-    /// A line for each fault.
+    /// The faults, one line for each.
     pub fn faults(&self) -> &[String] {
         &self.faults
     }
 }
 
-/// As the program prints what ends it: a line for each fault, each after the program's name.
+/// In the form of the program's errors: one line for each fault, each after the program's name.
 impl fmt::Display for ConfigError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "{}", self.faults.join(NEXT_LINE))
@@ -85,20 +85,20 @@
 
 impl std::error::Error for ConfigError {}
 
-/// Reads the configuration in a file, with what the environment sets in place of its values.
+/// Reads a configuration file, and applies the environment's overrides.
 ///
 /// # Errors
 ///
-/// Where the file can't be read or used, or a variable is no address.
+/// Returns an error if the file can't be read or is invalid, or if a variable is not an address.
 pub fn read(file: &Path) -> Result<Config, ConfigError> {
     let bytes = std::fs::read(file)
-        .map_err(|error| ConfigError::one(format!("{}: {error}", file.display())))?;
+        .map_err(|error| ConfigError::single(format!("{}: {error}", file.display())))?;
     let mut config = parse(bytes)?;
     if let Some(listen) = address_variable(LISTEN_VARIABLE)? {
         config.listen = listen;
     }
-    if let Some(operator) = address_variable(OPERATOR_VARIABLE)? {
-        config.operator = Some(operator);
+    if let Some(admin_address) = address_variable(ADMIN_VARIABLE)? {
+        config.admin_address = Some(admin_address);
     }
     if let Ok(name) = std::env::var(NAME_VARIABLE) {
         config.name = name;
@@ -112,6 +112,6 @@
     };
     let address = text
         .parse()
-        .map_err(|_| ConfigError::one(format!("{variable} {text:?} is no address")))?;
+        .map_err(|_| ConfigError::single(format!("{variable} {text:?} is not an address")))?;
     Ok(Some(address))
 }
--- a/edge/proxy/src/config/bounds.rs
+++ b/edge/proxy/src/config/bounds.rs
@@ -1,15 +1,15 @@
-//! Every bound of the process, from the limits on its descriptors and memory.
+//! The bounds of the process, computed from the limits on its descriptors and memory.
 
-/// Most connections of the admin interface at once; fewer where descriptors are few.
+/// Most connections of the admin interface at once, however many descriptors there are.
 const MAX_ADMIN_CONNECTIONS: usize = 64;
-/// Fewest buffers.
+/// Fewest buffers, however little memory there is.
 const MIN_BUFFERS: usize = 8;
-/// Descriptors that are neither clients', caches' nor the admin interface's: the standard streams, signals, the listeners,
-/// the log, the journal service's connection and the one that it moves to, files being read, a connection that was
-/// accepted and is about to be closed.
+/// Descriptors reserved for other uses than connections of clients, pop caches and the admin interface: the standard
+/// streams, signals, the listeners, the log, the journal service's connection and its replacement after a move, files
+/// being read, a connection that was accepted beyond a bound and is about to be closed.
 const RESERVED_DESCRIPTORS: usize = 16;
 
-/// The limits on the process, as the platform sets them.
+/// The limits that the platform sets on the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Memory (MB).
@@ -18,16 +18,16 @@
     pub sockets: usize,
 }
 
-/// Every bound of the process. `check-config` prints it in its debug form.
+/// The bounds of the process. `check-config` prints the debug form, so the names of the fields are part of its output.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Client connections of the platform's front: a third of the descriptors.
+    /// Client connections of the MessagePack front: a third of the descriptors.
     pub clients: usize,
     /// Requests in flight: each has a thread, a buffer and at most one socket.
     pub open: usize,
-    /// Connections to pop caches, in use and idle together.
+    /// Connections to pop caches, both in use and idle.
     pub upstream: usize,
-    /// Buffers of requests.
+    /// Buffers for responses and request bodies.
     pub buffers: usize,
     /// TCP and TLS connections of the DNS front.
     pub dns: usize,
@@ -41,9 +41,10 @@
         let sockets = limits.sockets;
         let clients = (sockets / 3).max(1);
         let operator = (sockets / 16).clamp(1, MAX_ADMIN_CONNECTIONS);
-        // Clients and caches together leave the journal service and the admin interface their descriptors.
+        // Connections of clients and to pop caches leave the reserved descriptors and those of the admin interface
+        // free.
         let unreserved = sockets.saturating_sub(clients + operator + RESERVED_DESCRIPTORS);
-        // Buffers may take 7/10 of the memory; each request needs one, and a write one more.
+        // Buffers may use 7/10 of the memory. Each request needs one, and a write needs another.
         let buffer_memory = limits.memory_mb * 1024 * 1024 * 7 / 10;
         let buffers = (buffer_memory / foldmux_core::buffers::BUFFER_SIZE).max(MIN_BUFFERS);
         Bounds {
--- a/edge/proxy/src/config/document.rs
+++ b/edge/proxy/src/config/document.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration's JSON document, and finds everything that is wrong with it.
+//! Decodes the configuration's JSON document, and reports every fault in it.
 
 use super::unique_keys::UniqueKeys;
 use super::{Bounds, Config, ConfigError, Limits};
@@ -8,20 +8,20 @@
 use simd_json::{ErrorType, OwnedValue};
 use std::net::SocketAddr;
 
-/// Fewest descriptors that the program can serve with.
+/// Lowest limit on descriptors with which the program can serve.
 const MIN_SOCKETS: usize = 64;
-/// Least memory that the program can serve with (MB).
+/// Lowest limit on memory with which the program can serve (MB).
 const MIN_MEMORY_MB: usize = 16;
-/// Greatest limit: beyond any machine's, and far below where a bound that follows from it overflows.
+/// Highest limit: above that of any machine, and far below the values at which a bound computed from it overflows.
 const MAX_LIMIT: usize = 1 << 24;
 
-/// Reads a configuration.
+/// Decodes a configuration.
 ///
 /// # Errors
 ///
-/// All that is wrong with it.
+/// Returns every fault of the document.
 pub fn parse(mut bytes: Vec<u8>) -> Result<Config, ConfigError> {
-    // The parser changes its input.
+    // The parser overwrites its input, and the document is parsed twice.
     let UniqueKeys = simd_json::serde::from_slice(&mut bytes.clone()).map_err(unreadable)?;
     let document: OwnedValue = simd_json::serde::from_slice(&mut bytes).map_err(unreadable)?;
     let faults = Faults::default();
@@ -33,13 +33,13 @@
 }
 
 fn unreadable(error: simd_json::Error) -> ConfigError {
-    ConfigError::one(match error.error() {
+    ConfigError::single(match error.error() {
         ErrorType::Serde(reason) => format!("configuration: {reason}"),
         _ => format!("configuration: {error}"),
     })
 }
 
-/// The result must not be used where a fault was recorded.
+/// Decodes the document, and records its faults. The result must not be used if there is one.
 fn decode_document(document: &Section) -> Config {
     let settings = document.section("settings");
     let decoded = decode(&settings);
@@ -56,34 +56,38 @@
         seed: decode_seed(document, &name, listen),
         name,
         listen,
-        journal: document.optional("journal"),
-        operator: document.optional("operator"),
-        known: decode_known_events(document),
+        journal_address: document.optional("journal"),
+        admin_address: document.optional("operator"),
+        known_events: decode_known_events(document),
         bounds: Bounds::new(&limits),
         limits,
         decoded,
     }
 }
 
-/// Clients ask for a class by its name, so each has one of its own.
+/// Checks that each class has a name of its own: clients refer to a class by its name.
 fn check_class_names(settings: &Section, names: &[String]) {
     for (index, name) in names.iter().enumerate() {
         let key = format!("classes[{index}].name");
         if name.is_empty() {
             settings.fault(&key, "it is empty or missing");
         } else if names[..index].contains(name) {
-            settings.fault(&key, format_args!("class {name:?} is named twice"));
+            settings.fault(&key, format_args!("class {name:?} is defined twice"));
         }
     }
 }
 
-/// Where the settings name zones and kinds, this proxy's zone and the kinds of parents and origin are among them.
+/// Checks that this proxy's zone and the kinds of parents and origin are among the zones and kinds that the settings
+/// name, if they name any.
 fn check_indices(settings: &Section, decoded: &Decoded) {
     let check = |key: &str, index: usize, list: &str, names: &[String]| {
         if !names.is_empty() && index >= names.len() {
             settings.fault(
                 key,
-                format_args!("{index} is none of the {} in {list}", names.len()),
+                format_args!(
+                    "{index} is not an index of {list}, which has {} entries",
+                    names.len()
+                ),
             );
         }
     };
@@ -108,11 +112,14 @@
     if section.get(key).is_some() && limit < min {
         section.fault(
             key,
-            format_args!("{limit} is too little to serve with; {min} at least"),
+            format_args!("{limit} is too low; the minimum is {min}"),
         );
     }
     if limit > MAX_LIMIT {
-        section.fault(key, format_args!("{limit} is over {MAX_LIMIT}"));
+        section.fault(
+            key,
+            format_args!("{limit} is too high; the maximum is {MAX_LIMIT}"),
+        );
     }
     limit.min(MAX_LIMIT)
 }
@@ -125,14 +132,14 @@
     u64::from_str_radix(&text, 16).unwrap_or_else(|_| {
         document.fault(
             "seed",
-            format_args!("{text:?} is no hexadecimal number of 64 bits"),
+            format_args!("{text:?} is not a 64-bit hexadecimal number"),
         );
         0
     })
 }
 
-/// The seed where none is configured. Proxies must not make the same random choices, so it follows from what is a proxy's
-/// own.
+/// The seed if none is configured. It is computed from the proxy's name and address, because proxies must not make the
+/// same random choices.
 fn default_seed(name: &str, listen: SocketAddr) -> u64 {
     format!("{name} {listen}")
         .bytes()
--- a/edge/proxy/src/config/unique_keys.rs
+++ b/edge/proxy/src/config/unique_keys.rs
@@ -1,11 +1,11 @@
-//! Checks that each object of a JSON document has each of its keys once. The parser would silently keep one of two values.
+//! Rejects JSON documents in which an object repeats a key. The parser would silently keep one of the two values.
 
 use serde::de::{Error, MapAccess, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 use std::collections::HashSet;
 use std::fmt;
 
-/// A JSON value none of whose objects repeats a key. The value itself is discarded.
+/// Proof that no object of a JSON value repeats a key; the value itself is discarded.
 pub(super) struct UniqueKeys;
 
 impl<'de> Deserialize<'de> for UniqueKeys {
@@ -29,7 +29,7 @@
             map.next_value::<UniqueKeys>()?;
             if let Some(repeated) = seen.replace(key) {
                 return Err(A::Error::custom(format_args!(
-                    "key {repeated:?} stands twice in one object"
+                    "duplicate key {repeated:?} in an object"
                 )));
             }
         }
--- a/edge/proxy/src/fleet.rs
+++ b/edge/proxy/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet: links to the other processes, membership, and the services they share. Off unless the operator's file calls
-//! `fleet(…)` and this process is one of its peers.
+//! The fleet: links to the other processes, membership, and the services that they share. It is off unless the
+//! operator's file calls `fleet(…)` and names this process as a peer.
 
 use crate::journal::JournalClient;
 use foldmux_core::Core;
@@ -18,22 +18,22 @@
 pub(crate) mod replica_set;
 pub mod services;
 
-/// How long queued frames may take to be sent at the end.
+/// Longest wait at the end for queued frames to be sent.
 const MAX_FLUSH_TIME: Duration = Duration::from_millis(100);
-/// The number of the state machine that only watches peers: no frame carries it.
+/// The part number of [`PeerWatcher`], which sends no frames.
 const WATCHER_PART: u8 = 255;
 
-/// What the log says of the fleet at its start.
+/// What is logged when the fleet starts.
 struct Summary {
     peer_count: usize,
     site: String,
     listen: SocketAddr,
 }
 
-/// A fleet that was checked and may start.
-pub struct Fleet {
+/// A fleet whose configuration was checked, and that is not started yet.
+pub struct PreparedFleet {
     builder: Builder,
-    members: Port<Command>,
+    membership_port: Port<Command>,
     membership: MembershipView,
     services: PreparedServices,
     summary: Summary,
@@ -42,29 +42,32 @@
 }
 
 /// The fleet in service.
-pub struct Running {
+pub struct RunningFleet {
     fleet: foldmux_fleet::Fleet,
-    members: Port<Command>,
+    membership_port: Port<Command>,
     services: RunningServices,
-    /// The peers that are up, for any thread.
+    /// The peers that are up; may be read by any thread.
     pub membership: MembershipView,
 }
 
-impl Fleet {
-    /// `None` where this process is not one of its peers.
+impl PreparedFleet {
+    /// Prepares the fleet of the operator's file; `None` if this process is not one of its peers.
     ///
     /// # Errors
     ///
-    /// Where the file can't be served; the text is one plain line.
-    pub fn new(config: &FleetConfig, own: &ProcessContext) -> Result<Option<Fleet>, String> {
+    /// Returns one line of text if the file's fleet can't be used.
+    pub fn new(
+        config: &FleetConfig,
+        context: &ProcessContext,
+    ) -> Result<Option<PreparedFleet>, String> {
         let ProcessContext {
             name,
             decoded,
             seed,
             ..
-        } = *own;
-        let Some(place) = config.peer(name) else {
-            tracing::warn!("fleet: {name:?} is no peer of it; it is off here");
+        } = *context;
+        let Some(own_peer) = config.peer(name) else {
+            tracing::warn!("fleet: {name:?} is not one of its peers; it is off in this process");
             return Ok(None);
         };
         if let Some(fault) = config.unknown(&decoded.classes).next() {
@@ -74,7 +77,7 @@
             let site = peer.site.split('/').next().unwrap_or_default();
             if !decoded.zones.iter().any(|zone| zone == site) {
                 tracing::warn!(
-                    "fleet: the site {site} of {} is no zone of the settings",
+                    "fleet: site {site} of {} is not a zone of the settings",
                     peer.name
                 );
             }
@@ -87,39 +90,39 @@
                 .iter()
                 .map(|peer| (Peer::new(&peer.name), peer.address))
                 .collect(),
-            key: key(Path::new(&config.key_file))
-                .map_err(|why| format!("fleet: key_file {why}"))?,
+            key: read_key(Path::new(&config.key_file))
+                .map_err(|reason| format!("fleet: key_file {reason}"))?,
             seed,
             queue: config.queue as usize,
-            bounds: bounds(config.round_trip_ms, config.peers.len()),
+            bounds: link_bounds(config.round_trip_ms, config.peers.len()),
         });
-        let born = SystemTime::now()
+        let started_at = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
-        let me = NodeIdentity::new(
+        let own_identity = NodeIdentity::new(
             Peer::new(name),
-            &place.site,
-            place.address,
-            born.as_micros() as u64,
+            &own_peer.site,
+            own_peer.address,
+            started_at.as_micros() as u64,
         );
         let pace = Pace {
             rtt: config.round_trip_ms * 1_000,
             size: config.peers.len() as u32,
         };
-        // Names of the list alone: no other is linked.
+        // Only the peers of the list can become members: no other process is linked.
         let setup = foldmux_membership::Setup {
-            me,
+            me: own_identity,
             pace,
             most: config.peers.len(),
             seed,
         };
         let added = members::add(&mut builder, setup, EventLog);
-        let (members, membership) = added.map_err(|e| format!("fleet: {e}"))?;
+        let (membership_port, membership) = added.map_err(|e| format!("fleet: {e}"))?;
         builder.add(WATCHER_PART, PeerWatcher, EventLog);
-        let services = PreparedServices::add(&mut builder, config, own)?;
+        let services = PreparedServices::add(&mut builder, config, context)?;
         let summary = Summary {
             peer_count: config.peers.len(),
-            site: place.site.clone(),
+            site: own_peer.site.clone(),
             listen: config.listen,
         };
         let peers = config
@@ -127,9 +130,9 @@
             .iter()
             .map(|peer| Peer::new(&peer.name))
             .collect();
-        Ok(Some(Fleet {
+        Ok(Some(PreparedFleet {
             builder,
-            members,
+            membership_port,
             membership,
             services,
             summary,
@@ -138,20 +141,20 @@
         }))
     }
 
-    /// Shares what the journal client reads; called before it reads.
+    /// Shares the events that the journal client reads. Must be called before it reads the first.
     pub fn share(&self, journal: &mut JournalClient) {
         self.services.share(journal);
     }
 
-    /// Starts the links, membership and the services. `journal`: a clone of the client that reads the source.
+    /// Starts the links, membership and the services. `journal`: a clone of the client that reads the journal service.
     ///
     /// # Errors
     ///
-    /// Where a thread or a socket can't be had.
-    pub fn start(self, core: &Arc<Core>, journal: JournalClient) -> Result<Running, String> {
-        let Fleet {
+    /// Returns an error if a thread or a socket can't be created.
+    pub fn start(self, core: &Arc<Core>, journal: JournalClient) -> Result<RunningFleet, String> {
+        let PreparedFleet {
             builder,
-            members,
+            membership_port,
             membership,
             services,
             summary:
@@ -167,32 +170,34 @@
             .start(EventLog)
             .map_err(|e| format!("fleet: listening on {listen}: {e}"))?;
         match fleet.links().address() {
-            Some(on) => tracing::info!("fleet: one of {peer_count}, at site {site}, on {on}"),
+            Some(address) => tracing::info!(
+                "fleet: one of {peer_count} peers, at site {site}, on {address}"
+            ),
             None => tracing::warn!(
-                "fleet: {listen} is in use; one of {peer_count}, that dials until it is free"
+                "fleet: {listen} is in use; until it is free this one of {peer_count} peers only dials"
             ),
         }
         let services = services.start(core, journal, fleet.began(), seed)?;
-        // The queue has room for one at the start.
-        let _ = members.ask(Command::Join(peers));
-        Ok(Running {
+        // The queue is empty at the start and has room for this message.
+        let _ = membership_port.ask(Command::Join(peers));
+        Ok(RunningFleet {
             fleet,
-            members,
+            membership_port,
             services,
             membership,
         })
     }
 }
 
-impl Running {
-    /// Announces the graceful shutdown to the peers and hands over what they can continue; serves on until [`Running::end`].
+impl RunningFleet {
+    /// Announces the graceful shutdown to the peers, and hands over the work that they can continue. The fleet stays in
+    /// service until [`RunningFleet::end`].
     pub fn leave(&self) {
         self.services.leave();
-        let asked = self.members.ask(Command::Leave);
-        asked
-            .err()
-            .iter()
-            .for_each(|e| tracing::warn!("fleet: leaving without a word: {e:?}"));
+        let sent = self.membership_port.ask(Command::Leave);
+        sent.err().iter().for_each(|error| {
+            tracing::warn!("fleet: can't announce the shutdown to the peers: {error:?}")
+        });
     }
 
     /// See [`RunningServices::update_weights`].
@@ -204,52 +209,57 @@
     pub fn end(self) {
         self.services.report();
         let counts = self.fleet.links().counts();
-        let (links, broken, strangers) = (
+        let (links, broken, unauthenticated) = (
             counts.links.get(),
             counts.broken.get(),
             counts.strangers.get(),
         );
         let (dropped, unlinked) = (counts.dropped.get(), counts.unlinked.get());
-        tracing::info!("fleet: {links} links, {broken} broken, {strangers} strangers");
-        tracing::info!("fleet: {dropped} frames without room, {unlinked} without a link");
+        tracing::info!(
+            "fleet: {links} links, {broken} broken, {unauthenticated} unauthenticated connections"
+        );
+        tracing::info!(
+            "fleet: {dropped} frames dropped for full queues, {unlinked} dropped without a link"
+        );
         self.fleet.end(MAX_FLUSH_TIME);
     }
 }
 
-/// A key is 64 hexadecimal digits.
-fn key(file: &Path) -> Result<[u8; 32], String> {
+/// Reads a key of 32 bytes, written as 64 hexadecimal digits.
+fn read_key(file: &Path) -> Result<[u8; 32], String> {
     let name = file.display();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
     let text = text.trim().as_bytes();
-    let digit = |b: u8| char::from(b).to_digit(16).map(|digit| digit as u8);
-    let pair = |pair: &[u8]| Some(digit(pair[0])? << 4 | digit(pair[1])?);
-    let bytes: Option<Vec<u8>> = text.chunks_exact(2).map(pair).collect();
+    let digit = |byte: u8| char::from(byte).to_digit(16).map(|digit| digit as u8);
+    let byte = |digits: &[u8]| Some(digit(digits[0])? << 4 | digit(digits[1])?);
+    let bytes: Option<Vec<u8>> = text.chunks_exact(2).map(byte).collect();
     let key = bytes
         .filter(|_| text.len() == 64)
         .and_then(|bytes| bytes.try_into().ok());
-    key.ok_or_else(|| format!("{name}: 64 hexadecimal digits are wanted"))
+    key.ok_or_else(|| format!("{name}: expected 64 hexadecimal digits"))
 }
 
-/// The links' bounds follow from a round trip: a heartbeat each five round trips, and at least as seldom as a busy machine may
-/// delay a thread; a link is dead after ten missed heartbeats.
-fn bounds(round_trip_ms: u64, peers: usize) -> Bounds {
-    let beat = Duration::from_millis((5 * round_trip_ms).max(100));
-    let (idle, hello) = (beat * 10, beat * 10);
-    let first = Duration::from_millis(round_trip_ms.max(10));
-    // Each peer may dial while its link before stands, beside an older process of its name.
-    let accepted = 4 * peers + 16;
+/// The bounds of links, derived from the round-trip time. A heartbeat is sent every five round trips, but not more
+/// often than every 100 ms, because a busy machine may delay a thread for that long. A link is dead after ten missed
+/// heartbeats.
+fn link_bounds(round_trip_ms: u64, peer_count: usize) -> Bounds {
+    let heartbeat = Duration::from_millis((5 * round_trip_ms).max(100));
+    let (idle, hello) = (heartbeat * 10, heartbeat * 10);
+    let first_backoff = Duration::from_millis(round_trip_ms.max(10));
+    // Each peer may dial while its former link still stands, and so may an older process of the same name.
+    let accepted = 4 * peer_count + 16;
     Bounds {
-        beat,
+        beat: heartbeat,
         idle,
         hello,
         accepted,
-        dial: beat * 5,
-        again: (first, first * 25),
+        dial: heartbeat * 5,
+        again: (first_backoff, first_backoff * 25),
         ..Bounds::default()
     }
 }
 
-/// Emits which peers the fleet's thread counts as up.
+/// A state machine that only emits which peers the fleet's thread regards as up.
 struct PeerWatcher;
 
 impl StateMachine for PeerWatcher {
@@ -278,6 +288,7 @@
     }
 }
 
+/// Logs the events of peers and membership, and failures of state machines.
 struct EventLog;
 
 impl Sink<(Peer, bool)> for EventLog {
@@ -287,16 +298,23 @@
 }
 
 impl Sink<Event> for EventLog {
-    fn told(&self, told: Event) {
-        let of =
-            |seen: &MemberView| format!("{} at {}, site {}", seen.peer, seen.address, seen.site);
-        match told {
-            Event::Up(seen) => tracing::info!("members: {} joined", of(&seen)),
-            Event::Restarted(seen) => tracing::info!("members: {} started again", of(&seen)),
-            Event::Down(peer) => tracing::info!("members: {peer} does not answer"),
+    fn told(&self, event: Event) {
+        let describe = |member: &MemberView| {
+            format!(
+                "{} at {}, site {}",
+                member.peer, member.address, member.site
+            )
+        };
+        match event {
+            Event::Up(member) => tracing::info!("members: {} joined", describe(&member)),
+            Event::Restarted(member) => tracing::info!("members: {} restarted", describe(&member)),
+            Event::Down(peer) => tracing::info!("members: {peer} does not respond"),
             Event::Left(peer) => tracing::info!("members: {peer} left"),
-            Event::Rival(seen) => {
-                tracing::warn!("members: another process speaks as {}", of(&seen))
+            Event::Rival(member) => {
+                tracing::warn!(
+                    "members: another process uses the name of {}",
+                    describe(&member)
+                )
             }
         }
     }
@@ -304,6 +322,6 @@
 
 impl Sink<Fault> for EventLog {
     fn told(&self, Fault { part, why }: Fault) {
-        tracing::error!("fleet: part {part} is out of service: {why}");
+        tracing::error!("fleet: part {part} failed and is out of service: {why}");
     }
 }
--- a/edge/proxy/src/fleet/replica_set.rs
+++ b/edge/proxy/src/fleet/replica_set.rs
@@ -1,13 +1,13 @@
-//! The replica set and the clock drift that the operator's file gives to all state machines of the fleet.
+//! The replica set and the clock drift of the operator's file, which all state machines of the fleet use.
 
 use foldmux_operator::Fleet as FleetConfig;
 use foldmux_replicas::{ClockDrift, Peer, ReplicaSet};
 
-/// The replica set (`seat(...)` in the operator's file), and how far clocks may drift.
+/// The replica set (`seat(...)` in the operator's file), and the greatest drift of clocks.
 ///
 /// # Errors
 ///
-/// One line that says what is wrong with either.
+/// Returns one line of text if either can't be used.
 pub(crate) fn replica_set(config: &FleetConfig) -> Result<(ReplicaSet, ClockDrift), String> {
     let names = config.seats.iter().map(|name| Peer::new(name));
     let replicas = ReplicaSet::new(names).map_err(|e| format!("fleet: {e}"))?;
--- a/edge/proxy/src/fleet/services.rs
+++ b/edge/proxy/src/fleet/services.rs
@@ -1,5 +1,5 @@
-//! The fleet's services that the operator's file names beside membership: replicated request records (cover), the journal
-//! relayed by site, permits of pools.
+//! The services of the fleet that the operator's file enables: replicated request records (cover), the journal relayed
+//! by site, and permits of pools.
 
 use crate::cover::start::RunningCover;
 use crate::cover::PreparedCover;
@@ -14,30 +14,31 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// What the services need of the process.
+/// What the fleet and its services need to know of this process.
 pub struct ProcessContext<'a> {
-    /// Its name in the fleet.
+    /// The name of this process in the fleet.
     pub name: &'a str,
     /// The settings.
     pub decoded: &'a Decoded,
-    /// The classes as the fronts serve them: name and place.
+    /// The name and slot of each class in service.
     pub classes: Vec<(&'a Arc<str>, &'a Arc<usize>)>,
-    /// The caches, parents and origin.
-    pub members: &'a Arc<ServerList>,
-    /// Most requests in flight.
+    /// The caches, parents and the origin.
+    pub servers: &'a Arc<ServerList>,
+    /// Most requests in flight at once.
     pub max_requests: usize,
-    /// Memory limit (MB).
+    /// Limit on the memory of this process (MB).
     pub memory_mb: u64,
-    /// Seeds all randomness of the services.
+    /// The seed of the random choices of the fleet and its services.
     pub seed: u64,
 }
 
-/// The services, added to the fleet's thread and not started yet.
+/// The services, whose state machines were added to the fleet's thread, and that are not started yet.
 #[derive(Default)]
 pub struct PreparedServices {
     cover: Option<(PreparedCover, Port<foldmux_takeover::Command>)>,
     relay: Option<(JournalRelay, Port<foldmux_relay::Ask>)>,
     pools: Option<Arc<PoolPermits>>,
+    /// A line for the log for each service.
     descriptions: Vec<String>,
 }
 
@@ -50,11 +51,12 @@
 }
 
 impl PreparedServices {
-    /// Adds the state machine of each service that the file names to the fleet's thread.
+    /// Adds the state machine of each service that the file enables to the fleet's thread.
     ///
     /// # Errors
     ///
-    /// Where the file names what the settings do not have.
+    /// Returns an error if a service can't be used, for example because the file names a class that the settings don't
+    /// have.
     pub fn add(
         builder: &mut Builder,
         config: &FleetConfig,
@@ -62,14 +64,14 @@
     ) -> Result<PreparedServices, String> {
         let mut services = PreparedServices::default();
         let bounds = (context.max_requests, context.memory_mb, context.seed);
-        if let Some(ready) = PreparedCover::new(
+        if let Some(prepared) = PreparedCover::new(
             config,
             context.name,
             context.decoded,
             context.classes.iter().copied(),
             bounds,
         )? {
-            let port = ready.add(builder);
+            let port = prepared.add(builder);
             let classes: Vec<&str> = config
                 .covers
                 .iter()
@@ -78,7 +80,7 @@
             services
                 .descriptions
                 .push(format!("covers {}", classes.join(", ")));
-            services.cover = Some((ready, port));
+            services.cover = Some((prepared, port));
         }
         if let Some((relay, state_machine, sink)) =
             JournalRelay::new(config, context.name, context.seed)?
@@ -94,7 +96,7 @@
             config,
             context.name,
             context.decoded,
-            context.members.clone(),
+            context.servers.clone(),
             context.seed,
         )?;
         if services.pools.is_some() {
@@ -110,23 +112,24 @@
         Ok(services)
     }
 
-    /// Shares what this process reads at the journal service from now on, where the file says so.
+    /// Shares the events that this process reads from the journal service from now on, if the file enables the relay.
     pub fn share(&self, journal: &mut JournalClient) {
         self.relay
             .iter()
             .for_each(|(relay, _)| journal.share(relay.readers.clone()));
     }
 
-    /// Starts the services. `began`: the start of the fleet's clock; `journal`: the client that reads the source.
+    /// Starts the services. `clock_start`: the zero of the fleet's clock; `journal`: a clone of the client that reads
+    /// the journal service.
     ///
     /// # Errors
     ///
-    /// Where a thread or a socket can't be had.
+    /// Returns an error if a thread or a socket can't be created.
     pub fn start(
         self,
         core: &Arc<Core>,
         journal: JournalClient,
-        began: Instant,
+        clock_start: Instant,
         seed: u64,
     ) -> Result<RunningServices, String> {
         let PreparedServices {
@@ -136,8 +139,8 @@
             descriptions,
         } = self;
         let mut running = RunningServices::default();
-        if let Some((ready, port)) = cover {
-            running.cover = Some(ready.start(core, port, began)?);
+        if let Some((prepared, port)) = cover {
+            running.cover = Some(prepared.start(core, port, clock_start)?);
         }
         if let Some((relay, port)) = relay {
             relay.start(port, journal, seed)?;
@@ -156,21 +159,21 @@
 }
 
 impl RunningServices {
-    /// Hands over at once what other processes can continue.
+    /// Hands over the work that other processes can continue.
     pub fn leave(&self) {
         self.cover.iter().for_each(RunningCover::leave);
         self.relay.iter().for_each(|relay| relay.readers.leave());
         self.pools.iter().for_each(|pools| pools.leave());
     }
 
-    /// Applies the weights of tenants; how many, `None` where there is no pool.
+    /// Applies the weights of tenants to the pools. Returns how many, or `None` if there is no pool.
     pub fn update_weights(&self, config: &FleetConfig, tenants: &[(String, f64)]) -> Option<usize> {
         self.pools
             .as_ref()
             .map(|pools| pools.update_weights(config, tenants))
     }
 
-    /// Logs the counters of replicated records.
+    /// Logs the counters of replicated request records.
     pub fn report(&self) {
         self.cover
             .iter()
--- a/edge/proxy/src/hierarchy/tests.rs
+++ b/edge/proxy/src/hierarchy/tests.rs
@@ -1,4 +1,4 @@
-//! A tree as it is applied to the router.
+//! The command that applies a tree to the router, and the reasons why a tree is rejected.
 
 use super::*;
 
@@ -12,20 +12,20 @@
 }
 
 #[test]
-fn a_tree_is_applied_as_zones_or_refused_with_a_reason() {
+fn a_tree_is_converted_to_zones_or_rejected_with_a_reason() {
     let names = ["south", "east", "porvoo", "kotka"]
         .map(str::to_string)
         .to_vec();
     let zones = Zones {
         names,
-        own: 2,
-        hub_of: vec![0, 1, 0, 1],
+        own_zone: 2,
+        hub_by_zone: vec![0, 1, 0, 1],
     };
     let hubs = "hub(\"south\", parents = [\"archive\"])\nhub(\"east\", parents = [\"archive\"])\n";
-    let sound = tree(&format!(
+    let valid = tree(&format!(
         "{hubs}location(\"porvoo\", parents = [\"east\", \"south\"])"
     ));
-    match zones.topology_command(&sound) {
+    match zones.topology_command(&valid) {
         Ok(Command::Topology {
             parent_zones,
             hub_by_zone,
@@ -34,19 +34,19 @@
         }
         _ => panic!("no command"),
     }
-    let without = zones.topology_command(&tree(hubs)).err().unwrap();
+    let without_own_zone = zones.topology_command(&tree(hubs)).err().unwrap();
     assert_eq!(
-        without.to_string(),
-        "porvoo, this proxy's zone, is no location of the tree"
+        without_own_zone.to_string(),
+        "this proxy's zone porvoo is not a location of the tree"
     );
-    let unknown =
+    let unknown_hub =
         "hub(\"west\", parents = [\"archive\"])\nlocation(\"porvoo\", parents = [\"west\"])";
     assert_eq!(
         zones
-            .topology_command(&tree(unknown))
+            .topology_command(&tree(unknown_hub))
             .err()
             .unwrap()
             .to_string(),
-        "the hub west is no zone of the settings"
+        "hub west is not a zone of the settings"
     );
 }
--- a/edge/proxy/src/journal.rs
+++ b/edge/proxy/src/journal.rs
@@ -1,8 +1,12 @@
-//! The client of the journal service: follows its events by a long poll without gaps. Events are applied in order, each
-//! once; a response that is lost, cut off or garbled changes nothing, and is requested again.
+//! The client of the journal service: follows its events by a long poll. Events are applied in order, without gaps,
+//! each once. A response that is lost, cut off or unreadable changes nothing, and its events are requested again.
 //!
-//! [`poll`] is the loop, [`request`] one request and its response, [`service`] the connection and a move to another
-//! address, [`events`] turns events into endpoints and purges for the event loop.
+//! | concern | module |
+//! | --- | --- |
+//! | the poll loop | [`poll`] |
+//! | one request and its response | [`request`] |
+//! | the connection, and the service's moves to other addresses | [`service`] |
+//! | decoding of events to endpoints and purges for the event loop | [`events`] |
 
 use events::{EndpointUpdate, EventDecoder};
 use foldmux_core::clock::Clock;
@@ -14,7 +18,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-pub use events::Names;
+pub use events::ZoneAndKindNames;
 pub use foldmux_event_stream::journal::{Entry, EventBatch};
 pub use service::JournalService;
 
@@ -29,13 +33,14 @@
 pub struct JournalClient {
     decoder: EventDecoder,
     event_loop: EventLoopHandle,
-    /// The connections to pop caches: those that idled for too long are closed between polls.
+    /// The connections to pop caches; those that were idle for too long are closed between polls.
     pub pool: Arc<Pool>,
-    /// Set once a whole endpoint list was applied: from then on the process is ready.
-    listed: Arc<AtomicBool>,
-    /// Where endpoints are forwarded to, for those out of service by hand; else straight to the event loop.
+    /// Set once a complete endpoint list was applied: from then on the process is ready.
+    endpoints_known: Arc<AtomicBool>,
+    /// Applies the operators' maintenance to the endpoints and forwards them; without it they go straight to the event
+    /// loop.
     pub maintenance: Option<Arc<crate::admin::MaintenanceRegistry>>,
-    /// Where this process shares the events that it reads with others of its site, and gets what they read.
+    /// The stream by which the processes of a site share the events that one of them reads.
     shared: Option<SharedStream>,
     /// The number of the last event that was applied.
     position: u64,
@@ -44,50 +49,51 @@
 #[derive(Clone)]
 struct SharedStream {
     readers: Arc<StreamReaders>,
-    /// The greatest index of an endpoint list that was applied: what comes from another process may be older.
+    /// The greatest index of an endpoint list that was applied; a list from another process may be older.
     newest_index: Arc<Mutex<u64>>,
 }
 
 impl JournalClient {
     /// A client that has applied no event.
     pub fn new(
-        names: Names,
+        names: ZoneAndKindNames,
         clock: Clock,
         event_loop: EventLoopHandle,
         pool: Arc<Pool>,
-        listed: Arc<AtomicBool>,
+        endpoints_known: Arc<AtomicBool>,
     ) -> JournalClient {
         JournalClient {
             decoder: EventDecoder::new(names, clock),
             event_loop,
             pool,
-            listed,
+            endpoints_known,
             maintenance: None,
             shared: None,
             position: 0,
         }
     }
 
-    /// Applies the events that follow those already applied: all of them, or none where one is missing or out of order.
-    /// Returns false in that case; the next poll requests them again.
-    pub fn apply(&mut self, feed: &EventBatch) -> bool {
-        let Some(following) = following(&feed.entries, self.position) else {
+    /// Applies the events after those already applied. If one is missing or out of order, applies none of them and
+    /// returns false; the next poll requests them again.
+    pub fn apply(&mut self, batch: &EventBatch) -> bool {
+        let Some(entries) = entries_after(&batch.entries, self.position) else {
             return false;
         };
-        if let Some(last) = following.last() {
+        if let Some(last) = entries.last() {
             self.position = last.pos;
-            self.apply_from_source(&following);
+            self.apply_from_source(&entries);
         }
         true
     }
 
-    /// Applies all events from 1 on, by a service that numbers them anew. Its lists come to one whole list, and what that
-    /// leaves out is gone. Returns false where the feed is no such restart; then nothing changes.
-    fn apply_restart(&mut self, feed: &EventBatch) -> bool {
-        let Some(entries) = following(&feed.entries, 0) else {
+    /// Applies all events from 1 on, of a service that renumbers them. Their lists are merged to one complete list;
+    /// members that it doesn't contain are gone. Returns false, and changes nothing, if the batch has a gap, has no
+    /// complete list or doesn't start at event 1.
+    fn apply_restart(&mut self, batch: &EventBatch) -> bool {
+        let Some(entries) = entries_after(&batch.entries, 0) else {
             return false;
         };
-        let Some(last) = entries.last().filter(|last| last.pos == feed.last()) else {
+        let Some(last) = entries.last().filter(|last| last.pos == batch.last()) else {
             return false;
         };
         let has_snapshot = |entry: &&Entry| entry.hosts.as_ref().is_some_and(|list| list.snapshot);
@@ -99,7 +105,7 @@
         true
     }
 
-    /// Applies events that this process read at the service.
+    /// Applies events that this process itself read from the service.
     fn apply_from_source(&self, entries: &[&Entry]) {
         let Some(SharedStream {
             readers,
@@ -113,12 +119,12 @@
         self.apply_entries(entries, Some(&mut newest_index));
     }
 
-    /// Applies several events at once. The event loop sees only the last state of each member: one that drains or is gone
-    /// by a later event must not be ready for a moment.
+    /// Applies several events at once. The event loop gets only the last state of each member: a member that a later
+    /// event drains or removes must not be ready for a moment.
     fn apply_entries(&self, entries: &[&Entry], newest_index: Option<&mut u64>) {
         if let Some(update) = self.decoder.endpoints(entries) {
             if let Some(newest_index) = newest_index {
-                // A whole list starts anew from its own index.
+                // A complete list starts over from its own index.
                 let former = if update.full { 0 } else { *newest_index };
                 *newest_index = update.index.max(former);
             }
@@ -137,7 +143,7 @@
         let EndpointUpdate { full, listed, .. } = update;
         self.forward(full, listed);
         if full {
-            self.listed.store(true, Ordering::SeqCst);
+            self.endpoints_known.store(true, Ordering::SeqCst);
         }
     }
 
@@ -151,8 +157,8 @@
         }
     }
 
-    /// From now on `readers` share what this process reads at the service. What others read is applied by
-    /// [`JournalClient::apply_relayed`] of a clone.
+    /// Shares the events that this process reads from the service through `readers` from now on. The events that other
+    /// processes read are applied by [`JournalClient::apply_relayed`] of a clone.
     pub fn share(&mut self, readers: Arc<StreamReaders>) {
         self.shared = Some(SharedStream {
             readers,
@@ -160,8 +166,8 @@
         });
     }
 
-    /// Applies events that another process read. An endpoint list older than the one that was applied is ignored; a
-    /// purge can't be too old.
+    /// Applies events that another process read. An event whose endpoint list is older than the last one applied is
+    /// ignored. One without a list is applied however old it is: an old purge does no harm.
     pub fn apply_relayed(&self, entries: &[Entry]) {
         let Some(SharedStream { newest_index, .. }) = &self.shared else {
             return;
@@ -177,8 +183,8 @@
     }
 }
 
-/// The events after number `position`; `None` where one is missing or out of order.
-fn following(entries: &[Entry], position: u64) -> Option<Vec<&Entry>> {
+/// The events after number `position`; `None` if one is missing or out of order.
+fn entries_after(entries: &[Entry], position: u64) -> Option<Vec<&Entry>> {
     let (mut last, mut following) = (position, Vec::new());
     for entry in entries {
         if entry.pos <= last {
--- a/edge/proxy/src/journal/events.rs
+++ b/edge/proxy/src/journal/events.rs
@@ -1,5 +1,5 @@
-//! Decodes the journal's events. An endpoint or purge that this version can't read is logged and ignored: requested again
-//! it would come the same, and hold up all that follows.
+//! Decodes the journal's events. An endpoint or a purge that this version can't decode is logged and skipped:
+//! requesting it again would return the same bytes, and would block every later event.
 
 use super::start_times::StartTimes;
 use foldmux::interface::{Member, MemberState, ObjectId};
@@ -13,34 +13,34 @@
 /// The group of a purge that names a single object.
 const NO_GROUP: u32 = 0;
 
-/// The names by which the journal refers to zones and kinds, in the order in which the settings number them.
+/// The names of zones and kinds in the journal's events. The index of a name is its number in the settings.
 #[derive(Clone)]
-pub struct Names {
+pub struct ZoneAndKindNames {
     /// Names of zones.
     pub zones: Vec<String>,
     /// Names of kinds.
     pub kinds: Vec<String>,
 }
 
-/// What the endpoint lists of several events come to: the last state of each member that can be read.
+/// The endpoint lists of several events, merged: the last state of each member that can be decoded.
 pub(super) struct EndpointUpdate {
-    /// One of the lists is whole: a member that is missing is gone.
+    /// One of the lists is complete, so a member that it doesn't contain is gone.
     pub(super) full: bool,
-    /// The greatest index, from the last whole list on.
+    /// The greatest index of the lists, counted from the last complete one on.
     pub(super) index: u64,
     pub(super) listed: Vec<Server>,
 }
 
-/// Turns the journal's words into the event loop's types.
+/// Converts the journal's events to the event loop's types.
 #[derive(Clone)]
 pub(super) struct EventDecoder {
-    names: Names,
+    names: ZoneAndKindNames,
     clock: Clock,
     start_times: StartTimes,
 }
 
 impl EventDecoder {
-    pub(super) fn new(names: Names, clock: Clock) -> EventDecoder {
+    pub(super) fn new(names: ZoneAndKindNames, clock: Clock) -> EventDecoder {
         EventDecoder {
             names,
             clock,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The endpoint lists of these events as one; `None` where no event has a list.
+    /// Merges the endpoint lists of these events; `None` if no event has a list.
     pub(super) fn endpoints(&self, entries: &[&Entry]) -> Option<EndpointUpdate> {
         let (mut full, mut index, mut members) = (false, None, BTreeMap::new());
         for list in entries.iter().filter_map(|entry| entry.hosts.as_ref()) {
@@ -70,11 +70,11 @@
         })
     }
 
-    /// A purge. `position` is the number of its event.
+    /// Decodes a purge; `None` if it names neither an object nor a group. `position` is the number of its event.
     pub(super) fn purge(&self, position: u64, expire: &Expire) -> Option<Command> {
         let Expire { name, set, stamp } = expire;
         let now = self.clock.now();
-        let ago = now.saturating_sub(self.clock.from_unix_ms((*stamp).max(1)));
+        let age = now.saturating_sub(self.clock.from_unix_ms((*stamp).max(1)));
         let object = name
             .as_deref()
             .map(|name| u64::from_str_radix(name, 16).map(ObjectId));
@@ -82,16 +82,16 @@
             (Some(Ok(object)), _) => Some(Command::Invalidate {
                 object: Some(object),
                 group: NO_GROUP,
-                age: ago,
+                age,
             }),
             (None, Some(group)) => Some(Command::Invalidate {
                 object: None,
                 group: *group,
-                age: ago,
+                age,
             }),
             _ => {
                 tracing::warn!(
-                    "journal service: event {position} names nothing that can be purged"
+                    "journal service: event {position} names no object or group to purge"
                 );
                 None
             }
@@ -102,13 +102,13 @@
         let state = match endpoint.status.as_str() {
             "ready" => MemberState::Ready,
             "gone" => MemberState::Gone,
-            // A status that is unknown here: what is not said to be ready gets no new requests.
+            // An unknown status counts as draining: only a ready member gets new requests.
             _ => MemberState::Draining,
         };
         let index_of = |names: &[String], name: &str| names.iter().position(|known| known == name);
         let zone = index_of(&self.names.zones, &endpoint.zone);
         let kind = index_of(&self.names.kinds, &endpoint.kind);
-        // What is gone may come without its zone, kind and address.
+        // A member that is gone may be listed without its zone, kind and address.
         let gone = state == MemberState::Gone;
         let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
         let (Some(zone), Some(kind), Some(address)) = (
@@ -117,15 +117,17 @@
             endpoint.address.or(gone.then_some(unspecified)),
         ) else {
             tracing::warn!(
-                "journal service: {} has an unknown zone or type, or no address",
+                "journal service: {} has an unknown zone or type, or no address; it is skipped",
                 endpoint.name
             );
             return None;
         };
         let cache = cache_id(&endpoint.name);
-        let boot = self.start_times.of(cache, endpoint.since_ms, || {
-            self.clock.from_unix_ms(endpoint.since_ms)
-        });
+        let started_at = self
+            .start_times
+            .get_or_insert_with(cache, endpoint.since_ms, || {
+                self.clock.from_unix_ms(endpoint.since_ms)
+            });
         let member = Member {
             cache,
             zone,
@@ -133,7 +135,7 @@
             cell: endpoint.group,
             state,
             weight: endpoint.weight,
-            started_at: boot,
+            started_at,
         };
         Some(Server {
             member,
--- a/edge/proxy/src/journal/poll.rs
+++ b/edge/proxy/src/journal/poll.rs
@@ -1,4 +1,4 @@
-//! The poll loop: requests the events that follow, wherever the service is, for as long as the process runs.
+//! The poll loop: requests the next events at the service's current address, for as long as the process runs.
 
 use super::request::{PollError, PollRequest, MAX_RESPONSE, RESPONSE_TIMEOUT};
 use super::service::{JournalService, Location};
@@ -8,42 +8,42 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Longest wait that a poll asks the service for; each asks for a random part of it. Short, so that a connection that
-/// fell silent is noticed well within [`DELIVERY_TIME`].
+/// Longest time that a poll asks the service to hold it; each poll asks for a random part of it. It is short, so that a
+/// connection that no longer delivers anything is noticed well within [`DELIVERY_TIME`].
 const MAX_WAIT: Duration = Duration::from_millis(1_000);
-/// By the platform's protocol, what the service has to tell counts as delivered after this.
+/// The platform's protocol assumes that an event has been delivered after this time.
 const DELIVERY_TIME: Duration = Duration::from_secs(7);
-/// Longest time from when a connection falls silent to when the next request is written: the wait for the response, the
-/// backoff and the dial.
+/// Longest time from the moment when a connection stops delivering to the next request on another one: the wait for the
+/// response, the backoff and the dial.
 const MAX_SILENCE: Duration = MAX_WAIT
     .saturating_add(RESPONSE_TIMEOUT)
     .saturating_add(MAX_BACKOFF)
     .saturating_add(RESPONSE_TIMEOUT);
-// Two connections that fall silent in a row leave time for a third.
+// Two connections in a row that stop delivering must leave time for a third.
 const _: () = assert!(MAX_SILENCE.saturating_mul(2).as_millis() < DELIVERY_TIME.as_millis());
 
-/// What a response came to.
+/// The result of a poll whose response could be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Polled {
+enum PollOutcome {
     /// Events were applied.
     Applied,
-    /// There was no event that follows.
+    /// The response had no new event.
     NoEvents,
 }
 
 struct PollLoop<'a> {
     client: JournalClient,
     service: &'a JournalService,
-    /// The stream that shares the events with other processes, where there is one.
+    /// The stream that shares the events with other processes, if there is one.
     shared: Option<Arc<StreamReaders>>,
     buffer: Vec<u8>,
-    /// A response ended before an event that was applied: it was an old one, or the service numbers its events anew. The
-    /// next poll requests, on another connection, all events from 1.
+    /// The last response ended before an event that was already applied: it was outdated, or the service renumbers its
+    /// events. The next poll requests all events from 1 on another connection.
     restart: bool,
 }
 
 impl JournalClient {
-    /// Polls for as long as the process runs, wherever the service is. `backoff` spaces the retries.
+    /// Polls the service at its current address for as long as the process runs. `backoff` spaces the retries.
     pub fn follow(self, service: &JournalService, backoff: Backoff) {
         let shared = self.shared.as_ref().map(|shared| shared.readers.clone());
         let mut poll_loop = PollLoop {
@@ -61,7 +61,7 @@
     fn run(&mut self, mut backoff: Backoff) {
         loop {
             self.poll_once(&mut backoff);
-            if self.is_gate_shut() {
+            if self.is_read_elsewhere() {
                 self.service.close_connection();
             }
             self.client.pool.sweep();
@@ -71,19 +71,19 @@
     fn poll_once(&mut self, backoff: &mut Backoff) {
         let max_wait = self.next_wait(backoff);
         let location = self.service.location();
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         match self.poll(location, max_wait) {
-            // Without a pause this would spin where the service does not hold requests for as long as they ask.
-            Ok(Polled::NoEvents) if asked.elapsed() < max_wait / 2 => {
-                self.report_fed();
+            // Without a pause this would spin if the service responds sooner than the requests ask it to.
+            Ok(PollOutcome::NoEvents) if sent_at.elapsed() < max_wait / 2 => {
+                self.report_source_response();
                 let pause = backoff.failed();
                 self.service.sleep_unless_moved(location.moves, pause);
             }
             Ok(_) => {
                 backoff.well();
-                self.report_fed();
+                self.report_source_response();
             }
-            // A poll that was ended by a move says nothing of the service.
+            // A poll that a move ended is no failure of the service.
             Err(_)
                 if self
                     .service
@@ -93,7 +93,7 @@
             }
             Err(error) => {
                 let pause = backoff.failed();
-                tracing::warn!("journal service: {error}; asking again in {pause:?}");
+                tracing::warn!("journal service: {error}; retrying in {pause:?}");
                 self.service.close_connection();
                 if let Some(readers) = &self.shared {
                     readers.unfed();
@@ -103,7 +103,8 @@
         }
     }
 
-    /// After a while without polls, what there is now is requested at once.
+    /// How long the service may hold the next poll: not at all after a time without polls, so that the present events
+    /// come at once. Blocks while another process of the site reads the service.
     fn next_wait(&self, backoff: &mut Backoff) -> Duration {
         let shared = self.shared.as_ref();
         match shared.is_some_and(|readers| readers.gate.pass()) {
@@ -113,22 +114,23 @@
     }
 
     /// Whether another process of the site reads the service now.
-    fn is_gate_shut(&self) -> bool {
+    fn is_read_elsewhere(&self) -> bool {
         let shared = self.shared.as_ref();
         shared.is_some_and(|readers| readers.gate.shut())
     }
 
-    fn report_fed(&self) {
+    /// Tells the readers of the shared stream that the service has responded.
+    fn report_source_response(&self) {
         if let Some(readers) = &self.shared {
             readers.fed();
         }
     }
 
-    fn poll(&mut self, location: Location, max_wait: Duration) -> Result<Polled, PollError> {
+    fn poll(&mut self, location: Location, max_wait: Duration) -> Result<PollOutcome, PollError> {
         let stream = self.service.connection(location)?;
         let request = PollRequest {
             address: location.address,
-            tail: if self.restart {
+            position: if self.restart {
                 0
             } else {
                 self.client.position
@@ -137,48 +139,50 @@
         };
         let response = request.send(&stream, &mut self.buffer)?;
         let service = self.service;
-        // One step with the check: a response of an address that the service has left is not applied.
-        let polled = service.unless_moved(location.moves, || self.apply(&response.feed))??;
+        // The check and the applying are one step: a response of a former address is not applied.
+        let outcome = service.unless_moved(location.moves, || self.apply(&response.batch))??;
         if !response.reusable {
             service.close_connection();
         }
-        Ok(polled)
+        Ok(outcome)
     }
 
-    fn apply(&mut self, feed: &EventBatch) -> Result<Polled, PollError> {
+    fn apply(&mut self, batch: &EventBatch) -> Result<PollOutcome, PollError> {
         if std::mem::take(&mut self.restart) {
-            return self.apply_restart(feed);
+            return self.apply_restart(batch);
         }
-        let (last, applied) = (feed.last(), self.client.position);
+        let (last, applied) = (batch.last(), self.client.position);
         if last < applied {
             self.restart = true;
             return Err(PollError::Outdated { last, applied });
         }
-        if !self.client.apply(feed) {
+        if !self.client.apply(batch) {
             return Err(PollError::Gap { after: applied });
         }
         match self.client.position > applied {
-            true => Ok(Polled::Applied),
+            true => Ok(PollOutcome::Applied),
             false if last > applied => Err(PollError::Gap { after: applied }),
-            false => Ok(Polled::NoEvents),
+            false => Ok(PollOutcome::NoEvents),
         }
     }
 
-    /// Applies all events from 1, where the feed has them.
-    fn apply_restart(&mut self, feed: &EventBatch) -> Result<Polled, PollError> {
-        if feed.last() == 0 {
-            // The service started anew and has no events yet: the endpoint list stays until it has.
+    /// Applies all events from 1 on, if the batch has them.
+    fn apply_restart(&mut self, batch: &EventBatch) -> Result<PollOutcome, PollError> {
+        if batch.last() == 0 {
+            // The service has restarted and has no events yet. The endpoint list stays until it has.
             self.restart = true;
-            return Ok(Polled::NoEvents);
+            return Ok(PollOutcome::NoEvents);
         }
         let applied = self.client.position;
-        if !self.client.apply_restart(feed) {
+        if !self.client.apply_restart(batch) {
             return Err(PollError::Gap { after: 0 });
         }
         let position = self.client.position;
         if position < applied {
-            tracing::warn!("journal service: it numbers anew, to {position} after {applied}");
+            tracing::warn!(
+                "journal service: events are renumbered; the last one is {position}, was {applied}"
+            );
         }
-        Ok(Polled::Applied)
+        Ok(PollOutcome::Applied)
     }
 }
--- a/edge/proxy/src/journal/request.rs
+++ b/edge/proxy/src/journal/request.rs
@@ -1,4 +1,4 @@
-//! One request to the journal service, and its response within one deadline.
+//! One request to the journal service and its response, both within one deadline.
 
 use foldmux_event_stream::journal::EventBatch;
 use foldmux_http1::io::write_all;
@@ -7,29 +7,29 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A response counts as lost this long after the wait that was asked for; a dial may take as long.
+/// A response counts as lost this long after the end of the wait that the poll asked for. A dial may take as long.
 pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Longest response (bytes): some thousand events.
+/// Longest response (bytes): several thousand events.
 pub(super) const MAX_RESPONSE: usize = 1024 * 1024;
 /// The status of a response with events.
 const OK: u16 = 200;
 
-/// Why a poll brought no events that can be applied.
+/// Why a poll returned no events that can be applied.
 #[derive(Debug)]
 pub(super) enum PollError {
     /// No connection could be made.
     Connect(std::io::Error),
-    /// The service has moved to another address: a response of its old one doesn't count.
+    /// The service has moved to another address: a response of its former one is not applied.
     Moved,
-    /// The request or the response broke off.
+    /// The request or the response was interrupted.
     Transport(Broken),
-    /// The response has another status than 200.
+    /// The status of the response is not 200.
     Status(u16),
-    /// The body is no feed.
+    /// The body is not a batch of events.
     Body(simd_json::Error),
     /// Events after this number are missing, or out of order.
     Gap { after: u64 },
-    /// The last event comes before one that was applied.
+    /// The last event of the response comes before one that was already applied.
     Outdated { last: u64, applied: u64 },
 }
 
@@ -37,17 +37,20 @@
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
             PollError::Connect(error) => write!(out, "no connection: {error}"),
-            PollError::Moved => write!(out, "it has moved"),
-            PollError::Transport(Broken::TimedOut) => write!(out, "no answer in time"),
-            PollError::Transport(Broken::Reset) => write!(out, "the connection broke"),
-            PollError::Transport(Broken::Unreadable) => write!(out, "an answer that can't be read"),
-            PollError::Status(status) => write!(out, "answered {status}"),
-            PollError::Body(error) => write!(out, "an answer that can't be read: {error}"),
+            PollError::Moved => write!(out, "it moved to another address"),
+            PollError::Transport(Broken::TimedOut) => write!(out, "no response in time"),
+            PollError::Transport(Broken::Reset) => write!(out, "the connection was lost"),
+            PollError::Transport(Broken::Unreadable) => write!(out, "unreadable response"),
+            PollError::Status(status) => write!(out, "response with status {status}"),
+            PollError::Body(error) => write!(out, "unreadable response: {error}"),
             PollError::Gap { after } => {
                 write!(out, "events after {after} are missing or out of order")
             }
             PollError::Outdated { last, applied } => {
-                write!(out, "it ends at event {last}, before {applied}")
+                write!(
+                    out,
+                    "the response ends at event {last}, but {applied} was already applied"
+                )
             }
         }
     }
@@ -63,26 +66,26 @@
     }
 }
 
-/// Requests the events after `tail`; without any, the service responds after `max_wait`.
+/// Requests the events after number `position`. If there are none, the service responds after `max_wait`.
 pub(super) struct PollRequest {
     pub(super) address: SocketAddr,
-    pub(super) tail: u64,
+    pub(super) position: u64,
     pub(super) max_wait: Duration,
 }
 
 pub(super) struct PollResponse {
-    pub(super) feed: EventBatch,
+    pub(super) batch: EventBatch,
     /// The connection may carry another request.
     pub(super) reusable: bool,
 }
 
 impl PollRequest {
-    /// Sends the request and reads its response into `buffer`. One deadline bounds the whole, however little of the
-    /// response comes at a time.
+    /// Sends the request and reads its response into `buffer`. One deadline bounds both, however slowly the response
+    /// arrives.
     ///
     /// # Errors
     ///
-    /// Where no whole response with events came in time.
+    /// Returns an error if no complete response with a batch of events arrives in time.
     pub(super) fn send(
         &self,
         stream: &TcpStream,
@@ -95,17 +98,19 @@
         if response.status != OK {
             return Err(PollError::Status(response.status));
         }
-        let feed =
+        let batch =
             simd_json::serde::from_slice(&mut buffer[response.body]).map_err(PollError::Body)?;
         Ok(PollResponse {
-            feed,
+            batch,
             reusable: response.reusable,
         })
     }
 
     fn render(&self) -> String {
-        let PollRequest { address, tail, .. } = self;
+        let PollRequest {
+            address, position, ..
+        } = self;
         let wait = self.max_wait.as_millis();
-        format!("GET /journal?tail={tail}&max_wait={wait} HTTP/1.1\r\nHost: {address}\r\n\r\n")
+        format!("GET /journal?tail={position}&max_wait={wait} HTTP/1.1\r\nHost: {address}\r\n\r\n")
     }
 }
--- a/edge/proxy/src/journal/service.rs
+++ b/edge/proxy/src/journal/service.rs
@@ -1,4 +1,4 @@
-//! Where the journal service is, and the one connection to it.
+//! The address of the journal service, and the one connection to it.
 
 use super::request::{PollError, RESPONSE_TIMEOUT};
 use foldmux_http1::io::quiet;
@@ -7,10 +7,10 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Where the journal service is, and the one connection to it.
+/// The address of the journal service, and the one connection to it.
 ///
-/// A move to another address shuts the connection at once: the poll that waits on it would bring nothing more, and later
-/// events are told at the new address alone.
+/// A move to another address closes the connection at once: later events come from the new address only, so the poll
+/// that waits on the former one would return nothing.
 pub struct JournalService {
     state: Mutex<ServiceState>,
     moved: Condvar,
@@ -18,11 +18,12 @@
 
 struct ServiceState {
     address: Option<SocketAddr>,
+    /// How often the address has changed.
     moves: u64,
     connection: Option<Arc<TcpStream>>,
 }
 
-/// An address of the service, and how often it had moved by then.
+/// An address of the service, and the number of moves that led to it.
 #[derive(Clone, Copy)]
 pub(super) struct Location {
     pub(super) address: SocketAddr,
@@ -30,7 +31,7 @@
 }
 
 impl JournalService {
-    /// At this address, or nowhere yet.
+    /// A service at `address`; `None` if its address is not known yet.
     pub fn new(address: Option<SocketAddr>) -> JournalService {
         JournalService {
             state: Mutex::new(ServiceState {
@@ -46,8 +47,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// From now on the service is at this address. Where that is its address already, its poll goes on; without an
-    /// address the endpoint list stays as it is.
+    /// Sets the address of the service. If it is the present one, the poll in flight continues. Without an address
+    /// nothing is polled, and the endpoint list stays as it is.
     pub fn move_to(&self, address: Option<SocketAddr>) {
         let mut state = self.state();
         if state.address != address {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Waits until there is an address.
+    /// The present location; blocks until there is an address.
     pub(super) fn location(&self) -> Location {
         let mut state = self.state();
         loop {
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Sleeps, at most until the next move. Returns whether there was one.
+    /// Sleeps for `time`, or until the service leaves the location of number `moves`. Returns whether it has left it.
     pub(super) fn sleep_unless_moved(&self, moves: u64, time: Duration) -> bool {
         let waited = self
             .moved
@@ -82,8 +83,12 @@
         waited.unwrap_or_else(PoisonError::into_inner).0.moves != moves
     }
 
-    /// Runs `apply` on a response, unless the service has moved since the request. A move waits until `apply` returns:
-    /// after it nothing of the old address is applied.
+    /// Runs `apply`, unless the service has left the location of number `moves`. [`JournalService::move_to`] waits
+    /// until `apply` returns, so nothing from the former address is applied after a move.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`PollError::Moved`] if the service has moved.
     pub(super) fn unless_moved<T>(
         &self,
         moves: u64,
@@ -96,8 +101,12 @@
         }
     }
 
-    /// The present connection, or a new one. One that the service closed, or that has unread bytes, is replaced: the next
-    /// response on it would belong to an earlier request.
+    /// The present connection, or a new one. A connection that the service has closed is replaced, and so is one with
+    /// unread bytes: they belong to the response of an earlier request.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the service has moved from `location`, or can't be connected to.
     pub(super) fn connection(&self, location: Location) -> Result<Arc<TcpStream>, PollError> {
         let mut state = self.state();
         if state.moves != location.moves {
@@ -107,7 +116,7 @@
             return Ok(connection.clone());
         }
         state.close_connection();
-        // A dial takes time: a move must not wait for it.
+        // The lock is released: a move must not wait for the dial.
         drop(state);
         let stream =
             dial(location.address, RESPONSE_TIMEOUT, &|_| true).map_err(PollError::Connect)?;
--- a/edge/proxy/src/journal/service/tests.rs
+++ b/edge/proxy/src/journal/service/tests.rs
@@ -1,12 +1,12 @@
-//! A move to another address against an answer of the former one.
+//! A move to another address while a response of the former one is decoded or applied.
 
 use super::*;
 use std::sync::mpsc::channel;
 use std::thread;
 
-/// Far longer than a move takes that nothing holds up.
+/// Far longer than a move takes if nothing blocks it.
 const BLOCKED_FOR: Duration = Duration::from_millis(300);
-/// Longer than anything takes; it ends a test that waits for what never comes.
+/// Ends a test whose move never happens.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn address(port: u16) -> Option<SocketAddr> {
@@ -14,37 +14,37 @@
 }
 
 #[test]
-fn an_answer_that_was_decoded_before_the_move_and_comes_to_be_taken_after_it_is_not() {
+fn a_response_that_was_decoded_before_a_move_is_not_applied_after_it() {
     let service = JournalService::new(address(1));
-    let asked = service.location();
+    let former = service.location();
     service.move_to(address(2));
-    let taken = service.unless_moved(asked.moves, || panic!("it is taken"));
-    assert!(matches!(taken, Err(PollError::Moved)));
+    let applied = service.unless_moved(former.moves, || panic!("the response is applied"));
+    assert!(matches!(applied, Err(PollError::Moved)));
     assert_eq!(service.location().address, address(2).unwrap());
 }
 
 #[test]
-fn a_move_waits_for_the_answer_that_is_being_taken() {
+fn a_move_waits_until_a_response_is_applied() {
     let service = Arc::new(JournalService::new(address(1)));
-    let asked = service.location();
-    let (told, moved) = channel();
-    let taken = service.unless_moved(asked.moves, || {
+    let former = service.location();
+    let (done, moved) = channel();
+    let blocked = service.unless_moved(former.moves, || {
         let service = service.clone();
         thread::spawn(move || {
             service.move_to(address(2));
-            told.send(()).unwrap();
+            done.send(()).unwrap();
         });
         moved.recv_timeout(BLOCKED_FOR).is_err()
     });
     assert!(
-        taken.unwrap(),
-        "the service had moved before all of the answer was taken"
+        blocked.unwrap(),
+        "the service moved while the response was being applied"
     );
     moved
         .recv_timeout(TEST_TIMEOUT)
-        .expect("it moves once the answer is taken");
+        .expect("the service moves once the response is applied");
     assert!(matches!(
-        service.unless_moved(asked.moves, || ()),
+        service.unless_moved(former.moves, || ()),
         Err(PollError::Moved)
     ));
 }
--- a/edge/proxy/src/lib.rs
+++ b/edge/proxy/src/lib.rs
@@ -1,17 +1,17 @@
-//! The edge proxy: binds the event loop, the fronts and the upstream client together into one process.
+//! The edge proxy: combines the event loop, the fronts and the upstream client to one process.
 //!
 //! | concern | module |
 //! | --- | --- |
-//! | start, serve and shut down | [`server`], [`signals`], [`drain`], [`log`] |
-//! | configuration, and what a reload changes | [`config`], [`reload`], [`startup_settings`], [`check_config`], [`operator_file`], [`plan`] |
+//! | start, serving and shutdown | [`server`], [`signals`], [`drain`], [`log`] |
+//! | configuration and reloads | [`config`], [`reload`], [`startup_settings`], [`check_config`], [`operator_file`], [`plan`] |
 //! | the journal service's endpoint list and purges | [`journal`], [`backoff`], [`journal_relay`] |
 //! | the admin interface and maintenance | [`admin`] |
 //! | the fill hierarchy in service | [`hierarchy`] |
 //! | load reports and health checks | [`load_reports`] |
 //! | limits by class and route | [`limits`] |
-//! | the fleet and what its peers share | [`fleet`], [`cover`], [`pool_permits`] |
+//! | the fleet, and the services that its peers share | [`fleet`], [`cover`], [`pool_permits`] |
 //!
-//! Nothing here decides for a request or reads one.
+//! This crate neither routes requests nor reads them.
 #![warn(missing_docs)]
 
 pub mod admin;
--- a/edge/proxy/src/limits.rs
+++ b/edge/proxy/src/limits.rs
@@ -1,9 +1,9 @@
-//! Limits by class and route of the operator's file: checked against the account's rules, shown and compared. Without
-//! them in the file nothing here is started.
+//! The operator's file's limits by class and route: checked against the account's rules, printed and compared. Without
+//! limits in the file none are enforced.
 
 use crate::config::{self, NEXT_LINE};
 use foldmux::interface::{
-    Class as RouterClass, KeyScope as RouterGroup, RetrySafety as RouterRepeat,
+    Class as RouterClass, KeyScope as RouterKeyScope, RetrySafety as RouterRetrySafety,
 };
 use foldmux_limits::account::{Account, ClassRules, IdempotencyScope, RetrySafety};
 use foldmux_limits::export;
@@ -16,10 +16,10 @@
 const USAGE: &str =
     "limits show CLASS [--route R] | export | schema | diff OLD NEW; see foldmux help";
 
-/// Why `foldmux limits` could not do what it was asked for.
+/// Why `foldmux limits` failed.
 #[derive(Debug, PartialEq, Eq)]
 pub enum LimitsError {
-    /// A file can't be used: every fault.
+    /// A file can't be used; one line for each fault.
     File(Vec<String>),
     /// No class has this name.
     UnknownClass(String),
@@ -30,7 +30,7 @@
         /// The route that was named.
         route: String,
     },
-    /// The words are no command.
+    /// The arguments are not a command of `foldmux limits`.
     Usage,
 }
 
@@ -38,9 +38,9 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             LimitsError::File(faults) => write!(out, "{}", faults.join(NEXT_LINE)),
-            LimitsError::UnknownClass(class) => write!(out, "no class {class}"),
+            LimitsError::UnknownClass(class) => write!(out, "unknown class {class}"),
             LimitsError::UnknownRoute { class, route } => {
-                write!(out, "{class} has no route {route}")
+                write!(out, "class {class} has no route {route}")
             }
             LimitsError::Usage => write!(out, "{USAGE}"),
         }
@@ -49,7 +49,7 @@
 
 impl std::error::Error for LimitsError {}
 
-/// The account's rules as the platform's settings give them, and the limits on this process.
+/// The account's rules: the platform's settings, and the limits on this process.
 pub fn account(decoded: &Decoded, process: &config::Limits) -> Account {
     let settings = &decoded.settings;
     let classes = decoded.classes.iter().zip(&settings.classes);
@@ -73,11 +73,17 @@
         deadline_ms: milliseconds(class.deadline),
         objective_ms: milliseconds(class.latency_objective),
         retry_safety: match class.retry_safety {
-            RouterRepeat::Idempotent => RetrySafety::Idempotent,
-            RouterRepeat::NonIdempotent => RetrySafety::NotIdempotent,
-            RouterRepeat::Keyed(RouterGroup::All) => RetrySafety::Keyed(IdempotencyScope::All),
-            RouterRepeat::Keyed(RouterGroup::Zone) => RetrySafety::Keyed(IdempotencyScope::Zone),
-            RouterRepeat::Keyed(RouterGroup::Cell) => RetrySafety::Keyed(IdempotencyScope::Cell),
+            RouterRetrySafety::Idempotent => RetrySafety::Idempotent,
+            RouterRetrySafety::NonIdempotent => RetrySafety::NotIdempotent,
+            RouterRetrySafety::Keyed(RouterKeyScope::All) => {
+                RetrySafety::Keyed(IdempotencyScope::All)
+            }
+            RouterRetrySafety::Keyed(RouterKeyScope::Zone) => {
+                RetrySafety::Keyed(IdempotencyScope::Zone)
+            }
+            RouterRetrySafety::Keyed(RouterKeyScope::Cell) => {
+                RetrySafety::Keyed(IdempotencyScope::Cell)
+            }
         },
         idempotency_window_ms: milliseconds(class.idempotency_window),
     }
@@ -87,29 +93,29 @@
     microseconds / 1_000
 }
 
-/// How many sets of limits a table has of its own, beside the account's rules.
-pub fn own_sets(table: &LimitSet) -> usize {
-    let sets = table.iter();
+/// The number of classes and routes for which the operator's file sets limits.
+pub fn count_own_sets(limits: &LimitSet) -> usize {
+    let sets = limits.iter();
     sets.filter(|resolved| !resolved.at.is_empty()).count()
 }
 
-/// The table of a file.
+/// Checks the limits of a file and resolves them for each class and route.
 ///
 /// # Errors
 ///
-/// All that is wrong with it, a line each.
-pub fn table(account: &Account, draft: &LimitsFile) -> Result<LimitSet, Vec<String>> {
-    let violations = validate(account, draft);
+/// Returns one line for each rule that the file violates.
+pub fn resolve(account: &Account, file: &LimitsFile) -> Result<LimitSet, Vec<String>> {
+    let violations = validate(account, file);
     match violations.is_empty() {
-        true => Ok(LimitSet::new(account, draft)),
+        true => Ok(LimitSet::new(account, file)),
         false => Err(violations.iter().map(ToString::to_string).collect()),
     }
 }
 
 fn load(file: &Path) -> Result<LimitSet, LimitsError> {
     let operator = foldmux_operator::load(file).map_err(LimitsError::File)?;
-    let draft = operator.limits.unwrap_or_default();
-    table(&Account::default(), &draft).map_err(LimitsError::File)
+    let file = operator.limits.unwrap_or_default();
+    resolve(&Account::default(), &file).map_err(LimitsError::File)
 }
 
 fn load_or_default(file: Option<&Path>) -> Result<LimitSet, LimitsError> {
@@ -119,18 +125,18 @@
     }
 }
 
-/// `foldmux limits ...`: what is printed.
+/// Runs `foldmux limits` with these arguments, and returns what it prints.
 ///
 /// # Errors
 ///
-/// Where the words are no command, a file can't be used, or it has no such class or route.
-pub fn command(
-    words: &[String],
+/// Returns an error if the arguments are not a command, a file can't be used, or it has no such class or route.
+pub fn run_command(
+    arguments: &[String],
     operator: Option<&Path>,
     route: Option<&str>,
 ) -> Result<String, LimitsError> {
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    match words[..] {
+    let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+    match arguments[..] {
         ["show", class] => show(&load_or_default(operator)?, class, route),
         ["export"] => Ok(export::to_json(&load_or_default(operator)?) + "\n"),
         ["schema"] => Ok(export::schema()),
@@ -142,13 +148,13 @@
     }
 }
 
-fn show(table: &LimitSet, class: &str, route: Option<&str>) -> Result<String, LimitsError> {
-    let resolved = table.get(class, route).ok_or_else(|| match route {
+fn show(limits: &LimitSet, class: &str, route: Option<&str>) -> Result<String, LimitsError> {
+    let resolved = limits.get(class, route).ok_or_else(|| match route {
         Some(route) => LimitsError::UnknownRoute {
             class: class.to_string(),
             route: route.to_string(),
         },
         None => LimitsError::UnknownClass(class.to_string()),
     })?;
-    Ok(export::describe(table, resolved))
+    Ok(export::describe(limits, resolved))
 }
--- a/edge/proxy/src/load_reports.rs
+++ b/edge/proxy/src/load_reports.rs
@@ -1,4 +1,4 @@
-//! Load reports and health checks, where the settings have them: connected between the event loop and the upstream client.
+//! Load reports and health checks: connects the event loop and the upstream client, if the settings enable either.
 
 use foldmux::interface::Settings;
 use foldmux_core::messages::{Command, ProbeSender};
@@ -9,12 +9,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Starts health checks where they are configured, and returns the upstream client, which forwards the load reports of
-/// responses. Where the settings have neither, that is `upstream` unchanged: no thread, lock or command is added.
+/// Starts health checks if they are configured, and returns the upstream client that forwards the load reports of
+/// responses. If the settings enable neither, returns `upstream` unchanged, and adds no thread, lock or command.
 ///
 /// # Errors
 ///
-/// Where no thread can be had for the health checks.
+/// Returns an error if no thread can be created for the health checks.
 pub fn start(
     setup: Setup,
     settings: &Settings,
--- a/edge/proxy/src/log.rs
+++ b/edge/proxy/src/log.rs
@@ -1,5 +1,5 @@
-//! The log: lines on standard error, plain or as JSON. They go through a bounded queue that drops lines rather than wait,
-//! so that no thread of the process is ever held up by whoever reads the log.
+//! The log: lines on standard error, as plain text or JSON. They go through a bounded queue that drops lines when it is
+//! full, so that a slow reader of the log never blocks a thread of the process.
 
 use foldmux_fronts::listen::{named, READER_STACK};
 use std::fmt;
@@ -8,18 +8,18 @@
 use tracing_appender::non_blocking::{NonBlocking, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-/// Lines that wait to be written; those beyond are dropped and counted by the writer.
+/// Most lines that wait to be written; further lines are dropped and counted by the writer.
 const MAX_QUEUED_LINES: usize = 4_096;
-/// Attempts to start the log's thread, each after a thread could be had.
+/// Most attempts to start the log's thread.
 const MAX_START_ATTEMPTS: usize = 3;
-/// Environment variable with the level, or a filter by module.
+/// Environment variable with the log level, or a filter by module.
 const LEVEL_VARIABLE: &str = "FOLDMUX_LOG";
 const DEFAULT_LEVEL: &str = "info";
 
-/// The form of a line.
+/// The format of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Text.
+    /// Plain text.
     Plain,
     /// A JSON object.
     Json,
@@ -28,13 +28,13 @@
 /// Why the log could not be started.
 #[derive(Debug, PartialEq, Eq)]
 pub enum LogError {
-    /// No format has this name.
+    /// There is no format of this name.
     UnknownFormat(String),
-    /// The level is neither a level nor a filter; and why.
+    /// The first text is neither a level nor a filter, for the reason in the second.
     Level(String, String),
-    /// The machine has no thread left.
+    /// No thread can be created, for the given reason.
     NoThread(String),
-    /// The log can't be set up; the text says why.
+    /// The log can't be set up, for the given reason.
     Setup(String),
 }
 
@@ -42,7 +42,7 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             LogError::UnknownFormat(name) => {
-                write!(out, "no form of log {name:?}; plain or json")
+                write!(out, "unknown log format {name:?}; expected plain or json")
             }
             LogError::Level(level, reason) => write!(out, "log level {level:?}: {reason}"),
             LogError::NoThread(reason) => write!(out, "{reason}"),
@@ -65,12 +65,12 @@
     }
 }
 
-/// Starts the log. What is queued is written when the guard is dropped. `level` is a level or a filter by module; without
-/// it FOLDMUX_LOG counts, then `info`.
+/// Starts the log. Dropping the guard writes the queued lines. `level` is a level or a filter by module; without it the
+/// value of `FOLDMUX_LOG` is used, or `info`.
 ///
 /// # Errors
 ///
-/// Where the level can't be read, or no thread can be had.
+/// Returns an error if the level is invalid, or no thread can be created.
 pub fn start(format: LogFormat, level: Option<&str>) -> Result<WorkerGuard, LogError> {
     let variable = std::env::var(LEVEL_VARIABLE).ok();
     let level = level.or(variable.as_deref()).unwrap_or(DEFAULT_LEVEL);
@@ -89,8 +89,8 @@
     Ok(guard)
 }
 
-/// The queue and the thread that writes from it. The library panics where the machine has no thread left: then this waits
-/// until a thread could be had, and tries again.
+/// Starts the queue and the thread that writes from it. The library panics if the machine has no thread left. In that
+/// case this function waits until a thread can be created, and tries again.
 fn start_writer() -> Result<(NonBlocking, WorkerGuard), LogError> {
     for _ in 0..MAX_START_ATTEMPTS {
         let builder = NonBlockingBuilder::default()
@@ -103,5 +103,7 @@
         let spare = named("spare", READER_STACK, || ()).map_err(LogError::NoThread)?;
         let _ = spare.join();
     }
-    Err(LogError::Setup("no thread to write it".to_string()))
+    Err(LogError::Setup(
+        "no thread can be created to write it".to_string(),
+    ))
 }
--- a/edge/proxy/src/main.rs
+++ b/edge/proxy/src/main.rs
@@ -21,7 +21,7 @@
 }
 
 fn run() -> Result<(), Box<dyn Error>> {
-    let line = CommandLine::read()?;
+    let line = CommandLine::parse()?;
     match line.command {
         Command::Help => println!("{USAGE}"),
         Command::Version => println!("foldmux {}", env!("CARGO_PKG_VERSION")),
@@ -30,7 +30,10 @@
         Command::ExtProcCheck => check_processor(&line)?,
         Command::Limits => {
             let (operator, route) = (line.operator.as_deref(), line.route.as_deref());
-            print!("{}", limits::command(&line.limits_words, operator, route)?);
+            print!(
+                "{}",
+                limits::run_command(&line.limits_arguments, operator, route)?
+            );
         }
         Command::Serve => serve(line)?,
         Command::Hub => serve_hub(line)?,
@@ -39,8 +42,8 @@
 }
 
 fn print_plan(line: &CommandLine) -> Result<(), Box<dyn Error>> {
-    let [old, new] = &line.files[..] else {
-        let missing = UsageError::Missing("plan wants two files; see foldmux help");
+    let [old, new] = &line.operands[..] else {
+        let missing = UsageError::Missing("plan needs two files; see foldmux help");
         return Err(missing.into());
     };
     plan::print_plan(&load_hierarchy(old)?, &load_hierarchy(new)?)?;
@@ -48,8 +51,8 @@
 }
 
 fn check_processor(line: &CommandLine) -> Result<(), Box<dyn Error>> {
-    let [address] = &line.files[..] else {
-        let missing = UsageError::Missing("extproc-check wants an address; see foldmux help");
+    let [address] = &line.operands[..] else {
+        let missing = UsageError::Missing("extproc-check needs an address; see foldmux help");
         return Err(missing.into());
     };
     let request = &line.request;
@@ -79,8 +82,8 @@
 
 fn serve_hub(line: CommandLine) -> Result<(), Box<dyn Error>> {
     let missing = UsageError::Missing;
-    let file = line.operator.ok_or(missing("hub wants --operator FILE"))?;
-    let name = line.name.ok_or(missing("hub wants --name NODE"))?;
+    let file = line.operator.ok_or(missing("hub needs --operator FILE"))?;
+    let name = line.name.ok_or(missing("hub needs --name NODE"))?;
     let _log = log::start(line.log_format, line.log_level.as_deref())?;
     foldmux_hub::run::run(&name, &file)?;
     Ok(())
--- a/edge/proxy/src/operator_file.rs
+++ b/edge/proxy/src/operator_file.rs
@@ -1,4 +1,4 @@
-//! The operator's file, as commands of the program read it.
+//! Reads the operator's file for the commands of the program.
 
 use crate::config::NEXT_LINE;
 use foldmux_operator::{Hierarchy, Operator};
@@ -8,9 +8,9 @@
 /// Why the operator's file can't be used.
 #[derive(Debug, PartialEq, Eq)]
 pub enum OperatorFileError {
-    /// The file can't be read, or its script fails: every fault.
+    /// The file can't be read, or its script fails; one line for each fault.
     Faults(Vec<String>),
-    /// The file has no hierarchy.
+    /// The file doesn't define a hierarchy.
     NoHierarchy(PathBuf),
 }
 
@@ -19,7 +19,7 @@
         match self {
             OperatorFileError::Faults(faults) => write!(out, "{}", faults.join(NEXT_LINE)),
             OperatorFileError::NoHierarchy(file) => {
-                write!(out, "{}: it has no hierarchy", file.display())
+                write!(out, "{}: no hierarchy is defined", file.display())
             }
         }
     }
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 ///
-/// Where it can't be read, or its script fails.
+/// Returns an error if the file can't be read, or its script fails.
 pub fn load(file: &Path) -> Result<Operator, OperatorFileError> {
     foldmux_operator::load(file).map_err(OperatorFileError::Faults)
 }
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 ///
-/// Where the file can't be read, or has no hierarchy.
+/// Returns an error if the file can't be read, its script fails, or it doesn't define a hierarchy.
 pub fn load_hierarchy(file: &Path) -> Result<Hierarchy, OperatorFileError> {
     load(file)?
         .hierarchy
--- a/edge/proxy/src/plan.rs
+++ b/edge/proxy/src/plan.rs
@@ -1,4 +1,4 @@
-//! `foldmux plan`: what a change of the hierarchy would move.
+//! `foldmux plan`: prints what a change of the fill hierarchy would move.
 
 use foldmux_hierarchy::plan::{plan, Plan};
 use foldmux_hierarchy::tree::NodeKind;
@@ -6,41 +6,43 @@
 use foldmux_operator::Hierarchy;
 use std::fmt;
 
-/// Why the tree in service would not take the other.
+/// Why the change would be rejected.
 #[derive(Debug, PartialEq, Eq)]
 pub enum PlanError {
-    /// The old tree can't be in service.
+    /// The old tree itself can't be used, for the given reason.
     Old(String),
-    /// The new tree can't follow on the old one.
-    Refused(String),
+    /// The new tree must not replace the old one, for the given reason.
+    Rejected(String),
 }
 
 impl fmt::Display for PlanError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             PlanError::Old(reason) => write!(out, "{reason}"),
-            PlanError::Refused(reason) => write!(out, "it would be refused: {reason}"),
+            PlanError::Rejected(reason) => {
+                write!(out, "the new tree would be rejected: {reason}")
+            }
         }
     }
 }
 
 impl std::error::Error for PlanError {}
 
-/// Prints what a change from `old` to `new` moves.
+/// Prints what a change from `old` to `new` would move.
 ///
 /// # Errors
 ///
-/// Where the tree in service would refuse the change.
+/// Returns an error if the change would be rejected; what it would move has been printed then.
 pub fn print_plan(old: &Hierarchy, new: &Hierarchy) -> Result<(), PlanError> {
     println!("tree {} -> {}", old.tree.version(), new.tree.version());
     print_moves(&plan(&old.tree, &new.tree));
     let root = old.tree.name(old.tree.archive());
     let mut versions = TopologyVersions::new(root, old.tree.clone(), 0)
-        .map_err(|refused| PlanError::Old(refused.to_string()))?;
-    let taken = versions
+        .map_err(|rejected| PlanError::Old(rejected.to_string()))?;
+    let applied = versions
         .apply(1, new.tree.clone())
-        .map_err(|refused| PlanError::Refused(refused.to_string()))?;
-    println!("it would be taken ({taken:?})");
+        .map_err(|rejected| PlanError::Rejected(rejected.to_string()))?;
+    println!("the new tree would be accepted ({applied:?})");
     Ok(())
 }
 
@@ -67,11 +69,11 @@
         plan.shields_moved * 100.0
     );
     println!(
-        "{:.1}% of (location, object) go by other hubs",
+        "{:.1}% of (location, object) pairs are filled through other hubs",
         plan.paths_moved * 100.0
     );
     println!(
-        "{:.3} extra fetches from the archive for each held object, at the most",
+        "at most {:.3} extra fetches from the archive for each cached object",
         plan.extra_fetches
     );
 }
--- a/edge/proxy/src/reload.rs
+++ b/edge/proxy/src/reload.rs
@@ -1,8 +1,9 @@
-//! What SIGHUP applies: the configuration, then each part of the operator's file that may change while it is in service.
+//! Reloads on SIGHUP: applies the configuration, then each part of the operator's file that may change while in
+//! service.
 
 use crate::admin::Admin;
 use crate::config::{self, ConfigFiles};
-use crate::fleet;
+use crate::fleet::RunningFleet;
 use crate::hierarchy::ActiveHierarchy;
 use crate::journal::JournalService;
 use crate::limits;
@@ -28,32 +29,33 @@
 mod classes;
 mod error;
 
-/// What came of one part: what is in service now, or why all stays as it was.
+/// The result of reloading one part: a line that says what is in service now, or why nothing has changed.
 type Outcome = Result<String, ReloadError>;
 
-/// Applies the configuration's files to the parts in service, and logs what came of each part.
+/// Applies the configuration and the operator's file to the parts in service, and logs the outcome of each part.
 pub struct Reloader<'a> {
-    /// What is read again.
+    /// The files to read again.
     pub files: ConfigFiles<'a>,
-    /// What no reload changes.
+    /// The values that a reload can't change.
     pub startup: StartupSettings,
-    /// The classes, in service or with requests in flight.
+    /// The classes that are in service or have requests in flight.
     pub classes: ClassTable<Class>,
-    /// The account's rules at the start, by which limits are checked.
+    /// The account's rules at the start, against which limits are checked.
     pub account: Account,
-    /// The fill hierarchy, where there is one.
+    /// The fill hierarchy, if there is one.
     pub hierarchy: Option<ActiveHierarchy>,
-    /// Where clients name classes.
+    /// The MessagePack front, whose clients name classes.
     pub front: Arc<Front>,
     /// The journal service that is followed.
-    pub service: Arc<JournalService>,
-    /// Where reloads are counted.
+    pub journal_service: Arc<JournalService>,
+    /// Counts the reloads.
     pub admin: Arc<Admin>,
 }
 
 impl Reloader<'_> {
-    /// Reads the files and applies each part on its own: one that is refused keeps none of the others from its change.
-    pub fn reload(&mut self, fleet: Option<&fleet::Running>, processor: Option<&Processor>) {
+    /// Reads the files and applies each part by itself: a part that is rejected doesn't prevent the changes of the
+    /// others.
+    pub fn reload(&mut self, fleet: Option<&RunningFleet>, processor: Option<&Processor>) {
         let settings = self.reload_settings();
         self.count(settings.is_ok());
         log_outcome("reload", settings);
@@ -75,29 +77,29 @@
             }
         }
         if let Some(processor) = processor {
-            // The counts are logged whether or not the keys were taken.
-            let counted = |outcome: &dyn Display| format!("{outcome}; {}", processor.line());
+            // The counts are logged whether or not the keys were applied.
+            let with_counts = |outcome: &dyn Display| format!("{outcome}; {}", processor.line());
             let outcome = reload_token_keys(operator_file, processor);
             log_outcome(
                 "token keys",
                 outcome
-                    .map(|taken| counted(&taken))
-                    .map_err(|error| counted(&error)),
+                    .map(|applied| with_counts(&applied))
+                    .map_err(|error| with_counts(&error)),
             );
         }
     }
 
-    fn count(&self, taken: bool) {
-        let counter = match taken {
+    fn count(&self, applied: bool) {
+        let counter = match applied {
             true => &self.admin.conf_loaded,
             false => &self.admin.conf_invalid,
         };
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Takes the configuration's settings, classes and journal service. Whatever can fail comes before the first change,
-    /// so that a file that can't be used changes nothing. One that names no journal service is taken as at the start:
-    /// the endpoint list stays as it is.
+    /// Applies the configuration's settings, classes and journal service. Every step that can fail comes before the
+    /// first change, so that an invalid file changes nothing. A file without a journal service is valid, as at the
+    /// start: the endpoint list stays as it is.
     fn reload_settings(&mut self) -> Outcome {
         let config = config::read(self.files.config)?;
         self.startup.check(&config)?;
@@ -113,20 +115,21 @@
         );
         // The router knows the new classes before any client can name them.
         core.event_loop.send(Command::Settings(Box::new(settings)));
-        // Which member is a parent, the origin or a neighbour follows from the settings: it is worked out anew.
+        // The settings decide which members are parents, the origin or neighbours. An empty update makes the event loop
+        // classify them again.
         core.event_loop.send(Command::Servers {
             full: false,
             servers: Vec::new(),
         });
         self.serve_classes();
-        self.service.move_to(config.journal);
+        self.journal_service.move_to(config.journal_address);
         Ok(self.describe(&config))
     }
 
-    /// From now on clients may name the classes in service, and no others.
+    /// Makes the classes in service, and no others, available to clients.
     fn serve_classes(&self) {
-        let served = client_classes(&self.classes);
-        for class in &served {
+        let client_classes = client_classes(&self.classes);
+        for class in &client_classes {
             self.front.core.metrics.register_class(&class.name);
         }
         let mut classes = self
@@ -134,7 +137,7 @@
             .classes
             .write()
             .unwrap_or_else(PoisonError::into_inner);
-        *classes = Arc::new(served);
+        *classes = Arc::new(client_classes);
     }
 
     fn describe(&self, config: &config::Config) -> String {
@@ -143,7 +146,7 @@
             .in_service()
             .map(|entry| entry.name.as_str())
             .collect();
-        let journal = match config.journal {
+        let journal = match config.journal_address {
             Some(address) => format!("the journal service is at {address}"),
             None => "no journal service: the list stays as it is".to_string(),
         };
@@ -154,11 +157,11 @@
         format!("classes {}; {journal}{unapplied}", names.join(", "))
     }
 
-    /// Takes the weights of tenants, from the operator's file and the settings; `None` where no pool goes by them.
+    /// Applies the weights of tenants, from the operator's file and the settings; `None` if no pool uses weights.
     fn reload_weights(
         &self,
         operator_file: &Path,
-        fleet: &fleet::Running,
+        fleet: &RunningFleet,
     ) -> Result<Option<String>, ReloadError> {
         let setup = read_operator(operator_file)?
             .fleet
@@ -169,10 +172,10 @@
     }
 }
 
-/// A part that was refused is a warning: operators who filter at that level must see it.
+/// Logs the outcome of a part. A rejected part is a warning, so that operators who filter at that level see it.
 fn log_outcome<E: Display>(part: &str, outcome: Result<String, E>) {
     match outcome {
-        Ok(taken) => tracing::info!("{part}: {taken}"),
+        Ok(applied) => tracing::info!("{part}: {applied}"),
         Err(error) => tracing::warn!("{part}: {error}; all stays as it was"),
     }
 }
@@ -181,8 +184,8 @@
     foldmux_operator::load(file).map_err(ReloadError::Operator)
 }
 
-/// Takes the tree of the operator's file. The tree in service is applied again first: the settings that were taken just
-/// now name other hubs.
+/// Applies the tree of the operator's file. The tree in service is applied again first, because the settings that were
+/// just applied name other hubs.
 fn reload_hierarchy(file: &Path, active: &mut ActiveHierarchy) -> Outcome {
     active.reapply().map_err(ReloadError::Hierarchy)?;
     let hierarchy = read_operator(file)?
@@ -191,16 +194,16 @@
     active.replace(&hierarchy).map_err(ReloadError::Hierarchy)
 }
 
-/// Takes the limits of the operator's file, all at once; requests in flight keep theirs.
+/// Applies the limits of the operator's file, all at once; requests in flight keep the former limits.
 fn reload_limits(file: &Path, account: &Account, limiter: &Limiter) -> Outcome {
-    let draft = read_operator(file)?.limits.unwrap_or_default();
-    let table = limits::table(account, &draft).map_err(ReloadError::Limits)?;
-    let count = limits::own_sets(&table);
-    limiter.replace_table(table);
+    let limits_file = read_operator(file)?.limits.unwrap_or_default();
+    let resolved = limits::resolve(account, &limits_file).map_err(ReloadError::Limits)?;
+    let count = limits::count_own_sets(&resolved);
+    limiter.replace_table(resolved);
     Ok(format!("{count} sets of limits taken"))
 }
 
-/// Takes the keys of the operator's file that sign the external processor's tokens.
+/// Applies the operator's file's keys for the external processor's tokens. The last key signs.
 fn reload_token_keys(file: &Path, processor: &Processor) -> Outcome {
     let setup = read_operator(file)?
         .ext_proc
--- a/edge/proxy/src/reload/classes.rs
+++ b/edge/proxy/src/reload/classes.rs
@@ -1,4 +1,4 @@
-//! The classes in service, in the form that each front takes them.
+//! Converts the classes in service to the types of each front.
 
 use foldmux::interface::{Class, RetrySafety};
 use foldmux_extproc::life::Class as ProcessorClass;
@@ -7,7 +7,7 @@
 use foldmux_operations::class_table::ClassTable;
 use foldmux_settings::Decoded;
 
-/// The classes of a configuration: each name, and its rules.
+/// The name and the rules of each class of a configuration.
 pub fn configured_classes(decoded: &Decoded) -> Vec<(String, Class)> {
     let names = decoded.classes.iter().cloned();
     names
@@ -15,7 +15,7 @@
         .collect()
 }
 
-/// The classes as clients of the platform's front name them.
+/// The classes in service for the MessagePack front.
 pub fn client_classes(classes: &ClassTable<Class>) -> Vec<ClientClass> {
     classes
         .in_service()
@@ -28,7 +28,7 @@
         .collect()
 }
 
-/// The classes as the DNS front routes them by name.
+/// The classes in service for the DNS front.
 pub fn dns_classes(classes: &ClassTable<Class>) -> Vec<DnsClass> {
     classes
         .in_service()
@@ -40,7 +40,7 @@
         .collect()
 }
 
-/// The classes as the external processor serves them.
+/// The classes in service for the external processor.
 pub fn processor_classes(classes: &ClassTable<Class>) -> Vec<ProcessorClass> {
     classes
         .in_service()
--- a/edge/proxy/src/reload/error.rs
+++ b/edge/proxy/src/reload/error.rs
@@ -1,4 +1,4 @@
-//! Why a part of a reload was refused.
+//! Why a part of a reload was rejected.
 
 use crate::config::ConfigError;
 use crate::hierarchy::HierarchyError;
@@ -6,19 +6,19 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// Separates several faults on the log's one line.
-const NEXT_FAULT: &str = "; ";
+/// Separates several faults on one line of the log.
+const FAULT_SEPARATOR: &str = "; ";
 
-/// Why a part of a reload was refused: all of it stays as it was. Its text is one line.
+/// Why a part of a reload was rejected. Nothing of that part has changed. The text is one line.
 #[derive(Debug)]
 pub enum ReloadError {
     /// The configuration can't be used.
     Config(ConfigError),
     /// The configuration's classes can't be used.
     Classes(ClassTableError),
-    /// The operator's file can't be used: every fault.
+    /// The operator's file can't be used; one line for each fault.
     Operator(Vec<String>),
-    /// The operator's file no longer has a section that is in service.
+    /// The operator's file no longer has the section of a part that is in service.
     Missing {
         /// The operator's file.
         file: PathBuf,
@@ -27,7 +27,7 @@
     },
     /// The fill hierarchy can't be used here.
     Hierarchy(HierarchyError),
-    /// The limits can't be used: every fault.
+    /// The limits can't be used; one line for each fault.
     Limits(Vec<String>),
 }
 
@@ -43,13 +43,13 @@
 impl fmt::Display for ReloadError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ReloadError::Config(error) => write!(out, "{}", error.faults().join(NEXT_FAULT)),
-            ReloadError::Classes(refused) => write!(out, "configuration: {refused}"),
+            ReloadError::Config(error) => write!(out, "{}", error.faults().join(FAULT_SEPARATOR)),
+            ReloadError::Classes(error) => write!(out, "configuration: {error}"),
             ReloadError::Operator(faults) | ReloadError::Limits(faults) => {
-                write!(out, "{}", faults.join(NEXT_FAULT))
+                write!(out, "{}", faults.join(FAULT_SEPARATOR))
             }
             ReloadError::Missing { file, section } => {
-                write!(out, "{}: no {section}", file.display())
+                write!(out, "{}: no {section} is defined", file.display())
             }
             ReloadError::Hierarchy(error) => write!(out, "{error}"),
         }
--- a/edge/proxy/src/server/checked.rs
+++ b/edge/proxy/src/server/checked.rs
@@ -1,8 +1,8 @@
-//! Phase 1: the configuration is checked, and the sockets that the operator's file asks for are bound.
+//! Phase 1: checks the configuration, and binds the sockets of the DNS front and the external processor.
 
 use super::error::StartError;
 use crate::config::Config;
-use crate::fleet::{services::ProcessContext, Fleet};
+use crate::fleet::{services::ProcessContext, PreparedFleet};
 use crate::limits;
 use crate::reload::{client_classes, configured_classes, processor_classes};
 use crate::startup_settings::StartupSettings;
@@ -17,23 +17,23 @@
 use foldmux_operator::{Hierarchy, Operator};
 use std::sync::Arc;
 
-/// A configuration that was checked and can be served. No thread runs yet.
-pub(super) struct Checked {
+/// A valid configuration with the parts that are made from it. No thread runs yet.
+pub(super) struct CheckedSetup {
     pub(super) config: Config,
     pub(super) startup: StartupSettings,
     pub(super) classes: ClassTable<Class>,
     pub(super) clock: Clock,
-    pub(super) members: Arc<ServerList>,
+    pub(super) servers: Arc<ServerList>,
     pub(super) dns: Option<BoundDns>,
     pub(super) processor: Option<BoundProcessor>,
-    pub(super) fleet: Option<Fleet>,
+    pub(super) fleet: Option<PreparedFleet>,
     pub(super) hierarchy: Option<Hierarchy>,
     pub(super) account: Account,
     pub(super) limits: Option<LimitSet>,
 }
 
-impl Checked {
-    pub(super) fn new(config: Config, operator: Operator) -> Result<Checked, StartError> {
+impl CheckedSetup {
+    pub(super) fn new(config: Config, operator: Operator) -> Result<CheckedSetup, StartError> {
         let startup = StartupSettings::of(&config);
         let classes =
             ClassTable::new(configured_classes(&config.decoded)).map_err(StartError::Classes)?;
@@ -43,23 +43,23 @@
             .map(|setup| BoundProcessor::new(setup, processor_classes(&classes)))
             .transpose()?;
         let clock = Clock::default();
-        let members = Arc::new(ServerList::default());
+        let servers = Arc::new(ServerList::default());
         let fleet = match &operator.fleet {
-            Some(setup) => new_fleet(setup, &config, &classes, &members)?,
+            Some(setup) => new_fleet(setup, &config, &classes, &servers)?,
             None => None,
         };
         let account = limits::account(&config.decoded, &config.limits);
         let limits = operator
             .limits
-            .map(|draft| limits::table(&account, &draft))
+            .map(|file| limits::resolve(&account, &file))
             .transpose()
             .map_err(StartError::Limits)?;
-        Ok(Checked {
+        Ok(CheckedSetup {
             config,
             startup,
             classes,
             clock,
-            members,
+            servers,
             dns,
             processor,
             fleet,
@@ -70,25 +70,25 @@
     }
 }
 
-/// The fleet of the operator's file; none where this process is no peer of it.
+/// The fleet of the operator's file; `None` if this process is not one of its peers.
 fn new_fleet(
     setup: &foldmux_operator::Fleet,
     config: &Config,
     classes: &ClassTable<Class>,
-    members: &Arc<ServerList>,
-) -> Result<Option<Fleet>, String> {
-    let served = client_classes(classes);
+    servers: &Arc<ServerList>,
+) -> Result<Option<PreparedFleet>, String> {
+    let client_classes = client_classes(classes);
     let context = ProcessContext {
         name: &config.name,
         decoded: &config.decoded,
-        classes: served
+        classes: client_classes
             .iter()
             .map(|class| (&class.name, &class.place))
             .collect(),
-        members,
+        servers,
         max_requests: config.bounds.open,
         memory_mb: config.limits.memory_mb as u64,
         seed: config.seed,
     };
-    Fleet::new(setup, &context)
+    PreparedFleet::new(setup, &context)
 }
--- a/edge/proxy/src/server/endpoints.rs
+++ b/edge/proxy/src/server/endpoints.rs
@@ -1,12 +1,12 @@
-//! Phase 3: the client listener, and the endpoint list as the journal service and the admin interface give it.
+//! Phase 3: binds the client listener, and starts to follow the endpoint list of the journal service.
 
-use super::checked::Checked;
-use super::decisions::Decisions;
+use super::checked::CheckedSetup;
 use super::error::StartError;
+use super::running_core::RunningCore;
 use crate::admin::MaintenanceRegistry;
 use crate::backoff::Backoff;
 use crate::hierarchy::{ActiveHierarchy, Zones};
-use crate::journal::{JournalClient, JournalService, Names};
+use crate::journal::{JournalClient, JournalService, ZoneAndKindNames};
 use foldmux_fronts::listen::{named, shared};
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -16,27 +16,30 @@
 /// Stack of the thread that follows the journal service (bytes).
 const JOURNAL_STACK: usize = 512 * 1024;
 
-/// The client listener, bound, and the endpoint list that is being followed.
+/// The client listener, bound but not accepting yet, and the parts that follow the endpoint list.
 pub(super) struct Endpoints {
     pub(super) listener: TcpListener,
     pub(super) address: SocketAddr,
     pub(super) hierarchy: Option<ActiveHierarchy>,
     pub(super) maintenance: Arc<MaintenanceRegistry>,
-    pub(super) service: Arc<JournalService>,
-    /// Set once a whole endpoint list is known.
-    pub(super) listed: Arc<AtomicBool>,
-    /// For what the fleet's peers read of the journal, where there is a fleet.
-    pub(super) relayed: Option<JournalClient>,
+    pub(super) journal_service: Arc<JournalService>,
+    /// Set once a complete endpoint list is known.
+    pub(super) endpoints_known: Arc<AtomicBool>,
+    /// Applies the journal's events that peers of the fleet read, if there is a fleet.
+    pub(super) relay_client: Option<JournalClient>,
 }
 
 impl Endpoints {
-    pub(super) fn start(checked: &Checked, decisions: &Decisions) -> Result<Endpoints, StartError> {
-        let (config, core) = (&checked.config, &decisions.core);
+    pub(super) fn start(
+        checked: &CheckedSetup,
+        running_core: &RunningCore,
+    ) -> Result<Endpoints, StartError> {
+        let (config, core) = (&checked.config, &running_core.core);
         // Before the endpoint list, so that no fill is routed by the settings alone.
-        let hierarchy = start_hierarchy(checked, decisions)?;
+        let hierarchy = start_hierarchy(checked, running_core)?;
         let (listener, address) = bind(config.listen)?;
-        let listed = Arc::new(AtomicBool::new(false));
-        let names = Names {
+        let endpoints_known = Arc::new(AtomicBool::new(false));
+        let names = ZoneAndKindNames {
             zones: config.decoded.zones.clone(),
             kinds: config.decoded.kinds.clone(),
         };
@@ -44,8 +47,8 @@
             names,
             checked.clock.clone(),
             core.event_loop.clone(),
-            decisions.pool.clone(),
-            listed.clone(),
+            running_core.pool.clone(),
+            endpoints_known.clone(),
         );
         let maintenance = Arc::new(MaintenanceRegistry::new(
             core.event_loop.clone(),
@@ -58,34 +61,34 @@
         if let Some(fleet) = &checked.fleet {
             fleet.share(&mut journal);
         }
-        // What the configuration lists comes before anything that the service says.
-        if !journal.apply(&config.known) {
+        // The configuration's events are applied before any event of the service.
+        if !journal.apply(&config.known_events) {
             return Err(StartError::KnownEventsGap);
         }
-        let service = Arc::new(JournalService::new(config.journal));
-        if config.journal.is_none() {
-            tracing::warn!("no journal service: the list stays as configured");
+        let journal_service = Arc::new(JournalService::new(config.journal_address));
+        if config.journal_address.is_none() {
+            tracing::warn!("no journal service: the endpoint list stays as configured");
         }
-        let relayed = checked.fleet.is_some().then(|| journal.clone());
-        let (followed, backoff) = (service.clone(), Backoff::new(config.seed));
+        let relay_client = checked.fleet.is_some().then(|| journal.clone());
+        let (service, backoff) = (journal_service.clone(), Backoff::new(config.seed));
         named("journal", JOURNAL_STACK, move || {
-            journal.follow(&followed, backoff)
+            journal.follow(&service, backoff)
         })?;
         Ok(Endpoints {
             listener,
             address,
             hierarchy,
             maintenance,
-            service,
-            listed,
-            relayed,
+            journal_service,
+            endpoints_known,
+            relay_client,
         })
     }
 }
 
 fn start_hierarchy(
-    checked: &Checked,
-    decisions: &Decisions,
+    checked: &CheckedSetup,
+    running_core: &RunningCore,
 ) -> Result<Option<ActiveHierarchy>, StartError> {
     let Some(hierarchy) = &checked.hierarchy else {
         return Ok(None);
@@ -94,12 +97,12 @@
         hierarchy,
         Zones::of(&checked.config.decoded),
         checked.clock.clone(),
-        decisions.core.event_loop.clone(),
+        running_core.core.event_loop.clone(),
     )?;
     Ok(Some(active))
 }
 
-/// Binds the client listener; the kernel spreads connections over all processes that listen there.
+/// Binds the client listener. The kernel distributes connections over all processes that listen on the address.
 fn bind(address: SocketAddr) -> Result<(TcpListener, SocketAddr), StartError> {
     let listener = shared(address).map_err(|source| StartError::Listen { address, source })?;
     let bound = listener
@@ -108,7 +111,8 @@
     Ok((listener, bound))
 }
 
-/// The platform gives a directory of their own to the processes that serve one port, old and new version alike.
+/// Where the maintenance set is stored. The platform gives the processes that serve one port, of the old and the new
+/// version, the same directory.
 fn maintenance_file(port: u16) -> Option<PathBuf> {
     let directory = PathBuf::from(std::env::var_os("TMPDIR")?);
     Some(directory.join(format!("foldmux-maintenance-{port}")))
--- a/edge/proxy/src/server/error.rs
+++ b/edge/proxy/src/server/error.rs
@@ -7,20 +7,20 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Why the process could not start. Its text is what the program prints.
+/// Why the process could not start. The program prints its text.
 #[derive(Debug)]
 pub enum StartError {
-    /// The handlers of signals could not be installed.
+    /// The signal handlers could not be installed.
     Signals(io::Error),
     /// The configuration can't be used.
     Config(ConfigError),
     /// The configuration's classes can't be used.
     Classes(ClassTableError),
-    /// The configuration's endpoint list has a gap.
+    /// The configuration's events have a gap.
     KnownEventsGap,
     /// The fill hierarchy can't be used here.
     Hierarchy(HierarchyError),
-    /// The limits of the operator's file can't be used: every fault.
+    /// The limits of the operator's file can't be used; one line for each fault.
     Limits(Vec<String>),
     /// The client listener could not be bound.
     Listen {
@@ -29,7 +29,7 @@
         /// Why it could not be bound.
         source: io::Error,
     },
-    /// A part of the process could not start; it says which and why.
+    /// A part of the process could not start; the text names the part and the reason.
     Component(String),
 }
 
@@ -38,10 +38,13 @@
         match self {
             StartError::Signals(source) => write!(out, "signals: {source}"),
             StartError::Config(error) => write!(out, "{error}"),
-            StartError::Classes(refused) => write!(out, "configuration: {refused}"),
+            StartError::Classes(error) => write!(out, "configuration: {error}"),
             StartError::Hierarchy(error) => write!(out, "{error}"),
             StartError::KnownEventsGap => {
-                write!(out, "configuration: known has a gap in its events")
+                write!(
+                    out,
+                    "configuration.known: an event is missing or out of order"
+                )
             }
             StartError::Limits(faults) => write!(out, "{}", faults.join(NEXT_LINE)),
             StartError::Listen { address, source } => {
--- a/edge/proxy/src/server/outcome_log.rs
+++ b/edge/proxy/src/server/outcome_log.rs
@@ -1,4 +1,4 @@
-//! The periodic lines of the log about how requests ended.
+//! Logs at a fixed interval how many requests ended in which way.
 
 use foldmux_core::Core;
 use foldmux_fronts::listen::{named, READER_STACK};
@@ -9,7 +9,8 @@
 
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Starts the thread that logs, and sweeps the pool's idle connections also where no journal service is followed.
+/// Starts the thread that logs. It also closes the pool's idle connections, because without a journal service nothing
+/// else does.
 pub(super) fn start(core: Arc<Core>, pool: Arc<Pool>) -> Result<(), String> {
     named("outcome-log", READER_STACK, move || loop {
         thread::sleep(LOG_INTERVAL);
--- a/edge/proxy/src/server/decisions.rs
+++ b/edge/proxy/src/server/running_core.rs
@@ -1,6 +1,6 @@
-//! Phase 2: the core and the event loop that decides for every request.
+//! Phase 2: builds the core, and starts the event loop that decides for every request.
 
-use super::checked::Checked;
+use super::checked::CheckedSetup;
 use super::error::StartError;
 use crate::load_reports;
 use crate::reload::dns_classes;
@@ -20,24 +20,24 @@
 
 /// Stack of the event loop's thread (bytes).
 const EVENT_LOOP_STACK: usize = 512 * 1024;
-/// Exit code where the event loop has ended.
+/// Exit code of the process when its event loop has ended.
 const EVENT_LOOP_ENDED: i32 = 3;
 
-/// What decides, and the connections that it decides about.
-pub(super) struct Decisions {
+/// The core, whose event loop runs, and the pool of connections to pop caches.
+pub(super) struct RunningCore {
     pub(super) core: Arc<Core>,
     pub(super) pool: Arc<Pool>,
 }
 
-impl Decisions {
-    /// Builds the core, starts the DNS front where it is configured, and the event loop's thread.
-    pub(super) fn start(checked: &mut Checked) -> Result<Decisions, StartError> {
+impl RunningCore {
+    /// Builds the core, starts the DNS front if it is configured, and starts the event loop's thread.
+    pub(super) fn start(checked: &mut CheckedSetup) -> Result<RunningCore, StartError> {
         let decoded = &checked.config.decoded;
-        let idle_time_out = Duration::from_micros(decoded.keep_alive);
-        let pool = Pool::new(checked.config.bounds.upstream, idle_time_out);
+        let idle_timeout = Duration::from_micros(decoded.keep_alive);
+        let pool = Pool::new(checked.config.bounds.upstream, idle_timeout);
         let (mut event_loop, core) = build_core(checked, &pool)?;
-        if let Some(table) = checked.limits.take() {
-            enforce_limits(&core, table, decoded);
+        if let Some(limits) = checked.limits.take() {
+            enforce_limits(&core, limits, decoded);
         }
         if let Some(mut dns) = checked.dns.take() {
             let serial = dns.notify(&mut event_loop)?;
@@ -51,13 +51,16 @@
         named("event-loop", EVENT_LOOP_STACK, move || {
             run_event_loop(event_loop)
         })?;
-        Ok(Decisions { core, pool })
+        Ok(RunningCore { core, pool })
     }
 }
 
-/// The event loop, which is yet to run, and the core that all requests share.
-fn build_core(checked: &Checked, pool: &Arc<Pool>) -> Result<(EventLoop, Arc<Core>), StartError> {
-    let (config, clock, servers) = (&checked.config, &checked.clock, &checked.members);
+/// Builds the event loop, which doesn't run yet, and the core that all requests share.
+fn build_core(
+    checked: &CheckedSetup,
+    pool: &Arc<Pool>,
+) -> Result<(EventLoop, Arc<Core>), StartError> {
+    let (config, clock, servers) = (&checked.config, &checked.clock, &checked.servers);
     let (decoded, settings) = (&config.decoded, &config.decoded.settings);
     let router = Router::new(settings.clone(), config.seed);
     let (mut event_loop, handle) = EventLoop::new(router, clock.clone(), servers.clone());
@@ -84,9 +87,9 @@
     Ok((event_loop, core))
 }
 
-fn enforce_limits(core: &Core, table: LimitSet, decoded: &Decoded) {
+fn enforce_limits(core: &Core, limits: LimitSet, decoded: &Decoded) {
     let settings = &decoded.settings;
-    let idempotency: Vec<RetrySafety> = settings
+    let retry_safety: Vec<RetrySafety> = settings
         .classes
         .iter()
         .map(|class| class.retry_safety)
@@ -96,14 +99,14 @@
         .get(settings.zone)
         .cloned()
         .unwrap_or_default();
-    let limiter = Limiter::new(table, core.clock.clone(), own_zone, idempotency);
+    let limiter = Limiter::new(limits, core.clock.clone(), own_zone, retry_safety);
     let _ = core.limiter.set(limiter);
 }
 
-/// The event loop ends only by a fault. Without it no request can be decided, so the process exits for the platform to
-/// start another.
+/// Runs the event loop, which ends only by a panic. Without it no request can be routed, so the process exits and the
+/// platform starts another.
 fn run_event_loop(event_loop: EventLoop) {
     let _ = catch_unwind(AssertUnwindSafe(|| event_loop.run()));
-    eprintln!("the event loop ended: no decisions can be made");
+    eprintln!("foldmux: the event loop has ended; exiting");
     std::process::exit(EVENT_LOOP_ENDED);
 }
--- a/edge/proxy/src/server/serving.rs
+++ b/edge/proxy/src/server/serving.rs
@@ -1,21 +1,21 @@
-//! Phases 4 to 6: the fronts take requests, reloads are applied, and the process drains.
+//! Phases 4 to 6: starts the fronts, applies reloads, and drains the process.
 
-use super::checked::Checked;
-use super::decisions::Decisions;
+use super::checked::CheckedSetup;
 use super::endpoints::Endpoints;
 use super::error::StartError;
 use super::outcome_log;
+use super::running_core::RunningCore;
 use crate::admin::{self, Admin};
 use crate::config::{Config, ConfigFiles};
-use crate::drain::{time_until_kill, ClientListener, Drain, ANSWER_MARGIN, MAX_DRAIN};
-use crate::fleet;
+use crate::drain::{drain_time, ClientListener, Drain, MAX_DRAIN, RESPONSE_MARGIN};
+use crate::fleet::RunningFleet;
 use crate::reload::{client_classes, Reloader};
 use foldmux_core::log_throttle::LogThrottle;
 use foldmux_core::messages::Command;
 use foldmux_core::Core;
 use foldmux_extproc::serve::{Bound as BoundProcessor, Serving as Processor};
 use foldmux_fronts::listen::named;
-use foldmux_fronts::msgpack::{Front, Taken};
+use foldmux_fronts::msgpack::{Front, Taken as ClientClass};
 use std::sync::atomic::{AtomicBool, AtomicU64};
 use std::sync::{Arc, OnceLock, RwLock};
 use std::thread::JoinHandle;
@@ -30,30 +30,31 @@
     front: Arc<Front>,
     listener: ClientListener,
     reloader: Reloader<'a>,
-    fleet: Option<fleet::Running>,
+    fleet: Option<RunningFleet>,
     processor: Option<Processor>,
-    /// Limits go by the places of the classes at the start: held, so that no other class gets one of these.
-    _limited_classes: Option<Vec<Taken>>,
+    /// The classes at the start, if there are limits. Limits refer to classes by their slots; holding the classes keeps
+    /// a reload from giving their slots to other classes.
+    _limited_classes: Option<Vec<ClientClass>>,
 }
 
 impl<'a> Server<'a> {
-    /// Starts every part in the order in which they depend on each other; the last line says where clients are served.
+    /// Starts the parts in the order of their dependencies.
     pub(super) fn start(
-        mut checked: Checked,
+        mut checked: CheckedSetup,
         files: ConfigFiles<'a>,
     ) -> Result<Server<'a>, StartError> {
         let has_limits = checked.limits.is_some();
-        let decisions = Decisions::start(&mut checked)?;
-        let endpoints = Endpoints::start(&checked, &decisions)?;
-        let core = decisions.core;
+        let running_core = RunningCore::start(&mut checked)?;
+        let endpoints = Endpoints::start(&checked, &running_core)?;
+        let core = running_core.core;
         let processor = match checked.processor.take() {
             Some(bound) => Some(serve_processor(bound, &checked, &core, &endpoints)?),
             None => None,
         };
         let front = new_front(&checked, &core, &endpoints);
-        let clients = checked.config.bounds.clients;
-        let listener = ClientListener::start(endpoints.listener, front.clone(), clients)?;
-        let fleet = match checked.fleet.take().zip(endpoints.relayed) {
+        let max_clients = checked.config.bounds.clients;
+        let listener = ClientListener::start(endpoints.listener, front.clone(), max_clients)?;
+        let fleet = match checked.fleet.take().zip(endpoints.relay_client) {
             Some((fleet, journal)) => Some(fleet.start(&core, journal)?),
             None => None,
         };
@@ -65,13 +66,13 @@
         let admin = Arc::new(Admin {
             core: core.clone(),
             maintenance: endpoints.maintenance,
-            listed: endpoints.listed,
-            leave_by: front.leave_by.clone(),
+            endpoints_known: endpoints.endpoints_known,
+            drain_deadline: front.leave_by.clone(),
             conf_loaded: AtomicU64::new(0),
             conf_invalid: AtomicU64::new(0),
         });
         serve_admin(&checked.config, &admin)?;
-        outcome_log::start(core.clone(), decisions.pool)?;
+        outcome_log::start(core.clone(), running_core.pool)?;
         let limited_classes = has_limits.then(|| client_classes(&checked.classes));
         let reloader = Reloader {
             files,
@@ -80,7 +81,7 @@
             account: checked.account,
             hierarchy: endpoints.hierarchy,
             front: front.clone(),
-            service: endpoints.service,
+            journal_service: endpoints.journal_service,
             admin,
         };
         Ok(Server {
@@ -94,18 +95,18 @@
         })
     }
 
-    /// Applies what the configuration's files say now.
+    /// Reads the configuration and the operator's file again, and applies them.
     pub(super) fn reload(&mut self) {
         self.reloader
             .reload(self.fleet.as_ref(), self.processor.as_ref());
     }
 
-    /// Drains, and returns when the process may exit. See [`crate::server`] for what happens when.
+    /// Drains, and returns when the process may exit. [`crate::server`] has the timeline.
     pub(super) fn shut_down(self) {
-        let deadline = Instant::now() + time_until_kill(self.longest_deadline());
+        let deadline = Instant::now() + drain_time(self.longest_deadline());
         let _ = self.front.leave_by.set(deadline);
         self.core.event_loop.send(Command::Shutdown {
-            deadline: self.core.clock.at(deadline - ANSWER_MARGIN),
+            deadline: self.core.clock.at(deadline - RESPONSE_MARGIN),
         });
         if let Some(fleet) = &self.fleet {
             fleet.leave();
@@ -125,7 +126,7 @@
         }
     }
 
-    /// By the classes now in service: a reload may have brought other deadlines.
+    /// The longest request deadline of the classes now in service; a reload may have changed it.
     fn longest_deadline(&self) -> Duration {
         let classes = self.front.classes();
         let longest_us = classes.iter().map(|class| class.longest).max();
@@ -135,21 +136,21 @@
 
 fn serve_processor(
     bound: BoundProcessor,
-    checked: &Checked,
+    checked: &CheckedSetup,
     core: &Arc<Core>,
     endpoints: &Endpoints,
 ) -> Result<Processor, StartError> {
     let address = bound.address()?;
     let max_attempts = checked.config.decoded.settings.max_attempts;
-    let listed: Arc<AtomicBool> = endpoints.listed.clone();
-    let processor = bound.serve(core.clone(), max_attempts, listed)?;
+    let endpoints_known: Arc<AtomicBool> = endpoints.endpoints_known.clone();
+    let processor = bound.serve(core.clone(), max_attempts, endpoints_known)?;
     tracing::info!("external processor on {address}");
     Ok(processor)
 }
 
-/// Listens for operators, where the configuration says so.
+/// Starts the admin interface, if the configuration has an address for it.
 fn serve_admin(config: &Config, admin: &Arc<Admin>) -> Result<(), StartError> {
-    let Some(address) = config.operator else {
+    let Some(address) = config.admin_address else {
         return Ok(());
     };
     let bound = admin::serve(address, admin.clone(), config.bounds.operator)?;
@@ -157,19 +158,20 @@
     Ok(())
 }
 
-fn new_front(checked: &Checked, core: &Arc<Core>, endpoints: &Endpoints) -> Arc<Front> {
+fn new_front(checked: &CheckedSetup, core: &Arc<Core>, endpoints: &Endpoints) -> Arc<Front> {
     Arc::new(Front {
         leave_by: Arc::new(OnceLock::new()),
         core: core.clone(),
         classes: RwLock::new(Arc::new(client_classes(&checked.classes))),
-        listed: endpoints.listed.clone(),
+        listed: endpoints.endpoints_known.clone(),
         nobody: "".into(),
         connections: AtomicU64::new(1),
         end_lines: LogThrottle::new(Instant::now()),
     })
 }
 
-/// On a thread of its own, so that streams which don't end delay no client of the other fronts.
+/// Drains the external processor on a thread of its own, so that streams which don't end delay no client of the other
+/// fronts.
 fn drain_processor(mut processor: Processor) -> Result<JoinHandle<()>, String> {
     named("processor", PROCESSOR_DRAIN_STACK, move || {
         let ended = processor.leave(MAX_DRAIN);
--- a/edge/proxy/src/signals.rs
+++ b/edge/proxy/src/signals.rs
@@ -1,7 +1,7 @@
 //! The signals that the process handles: SIGHUP reloads, SIGTERM and SIGINT shut down.
 //!
-//! Each handler sets a flag, then writes to a pipe that wakes the one waiting thread. Which signal came is told by the
-//! flags alone, so that a failed read of the pipe neither loses a signal nor ends the process.
+//! Each handler sets a flag, then writes to a pipe that wakes the one waiting thread. Only the flags say which signal
+//! was received, so a failed read of the pipe neither loses a signal nor ends the process.
 
 use foldmux_sockets::verdict::on_stream;
 use foldmux_sockets::Pauses;
@@ -13,8 +13,8 @@
 use std::sync::Arc;
 use std::thread;
 
-/// Bytes read from the pipe at once: one for each signal.
-const WAKE_BUFFER: usize = 64;
+/// Most bytes read from the pipe at once; each signal writes one.
+const WAKE_BUFFER_SIZE: usize = 64;
 
 /// What a signal asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     Shutdown,
 }
 
-/// The signals that came and were not handled yet.
+/// The signals that were received and are not handled yet.
 pub struct Signals {
     wakeups: UnixStream,
     reload: Arc<AtomicBool>,
@@ -33,18 +33,17 @@
 }
 
 impl Signals {
-    /// Installs the handlers. From here on signals are kept until [`Signals::wait`] returns them, and no longer end the
-    /// process by themselves.
+    /// Installs the handlers. From then on these signals no longer end the process; [`Signals::wait`] returns them.
     ///
     /// # Errors
     ///
-    /// Where the pipe can't be made or a handler can't be installed.
+    /// Returns an error if the pipe can't be created or a handler can't be installed.
     pub fn new() -> io::Result<Signals> {
         let (wakeups, waker) = UnixStream::pair()?;
         let (reload, shutdown) = (Arc::default(), Arc::default());
-        for (signal, raised) in [(SIGHUP, &reload), (SIGTERM, &shutdown), (SIGINT, &shutdown)] {
-            // Handlers run in the order of their registration: whoever is woken finds the flag set.
-            flag::register(signal, Arc::clone(raised))?;
+        for (signal, received) in [(SIGHUP, &reload), (SIGTERM, &shutdown), (SIGINT, &shutdown)] {
+            // Handlers run in the order of their registration, so the flag is set before the thread wakes.
+            flag::register(signal, Arc::clone(received))?;
             pipe::register(signal, waker.try_clone()?)?;
         }
         Ok(Signals {
@@ -54,7 +53,7 @@
         })
     }
 
-    /// Waits for the next signal; a shutdown comes before a reload.
+    /// Blocks until the next signal. A shutdown is returned before a reload that was received earlier.
     pub fn wait(&self) -> Signal {
         let mut pauses = Pauses::default();
         loop {
@@ -64,9 +63,9 @@
             if self.reload.swap(false, Ordering::SeqCst) {
                 return Signal::Reload;
             }
-            match (&self.wakeups).read(&mut [0; WAKE_BUFFER]) {
+            match (&self.wakeups).read(&mut [0; WAKE_BUFFER_SIZE]) {
                 Ok(count) if count > 0 => pauses = Pauses::default(),
-                // The handlers hold the other end for as long as the process runs.
+                // End of file: not expected, because the handlers keep the other end open.
                 Ok(_) => thread::sleep(pauses.lengthen()),
                 Err(error) => thread::sleep(pauses.before_next(on_stream(&error))),
             }
--- a/edge/proxy/src/startup_settings.rs
+++ b/edge/proxy/src/startup_settings.rs
@@ -1,7 +1,8 @@
 //! The configuration's values that a reload can't change.
 //!
-//! Some of them number zones and kinds. The endpoint list and the limits refer to those numbers, so a configuration that
-//! numbers them otherwise is refused as a whole. The others apply from the next start, and the reload says so.
+//! Some of them give zones and kinds their numbers. The endpoint list and the limits refer to those numbers, so a
+//! configuration that changes them is rejected as a whole. The others apply from the next start; the reload logs their
+//! keys.
 
 use crate::config::{Config, ConfigError};
 use std::fmt::Debug;
@@ -25,9 +26,9 @@
 /// The values that the process was started with.
 #[derive(Clone, Debug)]
 pub struct StartupSettings {
-    /// Must be the same in every configuration.
+    /// Must not differ in a later configuration.
     numbering: Vec<StartupValue>,
-    /// May differ, and then apply from the next start.
+    /// May differ in a later configuration, and then apply from the next start.
     deferred: Vec<StartupValue>,
 }
 
@@ -43,7 +44,7 @@
         let deferred = vec![
             StartupValue::new("name", &config.name),
             StartupValue::new("listen", config.listen),
-            StartupValue::new("operator", config.operator),
+            StartupValue::new("operator", config.admin_address),
             StartupValue::new("seed", config.seed),
             StartupValue::new("limits", config.limits),
             StartupValue::new("settings.limits.dialTimeout", decoded.dial_time_out),
@@ -59,17 +60,17 @@
         }
     }
 
-    /// Checks that `config` numbers zones and kinds as they are in service.
+    /// Checks that `config` keeps the numbers of zones and kinds.
     ///
     /// # Errors
     ///
-    /// A line for each value that differs.
+    /// Returns one line for each value that differs.
     pub fn check(&self, config: &Config) -> Result<(), ConfigError> {
         let other = StartupSettings::of(config).numbering;
         let faults: Vec<String> = differing(&self.numbering, &other)
             .map(|(in_service, configured)| {
                 format!(
-                    "configuration.{}: {} is not {}, which is in service",
+                    "configuration.{}: {} differs from {}, which is in service",
                     in_service.key, configured.value, in_service.value
                 )
             })
@@ -89,7 +90,7 @@
     }
 }
 
-/// The values that differ: in service, and as configured.
+/// The pairs of values that differ, each in service and as configured.
 fn differing<'a>(
     in_service: &'a [StartupValue],
     configured: &'a [StartupValue],
@@ -100,7 +101,7 @@
         .filter(|(in_service, configured)| in_service != configured)
 }
 
-/// How load reports and health checks are configured, but for what follows from the classes.
+/// The settings of load reports and health checks, without those that depend on the classes.
 fn load_report_settings(config: &Config) -> impl Debug {
     let reports = &config.decoded.reports;
     (
--- a/edge/proxy/tests/common/dns_front.rs
+++ b/edge/proxy/tests/common/dns_front.rs
@@ -84,7 +84,7 @@
     );
     let operator = evaluate("dns.star", setup).unwrap();
     if let Some(draft) = &operator.limits {
-        let table = foldmux_proxy::limits::table(&account, draft).unwrap();
+        let table = foldmux_proxy::limits::resolve(&account, draft).unwrap();
         assert!(core
             .limiter
             .set(Limiter::new(table, clock.clone(), "edge".into(), repeats))
--- a/edge/proxy/tests/common/journal_follower.rs
+++ b/edge/proxy/tests/common/journal_follower.rs
@@ -9,7 +9,7 @@
 use foldmux_core::event_loop::EventLoop;
 use foldmux_core::servers::{cache_id, ServerList};
 use foldmux_proxy::backoff::Backoff;
-use foldmux_proxy::journal::{EventBatch, JournalClient, JournalService, Names};
+use foldmux_proxy::journal::{EventBatch, JournalClient, JournalService, ZoneAndKindNames};
 use foldmux_upstream::pool::Pool;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -41,7 +41,7 @@
             heard.lock().unwrap().push(former.name.to_string())
         });
         std::thread::spawn(move || desk.run());
-        let names = Names {
+        let names = ZoneAndKindNames {
             zones: decoded.zones,
             kinds: decoded.kinds,
         };
--- a/edge/proxy/tests/endpoint_lists.rs
+++ b/edge/proxy/tests/endpoint_lists.rs
@@ -6,7 +6,7 @@
 use foldmux_core::event_loop::EventLoop;
 use foldmux_core::servers::{cache_id, Census, ServerList};
 use foldmux_event_stream::journal::EventBatch;
-use foldmux_proxy::journal::{JournalClient, Names};
+use foldmux_proxy::journal::{JournalClient, ZoneAndKindNames};
 use foldmux_stats::SeededRng;
 use foldmux_upstream::pool::Pool;
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
             counted.fetch_add(1, Ordering::SeqCst);
         });
         let desk = std::thread::spawn(move || desk.run());
-        let names = Names {
+        let names = ZoneAndKindNames {
             zones: decoded.zones,
             kinds: decoded.kinds,
         };
--- a/edge/proxy/tests/fleet.rs
+++ b/edge/proxy/tests/fleet.rs
@@ -172,7 +172,7 @@
     std::fs::write(fleet.folder.join("short.key"), "abc").unwrap();
     let short = fleet.refused(0, &whole.replace("fleet.key", "short.key"));
     assert!(
-        short.contains("short.key: 64 hexadecimal digits are wanted"),
+        short.contains("short.key: expected 64 hexadecimal digits"),
         "{short}"
     );
     let strange = fleet.refused(0, &(whole.clone() + "cover(\"nothing\")\n"));
@@ -193,7 +193,7 @@
     let _ = stranger.wait();
     assert!(
         off.as_ref()
-            .is_some_and(|line| line.contains("\"n7\" is no peer of it")),
+            .is_some_and(|line| line.contains("\"n7\" is not one of its peers")),
         "{off:?}"
     );
 }
--- a/edge/proxy/tests/invalid_config.rs
+++ b/edge/proxy/tests/invalid_config.rs
@@ -172,7 +172,7 @@
         let lines = said(is, becomes);
         assert_eq!(lines.len(), 1, "{becomes}: {lines:?}");
         assert!(
-            lines[0].contains(&format!("key \"{key}\" stands twice in one object")),
+            lines[0].contains(&format!("duplicate key \"{key}\" in an object")),
             "{lines:?}"
         );
     }
--- a/edge/proxy/tests/operator_file.rs
+++ b/edge/proxy/tests/operator_file.rs
@@ -68,7 +68,10 @@
     insta::assert_snapshot!("plan", text);
     let (taken, text) = told(&["plan", &new, &old]);
     assert!(
-        !taken && text.contains("it would be refused: epoch 4 is older than epoch 5 in service"),
+        !taken
+            && text.contains(
+                "the new tree would be rejected: epoch 4 is older than epoch 5 in service"
+            ),
         "{text}"
     );
 }
@@ -110,7 +113,7 @@
     );
     let (well, text) = told(&["check-config", "--config", &config, "--operator", &other]);
     assert!(
-        !well && text.contains("edge, this proxy's zone, is no location of the tree"),
+        !well && text.contains("this proxy's zone edge is not a location of the tree"),
         "{text}"
     );
     assert!(told(&["check-config", "--operator", &other]).0);
@@ -184,7 +187,7 @@
         (
             TREE.replace("epoch = 2", "epoch = 9")
                 .replace("\"edge\"", "\"other\""),
-            "is no location of the tree; all stays",
+            "is not a location of the tree; all stays",
         ),
         ("hub(".to_string(), "foldmux.star:1: "),
         (
