--- a/edge/proxy/tests/common/dns_front.rs
+++ b/edge/proxy/tests/common/dns_front.rs
@@ -89,7 +89,7 @@
     );
     let operator = evaluate("dns.star", setup).unwrap();
     if let Some(draft) = &operator.limits {
-        let table = foldmux_proxy::limits::table(&account, draft).unwrap();
+        let table = foldmux_proxy::limits::resolve(&account, draft).unwrap();
         assert!(core
             .limiter
             .set(Limiter::new(
--- a/edge/proxy/tests/common/journal_follower.rs
+++ b/edge/proxy/tests/common/journal_follower.rs
@@ -10,7 +10,7 @@
 use foldmux_core::event_loop::EventLoop;
 use foldmux_core::servers::{cache_id, ServerList};
 use foldmux_proxy::backoff::Backoff;
-use foldmux_proxy::journal::{EventBatch, JournalClient, JournalService, Names};
+use foldmux_proxy::journal::{EventBatch, JournalClient, JournalService, ZoneAndKindNames};
 use foldmux_upstream::pool::Pool;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -43,7 +43,7 @@
             recorded.lock().unwrap().push(ended_server.name.to_string())
         });
         std::thread::spawn(move || event_loop.run());
-        let names = Names {
+        let names = ZoneAndKindNames {
             zones: decoded.zones,
             kinds: decoded.kinds,
         };
--- a/edge/proxy/tests/fleet.rs
+++ b/edge/proxy/tests/fleet.rs
@@ -178,7 +178,7 @@
     std::fs::write(fleet.folder.join("short.key"), "abc").unwrap();
     let short = fleet.failed_start(0, &valid.replace("fleet.key", "short.key"));
     assert!(
-        short.contains("short.key: 64 hexadecimal digits are wanted"),
+        short.contains("short.key: expected 64 hexadecimal digits"),
         "{short}"
     );
     let unknown_class = fleet.failed_start(0, &(valid.clone() + "cover(\"nothing\")\n"));
@@ -201,7 +201,7 @@
     assert!(
         first_line
             .as_ref()
-            .is_some_and(|line| line.contains("\"n7\" is no peer of it")),
+            .is_some_and(|line| line.contains("\"n7\" is not one of its peers")),
         "{first_line:?}"
     );
 }
--- a/edge/proxy/tests/invalid_config.rs
+++ b/edge/proxy/tests/invalid_config.rs
@@ -177,7 +177,7 @@
         let lines = errors_after(original, replacement);
         assert_eq!(lines.len(), 1, "{replacement}: {lines:?}");
         assert!(
-            lines[0].contains(&format!("key \"{key}\" stands twice in one object")),
+            lines[0].contains(&format!("duplicate key \"{key}\" in an object")),
             "{lines:?}"
         );
     }
--- a/edge/proxy/tests/operator_file.rs
+++ b/edge/proxy/tests/operator_file.rs
@@ -74,7 +74,8 @@
     insta::assert_snapshot!("plan", text);
     let (ok, text) = run(&["plan", &new, &old]);
     assert!(
-        !ok && text.contains("it would be refused: epoch 4 is older than epoch 5 in service"),
+        !ok && text
+            .contains("the new tree would be rejected: epoch 4 is older than epoch 5 in service"),
         "{text}"
     );
 }
@@ -116,7 +117,7 @@
     );
     let (ok, text) = run(&["check-config", "--config", &config, "--operator", &other]);
     assert!(
-        !ok && text.contains("edge, this proxy's zone, is no location of the tree"),
+        !ok && text.contains("this proxy's zone edge is not a location of the tree"),
         "{text}"
     );
     assert!(run(&["check-config", "--operator", &other]).0);
@@ -197,7 +198,7 @@
             HIERARCHY
                 .replace("epoch = 2", "epoch = 9")
                 .replace("\"edge\"", "\"other\""),
-            "is no location of the tree; all stays",
+            "is not a location of the tree; all stays",
         ),
         ("hub(".to_string(), "foldmux.star:1: "),
         (
