--- a/edge/proxy/tests/operator_file.rs
+++ b/edge/proxy/tests/operator_file.rs
@@ -93,7 +93,7 @@
     assert!(!well && lines.len() == 2, "{text}");
     assert_eq!(
         lines[0],
-        format!("foldmux: {file}:4: edge names the parent west, which is no node")
+        format!("foldmux: {file}:4: edge names the parent west, which is not in the tree")
     );
     assert!(
         lines[1].contains(":4: location edge names the archive as a parent"),
--- a/hub/src/book.rs
+++ b/hub/src/book.rs
@@ -290,7 +290,9 @@
             .filter_map(|name| tree.find(name))
             .collect();
         let me = state.node.versions().own_node(tree);
-        let ix = *tree.next(me, object, |ix| !passed.contains(&ix)).first()?;
+        let ix = *tree
+            .next_hops(me, object, |ix| !passed.contains(&ix))
+            .first()?;
         Some((
             state.hierarchy.nodes.get(tree.name(ix))?.address?,
             tree.version(),
--- a/pure/hierarchy/benches/decision.rs
+++ b/pure/hierarchy/benches/decision.rs
@@ -36,7 +36,7 @@
     let mut object = 0;
     bencher.bench_local(|| {
         object += 1;
-        black_box(tree.next(hub, object, |_| true))
+        black_box(tree.next_hops(hub, object, |_| true))
     });
 }
 
--- a/pure/hierarchy/src/lib.rs
+++ b/pure/hierarchy/src/lib.rs
@@ -1,17 +1,17 @@
-//! The cache hierarchy as versioned state, and what follows from it.
+//! The cache hierarchy as versioned state, and the decisions that are made from it.
 //!
-//! - [`tree`]: the fill tree, its validation, and where a fill goes next ([`route`]);
-//! - [`versions`]: how one node goes from one version of the tree to the next;
-//! - [`in_flight`]: request collapsing, who leads a fetch and who follows it;
+//! - [`tree`]: the fill tree and its validation; [`route`] adds the next hops of a fill;
+//! - [`versions`]: the change of one node from one version of the tree to the next;
+//! - [`in_flight`]: request collapsing: which request leads a fetch, and which ones follow it;
 //! - [`health`]: outlier detection of sources;
-//! - [`slow_start`]: how much work a hub that started lately may be given;
-//! - [`freshness_fence`]: how old a copy may be after invalidations;
+//! - [`slow_start`]: limits on the work that is sent to a recently started hub;
+//! - [`freshness_fence`]: lower bounds on the age of copies, from invalidations;
 //! - [`fill_path`]: the nodes that a fill has passed (`CDN-Loop`);
 //! - [`node`]: all decisions of one hub together;
-//! - [`plan`]: what a change of the tree would move.
+//! - [`plan`]: the effects of a proposed change of the tree.
 //!
-//! The crate does no I/O, reads no clock (times are passed in) and draws no random numbers; it knows no addresses and no
-//! wire formats but that of `CDN-Loop`. It depends on no other crate of foldmux.
+//! The crate does no I/O, reads no clock (times are passed in) and draws no random numbers. It handles no addresses, and
+//! no wire format except that of `CDN-Loop`. It depends on no other crate of foldmux.
 
 #![warn(missing_docs)]
 
@@ -26,10 +26,11 @@
 pub mod tree;
 pub mod versions;
 
-/// A time in microseconds of a clock that never goes back; its start is arbitrary.
+/// A time in microseconds on a monotonic clock with an arbitrary origin.
 pub type TimestampUs = u64;
 
-/// Mixes the bits of a number (the finalizer of SplitMix64). Nodes of all versions must agree on it.
+/// Mixes the bits of a number (the finalizer of SplitMix64). All nodes must compute the same result, whatever their
+/// software version: shields and digests of trees are derived from it.
 pub(crate) fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/pure/hierarchy/src/node/select_source.rs
+++ b/pure/hierarchy/src/node/select_source.rs
@@ -132,14 +132,14 @@
             let is_archive = tree.node(source).kind == NodeKind::Archive;
             is_archive || self.is_healthy(now, tree.name(source))
         };
-        let all = tree.next(own, request.object, untried);
+        let all = tree.next_hops(own, request.object, untried);
         let loop_avoided = all.first().is_some_and(|first| passed.contains(first));
-        let mut sources = tree.next(own, request.object, |source| {
+        let mut sources = tree.next_hops(own, request.object, |source| {
             allowed(source) && healthy(source)
         });
         if sources.is_empty() {
             // An ejected source is better than none.
-            sources = tree.next(own, request.object, allowed);
+            sources = tree.next_hops(own, request.object, allowed);
         }
         match (sources.is_empty(), all.is_empty()) {
             (true, true) => Err(NoSource::Exhausted),
@@ -225,7 +225,7 @@
                 at: now.max(1),
                 full_rate,
             };
-            let (turn, callers) = tree.caller_turn(source, own);
+            let (turn, callers) = tree.caller_position(source, own);
             SlowStartLimiter::new(slow_start, start, turn, callers)
         });
         limiter.try_acquire(now, ONE_FILL)
--- a/pure/hierarchy/src/plan.rs
+++ b/pure/hierarchy/src/plan.rs
@@ -46,7 +46,7 @@
     let mut at = tree.find(name);
     while let Some(from) = at {
         at = tree
-            .next(from, object, |_| true)
+            .next_hops(from, object, |_| true)
             .first()
             .copied()
             .filter(|to| *to != tree.archive());
--- a/pure/hierarchy/src/tree.rs
+++ b/pure/hierarchy/src/tree.rs
@@ -1,4 +1,4 @@
-//! The fill tree: nodes and their ordered parents. A [`Tree`] exists only once its draft was validated.
+//! The fill tree: nodes and their ordered parents. [`Tree::validate`] is the only way to construct a [`Tree`].
 
 mod draft;
 mod validate;
@@ -9,25 +9,25 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Nodes of a tree at the most.
+/// Maximum number of nodes in a tree.
 pub const MAX_NODES: usize = 16_384;
-/// Parents of one node at the most.
+/// Maximum number of parents of one node.
 pub const MAX_PARENTS: usize = 8;
-/// Longest name of a node: one label of a host name, as `CDN-Loop` requires.
+/// Maximum length of a node name: it must fit into one host name label, as node ids in `CDN-Loop` are host names.
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// A node of one tree; it means nothing in another.
+/// Index of a node in one [`Tree`]. It is not valid in any other tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct NodeIndex(pub u16);
 
-/// What a node of the tree is.
+/// Kind of a node in the tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NodeKind {
-    /// Caches and edge proxies of one site; requests fills and serves none.
+    /// The caches and edge proxies of one site. A location requests fills and serves none.
     Location,
-    /// Caches copies and forwards fills.
+    /// A cache that serves fills, and forwards those that it can't serve to its own sources.
     Hub,
-    /// Holds everything; the one root.
+    /// The origin, which holds all objects; the only root of the tree.
     Archive,
 }
 
@@ -44,22 +44,23 @@
 /// One node of a tree.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Its name, unlike any other in the tree.
+    /// The node's name, unique in the tree.
     pub name: Arc<str>,
-    /// What it is.
+    /// The node's kind.
     pub kind: NodeKind,
-    /// In the order in which they are asked.
+    /// The node's parents, in order of preference.
     pub parents: Vec<NodeIndex>,
-    /// Stands for the name where objects are hashed over nodes.
+    /// Hash of the name, for rendezvous hashing of objects over nodes.
     pub(crate) seed: u64,
 }
 
-/// Which tree a fill was routed by. Two different trees never share a version.
+/// Identifies a tree. Trees with different nodes or parents have different versions, except for collisions of the digest
+/// within one epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TreeVersion {
-    /// Its number; a newer tree has a higher one.
+    /// The tree's number. A newer tree has a higher one, unless it replaces a tree by [`Tree::instead_of`].
     pub epoch: u64,
-    /// Digest of its nodes and their parents.
+    /// Digest of the tree's nodes and their parents.
     pub digest: u32,
 }
 
@@ -70,7 +71,7 @@
 }
 
 impl TreeVersion {
-    /// Reads what `Display` writes.
+    /// Parses the output of `Display`: the epoch in decimal, a hyphen, and eight hex digits of the digest.
     pub fn parse(text: &str) -> Option<TreeVersion> {
         let (epoch, digest) = text.split_once('-')?;
         let digits = |t: &str| !t.is_empty() && t.bytes().all(|b| b.is_ascii_hexdigit());
@@ -84,22 +85,22 @@
     }
 }
 
-/// A tree that passed every check. It has no cycle, and each node reaches the archive.
+/// A validated tree. It has no cycle, and the archive is reachable from each node.
 #[derive(Clone, Debug)]
 pub struct Tree {
     version: TreeVersion,
     instead_of: Option<u64>,
     nodes: Vec<Node>,
     archive: NodeIndex,
-    /// Hubs whose only parent is the archive: an object's shield is one of them.
+    /// Hubs whose only parent is the archive. The shield of an object is one of them.
     top_hubs: Vec<NodeIndex>,
-    /// Steps of the longest path to the archive, the one over a shield included.
+    /// Hops of the longest path from each node to the archive, including the detour over a shield.
     heights: Vec<u8>,
     by_name: HashMap<Arc<str>, NodeIndex>,
 }
 
 impl Tree {
-    /// Its number and digest.
+    /// The tree's epoch and digest.
     pub fn version(&self) -> TreeVersion {
         self.version
     }
@@ -109,72 +110,81 @@
         self.version.epoch
     }
 
-    /// The epoch in service that it replaces, though its own number is lower.
+    /// The epoch in service that this tree may replace although its own number is not higher.
     pub fn instead_of(&self) -> Option<u64> {
         self.instead_of
     }
 
-    /// The node of a name.
+    /// The index of the node with this name.
     pub fn find(&self, name: &str) -> Option<NodeIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// A node.
+    /// The node at this index.
     ///
     /// # Panics
     ///
-    /// Where the index is of another tree.
+    /// If the index is out of range, as that of another tree may be.
     pub fn node(&self, index: NodeIndex) -> &Node {
         &self.nodes[index.0 as usize]
     }
 
-    /// The name of a node.
+    /// The name of the node at this index.
+    ///
+    /// # Panics
+    ///
+    /// If the index is out of range, as that of another tree may be.
     pub fn name(&self, index: NodeIndex) -> &Arc<str> {
         &self.node(index).name
     }
 
-    /// The root.
+    /// The archive, which is the root of the tree.
     pub fn archive(&self) -> NodeIndex {
         self.archive
     }
 
-    /// Steps from a node to the archive, on the longest path that a fill takes while all sources are healthy.
+    /// Hops from a node to the archive, on the longest path that a fill takes while all sources are healthy.
+    ///
+    /// # Panics
+    ///
+    /// If the index is out of range, as that of another tree may be.
     pub fn height(&self, index: NodeIndex) -> u8 {
         self.heights[index.0 as usize]
     }
 
-    /// The greatest height of any node.
+    /// The largest height of any node.
     pub fn max_height(&self) -> u8 {
         self.heights.iter().copied().max().unwrap_or(0)
     }
 
-    /// Hubs whose only parent is the archive.
+    /// The hubs whose only parent is the archive.
     pub fn top_hubs(&self) -> &[NodeIndex] {
         &self.top_hubs
     }
 
-    /// All nodes, in the order of their names.
+    /// All nodes, sorted by name.
     pub fn nodes(&self) -> impl Iterator<Item = (NodeIndex, &Node)> {
         self.nodes
             .iter()
             .enumerate()
-            .map(|(at, node)| (NodeIndex(at as u16), node))
+            .map(|(position, node)| (NodeIndex(position as u16), node))
     }
 
-    /// The nodes of one kind.
+    /// The nodes of one kind, sorted by name.
     pub fn of_kind(&self, kind: NodeKind) -> impl Iterator<Item = (NodeIndex, &Node)> {
         self.nodes().filter(move |(_, node)| node.kind == kind)
     }
 
-    /// The nodes that may ask this one: those that have it as a parent, and for a top hub all that may go over a shield.
+    /// The nodes that may send fills to this one: those that have it as a parent and, for a top hub, all that may use a
+    /// shield. Sorted by name.
     pub fn callers(&self, index: NodeIndex) -> impl Iterator<Item = NodeIndex> + '_ {
         self.nodes()
-            .filter(move |(at, _)| self.allows(*at, index))
-            .map(|(at, _)| at)
+            .filter(move |(from, _)| self.allows(*from, index))
+            .map(|(from, _)| from)
     }
 
-    /// A caller's number among all that may ask a node, and how many they are.
-    pub fn caller_turn(&self, index: NodeIndex, caller: NodeIndex) -> (usize, usize) {
+    /// The position of `caller` among the [`Tree::callers`] of a node, and the number of these callers.
+    pub fn caller_position(&self, index: NodeIndex, caller: NodeIndex) -> (usize, usize) {
         let callers: Vec<NodeIndex> = self.callers(index).collect();
         (
             callers.iter().position(|c| *c == caller).unwrap_or(0),
--- a/pure/hierarchy/src/tree/draft.rs
+++ b/pure/hierarchy/src/tree/draft.rs
@@ -1,4 +1,4 @@
-//! A proposed tree, and why one can be rejected.
+//! A proposed tree, and the reasons for which one is rejected.
 
 use super::{NodeKind, MAX_NAME_BYTES, MAX_NODES, MAX_PARENTS};
 use std::fmt;
@@ -6,11 +6,11 @@
 /// A proposed tree, not validated yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TreeDraft {
-    /// Its number, from 1.
+    /// The tree's number, from 1.
     pub epoch: u64,
-    /// The epoch in service that it replaces, though its own number is lower.
+    /// The epoch in service that this tree may replace although its own number is not higher.
     pub instead_of: Option<u64>,
-    /// Locations may have the archive as a parent.
+    /// Whether locations may have the archive as a parent.
     pub skip_tiers: bool,
     /// All nodes, in any order.
     pub nodes: Vec<ProposedNode>,
@@ -19,65 +19,66 @@
 /// One node of a draft.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProposedNode {
-    /// 1 to [`MAX_NAME_BYTES`] lower-case letters, digits and inner hyphens.
+    /// The node's name: 1 to [`MAX_NAME_BYTES`] lower-case letters, digits and inner hyphens.
     pub name: String,
-    /// What it is.
+    /// The node's kind.
     pub kind: NodeKind,
-    /// In the order in which they are asked.
+    /// Names of the node's parents, in order of preference.
     pub parents: Vec<String>,
 }
 
-/// Why a tree is rejected.
+/// A reason for which a draft is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TreeFault {
     /// The epoch is 0.
     EpochZero,
-    /// There is no node.
+    /// The draft has no nodes.
     Empty,
-    /// So many, over [`MAX_NODES`].
+    /// The draft has this many nodes, more than [`MAX_NODES`].
     TooManyNodes(usize),
-    /// No valid name.
-    Name(String),
+    /// This is not a valid node name.
+    InvalidName(String),
     /// Two nodes have this name.
-    Twice(String),
-    /// Not one archive but these.
-    Archives(Vec<String>),
-    /// The root has parents.
+    DuplicateName(String),
+    /// The draft has no archive, or several: these.
+    NotOneArchive(Vec<String>),
+    /// The archive has parents.
     ArchiveHasParents(String),
-    /// Another node than the archive has no parent.
-    Parentless(String, NodeKind),
-    /// So many, over [`MAX_PARENTS`].
+    /// A node that is not the archive has no parent.
+    NoParent(String, NodeKind),
+    /// The node has this many parents, more than [`MAX_PARENTS`].
     TooManyParents(String, usize),
     /// The node names this parent twice.
-    ParentTwice(String, String),
-    /// The node names a parent that is no node.
-    Unknown(String, String),
+    DuplicateParent(String, String),
+    /// The node names a parent that is not in the draft.
+    UnknownParent(String, String),
     /// The node names a location as a parent.
     ParentIsLocation(String, String),
-    /// A location has the archive as a parent, and the draft does not allow it.
-    Skips(String),
-    /// The node names the archive before other parents.
+    /// A location has the archive as a parent, and [`TreeDraft::skip_tiers`] is not set.
+    SkipsHubs(String),
+    /// The node names the archive before another parent.
     ArchiveNotLast(String),
-    /// A cycle, from a node by its parents back to itself.
+    /// A cycle of parents: the path from a node back to itself, with that node at both ends.
     Cycle(Vec<String>),
 }
 
 impl TreeFault {
-    /// The node that the fault is reported for, where there is one.
+    /// The node that the fault concerns, if it concerns one. Its name can be used to locate the fault in the source of the
+    /// draft.
     pub fn node(&self) -> Option<&str> {
         match self {
             TreeFault::EpochZero | TreeFault::Empty | TreeFault::TooManyNodes(_) => None,
-            TreeFault::Archives(names) | TreeFault::Cycle(names) => {
+            TreeFault::NotOneArchive(names) | TreeFault::Cycle(names) => {
                 names.first().map(String::as_str)
             }
-            TreeFault::Name(node) | TreeFault::Twice(node) | TreeFault::ArchiveHasParents(node) => {
-                Some(node)
-            }
-            TreeFault::Parentless(node, _)
+            TreeFault::InvalidName(node)
+            | TreeFault::DuplicateName(node)
+            | TreeFault::ArchiveHasParents(node) => Some(node),
+            TreeFault::NoParent(node, _)
             | TreeFault::TooManyParents(node, _)
-            | TreeFault::ParentTwice(node, _) => Some(node),
-            TreeFault::Unknown(node, _) | TreeFault::ParentIsLocation(node, _) => Some(node),
-            TreeFault::Skips(node) | TreeFault::ArchiveNotLast(node) => Some(node),
+            | TreeFault::DuplicateParent(node, _) => Some(node),
+            TreeFault::UnknownParent(node, _) | TreeFault::ParentIsLocation(node, _) => Some(node),
+            TreeFault::SkipsHubs(node) | TreeFault::ArchiveNotLast(node) => Some(node),
         }
     }
 }
@@ -88,35 +89,35 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             TreeFault::EpochZero => write!(f, "the epoch must be 1 or more"),
-            TreeFault::Empty => write!(f, "there is no node"),
-            TreeFault::TooManyNodes(n) => write!(f, "{n} nodes, {MAX_NODES} at most"),
-            TreeFault::Name(name) => write!(
+            TreeFault::Empty => write!(f, "the tree has no nodes"),
+            TreeFault::TooManyNodes(n) => write!(f, "the tree has {n} nodes; the maximum is {MAX_NODES}"),
+            TreeFault::InvalidName(name) => write!(
                 f,
-                "{name:?} is no name: 1 to {MAX_NAME_BYTES} lower-case letters, digits and inner hyphens"
+                "{name:?} is not a valid node name: it must have 1 to {MAX_NAME_BYTES} lower-case letters, digits and inner hyphens"
             ),
-            TreeFault::Twice(name) => write!(f, "{name} is there twice"),
-            TreeFault::Archives(names) if names.is_empty() => write!(f, "there is no archive"),
-            TreeFault::Archives(names) => {
-                write!(f, "{} archives ({}); there is one", names.len(), names.join(", "))
+            TreeFault::DuplicateName(name) => write!(f, "node {name} is declared twice"),
+            TreeFault::NotOneArchive(names) if names.is_empty() => write!(f, "the tree has no archive"),
+            TreeFault::NotOneArchive(names) => {
+                write!(f, "the tree has {} archives ({}); it must have exactly one", names.len(), names.join(", "))
             }
-            TreeFault::ArchiveHasParents(name) => write!(f, "the archive {name} has parents; it is the root"),
-            TreeFault::Parentless(name, kind) => {
-                write!(f, "{kind} {name} has no parent: it can't reach the archive")
+            TreeFault::ArchiveHasParents(name) => write!(f, "the archive {name} has parents; it must be the root"),
+            TreeFault::NoParent(name, kind) => {
+                write!(f, "{kind} {name} has no parent and can't reach the archive")
             }
-            TreeFault::TooManyParents(name, n) => write!(f, "{name} has {n} parents, {MAX_PARENTS} at most"),
-            TreeFault::ParentTwice(name, parent) => write!(f, "{name} names its parent {parent} twice"),
-            TreeFault::Unknown(name, parent) => write!(f, "{name} names the parent {parent}, which is no node"),
+            TreeFault::TooManyParents(name, n) => write!(f, "{name} has {n} parents; the maximum is {MAX_PARENTS}"),
+            TreeFault::DuplicateParent(name, parent) => write!(f, "{name} names the parent {parent} twice"),
+            TreeFault::UnknownParent(name, parent) => write!(f, "{name} names the parent {parent}, which is not in the tree"),
             TreeFault::ParentIsLocation(name, parent) => {
-                write!(f, "{name} names the location {parent} as a parent; locations give no fills")
+                write!(f, "{name} names the location {parent} as a parent; locations serve no fills")
             }
-            TreeFault::Skips(name) => write!(
+            TreeFault::SkipsHubs(name) => write!(
                 f,
-                "location {name} names the archive as a parent, past all hubs; skip_tiers = True allows it"
+                "location {name} names the archive as a parent, which bypasses all hubs; skip_tiers = True allows it"
             ),
             TreeFault::ArchiveNotLast(name) => {
-                write!(f, "{name} names the archive before other parents; the archive comes last")
+                write!(f, "{name} names the archive before another parent; the archive must be the last parent")
             }
-            TreeFault::Cycle(names) => write!(f, "fills would go in a circle: {}", names.join(" -> ")),
+            TreeFault::Cycle(names) => write!(f, "the parents form a cycle: {}", names.join(" -> ")),
         }
     }
 }
--- a/pure/hierarchy/src/tree/tests.rs
+++ b/pure/hierarchy/src/tree/tests.rs
@@ -1,4 +1,4 @@
-//! Checks of a proposed tree.
+//! Validation of proposed trees.
 
 use super::*;
 
@@ -18,7 +18,7 @@
     }
 }
 
-fn sound() -> Vec<ProposedNode> {
+fn valid_nodes() -> Vec<ProposedNode> {
     vec![
         node("archive", NodeKind::Archive, &[]),
         node("south", NodeKind::Hub, &["archive"]),
@@ -28,8 +28,8 @@
 }
 
 #[test]
-fn a_sound_tree_is_taken_and_is_the_same_however_it_is_written() {
-    let tree = Tree::validate(&draft(sound())).unwrap();
+fn a_valid_tree_is_accepted_and_its_version_does_not_depend_on_the_order_of_its_nodes() {
+    let tree = Tree::validate(&draft(valid_nodes())).unwrap();
     assert_eq!(
         tree.top_hubs()
             .iter()
@@ -49,20 +49,20 @@
         ["archive", "south", "east", "porvoo"].map(height),
         [0, 2, 3, 4]
     );
-    let mut turned = sound();
-    turned.reverse();
+    let mut reversed = valid_nodes();
+    reversed.reverse();
     assert_eq!(
-        Tree::validate(&draft(turned)).unwrap().version(),
+        Tree::validate(&draft(reversed)).unwrap().version(),
         tree.version()
     );
-    let mut other = sound();
+    let mut other = valid_nodes();
     other[3].parents.reverse();
     assert_ne!(
         Tree::validate(&draft(other)).unwrap().version(),
         tree.version()
     );
-    let stamp = tree.version();
-    assert_eq!(TreeVersion::parse(&stamp.to_string()), Some(stamp));
+    let version = tree.version();
+    assert_eq!(TreeVersion::parse(&version.to_string()), Some(version));
     for text in [
         "",
         "3",
@@ -78,81 +78,86 @@
 }
 
 #[test]
-fn what_is_wrong_with_a_draft_is_named() {
+fn each_fault_of_a_draft_is_reported() {
     let with = |change: &dyn Fn(&mut Vec<ProposedNode>)| {
-        let mut nodes = sound();
+        let mut nodes = valid_nodes();
         change(&mut nodes);
         Tree::validate(&draft(nodes))
             .map(|t| t.version())
             .unwrap_err()
     };
-    let parents = |at: usize, parents: &'static [&'static str]| {
+    let with_parents = |index: usize, parents: &'static [&'static str]| {
         with(&move |n: &mut Vec<ProposedNode>| {
-            n[at].parents = parents.iter().map(|p| p.to_string()).collect()
+            n[index].parents = parents.iter().map(|p| p.to_string()).collect()
         })
     };
     let s = |text: &str| text.to_string();
     assert_eq!(
-        parents(3, &["west"]),
-        [TreeFault::Unknown(s("porvoo"), s("west"))]
+        with_parents(3, &["west"]),
+        [TreeFault::UnknownParent(s("porvoo"), s("west"))]
     );
     assert_eq!(
-        parents(3, &[]),
-        [TreeFault::Parentless(s("porvoo"), NodeKind::Location)]
+        with_parents(3, &[]),
+        [TreeFault::NoParent(s("porvoo"), NodeKind::Location)]
     );
-    assert_eq!(parents(3, &["archive"]), [TreeFault::Skips(s("porvoo"))]);
     assert_eq!(
-        parents(3, &["east", "east"]),
-        [TreeFault::ParentTwice(s("porvoo"), s("east"))]
+        with_parents(3, &["archive"]),
+        [TreeFault::SkipsHubs(s("porvoo"))]
     );
     assert_eq!(
-        parents(2, &["archive", "south"]),
+        with_parents(3, &["east", "east"]),
+        [TreeFault::DuplicateParent(s("porvoo"), s("east"))]
+    );
+    assert_eq!(
+        with_parents(2, &["archive", "south"]),
         [TreeFault::ArchiveNotLast(s("east"))]
     );
     assert_eq!(
-        parents(2, &["porvoo"]),
+        with_parents(2, &["porvoo"]),
         [TreeFault::ParentIsLocation(s("east"), s("porvoo"))]
     );
     assert_eq!(
-        parents(0, &["east"]),
+        with_parents(0, &["east"]),
         [TreeFault::ArchiveHasParents(s("archive"))]
     );
     assert_eq!(
-        parents(1, &["east", "archive"]),
+        with_parents(1, &["east", "archive"]),
         [TreeFault::Cycle(vec![s("east"), s("south"), s("east")])]
     );
     assert_eq!(
-        parents(2, &["east", "archive"]),
+        with_parents(2, &["east", "archive"]),
         [TreeFault::Cycle(vec![s("east"), s("east")])]
     );
     assert_eq!(
         with(&|n| n[0].kind = NodeKind::Hub).last(),
-        Some(&TreeFault::Archives(vec![]))
+        Some(&TreeFault::NotOneArchive(vec![]))
     );
     assert_eq!(
         with(&|n| n.push(n[3].clone())),
-        [TreeFault::Twice(s("porvoo"))]
+        [TreeFault::DuplicateName(s("porvoo"))]
     );
     assert_eq!(
         with(&|n| n[3].name = s("Porvoo")),
-        [TreeFault::Name(s("Porvoo"))]
+        [TreeFault::InvalidName(s("Porvoo"))]
     );
     let many = vec![node("archive", NodeKind::Archive, &[]); MAX_NODES + 1];
     assert_eq!(
         Tree::validate(&draft(many)).unwrap_err(),
         [TreeFault::TooManyNodes(MAX_NODES + 1)]
     );
-    let skipping = TreeDraft {
+    let epoch_zero = TreeDraft {
         skip_tiers: true,
-        nodes: sound(),
+        nodes: valid_nodes(),
         epoch: 0,
         instead_of: None,
     };
     assert_eq!(
-        Tree::validate(&skipping).unwrap_err(),
+        Tree::validate(&epoch_zero).unwrap_err(),
         [TreeFault::EpochZero]
     );
-    assert!(TreeFault::Skips(s("a")).to_string().contains("skip_tiers"));
+    assert!(TreeFault::SkipsHubs(s("a"))
+        .to_string()
+        .contains("skip_tiers"));
 }
 
 #[test]
--- a/pure/hierarchy/src/tree/validate.rs
+++ b/pure/hierarchy/src/tree/validate.rs
@@ -1,4 +1,4 @@
-//! The validation of a draft.
+//! Validation of a draft.
 
 use super::{
     Node, NodeIndex, NodeKind, ProposedNode, Tree, TreeDraft, TreeFault, TreeVersion,
@@ -8,15 +8,16 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The nodes by name.
+/// Indexes of the nodes by name.
 type ByName = HashMap<Arc<str>, NodeIndex>;
 
 impl Tree {
-    /// The tree of a draft.
+    /// Validates a draft and builds the tree from it.
     ///
     /// # Errors
     ///
-    /// All faults of the draft, in the order of its nodes.
+    /// Returns all faults of the draft, those of single nodes in the order of the draft. A cycle is reported only if there
+    /// is no other fault, and for a draft of more than [`MAX_NODES`] nodes nothing else is checked.
     pub fn validate(draft: &TreeDraft) -> Result<Tree, Vec<TreeFault>> {
         let mut faults = Vec::new();
         if draft.epoch == 0 {
@@ -26,10 +27,10 @@
             faults.push(TreeFault::Empty);
         }
         if draft.nodes.len() > MAX_NODES {
-            // Nothing more is checked: the size of the draft is not bounded.
+            // Skips the other checks, whose cost would not be bounded.
             return Err(vec![TreeFault::TooManyNodes(draft.nodes.len())]);
         }
-        // Nodes are sorted by name, so that the order in which a tree is written down makes no difference.
+        // Nodes are sorted by name, so that their order in the draft has no effect on the digest.
         let mut sorted: Vec<&ProposedNode> = draft.nodes.iter().collect();
         sorted.sort_by(|a, b| a.name.cmp(&b.name));
         let by_name = index_by_name(&sorted, &mut faults);
@@ -42,7 +43,7 @@
             .filter(|n| n.kind == NodeKind::Archive)
             .collect();
         if archives.len() != 1 && !draft.nodes.is_empty() {
-            faults.push(TreeFault::Archives(
+            faults.push(TreeFault::NotOneArchive(
                 archives.iter().map(|n| n.name.clone()).collect(),
             ));
         }
@@ -78,12 +79,12 @@
 
 fn index_by_name(sorted: &[&ProposedNode], faults: &mut Vec<TreeFault>) -> ByName {
     let mut by_name: ByName = HashMap::with_capacity(sorted.len());
-    for (at, proposed) in sorted.iter().enumerate() {
+    for (position, proposed) in sorted.iter().enumerate() {
         if by_name
-            .insert(proposed.name.as_str().into(), NodeIndex(at as u16))
+            .insert(proposed.name.as_str().into(), NodeIndex(position as u16))
             .is_some()
         {
-            faults.push(TreeFault::Twice(proposed.name.clone()));
+            faults.push(TreeFault::DuplicateName(proposed.name.clone()));
         }
     }
     by_name
@@ -98,34 +99,40 @@
             .iter()
             .map(|parent| by_name[parent.as_str()])
             .collect(),
-        seed: hash(p.name.bytes()),
+        seed: hash_name(p.name.bytes()),
     };
     sorted.iter().map(node).collect()
 }
 
-/// Hubs whose only parent is the archive.
+/// The hubs whose only parent is the archive.
 fn top_hubs(nodes: &[Node], archive: NodeIndex) -> Vec<NodeIndex> {
-    let top = |index: &NodeIndex| {
+    let is_top_hub = |index: &NodeIndex| {
         nodes[index.0 as usize].kind == NodeKind::Hub
             && nodes[index.0 as usize].parents == [archive]
     };
-    (0..nodes.len() as u16).map(NodeIndex).filter(top).collect()
+    (0..nodes.len() as u16)
+        .map(NodeIndex)
+        .filter(is_top_hub)
+        .collect()
 }
 
-/// Steps of the longest path of each node to the archive, the one over a shield included.
+/// Hops of the longest path from each node to the archive. `order` lists each node after its parents. A hub that asks the
+/// archive has a height of at least 2, as it goes over the object's shield.
 fn heights(nodes: &[Node], archive: NodeIndex, order: &[NodeIndex]) -> Vec<u8> {
     let mut heights = vec![0u8; nodes.len()];
     for index in order {
         let node = &nodes[index.0 as usize];
-        let above = node.parents.iter().map(|p| heights[p.0 as usize]).max();
-        let over_shield = node.kind == NodeKind::Hub && node.parents.last() == Some(&archive);
-        let least = if over_shield { 2 } else { 0 };
-        heights[index.0 as usize] = above.map_or(0, |h| h.saturating_add(1)).max(least);
+        let highest_parent = node.parents.iter().map(|p| heights[p.0 as usize]).max();
+        let uses_shield = node.kind == NodeKind::Hub && node.parents.last() == Some(&archive);
+        let min_height = if uses_shield { 2 } else { 0 };
+        heights[index.0 as usize] = highest_parent
+            .map_or(0, |h| h.saturating_add(1))
+            .max(min_height);
     }
     heights
 }
 
-/// Checks one node by itself, and its parents' names.
+/// Checks the name of one node, the number of its parents, and each of them.
 fn check_node(
     draft: &TreeDraft,
     proposed: &ProposedNode,
@@ -139,33 +146,33 @@
         parents,
     } = proposed;
     if !valid_name(name) {
-        faults.push(TreeFault::Name(name.clone()));
+        faults.push(TreeFault::InvalidName(name.clone()));
     }
     match (kind, parents.len()) {
         (NodeKind::Archive, 0) => {}
         (NodeKind::Archive, _) => faults.push(TreeFault::ArchiveHasParents(name.clone())),
-        (_, 0) => faults.push(TreeFault::Parentless(name.clone(), *kind)),
+        (_, 0) => faults.push(TreeFault::NoParent(name.clone(), *kind)),
         (_, n) if n > MAX_PARENTS => faults.push(TreeFault::TooManyParents(name.clone(), n)),
         _ => {}
     }
-    for (at, parent) in parents.iter().enumerate() {
+    for (position, parent) in parents.iter().enumerate() {
         let Some(index) = by_name.get(parent.as_str()) else {
-            faults.push(TreeFault::Unknown(name.clone(), parent.clone()));
+            faults.push(TreeFault::UnknownParent(name.clone(), parent.clone()));
             continue;
         };
-        if parents[..at].contains(parent) {
-            faults.push(TreeFault::ParentTwice(name.clone(), parent.clone()));
+        if parents[..position].contains(parent) {
+            faults.push(TreeFault::DuplicateParent(name.clone(), parent.clone()));
         }
         match sorted[index.0 as usize].kind {
             NodeKind::Location => {
                 faults.push(TreeFault::ParentIsLocation(name.clone(), parent.clone()))
             }
             NodeKind::Archive if *kind == NodeKind::Location && !draft.skip_tiers => {
-                faults.push(TreeFault::Skips(name.clone()))
+                faults.push(TreeFault::SkipsHubs(name.clone()))
             }
-            // With the archive first and a lower hub behind it, the path over the shield and back down would be a cycle
-            // that no list of parents shows.
-            NodeKind::Archive if at + 1 < parents.len() => {
+            // With the archive before a lower hub, a fill could go over the shield and back down to that hub: a cycle that
+            // the lists of parents don't show.
+            NodeKind::Archive if position + 1 < parents.len() => {
                 faults.push(TreeFault::ArchiveNotLast(name.clone()))
             }
             _ => {}
@@ -174,18 +181,22 @@
 }
 
 fn valid_name(name: &str) -> bool {
-    let inner = name
+    let valid_characters = name
         .bytes()
         .all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-');
-    inner
+    valid_characters
         && !name.is_empty()
         && name.len() <= MAX_NAME_BYTES
         && !name.starts_with('-')
         && !name.ends_with('-')
 }
 
-/// All nodes, each after its parents; or a cycle of parents, from a node back to itself. All parents count, as each
-/// may be used.
+/// Sorts the nodes topologically, each after its parents.
+///
+/// # Errors
+///
+/// Returns a cycle of parents, with the same node at both ends. All parents of a node are followed, as a fill may use each
+/// of them.
 fn parents_first(nodes: &[Node]) -> Result<Vec<NodeIndex>, Vec<NodeIndex>> {
     #[derive(Clone, Copy, PartialEq)]
     enum Visit {
@@ -193,37 +204,39 @@
         OnPath,
         Done,
     }
-    let mut seen = vec![Visit::Unseen; nodes.len()];
+    let mut visits = vec![Visit::Unseen; nodes.len()];
     let mut order = Vec::with_capacity(nodes.len());
     for start in 0..nodes.len() as u16 {
-        // The nodes from the start to here, each with the number of its parents that were visited. No recursion: a
-        // chain may be as long as the tree.
+        // The nodes from the start to the current one, each with the number of its parents that were visited. There is no
+        // recursion, as a chain may have as many nodes as the tree.
         let mut path: Vec<(NodeIndex, usize)> = Vec::new();
-        if seen[start as usize] == Visit::Unseen {
-            seen[start as usize] = Visit::OnPath;
+        if visits[start as usize] == Visit::Unseen {
+            visits[start as usize] = Visit::OnPath;
             path.push((NodeIndex(start), 0));
         }
-        while let Some((at, next)) = path.last_mut() {
-            let Some(&parent) = nodes[at.0 as usize].parents.get(*next) else {
-                seen[at.0 as usize] = Visit::Done;
-                order.push(*at);
+        while let Some((node, next_parent)) = path.last_mut() {
+            let Some(&parent) = nodes[node.0 as usize].parents.get(*next_parent) else {
+                visits[node.0 as usize] = Visit::Done;
+                order.push(*node);
                 path.pop();
                 continue;
             };
-            *next += 1;
-            match seen[parent.0 as usize] {
+            *next_parent += 1;
+            match visits[parent.0 as usize] {
                 Visit::Done => {}
                 Visit::Unseen => {
-                    seen[parent.0 as usize] = Visit::OnPath;
+                    visits[parent.0 as usize] = Visit::OnPath;
                     path.push((parent, 0));
                 }
                 Visit::OnPath => {
-                    let from = path
+                    let cycle_start = path
                         .iter()
                         .position(|(index, _)| *index == parent)
                         .unwrap_or(0);
-                    let mut cycle: Vec<NodeIndex> =
-                        path[from..].iter().map(|(index, _)| *index).collect();
+                    let mut cycle: Vec<NodeIndex> = path[cycle_start..]
+                        .iter()
+                        .map(|(index, _)| *index)
+                        .collect();
                     cycle.push(parent);
                     return Err(cycle);
                 }
@@ -233,14 +246,15 @@
     Ok(order)
 }
 
-/// FNV-1a, mixed. For rendezvous hashing, not for secrets.
-fn hash(bytes: impl Iterator<Item = u8>) -> u64 {
-    mix(bytes.fold(0xcbf2_9ce4_8422_2325, |h, b| {
-        (h ^ b as u64).wrapping_mul(0x100_0000_01b3)
+/// FNV-1a, followed by [`mix`]. It is used for rendezvous hashing and is not cryptographic.
+fn hash_name(bytes: impl Iterator<Item = u8>) -> u64 {
+    mix(bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ byte as u64).wrapping_mul(0x100_0000_01b3)
     }))
 }
 
-/// Tells two trees of one epoch apart, where nodes were given different ones: their fills must not be collapsed.
+/// Digest of the nodes and their parents. It distinguishes trees of the same epoch that were given to different nodes, so
+/// that fills under them are not collapsed.
 fn digest(nodes: &[Node]) -> u32 {
     let mut digest = 0;
     for node in nodes {
--- a/pure/hierarchy/src/versions.rs
+++ b/pure/hierarchy/src/versions.rs
@@ -1,7 +1,9 @@
-//! How one node goes from one version of the tree to the next, while others learn of it at other times: make before break.
+//! The change of one node from one version of the tree to the next, while other nodes apply it at other times
+//! (make before break).
 //!
-//! New fills use the new tree at once. A fill that began under a previous tree may end under it until the overlap is over,
-//! and then that tree's edges are drained. A tree that is not newer is rejected, unless it names the one in service.
+//! New fills use the new tree at once. A fill that began under a previous tree may finish under it until the overlap ends;
+//! then the edges of that tree are drained. A tree that is not newer is rejected, unless it names the epoch in service as
+//! the one that it replaces.
 
 use crate::tree::{NodeIndex, Tree, TreeVersion};
 use crate::TimestampUs;
@@ -9,41 +11,41 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Previous trees at the most; before one more is added the oldest ends at once.
+/// Maximum number of previous trees. When it is exceeded, the oldest one is dropped before its overlap ends.
 pub const MAX_PREVIOUS_VERSIONS: usize = 4;
 
-/// What came of a tree that was accepted.
+/// The effect of a tree that was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// It is in service now; the one before may be used until its end.
+    /// The tree is in service now. The one that it replaced may be used until its overlap ends.
     New,
-    /// It is the one in service.
+    /// The tree was in service already.
     Same,
 }
 
-/// Why a tree is rejected.
+/// The reason for which a tree is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TopologyRejected {
-    /// Not newer than the epoch in service, and not meant to replace it.
+    /// The tree is older than the one in service, and does not name it as the one to replace.
     Older {
-        /// Its epoch.
+        /// The epoch of the rejected tree.
         proposed: u64,
         /// The epoch in service.
         present: u64,
     },
-    /// Another tree of the epoch that is in service.
+    /// The tree has the epoch in service, but a different digest.
     Conflict {
-        /// The epoch of both.
+        /// The epoch of both trees.
         epoch: u64,
     },
-    /// It names an epoch to replace that is not the one in service.
+    /// The tree names an epoch to replace that is not the one in service.
     NotInService {
-        /// The epoch that it names.
+        /// The epoch that the tree names.
         named: u64,
         /// The epoch in service.
         present: u64,
     },
-    /// This node, by its name, is not in it.
+    /// The tree does not contain this node, whose name is given.
     NodeMissing(String),
 }
 
@@ -52,15 +54,15 @@
         match self {
             TopologyRejected::Older { proposed, present } => write!(
                 f,
-                "epoch {proposed} is older than epoch {present} in service; instead_of = {present} takes it all the same"
+                "epoch {proposed} is older than epoch {present} in service; set instead_of = {present} to apply it anyway"
             ),
             TopologyRejected::Conflict { epoch } => {
-                write!(f, "epoch {epoch} is in service with another tree; a change needs a higher number")
+                write!(f, "epoch {epoch} is in service with another tree; a change needs a higher epoch")
             }
             TopologyRejected::NotInService { named, present } => {
-                write!(f, "it is to take the place of epoch {named}, but epoch {present} is in service")
+                write!(f, "instead_of names epoch {named}, but epoch {present} is in service")
             }
-            TopologyRejected::NodeMissing(name) => write!(f, "{name}, this node, is not in it"),
+            TopologyRejected::NodeMissing(name) => write!(f, "this node, {name}, is not in the tree"),
         }
     }
 }
@@ -69,25 +71,25 @@
 
 struct PreviousVersion {
     tree: Arc<Tree>,
-    /// When its last fill must have ended.
-    until: TimestampUs,
+    /// The end of the overlap, by which its last fill must have ended.
+    usable_until: TimestampUs,
 }
 
-/// The trees that one node uses: the current one, and previous ones until their fills are over.
+/// The trees that one node uses: the one in service, and previous ones until their overlap ends.
 pub struct TopologyVersions {
     node_name: String,
     current: Arc<Tree>,
     previous: VecDeque<PreviousVersion>,
-    /// How long a fill may end under the tree that it began under.
+    /// How long a replaced tree may be used by fills that began under it.
     overlap_us: u64,
 }
 
 impl TopologyVersions {
-    /// One tree, and none before it.
+    /// Starts with `tree` in service and no previous trees. Each replaced tree may be used for `overlap_us`.
     ///
     /// # Errors
     ///
-    /// Where the node is not in the tree.
+    /// Returns [`TopologyRejected::NodeMissing`] if the node is not in the tree.
     pub fn new(
         node_name: &str,
         tree: Tree,
@@ -109,34 +111,34 @@
         &self.current
     }
 
-    /// This node in a tree that was accepted here.
+    /// The index of this node in a tree that was accepted here.
     ///
     /// # Panics
     ///
-    /// Where the tree was not accepted here, and this node is not in it.
+    /// If this node is not in the tree, which is possible only for a tree that was not accepted here.
     pub fn own_node(&self, tree: &Tree) -> NodeIndex {
         tree.find(&self.node_name)
-            .expect("no tree without this node is accepted")
+            .expect("an accepted tree contains this node")
     }
 
-    /// Puts a tree into service; it may arrive at any time, and more than once.
+    /// Puts a tree into service. The same tree may be applied more than once, and trees may arrive in any order.
     ///
     /// # Errors
     ///
-    /// Where it must not replace the one in service; nothing changes then.
+    /// Returns an error if the tree must not replace the one in service, which then stays.
     pub fn apply(&mut self, now: TimestampUs, tree: Tree) -> Result<Applied, TopologyRejected> {
         self.expire(now);
         if tree.version() == self.current.version() {
             return Ok(Applied::Same);
         }
         self.check(&tree)?;
-        // A tree that returns to service while it is a previous one is no previous one any more.
+        // A previous tree that returns to service is removed from the previous ones.
         self.previous
             .retain(|previous| previous.tree.version() != tree.version());
         let replaced = std::mem::replace(&mut self.current, Arc::new(tree));
         self.previous.push_back(PreviousVersion {
             tree: replaced,
-            until: now.saturating_add(self.overlap_us),
+            usable_until: now.saturating_add(self.overlap_us),
         });
         while self.previous.len() > MAX_PREVIOUS_VERSIONS {
             self.previous.pop_front();
@@ -150,7 +152,7 @@
         }
         let (proposed, present) = (tree.epoch(), self.current.epoch());
         match tree.instead_of() {
-            // A step back that was meant for another state of things must not be taken.
+            // A rollback of another epoch than the one in service must not be applied.
             Some(named) if proposed <= present && named != present => {
                 Err(TopologyRejected::NotInService { named, present })
             }
@@ -160,13 +162,13 @@
         }
     }
 
-    /// The tree that a fill began under, while it may still be used.
+    /// The tree of this version, if it is in service or may still be used.
     pub fn usable_version(&self, now: TimestampUs, version: TreeVersion) -> Option<&Arc<Tree>> {
         if self.current.version() == version {
             return Some(&self.current);
         }
         let usable = |previous: &&PreviousVersion| {
-            previous.tree.version() == version && now < previous.until
+            previous.tree.version() == version && now < previous.usable_until
         };
         self.previous
             .iter()
@@ -174,34 +176,34 @@
             .map(|previous| &previous.tree)
     }
 
-    /// Whether this node may ask another one under a tree.
+    /// Whether a tree allows this node to send fills to `source`.
     fn allows(&self, tree: &Tree, source: &str) -> bool {
         tree.find(source)
             .is_some_and(|source| tree.allows(self.own_node(tree), source))
     }
 
-    /// Whether a fill that began here under `version` may use a node as its source: always by the tree in service, else by
-    /// its own tree until that ends.
+    /// Whether a fill that began here under `version` may use `source`: either the tree in service allows it, or the tree of
+    /// that version does and may still be used.
     pub fn may_use(&self, now: TimestampUs, version: TreeVersion, source: &str) -> bool {
         let own_tree = self.usable_version(now, version);
         self.allows(&self.current, source) || own_tree.is_some_and(|tree| self.allows(tree, source))
     }
 
-    /// Drops previous trees whose time is over, and returns the nodes that this node may not ask any more under any tree,
-    /// so that connections to them can be closed.
+    /// Drops previous trees whose overlap has ended. Returns the nodes that no remaining tree allows as sources any more, so
+    /// that connections to them can be closed.
     pub fn expire(&mut self, now: TimestampUs) -> Vec<Arc<str>> {
         let (expired, kept): (Vec<PreviousVersion>, Vec<PreviousVersion>) =
             std::mem::take(&mut self.previous)
                 .into_iter()
-                .partition(|previous| previous.until <= now);
+                .partition(|previous| previous.usable_until <= now);
         self.previous = kept.into();
         let mut drained: Vec<Arc<str>> = Vec::new();
         for PreviousVersion { tree, .. } in expired {
             let own = self.own_node(&tree);
             for (source, node) in tree.nodes() {
                 let name = &node.name;
-                let lost = tree.allows(own, source) && !self.allowed_by_any(name);
-                if lost && !drained.contains(name) {
+                let not_allowed_now = tree.allows(own, source) && !self.allowed_by_any(name);
+                if not_allowed_now && !drained.contains(name) {
                     drained.push(name.clone());
                 }
             }
@@ -215,16 +217,16 @@
             || previous.any(|previous| self.allows(&previous.tree, source))
     }
 
-    /// Previous trees that may still be used, the latest first.
+    /// The previous trees that may still be used, most recent first.
     pub fn usable_previous(&self, now: TimestampUs) -> impl Iterator<Item = &Arc<Tree>> {
         self.previous
             .iter()
             .rev()
-            .filter(move |previous| now < previous.until)
+            .filter(move |previous| now < previous.usable_until)
             .map(|previous| &previous.tree)
     }
 
-    /// Previous trees that have not been dropped.
+    /// The number of previous trees that have not been dropped.
     pub fn previous_count(&self) -> usize {
         self.previous.len()
     }
--- a/pure/hierarchy/src/versions/tests.rs
+++ b/pure/hierarchy/src/versions/tests.rs
@@ -1,9 +1,9 @@
-//! Changing from one tree to the next while fills are under way.
+//! Changes from one tree to the next while fills are in flight.
 
 use super::*;
 use crate::tree::{NodeKind, ProposedNode, TreeDraft};
 
-const OVERLAP: TimestampUs = 5_000_000;
+const OVERLAP_US: TimestampUs = 5_000_000;
 
 fn tree(epoch: u64, office: &str, instead_of: Option<u64>) -> Tree {
     let node = |name: &str, kind, parents: &[&str]| ProposedNode {
@@ -27,8 +27,8 @@
 }
 
 #[test]
-fn a_fill_ends_as_it_began_while_new_ones_go_the_new_way() {
-    let mut versions = TopologyVersions::new("office", tree(1, "east", None), OVERLAP).unwrap();
+fn a_fill_finishes_under_its_own_tree_while_new_fills_use_the_new_one() {
+    let mut versions = TopologyVersions::new("office", tree(1, "east", None), OVERLAP_US).unwrap();
     let old = versions.current().version();
     assert_eq!(
         versions.apply(100, tree(2, "south", None)),
@@ -37,15 +37,18 @@
     let new = versions.current().version();
     assert!(versions.may_use(200, old, "east") && versions.may_use(200, old, "south"));
     assert!(!versions.may_use(200, new, "east") && versions.may_use(200, new, "south"));
-    assert_eq!(versions.expire(100 + OVERLAP - 1), Vec::<Arc<str>>::new());
-    assert_eq!(versions.expire(100 + OVERLAP), ["east".into()]);
-    assert!(!versions.may_use(100 + OVERLAP, old, "east"));
+    assert_eq!(
+        versions.expire(100 + OVERLAP_US - 1),
+        Vec::<Arc<str>>::new()
+    );
+    assert_eq!(versions.expire(100 + OVERLAP_US), ["east".into()]);
+    assert!(!versions.may_use(100 + OVERLAP_US, old, "east"));
     assert_eq!(versions.previous_count(), 0);
 }
 
 #[test]
-fn an_older_tree_is_accepted_only_by_name() {
-    let mut versions = TopologyVersions::new("office", tree(5, "east", None), OVERLAP).unwrap();
+fn an_older_tree_is_accepted_only_if_it_names_the_epoch_in_service() {
+    let mut versions = TopologyVersions::new("office", tree(5, "east", None), OVERLAP_US).unwrap();
     let older = TopologyRejected::Older {
         proposed: 4,
         present: 5,
@@ -75,13 +78,13 @@
     assert_eq!(versions.current().epoch(), 4);
     assert!(older.to_string().contains("instead_of = 5"));
     assert_eq!(
-        TopologyVersions::new("west", tree(1, "east", None), OVERLAP).err(),
+        TopologyVersions::new("west", tree(1, "east", None), OVERLAP_US).err(),
         Some(TopologyRejected::NodeMissing("west".into()))
     );
 }
 
 #[test]
-fn changed_back_and_forth_it_keeps_a_bounded_number_of_trees() {
+fn the_number_of_previous_trees_is_bounded() {
     let mut versions = TopologyVersions::new("office", tree(1, "east", None), 60_000_000).unwrap();
     for epoch in 2..200 {
         let now = epoch * 1_000;
--- a/shared/operator/src/script/tests.rs
+++ b/shared/operator/src/script/tests.rs
@@ -44,11 +44,11 @@
     for (text, told) in [
         (
             "hub(\"west\", parents = [\"north\"])",
-            "a.star:8: west names the parent north, which is no node",
+            "a.star:8: west names the parent north, which is not in the tree",
         ),
         (
             "location(\"porvoo\", parents = [\"east\"])",
-            "a.star:8: porvoo is there twice",
+            "a.star:8: node porvoo is declared twice",
         ),
         (
             "hierarchy(epoch = 5, domain = \"fill.example\")",
@@ -105,14 +105,14 @@
         assert!(faults[0].starts_with(told), "{text}: {faults:?}");
         assert!(faults.iter().all(|f| !f.contains('\n')));
     }
-    let circle = TREE.replace(
+    let cycle = TREE.replace(
         "[\"archive\"], address = \"127.0.0.1:7101\"",
         "[\"east\"], address = \"127.0.0.1:7101\"",
     );
     assert!(
-        faults(&circle)[0].contains("in a circle"),
+        faults(&cycle)[0].contains("the parents form a cycle"),
         "{:?}",
-        faults(&circle)
+        faults(&cycle)
     );
     assert_eq!(
         faults("hub(\"a\", parents = [])"),
