--- a/hub/benches/relay.rs
+++ b/hub/benches/relay.rs
@@ -6,7 +6,7 @@
 
 use foldmux_fakes::client::{path, Client};
 use foldmux_fakes::source::{Act, Source};
-use foldmux_hierarchy::in_flight::{FetchKey, FetchLimits, FetchRequest, FetchTable, FillOrigin};
+use foldmux_hierarchy::in_flight::{FetchKey, FetchLimits, FetchRequest, FetchTable, FillContext};
 use foldmux_hierarchy::tree::TreeVersion;
 use foldmux_operator::script::evaluate;
 use hdrhistogram::Histogram;
@@ -150,10 +150,10 @@
                 0,
                 FetchRequest {
                     key,
-                    origin: FillOrigin::LOCAL,
+                    context: FillContext::LOCAL,
                     version: present,
                     min_birth: 0,
-                    until: 1,
+                    deadline: 1,
                 },
             );
         }
--- a/hub/src/book.rs
+++ b/hub/src/book.rs
@@ -6,7 +6,7 @@
 use foldmux_hierarchy::fill_path::FillPath;
 use foldmux_hierarchy::health::AttemptOutcome;
 use foldmux_hierarchy::in_flight::{
-    Admission, AfterFailure, CollapseScope, FetchId, FetchKey, FetchLimits, FillOrigin, WaiterId,
+    Admission, AfterFailure, CollapseScope, FetchId, FetchKey, FetchLimits, FillContext, WaiterId,
 };
 use foldmux_hierarchy::node::{NoSource, Node, SourceChoice, SourceRequest};
 use foldmux_hierarchy::tree::{NodeIndex, TreeVersion};
@@ -153,7 +153,7 @@
         &self,
         now: TimestampUs,
         key: FetchKey,
-        arrival: FillOrigin,
+        arrival: FillContext,
         born_after: u64,
         until: TimestampUs,
     ) -> (Entry<'_>, CollapseScope) {
@@ -276,7 +276,7 @@
         self.state()
             .node
             .fetches()
-            .until(fill.id)?
+            .latest_deadline(fill.id)?
             .checked_sub(now)
             .filter(|left| *left > 0)
     }
--- a/hub/src/request_fields.rs
+++ b/hub/src/request_fields.rs
@@ -1,7 +1,7 @@
 //! What a request asks of this hub: its path and its fields.
 
 use foldmux_hierarchy::fill_path::MAX_HEADER_BYTES;
-use foldmux_hierarchy::in_flight::FillOrigin;
+use foldmux_hierarchy::in_flight::FillContext;
 use foldmux_hierarchy::tree::TreeVersion;
 
 /// What a request's fields say.
@@ -60,9 +60,9 @@
     }
 
     /// How the fill comes here, and whom it was sent past. What can't be read counts as solo: that never waits.
-    pub(crate) fn arrival(&self) -> (FillOrigin, Vec<String>) {
+    pub(crate) fn arrival(&self) -> (FillContext, Vec<String>) {
         let Some(text) = &self.tree else {
-            return (FillOrigin::LOCAL, vec![]);
+            return (FillContext::LOCAL, vec![]);
         };
         let mut parts = text.split(';').map(str::trim);
         let stamp = parts.next().and_then(TreeVersion::parse);
@@ -74,7 +74,7 @@
             }
         }
         (
-            FillOrigin {
+            FillContext {
                 version: stamp,
                 uncollapsed: solo,
             },
--- a/hub/src/request_fields/tests.rs
+++ b/hub/src/request_fields/tests.rs
@@ -31,7 +31,7 @@
         }
         .arrival()
     };
-    assert_eq!(of(None).0, FillOrigin::LOCAL);
+    assert_eq!(of(None).0, FillContext::LOCAL);
     let (origin, past) = of(Some("4-0000abcd;solo;past=east+south"));
     assert_eq!(
         (
--- a/pure/hierarchy/benches/decision.rs
+++ b/pure/hierarchy/benches/decision.rs
@@ -1,8 +1,8 @@
-//! One decision of each sort, at 60 hubs and 2,000 locations.
+//! One decision of each kind, with 60 hubs and 2,000 locations.
 
 use foldmux_hierarchy::fill_path::{FillPath, PathSigner};
 use foldmux_hierarchy::in_flight::{
-    Admission, FetchKey, FetchLimits, FetchRequest, FetchTable, FillOrigin,
+    Admission, FetchKey, FetchLimits, FetchRequest, FetchTable, FillContext,
 };
 use foldmux_hierarchy::tree::{NodeKind, ProposedNode, Tree, TreeDraft};
 use std::hint::black_box;
@@ -26,13 +26,13 @@
         nodes,
         ..TreeDraft::default()
     })
-    .expect("a sound tree")
+    .expect("a valid tree")
 }
 
 #[divan::bench]
 fn next_hop_of_a_hub(bencher: divan::Bencher) {
     let tree = tree();
-    let hub = tree.find("hub-31").expect("there");
+    let hub = tree.find("hub-31").expect("the hub is in the tree");
     let mut object = 0;
     bencher.bench_local(|| {
         object += 1;
@@ -65,10 +65,10 @@
             object,
             part: 0,
         },
-        origin: FillOrigin::LOCAL,
+        context: FillContext::LOCAL,
         version,
         min_birth: 0,
-        until: u64::MAX,
+        deadline: u64::MAX,
     };
     for object in 0..10_000 {
         table.request(0, request(object));
@@ -77,8 +77,8 @@
     bencher.bench_local(|| {
         object = (object + 7) % 10_000;
         match table.request(1, request(object)) {
-            Admission::Follow(_, wait) => black_box(table.leave(wait)),
-            _ => unreachable!("all are under way"),
+            Admission::Follow(_, waiter) => black_box(table.leave(waiter)),
+            _ => unreachable!("fetches for all objects are in flight"),
         }
     });
 }
@@ -88,7 +88,7 @@
     let signer = PathSigner::new("hub-31", "fill.example", &[7; 32]);
     let first = FillPath::default().append(&PathSigner::new("hub-2", "fill.example", &[8; 32]), 5);
     bencher.bench_local(|| {
-        let path = FillPath::parse(first.as_bytes()).expect("a path");
+        let path = FillPath::parse(first.as_bytes()).expect("a valid path");
         assert!(!signer.has_signed(&path, 5));
         black_box(path.append(&signer, 5))
     });
--- a/pure/hierarchy/src/fill_path.rs
+++ b/pure/hierarchy/src/fill_path.rs
@@ -1,28 +1,29 @@
-//! The path of a fill: the nodes that it has passed, as it carries them in `CDN-Loop` (RFC 8586).
+//! The path of a fill: the nodes that it has passed, as listed in its `CDN-Loop` header (RFC 8586).
 //!
-//! Each entry is a node's id (`NAME.DOMAIN`) with a tag that only that node can have made (`;m=`, HMAC-SHA-256 over its id
-//! and the object, by a key of the process's own). So a node tells its own entry from one that somebody else wrote, and
-//! from one that it wrote before it restarted. Entries of foreign CDNs are forwarded unchanged and count as hops.
+//! Each entry is a node's id (`NAME.DOMAIN`) with a tag that only that process can compute (`;m=`, a truncated HMAC-SHA-256
+//! over its id and the object, under a key of the process). So a process distinguishes its own entries from forged ones, and
+//! from those of its node before a restart. Entries of other CDNs are forwarded with their parameters unchanged, and count
+//! as hops.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 use std::fmt;
 
-/// Longest header that is read.
+/// Maximum length of the header that is accepted.
 pub const MAX_HEADER_BYTES: usize = 4_096;
-/// Hops that a fill may make at the most.
+/// Maximum number of entries in the header.
 pub const MAX_HOPS: usize = 12;
-/// Hex digits of a tag: 64 bits.
+/// Number of hex digits of a tag, which has 64 bits.
 const TAG_DIGITS: usize = 16;
 
-/// Why a path is rejected.
+/// The reason for which a path is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PathError {
-    /// Over [`MAX_HEADER_BYTES`].
+    /// The header is longer than [`MAX_HEADER_BYTES`].
     TooLong,
-    /// Over [`MAX_HOPS`].
+    /// The header has more than [`MAX_HOPS`] entries.
     TooManyHops,
-    /// Not a list of ids and parameters.
+    /// The header is not a list of ids with parameters.
     Malformed,
 }
 
@@ -32,8 +33,8 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             PathError::TooLong => write!(f, "CDN-Loop is longer than {MAX_HEADER_BYTES} bytes"),
-            PathError::TooManyHops => write!(f, "CDN-Loop names more than {MAX_HOPS} hops"),
-            PathError::Malformed => write!(f, "CDN-Loop can't be read"),
+            PathError::TooManyHops => write!(f, "CDN-Loop has more than {MAX_HOPS} entries"),
+            PathError::Malformed => write!(f, "CDN-Loop is malformed"),
         }
     }
 }
@@ -41,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Hop {
     id: String,
-    /// All behind the id, as it came: an entry is forwarded unchanged.
+    /// The text after the id, kept as received so that it can be forwarded unchanged.
     parameters: String,
 }
 
@@ -60,11 +61,12 @@
 }
 
 impl FillPath {
-    /// Reads the value of the header, or of several joined by commas.
+    /// Parses the value of the header, or the values of several headers joined by commas.
     ///
     /// # Errors
     ///
-    /// Where it can't be read: it is not known then where the fill was.
+    /// Returns an error if the value is too long, has too many entries or is malformed. The nodes that the fill has passed
+    /// are unknown then.
     pub fn parse(value: &[u8]) -> Result<FillPath, PathError> {
         if value.len() > MAX_HEADER_BYTES {
             return Err(PathError::TooLong);
@@ -81,12 +83,12 @@
             }
             let end = entry.find([';', ' ', '\t']).unwrap_or(entry.len());
             let (id, parameters) = entry.split_at(end);
-            let known = |b: u8| b.is_ascii_alphanumeric() || b"-._~:[]!#$%&'*+^`|".contains(&b);
+            let id_byte = |b: u8| b.is_ascii_alphanumeric() || b"-._~:[]!#$%&'*+^`|".contains(&b);
             let printable = |b: u8| (b' '..=b'~').contains(&b) || b == b'\t';
             let separated =
                 parameters.trim_start().is_empty() || parameters.trim_start().starts_with(';');
             if id.is_empty()
-                || !id.bytes().all(known)
+                || !id.bytes().all(id_byte)
                 || !parameters.bytes().all(printable)
                 || !separated
             {
@@ -100,25 +102,25 @@
         Ok(FillPath { hops })
     }
 
-    /// Entries of the path.
+    /// The number of entries of the path.
     pub fn hops(&self) -> usize {
         self.hops.len()
     }
 
-    /// The names under a domain that the path has, whoever wrote them. One that is wrongly there costs the fill that
-    /// source and no more.
+    /// The names of the entries under a domain; their tags are not checked. A forged entry only excludes that node as a source
+    /// of the fill.
     pub fn visited_names<'a>(&'a self, domain: &'a str) -> impl Iterator<Item = &'a str> {
         self.hops
             .iter()
             .filter_map(move |h| h.id.strip_suffix(domain)?.strip_suffix('.'))
     }
 
-    /// Whether the path has a name under a domain.
+    /// Whether the path has an entry for this name under this domain; its tag is not checked.
     pub fn contains(&self, domain: &str, name: &str) -> bool {
         self.visited_names(domain).any(|visited| visited == name)
     }
 
-    /// The header's value, with an entry of the signer added.
+    /// The value of the header to forward: this path with the signer's entry appended.
     pub fn append(&self, signer: &PathSigner, object: u64) -> String {
         let mut value = String::new();
         for hop in &self.hops {
@@ -133,16 +135,16 @@
     }
 }
 
-/// Signs the entries of one process, and recognises them.
+/// Signs the entries of one process, and recognizes them.
 pub struct PathSigner {
     id: String,
     mac: Hmac<Sha256>,
 }
 
 impl PathSigner {
-    /// `key` is random, and new for each process.
+    /// Creates the signer of the node `name` under `domain`. The key must be random and unique to the process.
     pub fn new(name: &str, domain: &str, key: &[u8; 32]) -> PathSigner {
-        let mac = Hmac::new_from_slice(key).expect("any length of key will do");
+        let mac = Hmac::new_from_slice(key).expect("HMAC accepts keys of any length");
         PathSigner {
             id: format!("{name}.{domain}"),
             mac,
@@ -159,18 +161,18 @@
             .collect()
     }
 
-    /// Whether this process forwarded the fill before. An entry under this node's name that somebody else wrote, or this
-    /// node before it restarted, is no loop.
+    /// Whether this process has forwarded the fill before, which means a loop. Forged entries under this node's name, and
+    /// those from before a restart of this node, do not count.
     pub fn has_signed(&self, path: &FillPath, object: u64) -> bool {
-        let mut own = path
+        let mut own_tags = path
             .hops
             .iter()
             .filter(|h| h.id == self.id)
             .filter_map(Hop::tag)
             .peekable();
-        own.peek().is_some() && {
+        own_tags.peek().is_some() && {
             let tag = self.tag(object);
-            own.any(|theirs| theirs == tag)
+            own_tags.any(|own_tag| own_tag == tag)
         }
     }
 }
--- a/pure/hierarchy/src/fill_path/tests.rs
+++ b/pure/hierarchy/src/fill_path/tests.rs
@@ -1,4 +1,4 @@
-//! Writing, reading and signing `CDN-Loop` entries.
+//! Parsing, forwarding and signing of `CDN-Loop` entries.
 
 use super::*;
 use proptest::prelude::*;
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_node_knows_its_own_entry_and_no_other() {
+fn a_signer_recognizes_only_its_own_entries() {
     let (east, south) = (signer("east", 1), signer("south", 2));
     let path = FillPath::parse(FillPath::default().append(&east, 7).as_bytes()).unwrap();
     assert!(east.has_signed(&path, 7) && !east.has_signed(&path, 8) && !south.has_signed(&path, 7));
@@ -20,7 +20,7 @@
         path.visited_names(DOMAIN).collect::<Vec<_>>(),
         ["east", "south"]
     );
-    // A former start's entry, and one that somebody made up, are hops and no loop.
+    // An entry from before a restart, and a forged one, count as hops but not as a loop.
     assert!(!signer("east", 9).has_signed(&path, 7));
     let forged =
         FillPath::parse(format!("east.{DOMAIN};m=0123456789abcdef, east.{DOMAIN}").as_bytes())
@@ -29,20 +29,20 @@
 }
 
 #[test]
-fn other_cdns_entries_are_read_and_passed_on() {
+fn entries_of_other_cdns_are_parsed_and_forwarded() {
     let value =
         "foo123.foocdn.example, barcdn.example; trace=\"abcdef\", AnotherCDN; abc=123; def=\"456\"";
     let path = FillPath::parse(value.as_bytes()).unwrap();
     assert_eq!((path.hops(), path.visited_names(DOMAIN).count()), (3, 0));
-    let on = path.append(&signer("east", 1), 7);
-    assert!(on.starts_with(
+    let forwarded = path.append(&signer("east", 1), 7);
+    assert!(forwarded.starts_with(
         "foo123.foocdn.example, barcdn.example; trace=\"abcdef\", anothercdn; abc=123"
     ));
     assert_eq!(FillPath::parse(b"a,, ,b").unwrap().hops(), 2);
 }
 
 #[test]
-fn what_cannot_be_read_is_refused() {
+fn invalid_values_are_rejected() {
     assert_eq!(
         FillPath::parse(&vec![b'a'; 60_000]),
         Err(PathError::TooLong)
@@ -58,13 +58,13 @@
 
 proptest! {
     #[test]
-    fn a_way_that_is_read_is_passed_on_the_same(value in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn a_parsed_path_is_forwarded_unchanged(value in proptest::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(path) = FillPath::parse(&value) {
-            let on = path.append(&signer("east", 1), 7);
+            let forwarded = path.append(&signer("east", 1), 7);
             if path.hops() < MAX_HOPS {
-                let again = FillPath::parse(on.as_bytes()).unwrap();
-                prop_assert_eq!(&again.hops[..path.hops()], &path.hops[..]);
-                prop_assert!(signer("east", 1).has_signed(&again, 7));
+                let reparsed = FillPath::parse(forwarded.as_bytes()).unwrap();
+                prop_assert_eq!(&reparsed.hops[..path.hops()], &path.hops[..]);
+                prop_assert!(signer("east", 1).has_signed(&reparsed, 7));
             }
         }
     }
--- a/pure/hierarchy/src/freshness_fence.rs
+++ b/pure/hierarchy/src/freshness_fence.rs
@@ -1,23 +1,24 @@
-//! Lower bounds on the age of copies, from invalidations: for each object, when a copy must have left the origin at the
-//! earliest. Their number is bounded: where there are too many, the older half merges into one bound for all objects,
-//! which is coarser and never looser.
+//! Freshness bounds of copies, from invalidations: for each object, the earliest time at which a usable copy may have left
+//! the origin (its birth). The number of bounds is limited: when there are too many, the older half is merged into one
+//! bound for all objects, which may reject more copies and never accepts more.
 
 use std::collections::HashMap;
 
-/// Fences of single objects at the most.
+/// Maximum number of fences of single objects.
 pub const MAX_FENCES: usize = 65_536;
 
-/// The bounds in force. Times are those of the origin, not of this node's clock.
+/// The freshness bounds in force. Times are on the origin's clock, not on this node's.
 #[derive(Debug, Default)]
 pub struct FreshnessFences {
-    /// By object.
+    /// Bounds of single objects, by object id.
     objects: HashMap<u64, u64>,
-    /// For all objects.
+    /// Bound of all objects.
     floor: u64,
 }
 
 impl FreshnessFences {
-    /// An invalidation of one object, or (`None`) of objects that can't be told from others here.
+    /// Records an invalidation of one object at the time `at`; `None` stands for a set of objects that can't be resolved
+    /// here, and raises the bound of all objects.
     pub fn invalidate(&mut self, object: Option<u64>, at: u64) {
         let Some(object) = object else {
             self.raise_floor(at);
@@ -45,18 +46,18 @@
         self.raise_floor(median);
     }
 
-    /// When a copy of an object must have left the origin at the earliest.
+    /// The earliest time at which a usable copy of the object may have left the origin.
     pub fn min_birth(&self, object: u64) -> u64 {
         let fence = self.objects.get(&object).copied().unwrap_or(0);
         fence.max(self.floor)
     }
 
-    /// Fences of single objects.
+    /// The number of fences of single objects.
     pub fn len(&self) -> usize {
         self.objects.len()
     }
 
-    /// Whether there is no fence of a single object.
+    /// Whether there are no fences of single objects.
     pub fn is_empty(&self) -> bool {
         self.objects.is_empty()
     }
--- a/pure/hierarchy/src/health.rs
+++ b/pure/hierarchy/src/health.rs
@@ -1,34 +1,35 @@
-//! Outlier detection of sources: which are left out for a while after failures in a row. What speaks of the source
-//! (silence, a reset, an error) counts; what speaks of load, of a loop or of an identity does not.
+//! Outlier detection of sources: a source is ejected for a while after consecutive failures. Timeouts, resets and errors
+//! count as failures; rejections because of load, a loop or an identity do not, as they are no fault of the source.
 
 use crate::TimestampUs;
 
-/// The first ejection (us); each further failure in a row doubles it.
+/// Duration of the first ejection (us); each further consecutive failure doubles it.
 const BASE_EJECTION_US: u64 = 250_000;
-/// The longest ejection (us).
+/// Maximum duration of an ejection (us).
 const MAX_EJECTION_US: u64 = 4_000_000;
-/// Bounds the shift; [`MAX_EJECTION_US`] is reached earlier.
+/// Bounds the shift by which the duration is doubled; [`MAX_EJECTION_US`] is reached with fewer doublings.
 const MAX_DOUBLINGS: u32 = 8;
-/// Failures in a row that are tolerated on a connection that came up: a single reset is no sign of a fault.
+/// Consecutive failures after a connection was established that do not eject the source: a single reset is no sign of a
+/// fault.
 const TOLERATED_FAILURES: u32 = 1;
 
 /// How an attempt at a source ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It served.
+    /// The source served the request.
     Served,
-    /// No connection came up: it is ejected at once.
+    /// No connection was established. The source is ejected at once.
     Unreached,
-    /// It broke off, returned an error, or timed out.
+    /// The source closed the connection early, returned an error, or timed out.
     Failed,
-    /// It rejected the fill unprocessed, or found a loop: no fault of its own.
+    /// The source rejected the fill unprocessed, or found a loop. This does not affect its health.
     Rejected,
 }
 
 /// The health of one source.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
-    failures_in_row: u32,
+    consecutive_failures: u32,
     ejected_until: TimestampUs,
 }
 
@@ -44,16 +45,16 @@
     }
 
     fn record_failure(&mut self, now: TimestampUs, tolerated: u32) {
-        self.failures_in_row = self.failures_in_row.saturating_add(1);
-        if self.failures_in_row <= tolerated {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        if self.consecutive_failures <= tolerated {
             return;
         }
-        let doublings = (self.failures_in_row - tolerated - 1).min(MAX_DOUBLINGS);
+        let doublings = (self.consecutive_failures - tolerated - 1).min(MAX_DOUBLINGS);
         let ejection_us = (BASE_EJECTION_US << doublings).min(MAX_EJECTION_US);
         self.ejected_until = self.ejected_until.max(now.saturating_add(ejection_us));
     }
 
-    /// Whether it may be asked. After an ejection it is asked again, and one more failure ejects it for longer.
+    /// Whether the source is not ejected. After an ejection it is asked again, and one more failure ejects it for longer.
     pub fn is_healthy(&self, now: TimestampUs) -> bool {
         now >= self.ejected_until
     }
--- a/pure/hierarchy/src/health/tests.rs
+++ b/pure/hierarchy/src/health/tests.rs
@@ -1,14 +1,14 @@
-//! Which answers mark a source as unhealthy.
+//! Outcomes that eject a source, and the durations of ejections.
 
 use super::*;
 
 #[test]
-fn a_source_is_left_out_for_failing_and_not_for_load_or_loops() {
+fn failures_eject_a_source_and_rejections_do_not() {
     let mut health = Health::default();
     (0..9).for_each(|_| health.record(0, AttemptOutcome::Rejected));
     assert!(health.is_healthy(0));
     health.record(0, AttemptOutcome::Failed);
-    assert!(health.is_healthy(0), "one stray failure");
+    assert!(health.is_healthy(0), "a single failure is tolerated");
     health.record(0, AttemptOutcome::Failed);
     assert!(!health.is_healthy(BASE_EJECTION_US - 1) && health.is_healthy(BASE_EJECTION_US));
     health.record(BASE_EJECTION_US, AttemptOutcome::Failed);
--- a/pure/hierarchy/src/in_flight.rs
+++ b/pure/hierarchy/src/in_flight.rs
@@ -1,28 +1,28 @@
-//! Request collapsing at one hub: the fetches in flight, and who waits for each.
+//! Request collapsing at one hub: the fetches in flight, and the requests that wait for each.
 //!
-//! Misses for one part of an object are collapsed behind one fetch. The table says who leads a fetch, who follows it, when
-//! a fetch without progress is failed, and when one that nobody waits for is cancelled.
+//! Misses for one part of an object are collapsed into one fetch. The table decides which request leads a fetch, which ones
+//! follow it, when a fetch without progress has failed, and when one without waiters is cancelled.
 //!
 //! Fills that wait for each other across hubs never form a cycle, by this rule: *a fill waits only for fetches of its own
-//! tree version; a fill that has passed nodes of two versions is uncollapsed from there on: it waits for none further up,
-//! but others may wait for it.* All fetches in a cycle of waits would be of one version, and so in one tree, which has no
-//! cycle; an uncollapsed fetch ends by itself, as its path never visits a node twice. Two versions meet only during a
-//! change of the tree, and each hub leads at most one uncollapsed fetch for a part at a time.
+//! tree version or for uncollapsed ones; a fill that has passed nodes of two versions is uncollapsed from there on: it waits
+//! for no other fill upstream, but others may wait for it.* All fetches in a cycle of waits would be of one version, and so
+//! in one tree, which has no cycle; an uncollapsed fetch ends by itself, as its path never visits a node twice. Two versions
+//! meet only during a change of the tree, and at each hub other fills follow at most one uncollapsed fetch for a part.
 
 mod types;
 
 pub use types::{
     Admission, AfterFailure, CollapseScope, FetchCounts, FetchId, FetchKey, FetchLimits,
-    FetchRequest, FillOrigin, WaiterId,
+    FetchRequest, FillContext, WaiterId,
 };
 
 use crate::TimestampUs;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// Expired entries of the heap of leases are removed once it is over this length,
+/// Entries of finished fetches are removed from the heap of lease ends only while it is longer than this,
 const MIN_COMPACTED_LEASES: usize = 64;
-/// and over so many times the number of fetches.
+/// and longer than this multiple of the number of fetches.
 const LEASES_PER_FETCH: usize = 4;
 
 #[derive(Debug)]
@@ -31,21 +31,22 @@
     scope: CollapseScope,
     min_birth: u64,
     waiters: u32,
-    /// The latest time until which a waiter waits.
-    until: TimestampUs,
-    /// Counted from 0.
+    /// The latest deadline of any waiter so far.
+    latest_deadline: TimestampUs,
+    /// Number of the attempt in flight, from 0.
     attempt: u32,
+    /// When the attempt in flight counts as failed, unless its lease is renewed.
     lease_until: TimestampUs,
 }
 
-/// The fetches in flight at one hub, and who waits for each.
+/// The fetches in flight at one hub, and the requests that wait for each.
 pub struct FetchTable {
     limits: FetchLimits,
-    /// The fetch that others may follow, one at most for each key and scope.
+    /// The fetch that other requests may follow, at most one for each key and scope.
     leaders: HashMap<(FetchKey, CollapseScope), FetchId>,
     fetches: HashMap<FetchId, Fetch>,
     waiters: HashMap<WaiterId, FetchId>,
-    /// Ends of leases as they were granted; a renewed lease ends later.
+    /// Lease ends as of when they were pushed. The current end of a lease is in its [`Fetch`], and may be later.
     lease_ends: BinaryHeap<Reverse<(TimestampUs, FetchId)>>,
     next_id: u64,
     counts: FetchCounts,
@@ -65,17 +66,17 @@
         }
     }
 
-    /// What happened since the start.
+    /// The counters of this table since its creation.
     pub fn counts(&self) -> FetchCounts {
         self.counts
     }
 
-    /// Fetches in flight, and those who wait for them.
+    /// The number of fetches in flight, and the number of requests that wait for them.
     pub fn sizes(&self) -> (usize, usize) {
         (self.fetches.len(), self.waiters.len())
     }
 
-    /// A part is requested that is not cached here.
+    /// Admits a request for a part that is not cached here: it leads a new fetch, follows one in flight, or is rejected.
     pub fn request(&mut self, now: TimestampUs, request: FetchRequest) -> Admission {
         if self.waiters.len() >= self.limits.waiters {
             self.counts.rejected += 1;
@@ -91,46 +92,49 @@
         self.lead(now, &request)
     }
 
-    /// The fetch that a request may wait for.
+    /// The fetch in flight that a request may follow.
     fn leader(&self, request: &FetchRequest) -> Option<FetchId> {
-        if request.origin.uncollapsed {
+        if request.context.uncollapsed {
             return None;
         }
-        // A copy from before an invalidation must not reach one who knows of it: a fetch that was sent with a looser
-        // bound is not followed.
+        // A request made after an invalidation must not get a copy from before it, so it doesn't follow a fetch that was
+        // sent with a lower bound.
         let fresh_enough = |id: &&FetchId| self.fetches[*id].min_birth >= request.min_birth;
         let leader = |scope| self.leaders.get(&(request.key, scope)).filter(fresh_enough);
-        let scope = request.origin.collapse_scope(request.version);
+        let scope = request.context.collapse_scope(request.version);
         let found = leader(scope).or_else(|| leader(CollapseScope::Uncollapsed));
         found.copied()
     }
 
     fn follow(&mut self, id: FetchId, request: &FetchRequest) -> Admission {
         self.counts.followed += 1;
-        let fetch = self.fetches.get_mut(&id).expect("a leader is in flight");
+        let fetch = self
+            .fetches
+            .get_mut(&id)
+            .expect("the fetch of a leader is in flight");
         fetch.waiters += 1;
-        fetch.until = fetch.until.max(request.until);
+        fetch.latest_deadline = fetch.latest_deadline.max(request.deadline);
         Admission::Follow(id, self.add_waiter(id))
     }
 
     fn lead(&mut self, now: TimestampUs, request: &FetchRequest) -> Admission {
         self.counts.led += 1;
         let id = FetchId(self.next_id());
-        let scope = request.origin.collapse_scope(request.version);
+        let scope = request.context.collapse_scope(request.version);
         let lease_until = now.saturating_add(self.limits.lease_us);
         let fetch = Fetch {
             key: request.key,
             scope,
             min_birth: request.min_birth,
             waiters: 1,
-            until: request.until,
+            latest_deadline: request.deadline,
             attempt: 0,
             lease_until,
         };
         self.fetches.insert(id, fetch);
         self.lease_ends.push(Reverse((lease_until, id)));
-        // Takes the place also of a leader whose copy may be too old: later requests follow the newer one. A fetch that is
-        // uncollapsed itself may be followed as any other.
+        // Also replaces a leader whose copy may be too old, so that later requests follow the newer fetch. An uncollapsed
+        // fetch may be followed like any other.
         self.leaders.insert((request.key, scope), id);
         Admission::Lead(id, self.add_waiter(id))
     }
@@ -147,7 +151,7 @@
         waiter
     }
 
-    /// An attempt made progress: its lease is renewed.
+    /// Renews the lease of an attempt that made progress. Has no effect if it is not the attempt in flight.
     pub fn renew_lease(&mut self, now: TimestampUs, id: FetchId, attempt: u32) {
         let lease_us = self.limits.lease_us;
         if let Some(fetch) = self.current_attempt(id, attempt) {
@@ -155,14 +159,15 @@
         }
     }
 
-    /// The fetch, if this attempt is the one in flight.
+    /// The fetch, if `attempt` is its attempt in flight.
     fn current_attempt(&mut self, id: FetchId, attempt: u32) -> Option<&mut Fetch> {
         self.fetches
             .get_mut(&id)
             .filter(|fetch| fetch.attempt == attempt)
     }
 
-    /// A waiter has its response, left, or timed out. Returns the fetch to cancel, if nobody waits for it any more.
+    /// Removes a waiter that has its response, was closed, or timed out. Returns the fetch to cancel if this was its last
+    /// waiter.
     pub fn leave(&mut self, waiter: WaiterId) -> Option<FetchId> {
         let id = self.waiters.remove(&waiter)?;
         let fetch = self.fetches.get_mut(&id)?;
@@ -175,7 +180,8 @@
         Some(id)
     }
 
-    /// An attempt has the whole part, or a response that is final for all waiters; false where it is not the one in flight.
+    /// Ends a fetch whose attempt got the whole part, or a response that is final for all waiters. Returns false if it is not
+    /// the attempt in flight.
     pub fn complete(&mut self, id: FetchId, attempt: u32) -> bool {
         let current = self.current_attempt(id, attempt).is_some();
         if current {
@@ -184,7 +190,7 @@
         current
     }
 
-    /// An attempt failed at its source. All waiters go on with one retry, not one each.
+    /// Records that an attempt failed at its source. All waiters share one retry.
     pub fn fail(&mut self, now: TimestampUs, id: FetchId, attempt: u32) -> AfterFailure {
         let FetchLimits {
             lease_us, attempts, ..
@@ -192,7 +198,7 @@
         let Some(fetch) = self.current_attempt(id, attempt) else {
             return AfterFailure::Stale;
         };
-        if fetch.until <= now || attempt + 1 >= attempts {
+        if fetch.latest_deadline <= now || attempt + 1 >= attempts {
             self.remove(id);
             return AfterFailure::GiveUp;
         }
@@ -204,7 +210,8 @@
         AfterFailure::Retry(next)
     }
 
-    /// Attempts whose lease expired: their thread died or hangs. Each is to be reported by [`FetchTable::fail`].
+    /// Returns the attempts whose lease has expired, as their thread died or hangs. The caller must report each of them to
+    /// [`FetchTable::fail`].
     pub fn expired_leases(&mut self, now: TimestampUs) -> Vec<(FetchId, u32)> {
         let mut expired = Vec::new();
         while let Some(&Reverse((due, id))) = self.lease_ends.peek() {
@@ -224,32 +231,32 @@
         expired
     }
 
-    /// When to look for expired leases next.
+    /// The next time at which a lease may expire. The lease in question may have been renewed since.
     pub fn next_lease_end(&self) -> Option<TimestampUs> {
         self.lease_ends.peek().map(|Reverse((due, _))| *due)
     }
 
-    /// Until when somebody waits for a fetch.
-    pub fn until(&self, id: FetchId) -> Option<TimestampUs> {
-        self.fetches.get(&id).map(|fetch| fetch.until)
+    /// The latest deadline of the requests that have waited for a fetch; `None` if it is not in flight.
+    pub fn latest_deadline(&self, id: FetchId) -> Option<TimestampUs> {
+        self.fetches.get(&id).map(|fetch| fetch.latest_deadline)
     }
 
-    /// The attempt in flight of a fetch.
+    /// The number of a fetch's attempt in flight; `None` if the fetch is not in flight.
     pub fn attempt(&self, id: FetchId) -> Option<u32> {
         self.fetches.get(&id).map(|fetch| fetch.attempt)
     }
 
     fn remove(&mut self, id: FetchId) {
         if let Some(fetch) = self.fetches.remove(&id) {
-            let led = (fetch.key, fetch.scope);
-            if self.leaders.get(&led) == Some(&id) {
-                self.leaders.remove(&led);
+            let leader_key = (fetch.key, fetch.scope);
+            if self.leaders.get(&leader_key) == Some(&id) {
+                self.leaders.remove(&leader_key);
             }
         }
         self.compact_lease_ends();
     }
 
-    /// Keeps ends of leases from piling up behind fetches that have ended.
+    /// Bounds the number of lease ends that belong to finished fetches.
     fn compact_lease_ends(&mut self) {
         let len = self.lease_ends.len();
         if len > MIN_COMPACTED_LEASES && len > LEASES_PER_FETCH * self.fetches.len() {
--- a/pure/hierarchy/src/in_flight/tests.rs
+++ b/pure/hierarchy/src/in_flight/tests.rs
@@ -30,15 +30,15 @@
     };
     FetchRequest {
         key,
-        origin: FillOrigin::LOCAL,
+        context: FillContext::LOCAL,
         version: ONE,
         min_birth: 0,
-        until: 10 * S,
+        deadline: 10 * S,
     }
 }
 
-fn from(version: TreeVersion, uncollapsed: bool) -> FillOrigin {
-    FillOrigin {
+fn from(version: TreeVersion, uncollapsed: bool) -> FillContext {
+    FillContext {
         version: Some(version),
         uncollapsed,
     }
@@ -133,15 +133,15 @@
 fn fills_of_two_versions_do_not_wait_for_each_other() {
     // Two hubs turned toward each other: each leads a fetch that goes to the other.
     let (mut a, mut b) = (table(), table());
-    let at_b = |origin| FetchRequest {
-        origin,
+    let at_b = |context| FetchRequest {
+        context,
         version: TWO,
         ..request(7)
     };
     let Admission::Lead(from_a, _) = a.request(0, request(7)) else {
         panic!()
     };
-    let Admission::Lead(from_b, _) = b.request(0, at_b(FillOrigin::LOCAL)) else {
+    let Admission::Lead(from_b, _) = b.request(0, at_b(FillContext::LOCAL)) else {
         panic!()
     };
     // What a sent comes to b, and b's to a: neither joins, each leads one uncollapsed fetch.
@@ -152,7 +152,7 @@
         a.request(
             1,
             FetchRequest {
-                origin: from(TWO, false),
+                context: from(TWO, false),
                 ..request(7)
             }
         ),
--- a/pure/hierarchy/src/in_flight/types.rs
+++ b/pure/hierarchy/src/in_flight/types.rs
@@ -1,9 +1,9 @@
-//! What the table of fetches is asked, and what it answers.
+//! Arguments and results of the table of fetches.
 
 use crate::tree::TreeVersion;
 use crate::TimestampUs;
 
-/// A part of an object, by the class that requests it: what one fetch brings.
+/// What one fetch retrieves: a part of an object, for one class of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FetchKey {
     /// The class's number at this hub.
@@ -14,40 +14,40 @@
     pub part: u32,
 }
 
-/// One fetch at this hub.
+/// Identifies a fetch at this hub.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FetchId(pub u64);
 
-/// One request that waits for a fetch, its leader's included.
+/// Identifies a request that waits for a fetch, which may also be the one that leads it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WaiterId(pub u64);
 
-/// Which fills may wait for each other.
+/// The set of fills that may wait for each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum CollapseScope {
-    /// All nodes so far used this version of the tree.
+    /// Fills that were routed by this version of the tree at all nodes so far.
     Version(TreeVersion),
-    /// It passed nodes of two versions: it waits for no other fill.
+    /// Fills that have passed nodes of two versions, or whose sender marked them so. They wait for no other fill.
     Uncollapsed,
 }
 
-/// How a fill comes to a node.
+/// What a fill carries when it arrives at a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FillOrigin {
-    /// The version of the tree that its sender used. `None`: it begins here.
+pub struct FillContext {
+    /// The version of the tree by which its sender routed it; `None` if it begins at this node.
     pub version: Option<TreeVersion>,
-    /// It is uncollapsed already: it must not wait.
+    /// Whether it is uncollapsed already, and must not wait for another fill.
     pub uncollapsed: bool,
 }
 
-impl FillOrigin {
+impl FillContext {
     /// A fill that begins at this node.
-    pub const LOCAL: FillOrigin = FillOrigin {
+    pub const LOCAL: FillContext = FillContext {
         version: None,
         uncollapsed: false,
     };
 
-    /// The scope in which it goes on from a node that uses `current`.
+    /// The scope in which the fill continues at a node whose tree in service has version `current`.
     pub fn collapse_scope(&self, current: TreeVersion) -> CollapseScope {
         let same_version = self.version.is_none_or(|version| version == current);
         if self.uncollapsed || !same_version {
@@ -63,55 +63,55 @@
 pub struct FetchRequest {
     /// The part.
     pub key: FetchKey,
-    /// How the fill came here.
-    pub origin: FillOrigin,
+    /// What the fill carried to this node.
+    pub context: FillContext,
     /// The version of the tree in service at this node.
     pub version: TreeVersion,
-    /// When a copy must have left the origin at the earliest; 0: any will do. Not on this node's clock.
+    /// The earliest time at which a usable copy may have left the origin, on the origin's clock; 0 if any copy is usable.
     pub min_birth: u64,
     /// When the request times out.
-    pub until: TimestampUs,
+    pub deadline: TimestampUs,
 }
 
-/// What a request is to do.
+/// How a request is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Make this fetch, and wait for it.
+    /// The request makes this fetch, and waits for it.
     Lead(FetchId, WaiterId),
-    /// Wait for this fetch, which another request leads.
+    /// The request waits for this fetch, which another one leads.
     Follow(FetchId, WaiterId),
-    /// No capacity for another fetch, or for another waiter.
+    /// There is no capacity for another fetch, or for another waiter.
     Rejected,
 }
 
-/// What becomes of a fetch whose attempt failed.
+/// What happens to a fetch whose attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterFailure {
-    /// Retry at another source, for all who wait; the number of the new attempt.
+    /// It is retried at another source for all waiters; this is the number of the new attempt.
     Retry(u32),
-    /// Nobody waits, or there is no time or attempt left: all who wait fail.
+    /// It ends, as no time or no attempt is left: all waiters fail.
     GiveUp,
-    /// The attempt is not the one in flight.
+    /// The failed attempt is not the one in flight; nothing changes.
     Stale,
 }
 
-/// Bounds of a table of fetches.
+/// Limits of a table of fetches.
 #[derive(Clone, Copy, Debug)]
 pub struct FetchLimits {
-    /// Fetches in flight at once.
+    /// Maximum number of fetches in flight.
     pub fetches: usize,
-    /// Those who wait for them, all together.
+    /// Maximum number of waiting requests, over all fetches.
     pub waiters: usize,
-    /// An attempt without progress for so long is failed (us).
+    /// Time after which an attempt without progress counts as failed (us).
     pub lease_us: u64,
-    /// Attempts of one fetch.
+    /// Maximum number of attempts of one fetch, the first one included.
     pub attempts: u32,
 }
 
-/// What happened since the start.
+/// Counters of a table of fetches since its creation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FetchCounts {
-    /// Fetches begun.
+    /// Fetches started.
     pub led: u64,
     /// Requests that followed a fetch in flight.
     pub followed: u64,
@@ -121,6 +121,6 @@
     pub retried: u64,
     /// Attempts whose lease expired.
     pub leases_expired: u64,
-    /// Fetches that nobody waited for any more.
+    /// Fetches cancelled because their last waiter left.
     pub cancelled: u64,
 }
--- a/pure/hierarchy/src/node.rs
+++ b/pure/hierarchy/src/node.rs
@@ -1,5 +1,5 @@
-//! All decisions of one hub together: the trees that it uses, its fetches in flight, and what it knows of its sources. A
-//! hub on sockets and one in a simulation decide by the same code.
+//! All decisions of one hub together: the trees that it uses, its fetches in flight, and the state of its sources. The hub
+//! process and the simulator share this code.
 
 mod select_source;
 
@@ -8,7 +8,7 @@
 use crate::health::{AttemptOutcome, Health};
 use crate::in_flight::{
     Admission, AfterFailure, CollapseScope, FetchId, FetchKey, FetchLimits, FetchRequest,
-    FetchTable, FillOrigin, WaiterId,
+    FetchTable, FillContext, WaiterId,
 };
 use crate::slow_start::{NodeStart, SlowStart, SlowStartLimiter};
 use crate::tree::Tree;
@@ -19,14 +19,14 @@
 
 const US_PER_MS: u64 = 1_000;
 
-/// What is known of a source.
+/// What this node knows about a source.
 #[derive(Default)]
 struct Source {
     health: Health,
-    /// When it last started by its own account, in Unix time (ms); 0 while it has not said.
+    /// When it last started, as reported by itself, in Unix time (ms); 0 if it has not reported it.
     started_unix_ms: u64,
-    /// A source that has not been heard of counts as started when it is first wanted: one that did start lately must not be
-    /// overloaded by the first that is sent to it.
+    /// Created when the source is first selected. A source that has not reported its start counts as started at that time,
+    /// as it may have started recently and must not be overloaded by the first fills.
     limiter: Option<SlowStartLimiter>,
 }
 
@@ -42,10 +42,10 @@
     }
 }
 
-/// What is known of the nodes' full rates, in fills a second by name; a node that is not in it is not limited.
+/// Full rates of nodes by name, in fills per second. A node without an entry is not limited.
 pub type FullRates = HashMap<Arc<str>, f64>;
 
-/// All that one hub decides by.
+/// The state that one hub decides by.
 pub struct Node {
     versions: TopologyVersions,
     fetches: FetchTable,
@@ -55,11 +55,11 @@
 }
 
 impl Node {
-    /// The hub of that name. A previous tree may be used for `overlap_us`.
+    /// Creates the hub called `name`, with `tree` in service. A replaced tree may be used for `overlap_us`.
     ///
     /// # Errors
     ///
-    /// Where the hub is not in the tree.
+    /// Returns an error if the hub is not in the tree.
     pub fn new(
         name: &str,
         tree: Tree,
@@ -82,26 +82,26 @@
         self.versions.current()
     }
 
-    /// Its fetches, and who waits for them.
+    /// The fetches in flight, and the requests that wait for them.
     pub fn fetches(&self) -> &FetchTable {
         &self.fetches
     }
 
-    /// The trees that it uses.
+    /// The trees in use.
     pub fn versions(&self) -> &TopologyVersions {
         &self.versions
     }
 
-    /// Previous trees, and sources that something is known of.
+    /// The number of previous trees, and the number of sources with recorded state.
     pub fn sizes(&self) -> (usize, usize) {
         (self.versions.previous_count(), self.sources.len())
     }
 
-    /// Puts a tree into service, with the full rates that come with it.
+    /// Puts a tree into service, and replaces the full rates with those of its configuration.
     ///
     /// # Errors
     ///
-    /// Where the tree is rejected; nothing changes then.
+    /// Returns an error if the tree is rejected; then nothing changes.
     pub fn apply_tree(
         &mut self,
         now: TimestampUs,
@@ -115,25 +115,26 @@
         Ok(applied)
     }
 
-    /// A part is requested that is not cached here: see [`FetchTable::request`]. With the scope in which the fill goes on.
+    /// Admits a request for a part that is not cached here, under the tree in service; see [`FetchTable::request`]. Also
+    /// returns the scope in which the fill continues.
     pub fn request(
         &mut self,
         now: TimestampUs,
         key: FetchKey,
-        origin: FillOrigin,
+        context: FillContext,
         min_birth: u64,
-        until: TimestampUs,
+        deadline: TimestampUs,
     ) -> (Admission, CollapseScope) {
         let version = self.current_tree().version();
         let request = FetchRequest {
             key,
-            origin,
+            context,
             version,
             min_birth,
-            until,
+            deadline,
         };
         let admission = self.fetches.request(now, request);
-        (admission, origin.collapse_scope(version))
+        (admission, context.collapse_scope(version))
     }
 
     /// See [`FetchTable::leave`].
@@ -161,7 +162,8 @@
         self.fetches.expired_leases(now)
     }
 
-    /// Records an attempt at a source. `started_unix_ms`: when the source started, if it says so; `unix_ms`: now.
+    /// Records the outcome of an attempt at a source. `unix_ms` is the current Unix time (ms), and `started_unix_ms` the time
+    /// at which the source started, if it reported one.
     pub fn record_attempt(
         &mut self,
         now: TimestampUs,
@@ -174,7 +176,7 @@
         source.health.record(now, outcome);
         let faulty = matches!(outcome, AttemptOutcome::Unreached | AttemptOutcome::Failed);
         if faulty {
-            // It may come back restarted: until it says when it started, it counts as started now.
+            // The source may be restarting, so it counts as started now until it reports a start.
             source.started_unix_ms = 0;
             source.set_start(now);
         }
@@ -182,7 +184,8 @@
         if let Some(started) = restarted {
             source.started_unix_ms = started;
             let age_us = unix_ms.saturating_sub(started).saturating_mul(US_PER_MS);
-            // One that started before this node's clock must not count as started with it.
+            // A start before the origin of this node's clock would saturate to that origin, and a source past its ramp would
+            // count as warming up. It is marked by 0 instead.
             let at = if age_us >= self.slow_start.ramp_us {
                 0
             } else {
@@ -192,8 +195,8 @@
         }
     }
 
-    /// Drops previous trees whose time is over, and what is known of nodes that no tree names. Returns the nodes that this
-    /// one may not ask any more.
+    /// Drops previous trees whose overlap has ended, and the state of sources that are in no tree any more. Returns the nodes
+    /// that this one may not ask any more; see [`TopologyVersions::expire`].
     pub fn expire(&mut self, now: TimestampUs) -> Vec<Arc<str>> {
         let drained = self.versions.expire(now);
         if self.versions.previous_count() == 0 {
--- a/pure/hierarchy/src/node/select_source.rs
+++ b/pure/hierarchy/src/node/select_source.rs
@@ -7,7 +7,7 @@
 use crate::TimestampUs;
 use std::sync::Arc;
 
-/// Work of one fill, in the unit of full rates.
+/// Work of one fill, in the unit of [`super::FullRates`].
 const ONE_FILL: f64 = 1.0;
 
 /// A fetch that needs a source.
@@ -15,61 +15,62 @@
 pub struct SourceRequest<'a> {
     /// Id of the object.
     pub object: u64,
-    /// Which fills it may wait for.
+    /// The scope in which the fill continues.
     pub scope: CollapseScope,
-    /// Nodes that the fill has passed.
+    /// Names of the nodes that the fill has passed.
     pub passed: &'a [&'a str],
-    /// Nodes at which an attempt for it failed, at this node or at one before.
+    /// Names of the nodes at which an attempt for it failed, made by this node or by an earlier one on its path.
     pub tried: &'a [&'a str],
 }
 
-/// Where an attempt goes.
+/// The source that was selected for an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourceChoice {
     /// The source's name in the tree.
     pub name: Arc<str>,
-    /// Whether it is the archive.
+    /// Whether the source is the archive.
     pub archive: bool,
-    /// Steps from there to the archive: it may take so many leases to respond.
+    /// Hops from the source to the archive. A response may take as many leases.
     pub height: u8,
-    /// The version of the tree that it was selected by.
+    /// The version of the tree by which the source was selected.
     pub version: TreeVersion,
-    /// The fill goes on uncollapsed: it must not wait at the source.
+    /// Whether the fill continues uncollapsed, and must not wait for other fills at the source.
     pub uncollapsed: bool,
-    /// The source is to give a cached copy only; a miss there says nothing of the object.
+    /// Whether the source may serve only a cached copy. A miss does not mean then that the object is missing.
     pub only_if_cached: bool,
-    /// A source that would have been first is on the fill's path.
+    /// Whether the preferred source was left out because it is on the fill's path.
     pub loop_avoided: bool,
-    /// Sources passed over because their slow start allows no more.
+    /// Number of sources that were left out because their slow-start limit was reached.
     pub held_back: u32,
 }
 
-/// Why there is no source.
+/// The reason for which there is no source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoSource {
-    /// All that are left are on the fill's path.
+    /// All untried sources are on the fill's path.
     Loop,
-    /// All that are left are warming up, and their slow start allows no more.
+    /// All remaining sources are warming up, and their slow-start limits were reached.
     WarmingUp,
-    /// All were tried.
+    /// All sources were tried.
     Exhausted,
 }
 
-/// The sources of an attempt, best first.
+/// The possible sources of an attempt.
 struct Candidates {
     tree: Arc<Tree>,
     own: NodeIndex,
+    /// In order of preference.
     sources: Vec<NodeIndex>,
     uncollapsed: bool,
     loop_avoided: bool,
 }
 
 impl Node {
-    /// The source of a fetch's next attempt.
+    /// Selects the source of a fetch's next attempt, and takes one fill from that source's slow-start budget.
     ///
     /// # Errors
     ///
-    /// Where no source is left.
+    /// Returns the reason if no source can be asked.
     pub fn select_source(
         &mut self,
         now: TimestampUs,
@@ -103,9 +104,10 @@
         Err(NoSource::WarmingUp)
     }
 
-    /// A fill ends under the tree that it began under, while that may be used, as those who wait for it rely on its tree;
-    /// after that it is uncollapsed, and uses the tree in service.
-    fn tree_of(&self, now: TimestampUs, scope: CollapseScope) -> (Arc<Tree>, bool) {
+    /// The tree by which a fill is routed, and whether it is uncollapsed. While the tree that the fill began under may be
+    /// used, the fill keeps to it, as the rule against cycles of waits relies on that. Afterwards the fill is uncollapsed
+    /// and uses the tree in service.
+    fn routing_tree(&self, now: TimestampUs, scope: CollapseScope) -> (Arc<Tree>, bool) {
         let own_tree = match scope {
             CollapseScope::Version(version) => self.versions.usable_version(now, version),
             CollapseScope::Uncollapsed => None,
@@ -120,7 +122,7 @@
         now: TimestampUs,
         request: &SourceRequest,
     ) -> Result<Candidates, NoSource> {
-        let (tree, uncollapsed) = self.tree_of(now, request.scope);
+        let (tree, uncollapsed) = self.routing_tree(now, request.scope);
         let own = self.versions.own_node(&tree);
         let indexes = |names: &[&str]| -> Vec<NodeIndex> {
             names.iter().filter_map(|name| tree.find(name)).collect()
@@ -132,16 +134,18 @@
             let is_archive = tree.node(source).kind == NodeKind::Archive;
             is_archive || self.is_healthy(now, tree.name(source))
         };
-        let all = tree.next_hops(own, request.object, untried);
-        let loop_avoided = all.first().is_some_and(|first| passed.contains(first));
+        let all_untried = tree.next_hops(own, request.object, untried);
+        let loop_avoided = all_untried
+            .first()
+            .is_some_and(|first| passed.contains(first));
         let mut sources = tree.next_hops(own, request.object, |source| {
             allowed(source) && healthy(source)
         });
         if sources.is_empty() {
-            // An ejected source is better than none.
+            // Falls back to ejected sources if there is no healthy one.
             sources = tree.next_hops(own, request.object, allowed);
         }
-        match (sources.is_empty(), all.is_empty()) {
+        match (sources.is_empty(), all_untried.is_empty()) {
             (true, true) => Err(NoSource::Exhausted),
             (true, false) => Err(NoSource::Loop),
             (false, _) => Ok(Candidates {
@@ -159,9 +163,9 @@
         source.is_none_or(|source| source.health.is_healthy(now))
     }
 
-    /// The hub that shielded the object under a previous tree that may still be used: it is asked for a cached copy before
-    /// the archive is. Keeps a change of the tree from fetching all that moves from the archive once more. It does not
-    /// forward the request, so that no loop can come of it.
+    /// Selects a hub that was the object's shield under a previous tree that may still be used, to ask it for a cached copy
+    /// before the archive. Otherwise a change of the tree would cause another fetch from the archive for each object that
+    /// gets another shield. That hub does not forward the request, so no loop can occur.
     fn previous_shield(
         &mut self,
         now: TimestampUs,
@@ -169,24 +173,24 @@
         request: &SourceRequest,
     ) -> Option<SourceChoice> {
         let Candidates { tree, own, .. } = candidates;
-        let shield = |previous: &Arc<Tree>| {
+        let shield_name = |previous: &Arc<Tree>| {
             let shield = previous.shield(request.object)?;
             Some(previous.name(shield).clone())
         };
         let shields: Vec<Arc<str>> = self
             .versions
             .usable_previous(now)
-            .filter_map(shield)
+            .filter_map(shield_name)
             .collect();
         for name in shields {
-            let used = request.passed.contains(&&*name) || request.tried.contains(&&*name);
-            if used || !self.is_healthy(now, &name) {
+            let visited = request.passed.contains(&&*name) || request.tried.contains(&&*name);
+            if visited || !self.is_healthy(now, &name) {
                 continue;
             }
             let Some(source) = tree.find(&name).filter(|source| source != own) else {
                 continue;
             };
-            // A request for a cached copy costs a hub that warms up as much as a fill.
+            // A request for a cached copy costs a hub that is warming up as much as a fill.
             if self.try_acquire(now, tree, *own, source) {
                 return Some(SourceChoice {
                     name,
@@ -203,8 +207,8 @@
         None
     }
 
-    /// Takes one fill from what a source's slow start allows. Keeps a hub that started lately from being overloaded by
-    /// what a change of the tree sends to it.
+    /// Takes one fill from the slow-start budget of a source, and returns whether it may be sent. Without this limit, a change
+    /// of the tree could overload a recently started hub.
     fn try_acquire(
         &mut self,
         now: TimestampUs,
@@ -218,9 +222,9 @@
             return true;
         };
         let slow_start = self.slow_start;
-        let known = self.sources.entry(name.clone()).or_default();
-        // All nodes derive the callers of a source, and so their turns, from the tree alike.
-        let limiter = known.limiter.get_or_insert_with(|| {
+        let state = self.sources.entry(name.clone()).or_default();
+        // All nodes derive the callers of a source, and so their turns, from the tree in the same way.
+        let limiter = state.limiter.get_or_insert_with(|| {
             let start = NodeStart {
                 at: now.max(1),
                 full_rate,
--- a/pure/hierarchy/src/node/tests.rs
+++ b/pure/hierarchy/src/node/tests.rs
@@ -169,7 +169,7 @@
             object: 7,
             part: 0,
         },
-        FillOrigin::LOCAL,
+        FillContext::LOCAL,
         0,
         50_000_000,
     );
--- a/pure/hierarchy/src/plan.rs
+++ b/pure/hierarchy/src/plan.rs
@@ -1,42 +1,42 @@
-//! What a change of the tree would move: which nodes get other parents, and for how many objects fills take another path.
+//! The effects of a change of the tree: the nodes whose parents change, and the objects whose fills take another path.
 
 use crate::tree::{NodeKind, Tree};
 use std::sync::Arc;
 
-/// Objects that are sampled; ids are hashed, so that any will do.
+/// Number of sampled objects. Ids are hashed, so consecutive ones are a fair sample.
 const SAMPLED_OBJECTS: u64 = 8_192;
 
-/// Objects that are sampled for each location at the least.
+/// Minimum number of objects that are sampled for each location.
 const MIN_OBJECTS_PER_LOCATION: u64 = 64;
 
 /// A node whose parents change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParentChange {
-    /// The node.
+    /// The node's name.
     pub name: Arc<str>,
-    /// What it is.
+    /// The node's kind.
     pub kind: NodeKind,
-    /// Its parents in the old tree.
+    /// The node's parents in the old tree.
     pub before: Vec<Arc<str>>,
-    /// Its parents in the new tree.
+    /// The node's parents in the new tree.
     pub after: Vec<Arc<str>>,
 }
 
 /// The effects of a change of the tree.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Nodes of the new tree alone.
+    /// Nodes that are only in the new tree.
     pub added: Vec<Arc<str>>,
-    /// Nodes of the old tree alone.
+    /// Nodes that are only in the old tree.
     pub removed: Vec<Arc<str>>,
     /// Nodes in both trees whose parents differ.
     pub reparented: Vec<ParentChange>,
-    /// Part of the objects that get another shield, from 0 to 1.
+    /// Fraction of the objects that get another shield, from 0 to 1.
     pub shields_moved: f64,
-    /// Part of the pairs of location and object whose fills pass other hubs than before, from 0 to 1.
+    /// Fraction of the pairs of location and object whose fills pass other hubs than before, from 0 to 1.
     pub paths_moved: f64,
-    /// Fetches from the archive that the change itself causes for each cached object: one for each that gets another shield,
-    /// unless the old shield can be asked.
+    /// Upper bound on the fetches from the archive that the change causes per cached object: one for each object that gets
+    /// another shield and whose old shield can't be asked.
     pub extra_fetches: f64,
 }
 
@@ -55,7 +55,7 @@
     hubs
 }
 
-/// What changes from the old tree to the new one.
+/// Compares two trees. The fractions are estimates from sampled objects.
 pub fn plan(old: &Tree, new: &Tree) -> Plan {
     let names = |tree: &Tree| {
         tree.nodes()
@@ -63,11 +63,11 @@
             .collect::<Vec<_>>()
     };
     let parents = |tree: &Tree, name: &str| {
-        let index = tree
+        let indexes = tree
             .find(name)
             .map(|index| tree.node(index).parents.clone())
             .unwrap_or_default();
-        index
+        indexes
             .into_iter()
             .map(|p| tree.name(p).clone())
             .collect::<Vec<_>>()
@@ -83,9 +83,9 @@
         })
         .filter(|change| change.before != change.after)
         .collect();
-    let share = |n: u64, of: u64| if of == 0 { 0.0 } else { n as f64 / of as f64 };
+    let fraction = |n: u64, of: u64| if of == 0 { 0.0 } else { n as f64 / of as f64 };
     let shield = |tree: &Tree, object| tree.shield(object).map(|index| tree.name(index).clone());
-    let moved = (0..SAMPLED_OBJECTS)
+    let moved_shields = (0..SAMPLED_OBJECTS)
         .filter(|o| shield(old, *o) != shield(new, *o))
         .count() as u64;
     let locations: Vec<Arc<str>> = new
@@ -93,12 +93,18 @@
         .map(|(_, n)| n.name.clone())
         .filter(|name| old.find(name).is_some())
         .collect();
-    // Fewer objects for each location where there are many: the estimate needs no more.
-    let each = (SAMPLED_OBJECTS / locations.len().max(1) as u64).max(MIN_OBJECTS_PER_LOCATION);
-    let other = |name: &Arc<str>, o: u64| hubs_on_path(old, name, o) != hubs_on_path(new, name, o);
+    // With many locations fewer objects of each are enough for the estimate.
+    let objects_per_location =
+        (SAMPLED_OBJECTS / locations.len().max(1) as u64).max(MIN_OBJECTS_PER_LOCATION);
+    let path_moved =
+        |name: &Arc<str>, o: u64| hubs_on_path(old, name, o) != hubs_on_path(new, name, o);
     let moved_paths: u64 = locations
         .iter()
-        .map(|name| (0..each).filter(|o| other(name, *o)).count() as u64)
+        .map(|name| {
+            (0..objects_per_location)
+                .filter(|o| path_moved(name, *o))
+                .count() as u64
+        })
         .sum();
     Plan {
         added: names(new)
@@ -110,9 +116,9 @@
             .filter(|n| new.find(n).is_none())
             .collect(),
         reparented,
-        shields_moved: share(moved, SAMPLED_OBJECTS),
-        paths_moved: share(moved_paths, each * locations.len() as u64),
-        extra_fetches: share(moved, SAMPLED_OBJECTS),
+        shields_moved: fraction(moved_shields, SAMPLED_OBJECTS),
+        paths_moved: fraction(moved_paths, objects_per_location * locations.len() as u64),
+        extra_fetches: fraction(moved_shields, SAMPLED_OBJECTS),
     }
 }
 
--- a/pure/hierarchy/src/plan/tests.rs
+++ b/pure/hierarchy/src/plan/tests.rs
@@ -23,26 +23,29 @@
 }
 
 #[test]
-fn a_plan_counts_what_moves() {
+fn a_plan_counts_moved_paths_and_shields() {
     let old = tree(1, &["east", "south", "north"], &["east"]);
     let same = plan(&old, &tree(2, &["east", "south", "north"], &["east"]));
     assert_eq!(
         (same.reparented.len(), same.shields_moved, same.paths_moved),
         (0, 0.0, 0.0)
     );
-    // The office turned to another hub: its ways move, where that hub is on them; no shield does.
-    let turned = plan(&old, &tree(2, &["east", "south", "north"], &["south"]));
+    // The office gets another parent: the paths of all its fills move, and no shield does.
+    let reparented = plan(&old, &tree(2, &["east", "south", "north"], &["south"]));
     assert_eq!(
-        (turned.reparented[0].name.as_ref(), turned.shields_moved),
+        (
+            reparented.reparented[0].name.as_ref(),
+            reparented.shields_moved
+        ),
         ("office", 0.0)
     );
-    assert_eq!(turned.paths_moved, 1.0);
-    // A hub less: its third of the objects has another shield.
-    let less = plan(&old, &tree(2, &["east", "south"], &["east"]));
-    assert_eq!(less.removed, ["north".into()]);
+    assert_eq!(reparented.paths_moved, 1.0);
+    // One of three hubs is removed: its third of the objects gets another shield.
+    let removed = plan(&old, &tree(2, &["east", "south"], &["east"]));
+    assert_eq!(removed.removed, ["north".into()]);
     assert!(
-        (0.30..0.37).contains(&less.shields_moved),
+        (0.30..0.37).contains(&removed.shields_moved),
         "{}",
-        less.shields_moved
+        removed.shields_moved
     );
 }
--- a/pure/hierarchy/tests/in_flight.rs
+++ b/pure/hierarchy/tests/in_flight.rs
@@ -1,8 +1,8 @@
 //! The table of fetches, against a plain model beside it.
 
 use foldmux_hierarchy::in_flight::{
-    Admission, CollapseScope, FetchId, FetchKey, FetchLimits, FetchRequest, FetchTable, FillOrigin,
-    WaiterId,
+    Admission, CollapseScope, FetchId, FetchKey, FetchLimits, FetchRequest, FetchTable,
+    FillContext, WaiterId,
 };
 use foldmux_hierarchy::tree::TreeVersion;
 use proptest::prelude::*;
@@ -23,15 +23,15 @@
             let key = FetchKey { class: 0, object, part: 0 };
             match op {
                 0..=3 => {
-                    let origin = match how {
-                        0 => FillOrigin::LOCAL,
-                        1 | 2 => FillOrigin { version: Some(stamp(how - 1)), uncollapsed: false },
-                        _ => FillOrigin { version: Some(stamp(0)), uncollapsed: true },
+                    let context = match how {
+                        0 => FillContext::LOCAL,
+                        1 | 2 => FillContext { version: Some(stamp(how - 1)), uncollapsed: false },
+                        _ => FillContext { version: Some(stamp(0)), uncollapsed: true },
                     };
-                    let request = FetchRequest { key, origin, version: stamp(0), min_birth: bound, until: 1_000_000 };
-                    let scope = if origin.uncollapsed || how == 2 { CollapseScope::Uncollapsed } else { CollapseScope::Version(stamp(0)) };
+                    let request = FetchRequest { key, context, version: stamp(0), min_birth: bound, deadline: 1_000_000 };
+                    let scope = if context.uncollapsed || how == 2 { CollapseScope::Uncollapsed } else { CollapseScope::Version(stamp(0)) };
                     let joins = |l: CollapseScope| plain.iter().position(|p| p.5 && p.1 == key && p.2 == l && p.3 >= bound);
-                    let expected = joins(scope).or_else(|| joins(CollapseScope::Uncollapsed)).filter(|_| !origin.uncollapsed);
+                    let expected = joins(scope).or_else(|| joins(CollapseScope::Uncollapsed)).filter(|_| !context.uncollapsed);
                     let waits: usize = plain.iter().map(|p| p.4.len()).sum();
                     match table.request(0, request) {
                         Admission::Rejected => prop_assert!(waits >= 12 || (expected.is_none() && plain.len() >= 6)),
--- a/pure/hierarchy/tests/network/fills.rs
+++ b/pure/hierarchy/tests/network/fills.rs
@@ -1,7 +1,7 @@
 //! What a node does with a fill: it joins, fetches, tries again and answers.
 
 use crate::net::{name, Fetch, Message, Net, Who};
-use foldmux_hierarchy::in_flight::{Admission, AfterFailure, FetchId, FillOrigin};
+use foldmux_hierarchy::in_flight::{Admission, AfterFailure, FetchId, FillContext};
 use foldmux_hierarchy::node::SourceRequest;
 
 impl Net {
@@ -116,7 +116,7 @@
         fetch.tried.push(to);
         let (key, past) = (fetch.key, fetch.tried.clone());
         let way = fetch.way.iter().copied().chain([hub]).collect();
-        let origin = FillOrigin {
+        let origin = FillContext {
             version: Some(choice.version),
             uncollapsed: choice.uncollapsed,
         };
--- a/pure/hierarchy/tests/network/net.rs
+++ b/pure/hierarchy/tests/network/net.rs
@@ -1,7 +1,7 @@
 //! The nodes of a network, the messages between them, and virtual time.
 
 use foldmux_hierarchy::in_flight::{
-    CollapseScope, FetchId, FetchKey, FetchLimits, FillOrigin, WaiterId,
+    CollapseScope, FetchId, FetchKey, FetchLimits, FillContext, WaiterId,
 };
 use foldmux_hierarchy::node::Node;
 use foldmux_hierarchy::slow_start::SlowStart;
@@ -71,7 +71,7 @@
     Ask {
         hub: usize,
         key: FetchKey,
-        origin: FillOrigin,
+        origin: FillContext,
         way: Vec<usize>,
         past: Vec<usize>,
         only_if_cached: bool,
@@ -152,7 +152,7 @@
             object,
             part: 0,
         };
-        let (origin, back) = (FillOrigin::LOCAL, Who::Client(number));
+        let (origin, back) = (FillContext::LOCAL, Who::Client(number));
         self.send(Message::Ask {
             hub,
             key,
--- a/rigs/simulator/src/model/edge.rs
+++ b/rigs/simulator/src/model/edge.rs
@@ -4,7 +4,7 @@
 use super::setup::{hub_of, settings};
 use super::state::Open;
 use super::*;
-use foldmux_hierarchy::in_flight::FillOrigin;
+use foldmux_hierarchy::in_flight::FillContext;
 use rand::SeedableRng;
 
 impl Day<'_> {
@@ -139,7 +139,7 @@
             request,
             attempt,
         };
-        let (arrival, way, past) = (FillOrigin::LOCAL, vec![], vec![]);
+        let (arrival, way, past) = (FillContext::LOCAL, vec![], vec![]);
         let fill = Fill {
             part,
             size_kb,
--- a/rigs/simulator/src/model/events.rs
+++ b/rigs/simulator/src/model/events.rs
@@ -2,7 +2,7 @@
 
 use super::store::Part;
 use foldmux::interface::{CacheStatus, Fetch, Outcome, RequestId, Time};
-use foldmux_hierarchy::in_flight::{FetchId, FillOrigin};
+use foldmux_hierarchy::in_flight::{FetchId, FillContext};
 
 /// Who is told how a fill ended.
 #[derive(Clone, Copy)]
@@ -24,7 +24,7 @@
 pub(super) struct Fill {
     pub(super) part: Part,
     pub(super) size_kb: f64,
-    pub(super) arrival: FillOrigin,
+    pub(super) arrival: FillContext,
     pub(super) way: Vec<usize>,
     pub(super) past: Vec<usize>,
     pub(super) born_after: Time,
--- a/rigs/simulator/src/model/hub.rs
+++ b/rigs/simulator/src/model/hub.rs
@@ -4,7 +4,7 @@
 use super::setup::{hub_name, hub_of};
 use super::state::Flight;
 use super::*;
-use foldmux_hierarchy::in_flight::{Admission, AfterFailure, FetchId, FetchKey, FillOrigin};
+use foldmux_hierarchy::in_flight::{Admission, AfterFailure, FetchId, FetchKey, FillContext};
 use foldmux_hierarchy::node::SourceRequest;
 
 impl Day<'_> {
@@ -88,7 +88,7 @@
             Err(_) => return self.end(hub, id, attempt, Got::Refused),
         };
         self.result.loops_broken += choice.loop_avoided as u64;
-        fill.arrival = FillOrigin {
+        fill.arrival = FillContext {
             version: Some(choice.version),
             uncollapsed: choice.uncollapsed,
         };
