--- a/pure/hierarchy/src/in_flight/tests.rs
+++ b/pure/hierarchy/src/in_flight/tests.rs
@@ -3,12 +3,12 @@
 use super::*;
 use crate::tree::TreeVersion;
 
-const S: TimestampUs = 1_000_000;
-const ONE: TreeVersion = TreeVersion {
+const SECOND_US: TimestampUs = 1_000_000;
+const VERSION_1: TreeVersion = TreeVersion {
     epoch: 1,
     digest: 1,
 };
-const TWO: TreeVersion = TreeVersion {
+const VERSION_2: TreeVersion = TreeVersion {
     epoch: 2,
     digest: 2,
 };
@@ -17,7 +17,7 @@
     FetchTable::new(FetchLimits {
         fetches: 3,
         waiters: 10,
-        lease_us: S,
+        lease_us: SECOND_US,
         attempts: 3,
     })
 }
@@ -31,13 +31,13 @@
     FetchRequest {
         key,
         context: FillContext::LOCAL,
-        version: ONE,
+        version: VERSION_1,
         min_birth: 0,
-        deadline: 10 * S,
+        deadline: 10 * SECOND_US,
     }
 }
 
-fn from(version: TreeVersion, uncollapsed: bool) -> FillContext {
+fn sent_under(version: TreeVersion, uncollapsed: bool) -> FillContext {
     FillContext {
         version: Some(version),
         uncollapsed,
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn misses_for_one_part_are_one_fetch_and_the_last_to_leave_cancels_it() {
+fn misses_for_one_part_share_a_fetch_that_the_last_waiter_cancels() {
     let mut table = table();
     let Admission::Lead(fetch, first) = table.request(0, request(7)) else {
         panic!()
@@ -55,7 +55,7 @@
     };
     assert_eq!(same, fetch);
     assert!(matches!(table.request(2, request(8)), Admission::Lead(..)));
-    // Its first client leaves: the other goes on with the same fetch.
+    // The leader leaves: the fetch continues for the other waiter.
     assert_eq!(table.leave(first), None);
     assert_eq!(table.leave(second), Some(fetch));
     assert_eq!(table.leave(second), None);
@@ -64,34 +64,46 @@
 }
 
 #[test]
-fn an_attempt_that_fails_or_whose_lease_expires_is_retried_once_for_all() {
+fn a_failed_or_expired_attempt_is_retried_once_for_all_waiters() {
     let mut table = table();
     let Admission::Lead(fetch, _) = table.request(0, request(7)) else {
         panic!()
     };
     table.request(0, request(7));
-    table.renew_lease(S / 2, fetch, 0);
-    assert_eq!(table.expired_leases(S), []);
-    assert_eq!(table.expired_leases(S + S / 2), [(fetch, 0)]);
-    assert_eq!(table.fail(S + S / 2, fetch, 0), AfterFailure::Retry(1));
-    // The first attempt is stale after that.
-    assert_eq!(table.fail(S + S / 2, fetch, 0), AfterFailure::Stale);
+    table.renew_lease(SECOND_US / 2, fetch, 0);
+    assert_eq!(table.expired_leases(SECOND_US), []);
+    assert_eq!(
+        table.expired_leases(SECOND_US + SECOND_US / 2),
+        [(fetch, 0)]
+    );
+    assert_eq!(
+        table.fail(SECOND_US + SECOND_US / 2, fetch, 0),
+        AfterFailure::Retry(1)
+    );
+    // From then on the first attempt is stale.
+    assert_eq!(
+        table.fail(SECOND_US + SECOND_US / 2, fetch, 0),
+        AfterFailure::Stale
+    );
     assert!(
         !table.complete(fetch, 0)
-            && matches!(table.request(2 * S, request(7)), Admission::Follow(..))
+            && matches!(
+                table.request(2 * SECOND_US, request(7)),
+                Admission::Follow(..)
+            )
     );
-    assert_eq!(table.fail(2 * S, fetch, 1), AfterFailure::Retry(2));
-    assert_eq!(table.fail(2 * S, fetch, 2), AfterFailure::GiveUp);
+    assert_eq!(table.fail(2 * SECOND_US, fetch, 1), AfterFailure::Retry(2));
+    assert_eq!(table.fail(2 * SECOND_US, fetch, 2), AfterFailure::GiveUp);
     assert_eq!(table.sizes().0, 0);
-    // No time left: nobody waits past its own end.
-    let Admission::Lead(late, _) = table.request(3 * S, request(9)) else {
+    // There is no retry after the last deadline.
+    let Admission::Lead(late, _) = table.request(3 * SECOND_US, request(9)) else {
         panic!()
     };
-    assert_eq!(table.fail(10 * S, late, 0), AfterFailure::GiveUp);
+    assert_eq!(table.fail(10 * SECOND_US, late, 0), AfterFailure::GiveUp);
 }
 
 #[test]
-fn over_the_limits_requests_are_rejected_and_nothing_else_is_lost() {
+fn requests_over_the_limits_are_rejected_without_other_effects() {
     let mut table = table();
     for object in 0..3 {
         assert!(matches!(
@@ -121,9 +133,9 @@
         ..request(7)
     };
     let Admission::Lead(new, _) = table.request(1, purged) else {
-        panic!("joined a copy from before the purge")
+        panic!("followed a fetch from before the purge")
     };
-    // Later ones join the newer, whatever their bound; the end of the older takes nothing from it.
+    // Later requests follow the newer fetch, whatever their bound, also after the older one has ended.
     assert!(matches!(table.request(2, request(7)), Admission::Follow(id, _) if id == new));
     assert!(table.complete(old, 0));
     assert!(matches!(table.request(3, purged), Admission::Follow(id, _) if id == new));
@@ -131,41 +143,45 @@
 
 #[test]
 fn fills_of_two_versions_do_not_wait_for_each_other() {
-    // Two hubs turned toward each other: each leads a fetch that goes to the other.
-    let (mut a, mut b) = (table(), table());
-    let at_b = |context| FetchRequest {
+    // Each of two hubs has the other as its source, under different trees, and leads a fetch that goes to the other.
+    let (mut hub_a, mut hub_b) = (table(), table());
+    let request_at_b = |context| FetchRequest {
         context,
-        version: TWO,
+        version: VERSION_2,
         ..request(7)
     };
-    let Admission::Lead(from_a, _) = a.request(0, request(7)) else {
+    let Admission::Lead(from_a, _) = hub_a.request(0, request(7)) else {
         panic!()
     };
-    let Admission::Lead(from_b, _) = b.request(0, at_b(FillContext::LOCAL)) else {
+    let Admission::Lead(from_b, _) = hub_b.request(0, request_at_b(FillContext::LOCAL)) else {
         panic!()
     };
-    // What a sent comes to b, and b's to a: neither joins, each leads one uncollapsed fetch.
-    let Admission::Lead(uncollapsed, _) = b.request(1, at_b(from(ONE, false))) else {
-        panic!("a waits for b")
+    // Each hub gets the fill of the other: neither fill follows the fetch in flight there, and each leads an
+    // uncollapsed one.
+    let Admission::Lead(uncollapsed, _) =
+        hub_b.request(1, request_at_b(sent_under(VERSION_1, false)))
+    else {
+        panic!("the fill from hub A waits at hub B")
     };
     assert!(matches!(
-        a.request(
+        hub_a.request(
             1,
             FetchRequest {
-                context: from(TWO, false),
+                context: sent_under(VERSION_2, false),
                 ..request(7)
             }
         ),
         Admission::Lead(..)
     ));
     assert_ne!(uncollapsed, from_b);
-    // One more of the other epoch joins the uncollapsed fetch, which ends by itself; one that is uncollapsed joins nothing.
+    // Another fill of the other version follows the uncollapsed fetch, which ends by itself. A fill that is uncollapsed
+    // follows none.
     assert!(
-        matches!(b.request(2, at_b(from(ONE, false))), Admission::Follow(id, _) if id == uncollapsed)
+        matches!(hub_b.request(2, request_at_b(sent_under(VERSION_1, false))), Admission::Follow(id, _) if id == uncollapsed)
     );
     assert!(matches!(
-        b.request(2, at_b(from(ONE, true))),
+        hub_b.request(2, request_at_b(sent_under(VERSION_1, true))),
         Admission::Lead(..)
     ));
-    assert!(matches!(a.request(2, request(7)), Admission::Follow(id, _) if id == from_a));
+    assert!(matches!(hub_a.request(2, request(7)), Admission::Follow(id, _) if id == from_a));
 }
--- a/pure/hierarchy/src/node/tests.rs
+++ b/pure/hierarchy/src/node/tests.rs
@@ -1,4 +1,4 @@
-//! A hub's choice of source, over trees, health and slow start together.
+//! The selection of sources at one hub, by trees, health and slow start together.
 
 use super::*;
 use crate::in_flight::FetchKey;
@@ -18,7 +18,7 @@
     attempts: 4,
 };
 
-fn tree(epoch: u64, tops: &[&str], low: &[(&str, &[&str])]) -> Tree {
+fn tree(epoch: u64, top_hubs: &[&str], lower_hubs: &[(&str, &[&str])]) -> Tree {
     let node = |name: &str, kind, parents: &[&str]| ProposedNode {
         name: name.into(),
         kind,
@@ -26,11 +26,13 @@
     };
     let mut nodes = vec![node("archive", NodeKind::Archive, &[])];
     nodes.extend(
-        tops.iter()
+        top_hubs
+            .iter()
             .map(|name| node(name, NodeKind::Hub, &["archive"])),
     );
     nodes.extend(
-        low.iter()
+        lower_hubs
+            .iter()
             .map(|(name, parents)| node(name, NodeKind::Hub, parents)),
     );
     Tree::validate(&TreeDraft {
@@ -41,12 +43,12 @@
     .unwrap()
 }
 
-fn node(me: &str, tree: Tree, full_rates: &[(&str, f64)]) -> Node {
+fn node(name: &str, tree: Tree, full_rates: &[(&str, f64)]) -> Node {
     let full_rates = full_rates
         .iter()
         .map(|(name, rate)| ((*name).into(), *rate))
         .collect();
-    Node::new(me, tree, 10_000_000, LIMITS, RULE, full_rates).unwrap()
+    Node::new(name, tree, 10_000_000, LIMITS, RULE, full_rates).unwrap()
 }
 
 fn request<'a>(
@@ -64,7 +66,7 @@
 }
 
 #[test]
-fn a_source_on_the_path_is_avoided_and_where_all_are_it_is_a_loop() {
+fn sources_on_the_path_are_avoided_and_without_others_it_is_a_loop() {
     let mut east = node("east", tree(1, &["south"], &[("east", &["south"])]), &[]);
     let scope = CollapseScope::Version(east.current_tree().version());
     assert_eq!(
@@ -120,23 +122,23 @@
 }
 
 #[test]
-fn after_a_change_of_the_tree_the_previous_shield_is_asked_for_a_copy_before_the_archive() {
-    let (before, after) = (
+fn the_previous_shield_is_asked_for_a_cached_copy_before_the_archive() {
+    let (old_tree, new_tree) = (
         tree(1, &["a", "b", "c"], &[]),
         tree(2, &["a", "b"], &[("c", &["a", "archive"])]),
     );
     let object = (0..)
-        .find(|o| &**before.name(before.shield(*o).unwrap()) == "c")
+        .find(|o| &**old_tree.name(old_tree.shield(*o).unwrap()) == "c")
         .unwrap();
-    let shield = after.name(after.shield(object).unwrap()).clone();
-    let mut node = node(&shield, before, &[]);
-    node.apply_tree(5, after, HashMap::new()).unwrap();
+    let shield = new_tree.name(new_tree.shield(object).unwrap()).clone();
+    let mut node = node(&shield, old_tree, &[]);
+    node.apply_tree(5, new_tree, HashMap::new()).unwrap();
     let scope = CollapseScope::Version(node.current_tree().version());
     let first = node
         .select_source(6, &request(object, scope, &[], &[]))
         .unwrap();
     assert_eq!((&*first.name, first.only_if_cached), ("c", true));
-    // It lacks it, or is where the fill came from: then the archive.
+    // The archive is asked if the previous shield has no copy, or if the fill came from it.
     assert!(
         node.select_source(6, &request(object, scope, &[], &["c"]))
             .unwrap()
@@ -147,7 +149,7 @@
             .unwrap()
             .archive
     );
-    // Once the former tree's time is over, the archive at once.
+    // After the overlap the archive is asked at once.
     assert!(
         node.select_source(10_000_006, &request(object, scope, &[], &[]))
             .unwrap()
@@ -156,7 +158,7 @@
 }
 
 #[test]
-fn a_fill_whose_tree_is_gone_goes_on_uncollapsed_under_the_current_one() {
+fn a_fill_whose_tree_was_dropped_continues_uncollapsed_under_the_current_one() {
     let mut east = node(
         "east",
         tree(1, &["south", "north"], &[("east", &["south"])]),
@@ -188,7 +190,7 @@
 }
 
 #[test]
-fn a_source_that_warms_up_is_passed_over_once_its_share_is_spent() {
+fn a_source_that_is_warming_up_is_left_out_once_its_share_is_spent() {
     let mut east = node(
         "east",
         tree(1, &["south"], &[("east", &["south", "archive"])]),
@@ -196,7 +198,7 @@
     );
     let scope = CollapseScope::Version(east.current_tree().version());
     let south: Arc<str> = "south".into();
-    let given = |node: &mut Node, now| {
+    let admitted = |node: &mut Node, now| {
         (0..100)
             .filter(|_| {
                 !node
@@ -206,9 +208,9 @@
             })
             .count()
     };
-    let first = given(&mut east, 1_000);
+    let first = admitted(&mut east, 1_000);
     assert!((1..10).contains(&first), "{first}");
-    // It says that it started long ago.
+    // The source reports that it started long ago.
     east.record_attempt(
         2_000,
         1_000_000,
@@ -216,9 +218,9 @@
         AttemptOutcome::Served,
         Some(1_000),
     );
-    assert_eq!(given(&mut east, 3_000), 100);
-    // It breaks off twice: it may be a new start.
+    assert_eq!(admitted(&mut east, 3_000), 100);
+    // Two failures may mean that the source is restarting.
     (0..2)
         .for_each(|_| east.record_attempt(4_000, 1_000_000, &south, AttemptOutcome::Failed, None));
-    assert!((1..=12).contains(&given(&mut east, 5_000_000)));
+    assert!((1..=12).contains(&admitted(&mut east, 5_000_000)));
 }
--- a/pure/hierarchy/src/slow_start/tests.rs
+++ b/pure/hierarchy/src/slow_start/tests.rs
@@ -1,4 +1,4 @@
-//! Limiters of a hub that started lately.
+//! Limiters of a recently started hub.
 
 use super::*;
 use proptest::prelude::*;
@@ -11,52 +11,52 @@
     budget_ratio: 0.8,
 };
 
-/// The most that was asked of a hub in any window, over what it bears at that moment.
-fn worst(rule: SlowStart, start: NodeStart, sent: &[(TimestampUs, f64)]) -> f64 {
-    let bears = |at: TimestampUs| {
+/// The largest work in any window, as a multiple of what the hub bears without failing at that time.
+fn max_load_ratio(rule: SlowStart, start: NodeStart, sent: &[(TimestampUs, f64)]) -> f64 {
+    let overload_limit = |at: TimestampUs| {
         rule.overload_multiple
             * rule.capacity_ratio(at - start.at)
             * start.full_rate
             * rule.overload_window_us as f64
             / 1e6
     };
-    let mut worst: f64 = 0.0;
-    let (mut from, mut sum) = (0, 0.0);
+    let mut max_ratio: f64 = 0.0;
+    let (mut window_start, mut sum) = (0, 0.0);
     for &(at, work) in sent {
         sum += work;
-        while sent[from].0 + rule.overload_window_us <= at {
-            sum -= sent[from].1;
-            from += 1;
+        while sent[window_start].0 + rule.overload_window_us <= at {
+            sum -= sent[window_start].1;
+            window_start += 1;
         }
-        worst = worst.max(sum / bears(at));
+        max_ratio = max_ratio.max(sum / overload_limit(at));
     }
-    worst
+    max_ratio
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
 
     #[test]
-    fn callers_without_shared_state_never_overload_a_hub_that_warms_up(
+    fn callers_without_shared_state_never_overload_a_hub_that_is_warming_up(
         callers in 1usize..16,
-        full in 8.0f64..400.0,
+        full_rate in 8.0f64..400.0,
         seed in any::<u64>(),
-        every in 500u64..20_000,
+        max_gap_us in 500u64..20_000,
     ) {
-        let start = NodeStart { at: 1_000_000, full_rate: full };
+        let start = NodeStart { at: 1_000_000, full_rate };
         let mut limiters: Vec<SlowStartLimiter> = (0..callers).map(|i| SlowStartLimiter::new(RULE, start, i, callers)).collect();
         let (mut now, mut random, mut sent) = (start.at, seed, Vec::new());
         while now < start.at + RULE.ramp_us {
             random = crate::mix(random.wrapping_add(1));
-            now += 1 + random % every;
+            now += 1 + random % max_gap_us;
             if limiters[(random >> 32) as usize % callers].try_acquire(now, 1.0) {
                 sent.push((now, 1.0));
             }
         }
-        // One fill at the edge of a window is the slack that turns have; the part that is not used covers it.
-        let one = 1.0 / (RULE.overload_multiple * RULE.initial_ratio * full * RULE.overload_window_us as f64 / 1e6);
-        prop_assert!(worst(RULE, start, &sent) <= RULE.budget_ratio + one, "{}", worst(RULE, start, &sent));
-        prop_assert!(sent.len() as f64 > 0.02 * full * 21.0 / callers as f64, "only {} of {full}", sent.len());
+        // Turns may exceed the budget by one fill at the edge of a window; the unused part of the capacity covers it.
+        let one_fill = 1.0 / (RULE.overload_multiple * RULE.initial_ratio * full_rate * RULE.overload_window_us as f64 / 1e6);
+        prop_assert!(max_load_ratio(RULE, start, &sent) <= RULE.budget_ratio + one_fill, "{}", max_load_ratio(RULE, start, &sent));
+        prop_assert!(sent.len() as f64 > 0.02 * full_rate * 21.0 / callers as f64, "only {} at a full rate of {full_rate}", sent.len());
     }
 }
 
@@ -73,24 +73,24 @@
 }
 
 #[test]
-fn a_start_that_becomes_known_gives_no_second_share_in_the_same_window() {
+fn a_reported_start_gives_no_second_share_in_the_same_window() {
     let start = NodeStart {
         at: 1_000_000,
         full_rate: 100.0,
     };
     let mut limiter = SlowStartLimiter::new(RULE, start, 0, 1);
-    let given = |limiter: &mut SlowStartLimiter, now| {
+    let admitted = |limiter: &mut SlowStartLimiter, now| {
         (0..1_000).filter(|_| limiter.try_acquire(now, 1.0)).count()
     };
-    let first = given(&mut limiter, start.at);
-    assert!(first > 10 && given(&mut limiter, start.at + 1) == 0);
+    let first = admitted(&mut limiter, start.at);
+    assert!(first > 10 && admitted(&mut limiter, start.at + 1) == 0);
     limiter.set_start(NodeStart {
         at: start.at + 10,
         ..start
     });
-    assert_eq!(given(&mut limiter, start.at + 20), 0);
+    assert_eq!(admitted(&mut limiter, start.at + 20), 0);
     assert!(
-        given(&mut limiter, start.at + 20 + RULE.overload_window_us) > first,
-        "with what it has warmed since"
+        admitted(&mut limiter, start.at + 20 + RULE.overload_window_us) > first,
+        "the share grows with the hub's capacity"
     );
 }
--- a/pure/hierarchy/tests/network/fills.rs
+++ b/pure/hierarchy/tests/network/fills.rs
@@ -1,146 +1,163 @@
-//! What a node does with a fill: it joins, fetches, tries again and answers.
+//! The handling of fills at a node: following or leading a fetch, retries, and responses.
 
-use crate::net::{name, Fetch, Message, Net, Who};
+use crate::net::{name, Fetch, Message, Network, ReplyTo};
 use foldmux_hierarchy::in_flight::{Admission, AfterFailure, FetchId, FillContext};
 use foldmux_hierarchy::node::SourceRequest;
 
-impl Net {
-    pub fn failed(&mut self, hub: usize, id: FetchId, attempt: u32) {
+impl Network {
+    pub fn attempt_failed(&mut self, hub: usize, id: FetchId, attempt: u32) {
         match self.hubs[hub].node.fail(self.now, id, attempt) {
-            AfterFailure::Retry(next) => self.seek(hub, id, next),
-            AfterFailure::GiveUp => self.end(hub, id, false),
+            AfterFailure::Retry(next) => self.start_attempt(hub, id, next),
+            AfterFailure::GiveUp => self.finish_fetch(hub, id, false),
             AfterFailure::Stale => {}
         }
     }
 
-    pub fn take(&mut self, message: Message) {
+    pub fn deliver(&mut self, message: Message) {
         match message {
-            Message::Answer {
-                back: Who::Client(number),
-                got,
+            Message::Response {
+                reply_to: ReplyTo::Client(number),
+                success,
             } => {
-                if self.clients.insert(number, Some(got)).flatten().is_some() {
-                    self.faults.push("a second answer".to_string());
+                if self
+                    .clients
+                    .insert(number, Some(success))
+                    .flatten()
+                    .is_some()
+                {
+                    self.violations
+                        .push("a client got a second response".to_string());
                 }
             }
-            Message::Answer {
-                back:
-                    Who::Hub {
+            Message::Response {
+                reply_to:
+                    ReplyTo::Hub {
                         hub,
                         fetch,
                         attempt,
                     },
-                got,
-            } => match got {
-                true if self.hubs[hub].node.complete(fetch, attempt) => self.end(hub, fetch, true),
+                success,
+            } => match success {
+                true if self.hubs[hub].node.complete(fetch, attempt) => {
+                    self.finish_fetch(hub, fetch, true)
+                }
                 true => {}
-                false => self.failed(hub, fetch, attempt),
+                false => self.attempt_failed(hub, fetch, attempt),
             },
-            Message::Ask {
+            Message::Request {
                 hub,
                 key,
-                origin,
-                way,
-                past,
+                context,
+                path,
+                tried,
                 only_if_cached,
-                back,
+                reply_to,
             } => {
-                if way.contains(&hub) {
-                    self.faults.push(format!("{hub} twice on {way:?}"));
+                if path.contains(&hub) {
+                    self.violations
+                        .push(format!("hub {hub} is twice on the path {path:?}"));
                 }
-                if self.hubs[hub].held.contains(&key) || only_if_cached {
-                    let got = self.hubs[hub].held.contains(&key);
-                    return self.send(Message::Answer { back, got });
+                if self.hubs[hub].cached.contains(&key) || only_if_cached {
+                    let success = self.hubs[hub].cached.contains(&key);
+                    return self.send(Message::Response { reply_to, success });
                 }
-                let until = self.now + 40_000;
-                let (turn, scope) = self.hubs[hub].node.request(self.now, key, origin, 0, until);
-                match turn {
-                    Admission::Rejected => self.send(Message::Answer { back, got: false }),
-                    Admission::Follow(id, wait) => {
+                let deadline = self.now + 40_000;
+                let (admission, scope) = self.hubs[hub]
+                    .node
+                    .request(self.now, key, context, 0, deadline);
+                match admission {
+                    Admission::Rejected => self.send(Message::Response {
+                        reply_to,
+                        success: false,
+                    }),
+                    Admission::Follow(id, waiter) => {
                         self.hubs[hub]
                             .fetches
                             .get_mut(&id)
                             .unwrap()
-                            .waits
-                            .push((wait, back));
+                            .waiters
+                            .push((waiter, reply_to));
                     }
-                    Admission::Lead(id, wait) => {
+                    Admission::Lead(id, waiter) => {
                         let fetch = Fetch {
                             key,
                             scope,
-                            way,
-                            tried: past,
-                            waits: vec![(wait, back)],
+                            path,
+                            tried,
+                            waiters: vec![(waiter, reply_to)],
                         };
                         self.hubs[hub].fetches.insert(id, fetch);
-                        self.seek(hub, id, 0);
+                        self.start_attempt(hub, id, 0);
                     }
                 }
             }
         }
     }
 
-    fn seek(&mut self, hub: usize, id: FetchId, attempt: u32) {
+    fn start_attempt(&mut self, hub: usize, id: FetchId, attempt: u32) {
         let now = self.now;
         let state = &mut self.hubs[hub];
         let fetch = state.fetches.get_mut(&id).unwrap();
         let names = |hubs: &[usize]| hubs.iter().map(|h| name(*h)).collect::<Vec<_>>();
-        let (passed, tried) = (names(&fetch.way), names(&fetch.tried));
+        let (passed, tried) = (names(&fetch.path), names(&fetch.tried));
         let passed: Vec<&str> = passed.iter().map(String::as_str).collect();
         let tried: Vec<&str> = tried.iter().map(String::as_str).collect();
-        let seeking = SourceRequest {
+        let source_request = SourceRequest {
             object: fetch.key.object,
             scope: fetch.scope,
             passed: &passed,
             tried: &tried,
         };
-        let Ok(choice) = state.node.select_source(now, &seeking) else {
+        let Ok(choice) = state.node.select_source(now, &source_request) else {
             assert!(state.node.complete(id, attempt));
-            return self.end(hub, id, false);
+            return self.finish_fetch(hub, id, false);
         };
-        let back = Who::Hub {
+        let reply_to = ReplyTo::Hub {
             hub,
             fetch: id,
             attempt,
         };
-        let lost = self.lost > 0 && self.draw(100) < self.lost;
+        let message_lost = self.loss_percent > 0 && self.random_below(100) < self.loss_percent;
         let fetch = self.hubs[hub].fetches.get_mut(&id).unwrap();
         if choice.archive {
-            // The archive may be slow or lose a word too; it is asked again.
-            if !lost {
-                self.send(Message::Answer { back, got: true });
+            // The archive's response may be lost too; then the attempt fails by its lease.
+            if !message_lost {
+                self.send(Message::Response {
+                    reply_to,
+                    success: true,
+                });
             }
             return;
         }
         let to: usize = choice.name[1..].parse().unwrap();
         fetch.tried.push(to);
-        let (key, past) = (fetch.key, fetch.tried.clone());
-        let way = fetch.way.iter().copied().chain([hub]).collect();
-        let origin = FillContext {
+        let (key, tried) = (fetch.key, fetch.tried.clone());
+        let path = fetch.path.iter().copied().chain([hub]).collect();
+        let context = FillContext {
             version: Some(choice.version),
             uncollapsed: choice.uncollapsed,
         };
-        if !lost {
-            self.send(Message::Ask {
+        if !message_lost {
+            self.send(Message::Request {
                 hub: to,
                 key,
-                origin,
-                way,
-                past,
+                context,
+                path,
+                tried,
                 only_if_cached: choice.only_if_cached,
-                back,
+                reply_to,
             });
         }
     }
 
-    fn end(&mut self, hub: usize, id: FetchId, got: bool) {
+    fn finish_fetch(&mut self, hub: usize, id: FetchId, success: bool) {
         let fetch = self.hubs[hub].fetches.remove(&id).unwrap();
-        if got {
-            self.hubs[hub].held.insert(fetch.key);
+        if success {
+            self.hubs[hub].cached.insert(fetch.key);
         }
-        for (wait, back) in fetch.waits {
-            self.hubs[hub].node.leave(wait);
-            self.send(Message::Answer { back, got });
+        for (waiter, reply_to) in fetch.waiters {
+            self.hubs[hub].node.leave(waiter);
+            self.send(Message::Response { reply_to, success });
         }
     }
 }
--- a/pure/hierarchy/tests/network/net.rs
+++ b/pure/hierarchy/tests/network/net.rs
@@ -28,7 +28,7 @@
     format!("h{h}")
 }
 
-/// A tree from numbers: hub h goes by hubs that stand before it in an order, or by the archive alone.
+/// Builds a valid tree from random numbers: the parents of a hub are hubs before it in `order`, the archive, or both.
 pub fn tree(epoch: u64, order: &[usize], picks: &[u8]) -> Tree {
     let node = |name: String, kind, parents: Vec<String>| ProposedNode {
         name,
@@ -36,11 +36,11 @@
         parents,
     };
     let mut nodes = vec![node("archive".into(), NodeKind::Archive, vec![])];
-    for (at, &h) in order.iter().enumerate() {
+    for (position, &h) in order.iter().enumerate() {
         let pick = picks[h] as usize;
         let mut parents: Vec<String> = (0..pick % 3)
-            .filter(|_| at > 0)
-            .map(|n| name(order[(pick / 3 + n) % at]))
+            .filter(|_| position > 0)
+            .map(|n| name(order[(pick / 3 + n) % position]))
             .collect();
         parents.dedup();
         if parents.is_empty() || pick.is_multiple_of(2) {
@@ -53,11 +53,12 @@
         nodes,
         ..TreeDraft::default()
     })
-    .expect("sound by the order")
+    .expect("parents come before their hubs in the order")
 }
 
+/// The recipient of a response.
 #[derive(Clone, Copy, Debug)]
-pub enum Who {
+pub enum ReplyTo {
     Client(usize),
     Hub {
         hub: usize,
@@ -68,69 +69,70 @@
 
 #[derive(Clone, Debug)]
 pub enum Message {
-    Ask {
+    Request {
         hub: usize,
         key: FetchKey,
-        origin: FillContext,
-        way: Vec<usize>,
-        past: Vec<usize>,
+        context: FillContext,
+        path: Vec<usize>,
+        tried: Vec<usize>,
         only_if_cached: bool,
-        back: Who,
+        reply_to: ReplyTo,
     },
-    Answer {
-        back: Who,
-        got: bool,
+    Response {
+        reply_to: ReplyTo,
+        success: bool,
     },
 }
 
 pub struct Hub {
     pub node: Node,
-    pub held: HashSet<FetchKey>,
+    pub cached: HashSet<FetchKey>,
     pub fetches: HashMap<FetchId, Fetch>,
-    /// Which start this is: answers to a former one find nobody.
-    start: u64,
+    /// Number of restarts before this one.
+    restarts: u64,
 }
 
 pub struct Fetch {
     pub key: FetchKey,
     pub scope: CollapseScope,
-    pub way: Vec<usize>,
+    pub path: Vec<usize>,
     pub tried: Vec<usize>,
-    pub waits: Vec<(WaiterId, Who)>,
+    pub waiters: Vec<(WaiterId, ReplyTo)>,
 }
 
-pub struct Net {
+pub struct Network {
     pub now: TimestampUs,
     pub hubs: Vec<Hub>,
     pub trees: Vec<Tree>,
-    /// Which tree each hub was told of last, so that one that starts anew has it.
-    pub told: Vec<usize>,
+    /// Index of the tree that each hub applied last, which it loads after a crash.
+    pub last_tree: Vec<usize>,
     queue: BTreeMap<(TimestampUs, u64), Message>,
-    next: u64,
+    /// Sequence number of the last message that was sent; it keeps the keys of the queue unique.
+    last_sequence: u64,
     random: u64,
     pub clients: HashMap<usize, Option<bool>>,
-    pub lost: u64,
-    pub faults: Vec<String>,
+    pub loss_percent: u64,
+    pub violations: Vec<String>,
 }
 
-impl Net {
-    pub fn new(trees: Vec<Tree>, seed: u64, lost: u64) -> Net {
+impl Network {
+    pub fn new(trees: Vec<Tree>, seed: u64, loss_percent: u64) -> Network {
         let hubs = (0..HUBS).map(|h| Hub::new(h, &trees[0], 0)).collect();
-        Net {
+        Network {
             now: 1,
             hubs,
-            told: vec![0; HUBS],
+            last_tree: vec![0; HUBS],
             trees,
             queue: BTreeMap::new(),
-            next: 0,
+            last_sequence: 0,
             random: seed,
             clients: HashMap::new(),
-            lost,
-            faults: vec![],
+            loss_percent,
+            violations: vec![],
         }
     }
 
-    pub fn draw(&mut self, below: u64) -> u64 {
+    pub fn random_below(&mut self, below: u64) -> u64 {
         self.random = self
             .random
             .wrapping_mul(6_364_136_223_846_793_005)
@@ -139,12 +141,13 @@
     }
 
     pub fn send(&mut self, message: Message) {
-        let delay = 1 + self.draw(300);
-        self.next += 1;
-        self.queue.insert((self.now + delay, self.next), message);
+        let delay = 1 + self.random_below(300);
+        self.last_sequence += 1;
+        self.queue
+            .insert((self.now + delay, self.last_sequence), message);
     }
 
-    pub fn client(&mut self, hub: usize, object: u64) {
+    pub fn client_request(&mut self, hub: usize, object: u64) {
         let number = self.clients.len();
         self.clients.insert(number, None);
         let key = FetchKey {
@@ -152,108 +155,110 @@
             object,
             part: 0,
         };
-        let (origin, back) = (FillContext::LOCAL, Who::Client(number));
-        self.send(Message::Ask {
+        let (context, reply_to) = (FillContext::LOCAL, ReplyTo::Client(number));
+        self.send(Message::Request {
             hub,
             key,
-            origin,
-            way: vec![],
-            past: vec![],
+            context,
+            path: vec![],
+            tried: vec![],
             only_if_cached: false,
-            back,
+            reply_to,
         });
     }
 
     pub fn step(&mut self) -> bool {
-        let due = self
+        let lease_end = self
             .hubs
             .iter()
             .filter_map(|h| h.node.fetches().next_lease_end())
             .min();
-        let first = self.queue.keys().next().copied();
-        match (first, due) {
-            (Some((at, _)), Some(due)) if due < at => self.lapse(due),
+        let next_message = self.queue.keys().next().copied();
+        match (next_message, lease_end) {
+            (Some((at, _)), Some(lease_end)) if lease_end < at => self.expire_leases(lease_end),
             (Some(key), _) => {
                 self.now = self.now.max(key.0);
                 let message = self.queue.remove(&key).unwrap();
-                self.take(message);
+                self.deliver(message);
             }
-            (None, Some(due)) => self.lapse(due),
+            (None, Some(lease_end)) => self.expire_leases(lease_end),
             (None, None) => return false,
         }
-        self.look();
+        self.check_invariants();
         true
     }
 
-    /// No two fetches in one scope can be joined, and the ledger counts what is there.
-    fn look(&mut self) {
+    /// Checks that each scope has at most one fetch for a part, and that the tables match the fetches of the test.
+    fn check_invariants(&mut self) {
         for hub in &self.hubs {
-            let mut lanes = HashSet::new();
+            let mut led_scopes = HashSet::new();
             if hub.fetches.values().any(|f| {
-                !f.waits.is_empty()
+                !f.waiters.is_empty()
                     && f.scope != CollapseScope::Uncollapsed
-                    && !lanes.insert((f.key, f.scope))
+                    && !led_scopes.insert((f.key, f.scope))
             }) {
-                self.faults.push("two leaders in one scope".to_string());
+                self.violations.push("two leaders in one scope".to_string());
             }
-            let (fetches, waits) = hub.node.fetches().sizes();
+            let (fetches, waiters) = hub.node.fetches().sizes();
             if fetches != hub.fetches.len()
-                || waits != hub.fetches.values().map(|f| f.waits.len()).sum::<usize>()
+                || waiters != hub.fetches.values().map(|f| f.waiters.len()).sum::<usize>()
             {
-                self.faults.push(format!(
-                    "the ledger has {fetches} fetches and {waits} waits"
+                self.violations.push(format!(
+                    "the table has {fetches} fetches and {waiters} waiters, which do not match"
                 ));
             }
         }
     }
 
-    fn lapse(&mut self, due: TimestampUs) {
-        self.now = self.now.max(due);
+    fn expire_leases(&mut self, lease_end: TimestampUs) {
+        self.now = self.now.max(lease_end);
         for hub in 0..HUBS {
             for (id, attempt) in self.hubs[hub].node.expired_leases(self.now) {
-                self.failed(hub, id, attempt);
+                self.attempt_failed(hub, id, attempt);
             }
         }
     }
 
-    /// A hub dies: whoever waited there hears nothing from it, but its connections' ends; it starts anew, empty.
-    pub fn die(&mut self, hub: usize) {
-        let start = self.hubs[hub].start + 1;
-        let tree = &self.trees[self.told[hub]];
-        let dead = std::mem::replace(&mut self.hubs[hub], Hub::new(hub, tree, start));
-        // What its fetches had asked others for is answered to nobody.
+    /// Crashes a hub and restarts it with an empty cache. Requests that it had not answered fail, as their connections close.
+    pub fn crash(&mut self, hub: usize) {
+        let restarts = self.hubs[hub].restarts + 1;
+        let tree = &self.trees[self.last_tree[hub]];
+        let crashed = std::mem::replace(&mut self.hubs[hub], Hub::new(hub, tree, restarts));
+        // Responses to its own fetches are lost.
         self.queue.retain(
-            |_, m| !matches!(m, Message::Answer { back: Who::Hub { hub: h, .. }, .. } if *h == hub),
+            |_, m| !matches!(m, Message::Response { reply_to: ReplyTo::Hub { hub: h, .. }, .. } if *h == hub),
         );
         for other in &mut self.hubs {
             for fetch in other.fetches.values_mut() {
-                let gone = |w: &(WaiterId, Who)| matches!(w.1, Who::Hub { hub: h, .. } if h == hub);
-                for (wait, _) in fetch.waits.extract_if(.., |w| gone(w)) {
-                    other.node.leave(wait);
+                let from_crashed = |w: &(WaiterId, ReplyTo)| matches!(w.1, ReplyTo::Hub { hub: h, .. } if h == hub);
+                for (waiter, _) in fetch.waiters.extract_if(.., |w| from_crashed(w)) {
+                    other.node.leave(waiter);
                 }
             }
-            other.fetches.retain(|_, f| !f.waits.is_empty());
+            other.fetches.retain(|_, f| !f.waiters.is_empty());
         }
         self.queue.retain(
-            |_, m| !matches!(m, Message::Ask { back: Who::Hub { hub: h, .. }, .. } if *h == hub),
+            |_, m| !matches!(m, Message::Request { reply_to: ReplyTo::Hub { hub: h, .. }, .. } if *h == hub),
         );
-        for fetch in dead.fetches.into_values() {
-            fetch
-                .waits
-                .into_iter()
-                .for_each(|(_, back)| self.send(Message::Answer { back, got: false }));
+        for fetch in crashed.fetches.into_values() {
+            fetch.waiters.into_iter().for_each(|(_, reply_to)| {
+                self.send(Message::Response {
+                    reply_to,
+                    success: false,
+                })
+            });
         }
     }
 }
 
 impl Hub {
-    fn new(h: usize, tree: &Tree, start: u64) -> Hub {
+    fn new(h: usize, tree: &Tree, restarts: u64) -> Hub {
         let node = Node::new(&name(h), tree.clone(), 2_000, LIMITS, RULE, HashMap::new()).unwrap();
         Hub {
             node,
-            held: HashSet::new(),
+            cached: HashSet::new(),
             fetches: HashMap::new(),
-            start,
+            restarts,
         }
     }
 }
