--- a/pure/limits/src/duplicate_search.rs
+++ b/pure/limits/src/duplicate_search.rs
@@ -10,13 +10,13 @@
 
 /// Ticks into which the origin's window is divided; time in the search advances in these.
 const TICKS_PER_WINDOW: u64 = 40;
-/// States that are visited at the most: far more than the bounds on attempts allow.
+/// Maximum number of states that are visited: far more than the bounds on attempts allow.
 const MAX_STATES: usize = 200_000;
-/// The longest single duration that the search tells apart (ticks).
+/// Longest single duration that the search represents (ticks); longer ones are cut to it.
 const MAX_TICKS: u64 = 250;
-/// Times that a client comes back after a rejection.
+/// Maximum number of times that a client comes back after a rejection.
 const MAX_CLIENT_RETRIES: u8 = 3;
-/// Shortest time after which a rejected client comes back (ms).
+/// Shortest delay after which a rejected client comes back (ms).
 const MIN_RETRY_AFTER_MS: u64 = 50;
 const PROPERTY: &str = "no key runs twice";
 
@@ -27,17 +27,17 @@
     longest: u64,
 }
 
-/// The limits that the search goes by. All times are in ticks, and rounded up, so that no sequence is missed.
+/// The limits that the search applies. Times are in ticks and rounded up, except the two windows, which are rounded down.
 #[derive(Clone, Debug)]
 pub struct SearchModel {
     tick_ms: u64,
     deadline: u64,
     attempt_timeout: u64,
     max_attempts: u64,
-    /// By attempt.
+    /// By attempt number, from 0.
     pauses: Vec<PauseRange>,
     queue_timeout: u64,
-    /// How long the limits allow a retry after the first attempt.
+    /// How long after the first attempt the limits allow a retry.
     retry_window: u64,
     /// How long the origin remembers a key.
     origin_window: u64,
@@ -45,7 +45,7 @@
 }
 
 impl SearchModel {
-    /// A model of the requests of a keyed class under these limits.
+    /// Creates the model of one key of a keyed class under these limits.
     pub fn new(account: &Account, class: &ClassRules, values: &EffectiveLimits) -> SearchModel {
         let tick_ms = (class.idempotency_window_ms / TICKS_PER_WINDOW).max(1);
         let ticks = |ms: u64| ms.div_ceil(tick_ms);
@@ -69,7 +69,7 @@
             max_attempts,
             pauses: (0..max_attempts).map(pause_range).collect(),
             queue_timeout: ticks(values.queue_timeout_ms),
-            // Rounded down: a window that is taken for longer than it is would hide a second run.
+            // Rounded down: a window taken for longer than it is would hide a second run.
             retry_window: values.idempotency_window_ms / tick_ms,
             origin_window: class.idempotency_window_ms / tick_ms,
             retry_after: ticks(values.max_retry_after_ms.max(MIN_RETRY_AFTER_MS)).max(1),
@@ -84,13 +84,13 @@
         state.attempts == 0 && state.client_retries == 0 && state.now == 0
     }
 
-    /// Whether the router decides on another attempt, before its pause.
+    /// Whether the router allows another attempt; it decides before the pause.
     fn attempt_allowed(&self, state: &KeyState) -> bool {
         let within_window = |sent: u8| ((state.now - sent) as u64) < self.retry_window;
         (state.attempts as u64) < self.max_attempts && state.first_sent.is_none_or(within_window)
     }
 
-    /// The outcomes of an attempt after this pause.
+    /// Adds the possible outcomes of an attempt after this pause.
     fn attempt_events(&self, pause: u8, events: &mut Vec<KeyEvent>) {
         let timeout = self.attempt_timeout;
         let mut durations = vec![1, timeout.div_ceil(2), timeout];
@@ -103,7 +103,7 @@
         events.push(KeyEvent::Served { pause });
     }
 
-    /// An attempt reaches the origin, which runs the key unless it remembers it.
+    /// Records that an attempt reaches the origin, which runs the key unless it still remembers it.
     fn reach_origin(&self, state: &mut KeyState) {
         match state.first_run {
             Some(run) if (state.now - run) as u64 >= self.origin_window => state.ran_twice = true,
@@ -114,20 +114,20 @@
     }
 }
 
-/// A duration as the search stores it.
+/// Converts a duration to the form that the search stores, cut to [`MAX_TICKS`].
 fn saturate(ticks: u64) -> u8 {
     ticks.min(MAX_TICKS) as u8
 }
 
-/// What has happened to the key so far; times in ticks.
+/// What has happened to one key so far; times are in ticks since the request's arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct KeyState {
     now: u8,
-    /// Attempts of the present request.
+    /// Attempts of the current request.
     attempts: u8,
     /// Times that the client came back after a rejection.
     client_retries: u8,
-    /// When the first attempt of the present request that can have been processed was sent.
+    /// When the first attempt of the current request that may have been processed was sent.
     first_sent: Option<u8>,
     /// When the origin ran the key.
     first_run: Option<u8>,
@@ -135,7 +135,7 @@
     finished: bool,
 }
 
-/// What can happen to the key; durations in ticks.
+/// An event in the life of one key; durations are in ticks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum KeyEvent {
     /// The request waits in the queue.
@@ -147,7 +147,7 @@
     ResponseLost {
         /// The pause before the attempt.
         pause: u8,
-        /// From its sending to the next decision.
+        /// Time from sending the attempt to the next decision.
         duration: u8,
     },
     /// An attempt is rejected before it is processed.
@@ -254,13 +254,13 @@
 /// The result of a search.
 #[derive(Debug)]
 pub struct SearchResult {
-    /// A shortest sequence that runs the key twice, a sentence for each event. `None`: there is none.
+    /// A shortest sequence that runs the key twice, with one sentence per event; `None` if there is none.
     pub trace: Option<Vec<String>>,
-    /// States that were visited.
+    /// Number of distinct states that were visited.
     pub states: usize,
 }
 
-/// Searches for a sequence that runs a key twice.
+/// Searches for a shortest sequence of events that runs a key twice.
 pub fn find_duplicate_run(model: &SearchModel) -> SearchResult {
     let checker = model
         .clone()
@@ -303,16 +303,18 @@
     match event {
         KeyEvent::Queued { duration } => {
             let wait_ms = model.ms(duration);
-            format!("{at} the request comes, and waits {wait_ms} ms for a place")
+            format!("{at} the request arrives and is queued for {wait_ms} ms")
         }
         KeyEvent::ResponseLost { pause, duration } => format!(
-            "{}; it comes to the archive, and its answer is lost {} ms later",
+            "{}; it reaches the archive, and its response is lost {} ms later",
             attempt(pause),
             model.ms(duration)
         ),
-        KeyEvent::Unprocessed { pause } => format!("{}, and turned away untouched", attempt(pause)),
-        KeyEvent::Served { pause } => format!("{}, and comes to the archive", attempt(pause)),
-        KeyEvent::Rejected => format!("{at} the client is refused, and comes again"),
+        KeyEvent::Unprocessed { pause } => {
+            format!("{}, and rejected before it is processed", attempt(pause))
+        }
+        KeyEvent::Served { pause } => format!("{}, and reaches the archive", attempt(pause)),
+        KeyEvent::Rejected => format!("{at} the client is rejected and comes back"),
     }
 }
 
--- a/pure/limits/src/validation/backoff.rs
+++ b/pure/limits/src/validation/backoff.rs
@@ -14,7 +14,7 @@
     let max_under_base = backoff.max_ms > 0 && backoff.max_ms < backoff.base_ms;
     if !factor_valid || !jitter_valid || max_under_base || max_without_base {
         let subject = format!(
-            "backoff {} ms, times {}, {} ms at most, less {} percent",
+            "backoff {} ms, factor {}, maximum {} ms, jitter {} percent",
             backoff.base_ms, backoff.factor, backoff.max_ms, backoff.jitter_percent
         );
         let fields = [
--- a/pure/limits/src/validation/budgets.rs
+++ b/pure/limits/src/validation/budgets.rs
@@ -7,13 +7,13 @@
 use crate::resolve::{LimitSet, LimitsFile, Located, ResolvedLimits};
 use crate::retry_budget::RetryBudget;
 
-/// Part of the servers that fails in the check of retry storms.
+/// Fraction of the servers that the check of retry storms assumes to fail.
 const FAILING_RATIO: f64 = 0.2;
-/// Load, as a multiple of that without retries, that such a failure may cause.
+/// Highest load that such a failure may cause, as a multiple of the load without retries.
 const MAX_LOAD_RATIO: f64 = 2.0;
-/// Retries that the router itself makes for each hundred requests, where no budget is named.
+/// Retries that the router makes per hundred requests where no budget is named.
 const ROUTER_RETRY_PERCENT: f64 = 10.0;
-/// Tokens that a budget may earn for each hundred first attempts.
+/// Valid range of the tokens that a budget earns per hundred first attempts.
 const PERCENTAGES: std::ops::RangeInclusive<f64> = 0.0..=500.0;
 
 type LocatedBudget = Located<RetryBudget>;
@@ -78,7 +78,7 @@
     false
 }
 
-/// Retries for each hundred requests under a budget and all its ancestors.
+/// Retries per hundred requests that a budget and all its ancestors allow.
 fn retry_percent(limits: &LimitSet, budget: Option<&str>) -> f64 {
     let Some(mut next) = budget else {
         return ROUTER_RETRY_PERCENT;
@@ -97,7 +97,8 @@
     percent
 }
 
-/// A server that fails fails each attempt that it gets, and the other attempts of the request are retries.
+/// Checks that retries don't multiply the load while servers fail. A failing server fails every attempt that it gets,
+/// and all attempts of a request but the first are retries.
 pub(super) fn check_retry_storm(report: &mut Report, limits: &LimitSet, resolved: &ResolvedLimits) {
     let values = &resolved.values;
     let allowed = retry_percent(limits, values.retry_budget.as_deref()) / 100.0;
@@ -114,7 +115,7 @@
     }
 }
 
-/// All budgets can be spent in the same instant.
+/// Checks the sum of all bursts: all budgets can be spent in the same instant.
 pub(super) fn check_bursts(report: &mut Report, limits: &LimitSet) {
     let roots: Vec<&LocatedBudget> = limits
         .budgets
@@ -125,12 +126,12 @@
     let capacity = report.account.request_capacity();
     if bursts > capacity {
         let lines = roots.iter().map(|budget| budget.at.clone()).collect();
-        let subject = format!("bursts of {bursts} in all, room for {capacity} requests");
+        let subject = format!("bursts of {bursts} in total, capacity for {capacity} requests");
         report.add(Rule::TotalBurstTooLarge, lines, subject);
     }
 }
 
-/// The limits that name a budget.
+/// The classes and routes whose limits name a budget.
 fn users<'a>(
     limits: &'a LimitSet,
     budget: &'a LocatedBudget,
@@ -195,7 +196,7 @@
     let mut lines = vec![own.at.clone(), parent.at.clone()];
     lines.extend(others.iter().map(|budget| budget.at.clone()));
     let subject = format!(
-        "budget {} under {}: the others earn {percent} percent, it {} percent",
+        "budget {} under {}: the others earn {percent} percent, the parent {} percent",
         own.value.name, parent.value.name, parent.value.percent
     );
     report.add(Rule::ParentStarved, lines, subject);
--- a/pure/limits/src/validation/concurrency.rs
+++ b/pure/limits/src/validation/concurrency.rs
@@ -13,19 +13,19 @@
             scope.add(Rule::InvalidConcurrency, &[Field::Concurrency], subject);
         }
         Some(limit) if limit.max() > capacity => {
-            let subject = format!("places {}, room for {capacity}", limit.max());
+            let subject = format!("places {}, capacity for {capacity}", limit.max());
             scope.add(Rule::CapacityExceeded, &[Field::Concurrency], subject);
         }
         _ => {}
     }
     let queue = scope.values().queue_capacity;
     if queue > capacity {
-        let subject = format!("queue {queue}, room for {capacity}");
+        let subject = format!("queue {queue}, capacity for {capacity}");
         scope.add(Rule::CapacityExceeded, &[Field::QueueCapacity], subject);
     }
 }
 
-/// All pools can be full at once, and each queued request holds its buffers.
+/// Checks the sum over all pools, which can be full at once; a queued request holds its buffers too.
 pub(super) fn check_total(report: &mut Report, limits: &LimitSet) {
     let bounded: Vec<&ResolvedLimits> = limits
         .iter()
@@ -43,7 +43,7 @@
         add_lines(&mut lines, more);
     }
     let subject = format!(
-        "{total} places and waits in {} lanes, room for {capacity}",
+        "{total} places and queued requests in {} classes and routes, capacity for {capacity}",
         bounded.len()
     );
     report.add(Rule::TotalCapacityExceeded, lines, subject);
--- a/pure/limits/src/validation/routes.rs
+++ b/pure/limits/src/validation/routes.rs
@@ -68,6 +68,6 @@
     let lines = last_calls.into_iter().flatten().collect();
     let class = &limits.class_names[shadowed.class];
     let by = covering.route.clone().unwrap_or_default();
-    let subject = format!("{class}: route {name} is behind {by}");
+    let subject = format!("{class}: route {name} is shadowed by {by}");
     report.add(Rule::ShadowedRoute, lines, subject);
 }
