--- a/pure/load-reports/src/fields/tests.rs
+++ b/pure/load-reports/src/fields/tests.rs
@@ -1,4 +1,4 @@
-//! Reading a load report's fields.
+//! Parsing of a load report's fields.
 
 use super::*;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_report_is_read_by_the_settings_names_in_any_order() {
+fn a_report_is_parsed_by_the_names_of_the_settings_in_any_order() {
     let load = read("inflight:7;util:0.61");
     assert_eq!(
         load,
@@ -29,7 +29,7 @@
             ..Load::default()
         }
     );
-    // In the simulator the values come by place alone.
+    // In the simulator the values come without names, by position.
     let other = Fields::new(["x1", "moon", "inflight"]);
     let by_place = Load {
         link: Some(0.5),
@@ -42,8 +42,9 @@
 }
 
 #[test]
-fn a_field_has_one_meaning_under_both_of_its_words() {
-    // The settings have the simulator's words, answers those of the sockets; guards against reading nothing.
+fn both_names_of_a_field_have_the_same_meaning() {
+    // The settings may use the simulator's names while responses use those of the sockets. Guards against a parser that
+    // then finds no field.
     let fields = Fields::new(["cpu", "active", "x0", "x1"]);
     let load = Load {
         util: Some(0.5),
@@ -57,12 +58,12 @@
     assert_eq!(
         fields.read(b"cpu:0.5;util:0.6"),
         Load::default(),
-        "doubled under two words"
+        "duplicated under two names"
     );
 }
 
 #[test]
-fn a_bad_field_costs_only_itself() {
+fn an_invalid_field_leaves_the_others_valid() {
     let long = format!("util:0.{}", "1".repeat(MAX_FIELD_LEN));
     for bad in [
         "util:-0.1",
@@ -88,7 +89,7 @@
     for none in ["", ";;;", "moon:1", "util:-1", "util", "\u{1}\u{2}"] {
         assert!(read(none).is_empty(), "{none:?}");
     }
-    // What is behind so many fields is not looked at.
+    // Fields after the maximum number are ignored.
     assert!(read(&format!("{}util:0.5", "moon:1;".repeat(MAX_FIELDS_READ))).is_empty());
     assert!(
         Fields::default().read(b"util:0.5").is_empty(),
--- a/pure/load-reports/src/host.rs
+++ b/pure/load-reports/src/host.rs
@@ -1,5 +1,5 @@
-//! Load reports at a router's host: shown each event and action of the router, it says which further events the router is
-//! to be fed and which probes are to be sent.
+//! Connects a [`LoadTracker`] to a router. The router's host passes every event and action of the router to it, and polls it
+//! for further events to pass to the router and for probes to send.
 
 use crate::fields::Load;
 use crate::tracker::{LoadTracker, Server, Setup, Update};
@@ -8,20 +8,20 @@
 };
 use std::collections::HashMap;
 
-/// Most requests whose latest attempt is remembered.
+/// Maximum number of requests whose latest attempt is remembered.
 const MAX_REQUESTS: usize = 65_536;
 
-/// Drives a [`LoadTracker`] by a router's events and actions.
+/// Drives a [`LoadTracker`] with a router's events and actions.
 pub struct RouterLoadReports {
     tracker: LoadTracker,
     settings: Settings,
-    /// Where the latest attempt of a request went.
+    /// The server to which the latest attempt of each request went.
     in_flight: HashMap<RequestId, CacheId>,
     updates: Vec<Update>,
 }
 
 impl RouterLoadReports {
-    /// `None` where the settings have neither reports nor probes.
+    /// Creates the tracker; `None` if the settings have neither reports nor probes.
     pub fn new(setup: Setup, settings: &Settings) -> Option<RouterLoadReports> {
         let tracker = LoadTracker::new(setup)?;
         Some(RouterLoadReports {
@@ -32,7 +32,7 @@
         })
     }
 
-    /// Shows the event that the router is about to be fed.
+    /// Records an event, before it is passed to the router.
     pub fn observe_event(&mut self, now: Time, event: &Event) {
         match event {
             Event::Members { full, members } => {
@@ -49,25 +49,25 @@
                 self.tracker
                     .update_servers(*full, members.iter().map(server));
             }
-            Event::Request(_) => self.tracker.request(),
+            Event::Request(_) => self.tracker.record_request(),
             Event::Outcome(report) => {
                 let Some(cache) = self.in_flight.remove(&report.id) else {
                     return;
                 };
-                let refused =
+                let rejected =
                     matches!(report.outcome, Outcome::Overloaded | Outcome::ConnectFailed);
                 let lost = matches!(
                     report.outcome,
                     Outcome::Error | Outcome::TimedOut | Outcome::Reset
                 );
-                self.tracker.record_completion(now, cache.0, refused, lost);
+                self.tracker.record_completion(now, cache.0, rejected, lost);
             }
             Event::ClientDisconnected { id } => drop(self.in_flight.remove(id)),
             _ => {}
         }
     }
 
-    /// Shows an action of the router.
+    /// Records an action of the router.
     pub fn observe_action(&mut self, now: Time, action: &Action) {
         if let Action::Fetch(fetch) = action {
             self.tracker.record_send(now, fetch.cache.0);
@@ -77,23 +77,23 @@
         }
     }
 
-    /// A response carried a report.
+    /// Records a report that a response carried.
     pub fn record_report(&mut self, now: Time, cache: CacheId, load: Load) {
         self.tracker.record_report(now, cache.0, load);
     }
 
-    /// A response carried a report: its values, in the order of the settings' fields.
+    /// Records a report that a response carried, with its values in the order of the settings' fields.
     pub fn record_report_values(&mut self, now: Time, cache: CacheId, values: &[f32]) {
         let load = self.tracker.fields().load(values);
         self.tracker.record_report(now, cache.0, load);
     }
 
-    /// A probe ended: whether the server is healthy, and its report, which may be empty.
+    /// Records the end of a probe: whether the server is healthy, and its report, which may be empty.
     pub fn record_probe(&mut self, now: Time, cache: CacheId, healthy: bool, load: Load) {
         self.tracker.record_probe(now, cache.0, healthy, load);
     }
 
-    /// A probe ended: its report's values, in the order of the settings' fields.
+    /// Records the end of a probe, with its report's values in the order of the settings' fields.
     pub fn record_probe_values(
         &mut self,
         now: Time,
@@ -105,8 +105,8 @@
         self.tracker.record_probe(now, cache.0, healthy, load);
     }
 
-    /// Adds the events that the router is to be fed, and the servers to be probed. A relative load is sent as the only value
-    /// of a health check's report.
+    /// Adds the events to pass to the router, and the servers to probe. A relative load is passed as the only value of a
+    /// health check's report.
     pub fn poll(&mut self, now: Time, events: &mut Vec<Event>, probes: &mut Vec<CacheId>) {
         self.tracker.poll(now, &mut self.updates);
         for update in self.updates.drain(..) {
--- a/pure/load-reports/src/lib.rs
+++ b/pure/load-reports/src/lib.rs
@@ -1,13 +1,12 @@
 //! Load reports of servers, kept for a router's host.
 //!
-//! [`Fields`] reads a report by the names that the settings give its fields. [`LoadTable`] keeps the last report of each
-//! server with its age and with what was sent since. [`ProbeBudget`] says when a health check that asks for a report is
-//! worth its price. [`LoadTracker`] puts the three together, and [`RouterLoadReports`] drives it by a router's events
-//! and actions.
+//! [`Fields`] parses a report by the field names of the settings. [`LoadTable`] keeps the last report of each server with
+//! its age and the attempts sent since. [`ProbeBudget`] decides when a health check that asks for a report is worth its
+//! price. [`LoadTracker`] combines the three, and [`RouterLoadReports`] drives it with a router's events and actions.
 //!
-//! Pure: no I/O, no clock (times are passed in, in microseconds), no random numbers, no threads. All that is kept is
-//! bounded. Nothing fails: a value that can't be read is missing, and a missing value counts as average. No server is
-//! selected here.
+//! The crate does no I/O, reads no clock (times are passed in, in microseconds), draws no random numbers and starts no
+//! threads. All state is bounded. No operation fails: a value that can't be parsed counts as missing, and a missing value
+//! as average. The crate selects no server.
 #![warn(missing_docs)]
 
 pub mod fields;
--- a/pure/load-reports/src/probe_budget.rs
+++ b/pure/load-reports/src/probe_budget.rs
@@ -1,53 +1,57 @@
-//! When a health check that asks for a load report is worth its price: where its response may change a selection that is
-//! about to be made often enough.
+//! Decides when a health check that asks for a load report (a probe) is worth its price: when its response may change a
+//! selection that is made often enough.
 
 use foldmux_stats::Time;
 use std::collections::BTreeMap;
 
-/// A server is probed only while the confidence in its report is under this.
+/// A server is probed only while the confidence in its report is below this.
 const MAX_CONFIDENCE_TO_PROBE: f64 = 0.25;
-/// Most probes in flight, over all servers; at most one per server.
+/// Maximum number of probes in flight over all servers; each server has at most one.
 pub const MAX_PROBES_IN_FLIGHT: usize = 4;
-/// Most probes sent for each request, whatever they gain.
+/// Maximum number of probes per request, however useful they are.
 const PROBES_PER_REQUEST: f64 = 0.05;
-/// One in so many probes that are not worth their price is sent, so that the estimate of their use can recover.
+/// Of the probes that are not worth their price one in this many is sent, so that the estimate of their use can recover.
 const EXPLORATION_INTERVAL: u32 = 64;
-/// Weight of a new probe in the moving average of useful probes.
+/// Weight of a new probe in the moving average of the ratio of useful probes.
 const USEFUL_WEIGHT: f64 = 0.05;
-/// The average before the first probe.
+/// Ratio of useful probes that is assumed before the first one.
 const INITIAL_USEFUL_RATIO: f64 = 0.25;
 
-/// What is weighed before one server is probed.
+/// A server that may be probed, with what the decision depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeCandidate {
     /// The server's id.
     pub server: u32,
     /// Confidence in its report, 0 to 1 ([`crate::LoadTable::confidence`]).
     pub confidence: f64,
-    /// Attempts that will go to it within the lifetime of a report.
+    /// Number of attempts expected to go to it within the lifetime of a report.
     pub expected_attempts: f64,
-    /// What one attempt at the wrong server costs: the ratio of attempts that are late or rejected.
+    /// Ratio of attempts that were rejected or lost, 0 to 1: the expected cost of an attempt at the wrong server.
     pub loss_rate: f64,
-    /// Whether it takes requests: it does not drain, is listed and not in maintenance.
+    /// Whether it takes requests: it is listed, and neither draining nor in maintenance.
     pub ready: bool,
 }
 
-/// Probes in flight, what they gained, their price and their bounds.
+/// The probes in flight, the ratio of useful ones, and the bounds on sending more.
 pub struct ProbeBudget {
     allowed: bool,
-    /// Points of service that one probe per request costs, of 1.
+    /// Cost of one probe per request, in points of service (0 to 1).
     price: f64,
-    /// How long a probe may take (us).
+    /// Timeout of a probe (us).
     probe_timeout: Time,
     /// Ratio of probes whose response changed a selection.
     useful_ratio: f64,
+    /// Probes that may be sent now; each request adds [`PROBES_PER_REQUEST`].
     budget: f64,
+    /// Probes skipped since the last one that was sent although not worth its price.
     skipped: u32,
+    /// By server, when its probe times out.
     in_flight: BTreeMap<u32, Time>,
 }
 
 impl ProbeBudget {
-    /// `price`: what the settings charge for one probe per request. `probe_timeout` (us).
+    /// Creates a budget without probes to send. `price` is the settings' cost of one probe per request, and
+    /// `probe_timeout` is in microseconds.
     pub fn new(allowed: bool, price: f64, probe_timeout: Time) -> ProbeBudget {
         let price = if price.is_finite() {
             price.max(0.0)
@@ -65,13 +69,13 @@
         }
     }
 
-    /// A request arrived: it adds its part of a probe to the budget.
-    pub fn request(&mut self) {
+    /// Records the arrival of a request, which adds its part of a probe to the budget.
+    pub fn record_request(&mut self) {
         self.budget = (self.budget + PROBES_PER_REQUEST).min(MAX_PROBES_IN_FLIGHT as f64);
     }
 
-    /// Whether to probe this server now; if so, the probe counts as in flight until its end or its timeout.
-    pub fn try_probe(&mut self, now: Time, case: ProbeCandidate) -> bool {
+    /// Returns whether to probe this server now. If so, the probe counts as in flight until its end or its timeout.
+    pub fn try_probe(&mut self, now: Time, candidate: ProbeCandidate) -> bool {
         self.in_flight.retain(|_, until| now < *until);
         let ProbeCandidate {
             server,
@@ -79,7 +83,7 @@
             expected_attempts,
             loss_rate,
             ready,
-        } = case;
+        } = candidate;
         let has_capacity = self.in_flight.len() < MAX_PROBES_IN_FLIGHT
             && !self.in_flight.contains_key(&server)
             && self.budget >= 1.0;
@@ -107,19 +111,19 @@
         true
     }
 
-    /// A probe ended; `changes`: its response changes which server is selected.
-    pub fn record_probe(&mut self, server: u32, changes: bool) {
+    /// Records the end of a probe. `useful` tells whether its response may change which server is selected.
+    pub fn record_probe(&mut self, server: u32, useful: bool) {
         if self.in_flight.remove(&server).is_some() {
-            self.useful_ratio += USEFUL_WEIGHT * (changes as u8 as f64 - self.useful_ratio);
+            self.useful_ratio += USEFUL_WEIGHT * (useful as u8 as f64 - self.useful_ratio);
         }
     }
 
-    /// The server drains, is gone or has restarted: a response to a probe in flight would be about another process.
+    /// Forgets the probe of a server that drains, is gone or has restarted: its response may be about a former process.
     pub fn forget(&mut self, server: u32) {
         self.in_flight.remove(&server);
     }
 
-    /// Probes in flight.
+    /// Returns the number of probes in flight.
     pub fn in_flight(&self, now: Time) -> usize {
         self.in_flight
             .values()
--- a/pure/load-reports/tests/bounds.rs
+++ b/pure/load-reports/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! The hard cases of reports and probes, without sockets.
+//! Edge cases of the load table and the probe budget, without sockets.
 
 use foldmux_load_reports::probe_budget::{ProbeCandidate, MAX_PROBES_IN_FLIGHT};
 use foldmux_load_reports::table::MAX_SERVERS;
@@ -19,19 +19,19 @@
     }
 }
 
-/// Four servers that each say the same.
-fn even() -> LoadTable {
+/// A table of four servers with equal reports.
+fn equal_reports() -> LoadTable {
     let mut reports = reports();
     (0..4).for_each(|server| reports.record_report(START, server, load(0.5, 10.0)));
     reports
 }
 
 #[test]
-fn a_report_that_ten_answers_repeat_is_as_old_as_its_first_and_own_sends_count() {
-    let mut reports = even();
+fn a_repeated_report_keeps_its_first_age_and_attempts_sent_since_count() {
+    let mut reports = equal_reports();
     reports.record_report(START, 0, load(0.2, 4.0));
     let new = reports.relative_load(START, 0);
-    assert!(new < 0.6, "half as busy as the others: {new}");
+    assert!(new < 0.6, "less than half the load of the others: {new}");
     let mut now = START;
     for k in 1..=10 {
         now += 50 * MS;
@@ -47,7 +47,7 @@
         reports.confidence(now, 0) < reports.confidence(now, 1),
         "the others' reports are new, this one is not"
     );
-    // 14 held where it said 4: it is no idle server any more.
+    // It holds 14 requests where it reported 4, so it is no longer idle.
     assert!(
         reports.relative_load(now, 0) > 1.0,
         "{}",
@@ -56,14 +56,14 @@
     (0..10).for_each(|_| reports.record_completion(now, 0, false));
     assert!(
         reports.relative_load(now, 0) < 1.0,
-        "what ended counts too: {}",
+        "completed attempts are subtracted: {}",
         reports.relative_load(now, 0)
     );
 }
 
 #[test]
-fn a_server_that_says_it_is_idle_and_refuses_draws_nothing_more() {
-    let mut reports = even();
+fn a_server_that_reports_idle_and_rejects_attracts_no_requests() {
+    let mut reports = equal_reports();
     let mut now = START;
     for k in 0..200u64 {
         now += 20 * MS;
@@ -79,7 +79,7 @@
             reports.relative_load(now, 0)
         );
     }
-    // Without a lie to go by it counts again as it says.
+    // After the lifetime without a rejection its report is trusted again.
     now += reports.lifetime() + 1;
     reports.record_report(now, 0, load(0.01, 0.0));
     (1..4).for_each(|server| reports.record_report(now, server, load(0.5, 11.0)));
@@ -87,8 +87,8 @@
 }
 
 #[test]
-fn when_all_reports_stop_every_server_fades_to_average_and_stays_there() {
-    let mut reports = even();
+fn without_new_reports_every_server_returns_to_average() {
+    let mut reports = equal_reports();
     reports.record_report(START, 0, load(0.1, 1.0));
     reports.record_report(START, 3, load(0.95, 40.0));
     let (mut low, mut high) = (
@@ -103,21 +103,21 @@
         [low, high] = at;
     }
     assert_eq!((low, high), (1.0, 1.0));
-    let long = START + 1_000 * reports.lifetime();
+    let much_later = START + 1_000 * reports.lifetime();
     assert!(
-        (0..4).all(|server| reports.relative_load(long, server) == 1.0
-            && reports.confidence(long, server) == 0.0)
+        (0..4).all(|server| reports.relative_load(much_later, server) == 1.0
+            && reports.confidence(much_later, server) == 0.0)
     );
     assert_eq!(
-        reports.relative_load(long, 99),
+        reports.relative_load(much_later, 99),
         1.0,
-        "one never heard of is average too"
+        "a server without a report is average too"
     );
 }
 
 #[test]
-fn what_can_not_be_used_is_as_if_nothing_came_and_what_is_kept_is_bounded() {
-    let mut reports = even();
+fn empty_reports_are_ignored_and_the_table_is_bounded() {
+    let mut reports = equal_reports();
     reports.record_report(START + MS, 0, Load::default());
     assert_eq!(
         (
@@ -126,7 +126,7 @@
         ),
         (1.0, 1.0)
     );
-    // One field is missing: the other still counts.
+    // With one field missing the other still counts.
     reports.record_report(
         START + MS,
         0,
@@ -143,13 +143,13 @@
     assert_eq!(
         reports.confidence(START + 3 * MS, 0),
         0.0,
-        "the one longest not heard of went"
+        "the oldest report is evicted"
     );
     (0..MAX_SERVERS as u32 + 100).for_each(|server| reports.forget(server));
     assert!(reports.is_empty());
 }
 
-fn case(server: u32) -> ProbeCandidate {
+fn candidate(server: u32) -> ProbeCandidate {
     ProbeCandidate {
         server,
         confidence: 0.0,
@@ -159,119 +159,120 @@
     }
 }
 
-fn asking(price: f64) -> ProbeBudget {
-    let mut asking = ProbeBudget::new(true, price, 250 * MS);
-    (0..1_000).for_each(|_| asking.request());
-    asking
+fn budget(price: f64) -> ProbeBudget {
+    let mut budget = ProbeBudget::new(true, price, 250 * MS);
+    (0..1_000).for_each(|_| budget.record_request());
+    budget
 }
 
 #[test]
-fn a_server_is_asked_only_where_the_answer_may_change_a_choice_and_pays() {
-    assert!(asking(0.01).try_probe(START, case(1)));
-    let no = |case: ProbeCandidate| !asking(0.01).try_probe(START, case);
+fn a_server_is_probed_only_where_the_response_may_change_a_selection() {
+    assert!(budget(0.01).try_probe(START, candidate(1)));
+    let skipped = |candidate: ProbeCandidate| !budget(0.01).try_probe(START, candidate);
     assert!(
-        no(ProbeCandidate {
+        skipped(ProbeCandidate {
             ready: false,
-            ..case(1)
+            ..candidate(1)
         }),
-        "never one that drains, is gone or is out by hand"
+        "never one that drains, is gone or is in maintenance"
     );
     assert!(
-        no(ProbeCandidate {
+        skipped(ProbeCandidate {
             confidence: 0.9,
-            ..case(1)
+            ..candidate(1)
         }),
         "its report is new"
     );
     assert!(
-        no(ProbeCandidate {
+        skipped(ProbeCandidate {
             expected_attempts: 0.5,
-            ..case(1)
+            ..candidate(1)
         }),
-        "nothing will go there"
+        "no attempt is expected there"
     );
     assert!(
-        no(ProbeCandidate {
+        skipped(ProbeCandidate {
             loss_rate: 0.0,
-            ..case(1)
+            ..candidate(1)
         }),
-        "no choice loses anything"
+        "no attempt is lost"
     );
     assert!(
-        no(ProbeCandidate {
+        skipped(ProbeCandidate {
             loss_rate: f64::NAN,
-            ..case(1)
-        }) && no(ProbeCandidate {
+            ..candidate(1)
+        }) && skipped(ProbeCandidate {
             expected_attempts: f64::NAN,
-            ..case(1)
+            ..candidate(1)
         })
     );
     assert!(
-        !ProbeBudget::new(false, 0.0, MS).try_probe(START, case(1)),
+        !ProbeBudget::new(false, 0.0, MS).try_probe(START, candidate(1)),
         "the settings forbid it"
     );
     assert!(
-        !ProbeBudget::new(true, 0.0, MS).try_probe(START, case(1)),
-        "no request has paid for it"
+        !ProbeBudget::new(true, 0.0, MS).try_probe(START, candidate(1)),
+        "no request has added to the budget"
     );
     assert!(
-        !asking(f64::NAN).try_probe(START, case(1)) && !asking(5.0).try_probe(START, case(1)),
-        "it costs more than it gains"
+        !budget(f64::NAN).try_probe(START, candidate(1))
+            && !budget(5.0).try_probe(START, candidate(1)),
+        "the price exceeds the gain"
     );
 }
 
 #[test]
-fn probes_that_change_nothing_are_left_off_but_for_a_trickle() {
-    let mut asking = asking(0.5);
+fn useless_probes_are_skipped_except_for_exploration() {
+    let mut budget = budget(0.5);
     let mut sent = 0;
     for k in 0..20_000u64 {
-        asking.request();
+        budget.record_request();
         let now = START + k * 10 * MS;
-        if asking.try_probe(now, case(1)) {
-            asking.record_probe(1, false);
+        if budget.try_probe(now, candidate(1)) {
+            budget.record_probe(1, false);
             sent += 1;
         }
     }
     assert!(
         (100..500).contains(&sent),
-        "one in 64 and some at first: {sent} of 20000"
+        "one in 64 and some at the start: {sent} of 20000"
     );
 }
 
 #[test]
-fn a_probe_that_never_ends_gives_its_place_back_and_all_stay_within_their_bounds() {
-    let mut asking = asking(0.0);
+fn a_probe_times_out_and_all_probes_stay_within_their_bounds() {
+    let mut budget = budget(0.0);
     let sent = (0..20)
-        .filter(|server| asking.try_probe(START, case(*server)))
+        .filter(|server| budget.try_probe(START, candidate(*server)))
         .count();
     assert_eq!(
-        (sent, asking.in_flight(START)),
+        (sent, budget.in_flight(START)),
         (MAX_PROBES_IN_FLIGHT, MAX_PROBES_IN_FLIGHT)
     );
-    (0..1_000).for_each(|_| asking.request());
+    (0..1_000).for_each(|_| budget.record_request());
     assert!(
-        !asking.try_probe(START + 249 * MS, case(9)),
-        "all places are out"
+        !budget.try_probe(START + 249 * MS, candidate(9)),
+        "the maximum number of probes is in flight"
     );
     assert!(
-        asking.try_probe(START + 250 * MS, case(9)),
-        "what was not answered by then is over"
+        budget.try_probe(START + 250 * MS, candidate(9)),
+        "the others have timed out"
     );
-    // Of one server one at a time, and an answer that nobody waits for is no record.
-    assert!(!asking.try_probe(START + 251 * MS, case(9)));
-    asking.forget(9);
-    asking.record_probe(9, true);
-    assert_eq!(asking.in_flight(START + 251 * MS), 0);
-    // Whatever they gain, they are a twentieth of the requests at most.
-    let mut few = ProbeBudget::new(true, 0.0, 1);
+    // A server has one probe at a time, and a response to a forgotten probe is ignored.
+    assert!(!budget.try_probe(START + 251 * MS, candidate(9)));
+    budget.forget(9);
+    budget.record_probe(9, true);
+    assert_eq!(budget.in_flight(START + 251 * MS), 0);
+    // However useful, probes are at most a twentieth of the requests.
+    let mut unpriced = ProbeBudget::new(true, 0.0, 1);
     let count = (0..1_000u64).filter(|k| {
-        few.request();
-        few.try_probe(
+        unpriced.record_request();
+        unpriced.try_probe(
             START + k * MS,
             ProbeCandidate {
                 loss_rate: 1.0,
                 expected_attempts: 1e9,
-                ..case(*k as u32)
+                ..candidate(*k as u32)
             },
         )
     });
--- a/pure/load-reports/tests/tracker.rs
+++ b/pure/load-reports/tests/tracker.rs
@@ -1,4 +1,4 @@
-//! What a host hears of a router's servers: told in steps, asked within bounds, forgotten with the process.
+//! The load tracker: updates only after a change, bounded probes, and no state of a former process.
 
 use foldmux_load_reports::tracker::Server;
 use foldmux_load_reports::{Fields, Load, LoadTracker, Setup, Update};
@@ -49,30 +49,30 @@
     out
 }
 
-fn crowdings(told: &[Update]) -> Vec<(u32, f32)> {
-    let one = |tell: &Update| match *tell {
+fn relative_loads(updates: &[Update]) -> Vec<(u32, f32)> {
+    let one = |update: &Update| match *update {
         Update::RelativeLoad {
             server,
             relative_load,
         } => Some((server, relative_load)),
         Update::Probe { .. } => None,
     };
-    told.iter().filter_map(one).collect()
+    updates.iter().filter_map(one).collect()
 }
 
-fn probes(told: &[Update]) -> Vec<u32> {
-    let one = |tell: &Update| {
-        if let Update::Probe { server } = *tell {
+fn probes(updates: &[Update]) -> Vec<u32> {
+    let one = |update: &Update| {
+        if let Update::Probe { server } = *update {
             Some(server)
         } else {
             None
         }
     };
-    told.iter().filter_map(one).collect()
+    updates.iter().filter_map(one).collect()
 }
 
 #[test]
-fn nothing_is_kept_where_the_settings_have_neither_reports_nor_probes() {
+fn without_reports_and_probes_in_the_settings_there_is_no_tracker() {
     assert!(LoadTracker::new(Setup::default()).is_none());
     assert!(
         LoadTracker::new(Setup {
@@ -103,12 +103,12 @@
             ..setup()
         })
         .is_none(),
-        "probes that nobody goes by"
+        "probes without placement by load"
     );
 }
 
 #[test]
-fn crowding_is_told_when_it_moved_and_goes_back_to_average_once_reports_stop() {
+fn relative_load_is_updated_on_change_and_returns_to_average_once_reports_stop() {
     let mut tracker = tracker(Setup {
         probes: false,
         ..setup()
@@ -118,17 +118,20 @@
         tracker.record_report(START, id, load(if id == 2 { 0.9 } else { 0.3 }, 10.0))
     });
     tracker.record_report(START, 77, load(0.1, 1.0));
-    let told = crowdings(&poll(&mut tracker, START + 80 * MS));
-    assert_eq!(told.iter().map(|t| t.0).collect::<Vec<_>>(), [0, 1, 2, 3]);
-    assert!(told[2].1 > 1.3 && told[0].1 < 0.9, "{told:?}");
+    let updates = relative_loads(&poll(&mut tracker, START + 80 * MS));
+    assert_eq!(
+        updates.iter().map(|t| t.0).collect::<Vec<_>>(),
+        [0, 1, 2, 3]
+    );
+    assert!(updates[2].1 > 1.3 && updates[0].1 < 0.9, "{updates:?}");
     assert_eq!(
         poll(&mut tracker, START + 81 * MS),
         [],
-        "not before the next look"
+        "not before the next poll is due"
     );
-    let mut last = told;
+    let mut last = updates;
     for step in 2..40 {
-        last.extend(crowdings(&poll(&mut tracker, START + step * 80 * MS)));
+        last.extend(relative_loads(&poll(&mut tracker, START + step * 80 * MS)));
     }
     for id in 0..4 {
         assert_eq!(
@@ -137,47 +140,48 @@
             "{id} is average in the end"
         );
     }
-    assert!(last.len() < 60, "told in steps: {}", last.len());
+    assert!(last.len() < 60, "updates come in steps: {}", last.len());
 }
 
-/// Requests that go to all servers, refused in part, with no report at all: what may be asked.
-fn load_of(tracker: &mut LoadTracker, from: u64) -> (u64, Vec<u32>) {
-    let (mut now, mut asked) = (from, Vec::new());
+/// Sends requests to all servers, a third of which are rejected, without any report. Returns the time at the end and the
+/// servers that were probed.
+fn run_requests(tracker: &mut LoadTracker, from: u64) -> (u64, Vec<u32>) {
+    let (mut now, mut probed) = (from, Vec::new());
     for k in 0..400u64 {
         now += 5 * MS;
         let id = (k % 4) as u32;
-        tracker.request();
+        tracker.record_request();
         tracker.record_send(now, id);
         tracker.record_completion(now, id, k % 3 == 0, false);
-        asked.extend(probes(&poll(tracker, now)));
+        probed.extend(probes(&poll(tracker, now)));
     }
-    (now, asked)
+    (now, probed)
 }
 
 #[test]
-fn a_probe_goes_only_to_a_server_that_takes_requests_and_an_answer_that_crosses_a_drain_is_void() {
-    let mut own = tracker(setup());
-    own.update_servers(false, [server(3, 0, false)].into_iter());
-    let (now, asked) = load_of(&mut own, START);
+fn only_ready_servers_are_probed_and_a_response_during_a_drain_is_ignored() {
+    let mut draining = tracker(setup());
+    draining.update_servers(false, [server(3, 0, false)].into_iter());
+    let (now, probed) = run_requests(&mut draining, START);
     assert!(
-        !asked.is_empty() && asked.iter().all(|id| *id < 3),
-        "never one that drains: {asked:?}"
+        !probed.is_empty() && probed.iter().all(|id| *id < 3),
+        "never one that drains: {probed:?}"
     );
-    // 1 was asked, then drains; what it answers says nothing any more, nor what a new process would be held to.
-    own.update_servers(false, [server(1, 0, false)].into_iter());
-    own.record_probe(now, 1, true, load(0.9, 90.0));
-    own.record_probe(now, 0, true, load(0.3, 9.0));
-    own.record_probe(now, 2, true, load(0.3, 9.0));
+    // Server 1 drains with a probe in flight: its response counts neither for it nor for its next process.
+    draining.update_servers(false, [server(1, 0, false)].into_iter());
+    draining.record_probe(now, 1, true, load(0.9, 90.0));
+    draining.record_probe(now, 0, true, load(0.3, 9.0));
+    draining.record_probe(now, 2, true, load(0.3, 9.0));
     assert!(
-        crowdings(&poll(&mut own, now + 80 * MS)).is_empty(),
-        "the others are alike, and 1 said nothing"
+        relative_loads(&poll(&mut draining, now + 80 * MS)).is_empty(),
+        "the others have equal reports, and 1 has none"
     );
-    own.update_servers(false, [server(1, now, true)].into_iter());
-    own.record_probe(now, 9, true, load(0.9, 90.0));
-    assert!(crowdings(&poll(&mut own, now + 160 * MS)).is_empty());
-    // Not allowed, or nobody goes by what is told: none at all. Dearer than it gains: a trickle.
+    draining.update_servers(false, [server(1, now, true)].into_iter());
+    draining.record_probe(now, 9, true, load(0.9, 90.0));
+    assert!(relative_loads(&poll(&mut draining, now + 160 * MS)).is_empty());
+    // Not allowed, or without placement by load: no probes. At a price above the gain: exploration only.
     assert_eq!(
-        load_of(
+        run_requests(
             &mut tracker(Setup {
                 probes: false,
                 ..setup()
@@ -188,7 +192,7 @@
         []
     );
     assert_eq!(
-        load_of(
+        run_requests(
             &mut tracker(Setup {
                 placement_uses_load: false,
                 ..setup()
@@ -198,7 +202,7 @@
         .1,
         []
     );
-    let few = load_of(
+    let few = run_requests(
         &mut tracker(Setup {
             price: 1e6,
             ..setup()
@@ -211,23 +215,23 @@
 }
 
 #[test]
-fn a_list_that_leaves_a_server_out_forgets_it_whole() {
+fn a_full_list_without_a_server_removes_all_its_state() {
     let mut tracker = tracker(setup());
     (0..4).for_each(|id| {
         tracker.record_report(START, id, load(if id == 2 { 0.9 } else { 0.3 }, 10.0))
     });
-    assert_eq!(crowdings(&poll(&mut tracker, START)).len(), 4);
+    assert_eq!(relative_loads(&poll(&mut tracker, START)).len(), 4);
     tracker.update_servers(
         true,
         (0..4).filter(|id| *id != 2).map(|id| server(id, 0, true)),
     );
-    let told = crowdings(&poll(&mut tracker, START + 80 * MS));
+    let updates = relative_loads(&poll(&mut tracker, START + 80 * MS));
     assert_eq!(
-        told,
+        updates,
         [(0, 1.0), (1, 1.0), (3, 1.0)],
-        "the three that are left are alike"
+        "the remaining three have equal reports"
     );
-    // Back under its id at another start: nothing of the former process is left.
+    // Listed again under its id with a later start: nothing of the former process is left.
     tracker.update_servers(false, [server(2, START, true)].into_iter());
-    assert_eq!(crowdings(&poll(&mut tracker, START + 160 * MS)), []);
+    assert_eq!(relative_loads(&poll(&mut tracker, START + 160 * MS)), []);
 }
