--- a/pure/idempotency/src/table.rs
+++ b/pure/idempotency/src/table.rs
@@ -1,7 +1,8 @@
-//! The idempotency table: what is known of each key's attempts.
+//! The idempotency table: the known state of each key's attempts.
 //!
-//! An attempt is granted never while another may be running, and once one may have been executed never outside its group of
-//! caches or after the idempotency window. A full table rejects; a key whose retry could still come is never evicted.
+//! No attempt is granted while another may be running. Once an attempt may have been executed, none is granted outside its
+//! group of caches or after the idempotency window. A full table rejects new keys; a key is never evicted while a retry of
+//! it could still come.
 
 mod entry;
 mod policy;
@@ -12,16 +13,16 @@
 
 use crate::token::{KeyHash, Token};
 use crate::Millis;
-use reconcile::{entry_of_token, is_same_attempt, merge};
+use reconcile::{entry_from_token, is_same_attempt, merge};
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-/// The attempts of a bounded number of keys.
+/// Records the attempts of a bounded number of keys.
 pub struct IdempotencyTable {
     max_keys: usize,
     entries: HashMap<KeyHash, Entry>,
-    /// Keys whose stored entries can't be read: rejected until their retries can come no more.
+    /// Keys whose stored entries can't be read: they are rejected until no retry of them can come.
     unreadable: HashSet<KeyHash>,
-    /// When each key is evicted, soonest first.
+    /// Eviction time of each key, earliest first.
     evictions: BTreeSet<(Millis, KeyHash)>,
     /// Keys with a granted attempt that is neither issued nor released yet.
     pending: HashSet<KeyHash>,
@@ -30,7 +31,7 @@
 }
 
 impl IdempotencyTable {
-    /// An empty table for at most `max_keys` keys.
+    /// Creates an empty table for at most `max_keys` keys.
     pub fn new(max_keys: usize) -> IdempotencyTable {
         IdempotencyTable {
             max_keys,
@@ -42,7 +43,8 @@
         }
     }
 
-    /// The table of a former process. What was in flight may have been executed, and may be running for as long as it could.
+    /// Restores the table of a former process. An attempt that was in flight may have been executed, and may be running
+    /// until its `running_until`.
     pub fn restored(
         max_keys: usize,
         entries: impl IntoIterator<Item = (KeyHash, Entry)>,
@@ -54,56 +56,57 @@
         table
     }
 
-    /// Rejects a key whose stored entry can't be read, `until` its retry can come no more.
+    /// Rejects a key whose stored entry can't be read. `until` is the time from which no retry of it can come.
     pub fn block_unreadable(&mut self, key: KeyHash, until: Millis) {
         self.unreadable.insert(key);
         self.evictions.insert((until, key));
     }
 
-    /// Number of keys, those that can't be read included.
+    /// Returns the number of keys, including those whose entries can't be read.
     pub fn len(&self) -> usize {
         self.entries.len() + self.unreadable.len()
     }
 
-    /// Whether there is no key.
+    /// Returns whether the table has no key.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Number of keys with a granted attempt that is neither issued nor released.
+    /// Returns the number of keys with a granted attempt that is neither issued nor released.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// The keys that have been evicted since the last call: their stored entries are to be removed.
+    /// Returns the keys evicted since the last call, whose stored entries the caller has to remove.
     pub fn take_evicted(&mut self) -> Vec<KeyHash> {
         std::mem::take(&mut self.evicted)
     }
 
-    /// What is known of a key.
+    /// Returns the entry of a key.
     pub fn get(&self, key: KeyHash) -> Option<&Entry> {
         self.entries.get(&key)
     }
 
     fn put(&mut self, key: KeyHash, entry: Entry) {
-        if let Some(former) = self.entries.insert(key, entry) {
-            self.evictions.remove(&(former.evict_at, key));
+        if let Some(replaced) = self.entries.insert(key, entry) {
+            self.evictions.remove(&(replaced.evict_at, key));
         }
         self.evictions.insert((entry.evict_at, key));
     }
 
-    /// Grants an attempt of a key. Nothing is recorded yet: a grant is followed by [`IdempotencyTable::issue`], once it is
-    /// known where the attempt goes, or by [`IdempotencyTable::release`]; until then the key is reserved.
+    /// Grants an attempt of a key, for a caller that presents `token` from an earlier attempt or none. The grant reserves
+    /// the key but records no attempt: it must be followed by [`IdempotencyTable::issue`], once the attempt's destination
+    /// is known, or by [`IdempotencyTable::release`].
     ///
     /// # Errors
     ///
-    /// The reason for which no attempt may be made now.
+    /// Returns the reason if no attempt may be made now.
     pub fn acquire(
         &mut self,
         now: Millis,
         key: KeyHash,
         policy: &RetryPolicy,
-        shown: Option<&Token>,
+        token: Option<&Token>,
     ) -> Result<Grant, Denied> {
         while let Some(&(at, old)) = self.evictions.first().filter(|(at, _)| *at <= now) {
             self.evictions.remove(&(at, old));
@@ -111,21 +114,21 @@
             self.unreadable.remove(&old);
             self.evicted.push(old);
         }
-        // Of two requests at one moment only one is granted.
+        // Of two simultaneous requests only one is granted.
         if self.pending.contains(&key) {
             return Err(Denied::Pending);
         }
-        let grant = self.decide(now, key, policy, shown)?;
+        let grant = self.decide(now, key, policy, token)?;
         self.pending.insert(key);
         Ok(grant)
     }
 
-    /// The granted attempt is not made.
+    /// Gives up a grant: the attempt is not made.
     pub fn release(&mut self, key: KeyHash) {
         self.pending.remove(&key);
     }
 
-    /// Entries, and keys that are about to have one.
+    /// Returns whether the keys, with the granted ones that have no entry yet, fill the table.
     fn is_full(&self) -> bool {
         let new = self
             .pending
@@ -140,26 +143,26 @@
         now: Millis,
         key: KeyHash,
         policy: &RetryPolicy,
-        shown: Option<&Token>,
+        token: Option<&Token>,
     ) -> Result<Grant, Denied> {
-        if shown.is_some_and(|token| token.key != key) {
+        if token.is_some_and(|presented| presented.key != key) {
             return Err(Denied::KeyMismatch);
         }
         if self.unreadable.contains(&key) {
             return Err(Denied::Unreadable);
         }
         let expires = now.saturating_add(policy.send_window);
-        let entry = match (self.entries.get(&key), shown) {
-            (Some(entry), Some(token)) if token.attempt < entry.attempt => {
+        let entry = match (self.entries.get(&key), token) {
+            (Some(entry), Some(presented)) if presented.attempt < entry.attempt => {
                 return Err(Denied::Superseded)
             }
-            // Another attempt than the one that is known here: by both.
-            (Some(entry), Some(token)) if !is_same_attempt(entry, token) => {
-                merge(entry, token, policy)?
+            // The token is of another attempt than the entry: both count.
+            (Some(entry), Some(presented)) if !is_same_attempt(entry, presented) => {
+                merge(entry, presented, policy)?
             }
             (Some(entry), _) => *entry,
-            // Of another instance, or from before a store was lost: by what the token says, which may have run.
-            (None, Some(token)) => entry_of_token(token, policy),
+            // The token is of another instance, or from before a store was lost. Its attempt may have run.
+            (None, Some(presented)) => entry_from_token(presented, policy),
             (None, None) if self.is_full() => return Err(Denied::TableFull),
             (None, None) => {
                 return Ok(Grant::Anywhere {
@@ -182,31 +185,32 @@
             .checked_add(1)
             .filter(|n| *n < policy.max_attempts)
             .ok_or(Denied::AttemptsExhausted)?;
-        // What was out and is heard of no more may have run.
-        let ran = entry
+        // An attempt that is in flight past its time, with unknown end, may have run.
+        let first_run = entry
             .may_have_run
             .or(entry.in_flight.then_some((entry.issued_at, entry.group)));
-        let Some((first, group)) = ran else {
+        let Some((first, group)) = first_run else {
             return Ok(Grant::Anywhere {
                 attempt,
                 first: now,
                 expires,
             });
         };
-        // The attempt must have arrived before the archive forgets the first run.
-        let closes = first.saturating_add(policy.idempotency_window);
-        if now >= closes {
+        // The attempt must arrive before the archive forgets the first run.
+        let window_end = first.saturating_add(policy.idempotency_window);
+        if now >= window_end {
             return Err(Denied::WindowExpired);
         }
         Ok(Grant::Within {
             attempt,
             group,
             first,
-            expires: expires.min(closes),
+            expires: expires.min(window_end),
         })
     }
 
-    /// Records the granted attempt as in flight to a group of caches. The entry is to be stored before the attempt is sent.
+    /// Records a granted attempt as in flight to a group of caches, and returns the key's entry, which the caller has to
+    /// store before it sends the attempt. `group` is ignored for [`Grant::Within`], which has its own.
     pub fn issue(
         &mut self,
         now: Millis,
@@ -216,7 +220,7 @@
         group: u32,
         request: KeyHash,
     ) -> Entry {
-        let (attempt, ran, expires) = match *grant {
+        let (attempt, first_run, expires) = match *grant {
             Grant::Anywhere {
                 attempt, expires, ..
             } => (attempt, None, expires),
@@ -233,7 +237,7 @@
             attempt,
             in_flight: true,
             running_until,
-            may_have_run: ran,
+            may_have_run: first_run,
             request,
             group,
             issued_at: now,
@@ -244,13 +248,13 @@
         entry
     }
 
-    /// Records how the last attempt ended; for any other attempt nothing changes. Returns the entry if it changed.
+    /// Records how the last attempt ended. Returns the entry if it changed; the end of any other attempt changes nothing.
     pub fn record_end(&mut self, key: KeyHash, attempt: u8, end: AttemptEnd) -> Option<Entry> {
         let entry = self
             .entries
             .get(&key)
             .filter(|e| e.in_flight && e.attempt == attempt)?;
-        let ran = match end {
+        let first_run = match end {
             AttemptEnd::NotExecuted => entry.may_have_run,
             AttemptEnd::MayHaveExecuted => {
                 entry.may_have_run.or(Some((entry.issued_at, entry.group)))
@@ -258,7 +262,7 @@
         };
         let entry = Entry {
             in_flight: false,
-            may_have_run: ran,
+            may_have_run: first_run,
             ..*entry
         };
         self.put(key, entry);
--- a/pure/idempotency/src/token.rs
+++ b/pure/idempotency/src/token.rs
@@ -1,7 +1,7 @@
-//! Tokens: what an attempt that a caller makes carries, so that any instance can judge a retry of it.
+//! Tokens: carried by each attempt that a caller makes, so that any instance can decide on a retry of it.
 //!
-//! A token is 58 bytes and a MAC (HMAC-SHA-256, truncated to 16 bytes), in URL-safe base64. Signing keys are rotated in
-//! service: tokens of a former key stay valid for an overlap.
+//! A token is 55 bytes of fields and a MAC (HMAC-SHA-256, truncated to 16 bytes), in URL-safe base64. Signing keys are
+//! rotated in service: tokens of a former key stay valid for an overlap.
 
 use crate::Millis;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -14,23 +14,23 @@
 /// Length of the fields before the MAC, and of the MAC (bytes).
 const BODY_LEN: usize = 1 + 1 + 16 + 16 + 1 + 4 + 8 + 8;
 const MAC_LEN: usize = 16;
-/// Longest text that is read (bytes).
+/// Maximum length of a text that is decoded (bytes).
 pub const MAX_TEXT_LEN: usize = 128;
 
-/// A hash of an idempotency key or a request id (the first 16 bytes of SHA-256): the text can't be recovered from it.
+/// A hash of an idempotency key or a request id: the first 16 bytes of SHA-256, from which the text can't be recovered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct KeyHash(pub [u8; 16]);
 
 impl KeyHash {
-    /// The hash of a text.
+    /// Hashes a text.
     pub fn of(text: &str) -> KeyHash {
-        let mut mark = [0; 16];
-        mark.copy_from_slice(&Sha256::digest(text.as_bytes())[..16]);
-        KeyHash(mark)
+        let mut hash = [0; 16];
+        hash.copy_from_slice(&Sha256::digest(text.as_bytes())[..16]);
+        KeyHash(hash)
     }
 }
 
-/// What a token says.
+/// The contents of a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token {
     /// The request; unique over all instances.
@@ -41,32 +41,32 @@
     pub attempt: u8,
     /// The group of caches that drops duplicates of the key.
     pub group: u32,
-    /// When the key's first attempt that may have been executed was issued.
+    /// Issue time of the key's first attempt that may have been executed.
     pub first: Millis,
-    /// Until when the attempt may be sent.
+    /// Time until which the attempt may be sent.
     pub expires: Millis,
 }
 
-/// Why a token is not accepted.
+/// The reason why a token is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenError {
     /// It can't be decoded.
     Malformed,
-    /// Its signing key is not known here, or not any more.
+    /// Its signing key is unknown here, or no longer accepted.
     UnknownKey,
     /// The MAC does not match.
     BadSignature,
-    /// Its time is over.
+    /// It has expired.
     Expired,
 }
 
 impl fmt::Display for TokenError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            TokenError::Malformed => "the token can't be read",
-            TokenError::UnknownKey => "the token's key is not known here",
-            TokenError::BadSignature => "the token was not made here",
-            TokenError::Expired => "the token's time is over",
+            TokenError::Malformed => "the token is malformed",
+            TokenError::UnknownKey => "the token's signing key is unknown",
+            TokenError::BadSignature => "the token's signature does not match",
+            TokenError::Expired => "the token has expired",
         })
     }
 }
@@ -74,30 +74,31 @@
 struct SigningKey {
     number: u8,
     mac: Hmac<Sha256>,
+    /// Time from which its tokens are rejected; `None` for no end.
     until: Option<Millis>,
 }
 
-/// The key that signs, and former ones whose tokens are still accepted.
+/// The key that signs, and other keys whose tokens are accepted.
 pub struct SigningKeys {
     keys: Vec<SigningKey>,
 }
 
 impl SigningKeys {
-    /// A single key; `number` names it in its tokens, and is the same at all instances.
+    /// Creates a set of a single key. `number` identifies the key in its tokens, and must be the same at all instances.
     pub fn new(number: u8, secret: &[u8]) -> SigningKeys {
         let mut keys = SigningKeys { keys: Vec::new() };
         keys.rotate(0, 0, number, secret);
         keys
     }
 
-    /// Makes another key sign; tokens of the former ones are accepted for `overlap` more.
+    /// Adds the key that signs from now on. Tokens of the former keys are accepted for another `overlap` milliseconds.
     pub fn rotate(&mut self, now: Millis, overlap: Millis, number: u8, secret: &[u8]) {
         self.keys
             .retain(|key| key.number != number && key.until.is_none_or(|until| now < until));
         for key in &mut self.keys {
             key.until = Some(key.until.unwrap_or(now.saturating_add(overlap)));
         }
-        let mac = Hmac::new_from_slice(secret).expect("any length of key will do");
+        let mac = Hmac::new_from_slice(secret).expect("HMAC accepts keys of any length");
         self.keys.insert(
             0,
             SigningKey {
@@ -108,8 +109,9 @@
         );
     }
 
-    /// Replaces the keys: the last one signs, and tokens of all are accepted without an end, so that a key can be known
-    /// everywhere before it signs anywhere. Tokens of keys that are no longer there are accepted for `overlap`.
+    /// Replaces the keys. The last one signs, and tokens of all are accepted without an end, so that a key can be
+    /// distributed to all instances before any of them signs with it. Tokens of removed keys are accepted for another
+    /// `overlap` milliseconds.
     pub fn replace(&mut self, now: Millis, overlap: Millis, keys: &[(u8, &[u8])]) {
         for (number, secret) in keys {
             self.rotate(now, overlap, *number, secret);
@@ -121,7 +123,7 @@
         }
     }
 
-    /// The text of a token, signed by the last key.
+    /// Encodes a token and signs it with the last key.
     pub fn sign(&self, token: &Token) -> String {
         let key = &self.keys[0];
         let mut bytes = Vec::with_capacity(BODY_LEN + MAC_LEN);
@@ -142,7 +144,7 @@
     ///
     /// # Errors
     ///
-    /// The reason; an expired token comes with its contents, which are authentic.
+    /// Returns the reason if the token is rejected; an expired token comes with its contents, which are authentic.
     pub fn verify(&self, now: Millis, text: &str) -> Result<Token, (TokenError, Option<Token>)> {
         let malformed = (TokenError::Malformed, None);
         if text.len() > MAX_TEXT_LEN {
@@ -152,26 +154,26 @@
         if bytes.len() != BODY_LEN + MAC_LEN || bytes[0] != VERSION {
             return Err(malformed);
         }
-        let (body, theirs) = bytes.split_at(BODY_LEN);
+        let (body, received_mac) = bytes.split_at(BODY_LEN);
         let key = self
             .keys
             .iter()
-            .find(|h| h.number == body[1] && h.until.is_none_or(|until| now < until));
+            .find(|key| key.number == body[1] && key.until.is_none_or(|until| now < until));
         let key = key.ok_or((TokenError::UnknownKey, None))?;
         let mut mac = key.mac.clone();
         mac.update(body);
-        // In constant time, as the library does it.
-        mac.verify_truncated_left(theirs)
+        // The library compares in constant time.
+        mac.verify_truncated_left(received_mac)
             .map_err(|_| (TokenError::BadSignature, None))?;
-        let mark = |at: usize| KeyHash(body[at..at + 16].try_into().expect("16 bytes"));
-        let long = |at: usize| u64::from_be_bytes(body[at..at + 8].try_into().expect("8 bytes"));
+        let hash_at = |at: usize| KeyHash(body[at..at + 16].try_into().expect("16 bytes"));
+        let u64_at = |at: usize| u64::from_be_bytes(body[at..at + 8].try_into().expect("8 bytes"));
         let token = Token {
-            request: mark(2),
-            key: mark(18),
+            request: hash_at(2),
+            key: hash_at(18),
             attempt: body[34],
             group: u32::from_be_bytes(body[35..39].try_into().expect("4 bytes")),
-            first: long(39),
-            expires: long(47),
+            first: u64_at(39),
+            expires: u64_at(47),
         };
         if token.expires <= now {
             return Err((TokenError::Expired, Some(token)));
--- a/pure/idempotency/src/token/tests.rs
+++ b/pure/idempotency/src/token/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_token_is_read_by_whoever_has_its_key_until_its_time_is_over() {
+fn a_token_is_accepted_with_its_key_until_it_expires() {
     let keys = SigningKeys::new(1, b"secret");
     let text = keys.sign(&token());
     assert_eq!(
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_former_key_is_believed_for_the_overlap_and_no_longer() {
+fn a_former_key_is_accepted_for_the_overlap_and_no_longer() {
     let mut keys = SigningKeys::new(1, b"one");
     let text = keys.sign(&Token {
         expires: u64::MAX,
@@ -54,14 +54,14 @@
     keys.rotate(100, 50, 2, b"two");
     assert!(keys.verify(149, &text).is_ok());
     assert_eq!(keys.verify(150, &text), Err((TokenError::UnknownKey, None)));
-    // A second change in the overlap does not make it longer.
+    // A second rotation within the overlap does not extend it.
     keys.rotate(120, 50, 3, b"three");
     assert_eq!(keys.verify(150, &text), Err((TokenError::UnknownKey, None)));
     assert!(keys.verify(160, &keys.sign(&token())).is_ok());
 }
 
 #[test]
-fn a_key_is_known_before_it_signs_and_believed_after_it_is_gone() {
+fn a_key_is_accepted_before_it_signs_and_after_it_is_removed() {
     let token = Token {
         expires: u64::MAX,
         ..token()
@@ -71,12 +71,12 @@
     let by_one = keys.sign(&token);
     assert!(
         SigningKeys::new(1, b"one").verify(0, &by_one).is_ok(),
-        "the last of the file signs"
+        "the last key signs"
     );
     assert!(
         keys.verify(0, &SigningKeys::new(2, b"two").sign(&token))
             .is_ok(),
-        "another instance was quicker"
+        "another instance already signs with the new key"
     );
     keys.replace(10, 50, &[(1, b"one"), (2, b"two")]);
     assert!(SigningKeys::new(2, b"two")
@@ -88,7 +88,7 @@
 
 proptest! {
     #[test]
-    fn any_changed_byte_is_no_token(at in 0usize..BODY_LEN + MAC_LEN, by in 1u8..=255) {
+    fn a_token_with_a_changed_byte_is_rejected(at in 0usize..BODY_LEN + MAC_LEN, by in 1u8..=255) {
         let keys = SigningKeys::new(1, b"secret");
         let mut bytes = URL_SAFE_NO_PAD.decode(keys.sign(&token())).unwrap();
         bytes[at] ^= by;
@@ -96,7 +96,7 @@
     }
 
     #[test]
-    fn any_text_is_read_or_refused(text in ".{0,160}") {
+    fn any_text_is_rejected_without_a_panic(text in ".{0,160}") {
         prop_assert!(SigningKeys::new(1, b"secret").verify(0, &text).is_err());
     }
 }
--- a/pure/idempotency/tests/formats.rs
+++ b/pure/idempotency/tests/formats.rs
@@ -1,4 +1,4 @@
-//! The bytes of stored attempts and of tokens, against fixtures.
+//! The stored bytes of entries and hashes and the text of tokens, compared with fixtures.
 
 #[path = "../../../tests/formats/bytes.rs"]
 mod fixtures;
@@ -11,43 +11,46 @@
 }
 
 #[test]
-fn the_bytes_of_stored_entries_stay() {
-    let entry = |in_flight, ran| Entry {
+fn stored_entries_keep_their_bytes() {
+    let entry = |in_flight, first_run| Entry {
         attempt: 3,
         in_flight,
         running_until: 1_764_576_000_301,
-        may_have_run: ran,
+        may_have_run: first_run,
         request: KeyHash([0x11; 16]),
         group: 302,
         issued_at: 1_764_576_000_303,
         evict_at: 1_764_576_000_304,
     };
-    let ran = Some((1_764_576_000_305, 306));
+    let first_run = Some((1_764_576_000_305, 306));
     fixtures::check(
         &path("entries.hex"),
         &[
             ("in flight", entry(true, None)),
-            ("in flight, an earlier one may have run", entry(true, ran)),
+            (
+                "in flight, an earlier one may have run",
+                entry(true, first_run),
+            ),
             ("never ran", entry(false, None)),
-            ("may have run", entry(false, ran)),
+            ("may have run", entry(false, first_run)),
         ],
         |entry| entry.to_bytes().to_vec(),
-        |bytes| Entry::from_bytes(bytes).expect("an entry"),
+        |bytes| Entry::from_bytes(bytes).expect("a valid entry"),
     );
 }
 
 #[test]
-fn the_bytes_of_hashes_stay() {
+fn hashes_keep_their_bytes() {
     fixtures::check(
         &path("hashes.hex"),
         &[("key-1", KeyHash::of("key-1"))],
-        |mark| mark.0.to_vec(),
+        |hash| hash.0.to_vec(),
         |bytes| KeyHash(bytes.try_into().expect("16 bytes")),
     );
 }
 
 #[test]
-fn the_text_of_tokens_stays() {
+fn tokens_keep_their_text() {
     let token = Token {
         request: KeyHash([0x21; 16]),
         key: KeyHash([0x22; 16]),
@@ -61,6 +64,6 @@
         &path("tokens.txt"),
         &[("key 7", token)],
         |token| keys.sign(token),
-        |text| keys.verify(0, text).expect("a token that is signed"),
+        |text| keys.verify(0, text).expect("a signed token"),
     );
 }
--- a/pure/idempotency/tests/states/main.rs
+++ b/pure/idempotency/tests/states/main.rs
@@ -1,76 +1,83 @@
-//! The table against a plain model, which keeps each key's whole history: whatever is asked, handed out, let go, told of its
-//! end or forgotten, in whatever order, over restarts, the table grants and refuses as the history says.
+//! Compares the table with a reference model that keeps each key's whole history. Whatever is granted, issued, released,
+//! ended, evicted or unreadable, in whatever order and over restarts, the table decides as the history requires.
 
 mod model;
 
 use foldmux_idempotency::table::{Entry, Grant, IdempotencyTable, STORED_LENGTH};
 use foldmux_idempotency::token::{KeyHash, Token};
-use model::{Model, Shown, Step, KEYS, MOST, RULE};
+use model::{Model, Presented, Step, KEY_COUNT, MAX_KEYS, POLICY};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use proptest_state_machine::{prop_state_machine, StateMachineTest};
 use std::collections::BTreeMap;
 
-struct Real {
+struct TableTest {
     table: IdempotencyTable,
     stored: BTreeMap<KeyHash, [u8; STORED_LENGTH]>,
     tokens: BTreeMap<u8, Vec<Token>>,
     granted: BTreeMap<u8, Grant>,
 }
 
-fn mark(key: u8) -> KeyHash {
+fn hash(key: u8) -> KeyHash {
     KeyHash([key; 16])
 }
 
-impl StateMachineTest for Real {
-    type SystemUnderTest = Real;
+impl StateMachineTest for TableTest {
+    type SystemUnderTest = TableTest;
     type Reference = Model;
 
-    fn init_test(_: &Model) -> Real {
+    fn init_test(_: &Model) -> TableTest {
         let (stored, tokens, granted) = Default::default();
-        Real {
-            table: IdempotencyTable::new(MOST),
+        TableTest {
+            table: IdempotencyTable::new(MAX_KEYS),
             stored,
             tokens,
             granted,
         }
     }
 
-    fn apply(mut real: Real, model: &Model, step: Step) -> Real {
+    fn apply(mut test: TableTest, model: &Model, step: Step) -> TableTest {
         let now = model.now;
         match step {
             Step::Wait(_) => {}
-            Step::Ask(key, shown) => {
-                // Of a history that is forgotten by this ask a caller shows nothing: it asks no more by then.
-                let own = real
+            Step::Acquire(key, presented) => {
+                // A key whose history is evicted by this request has no tokens: callers have stopped retrying it by then.
+                let tokens = test
                     .tokens
                     .get(&key)
                     .filter(|_| model.keys.contains_key(&key));
-                let (request, group) = (mark(8), 0);
+                let (request, group) = (hash(8), 0);
                 let other = Token {
-                    key: mark(9),
+                    key: hash(9),
                     request,
                     attempt: 0,
                     group,
                     first: now,
                     expires: now,
                 };
-                let shown = match shown {
-                    Shown::Nothing => None,
-                    Shown::Last => own.and_then(|all| all.last().copied()),
-                    Shown::First => own.and_then(|all| all.first().copied()),
-                    Shown::OtherKey => Some(other),
+                let presented = match presented {
+                    Presented::Nothing => None,
+                    Presented::Last => tokens.and_then(|all| all.last().copied()),
+                    Presented::First => tokens.and_then(|all| all.first().copied()),
+                    Presented::OtherKey => Some(other),
                 };
-                let told = real.table.acquire(now, mark(key), &RULE, shown.as_ref());
-                assert_eq!(Some(told), model.last, "key {key}, shown {shown:?}");
-                real.granted.extend(told.iter().map(|grant| (key, *grant)));
-                for gone in real.table.take_evicted() {
-                    real.stored.remove(&gone);
-                    real.tokens.remove(&gone.0[0]);
+                let decision = test
+                    .table
+                    .acquire(now, hash(key), &POLICY, presented.as_ref());
+                assert_eq!(
+                    Some(decision),
+                    model.last,
+                    "key {key}, presented {presented:?}"
+                );
+                test.granted
+                    .extend(decision.iter().map(|grant| (key, *grant)));
+                for gone in test.table.take_evicted() {
+                    test.stored.remove(&gone);
+                    test.tokens.remove(&gone.0[0]);
                 }
             }
-            Step::Hand(key, group) => {
-                let grant = real.granted.remove(&key).expect("granted");
+            Step::Issue(key, group) => {
+                let grant = test.granted.remove(&key).expect("granted");
                 let (attempt, group, first, expires) = match grant {
                     Grant::Anywhere {
                         attempt,
@@ -84,50 +91,51 @@
                         expires,
                     } => (attempt, group, first, expires),
                 };
-                let request = mark(100 + attempt);
-                let entry = real
+                let request = hash(100 + attempt);
+                let entry = test
                     .table
-                    .issue(now, mark(key), &RULE, &grant, group, request);
-                real.stored.insert(mark(key), entry.to_bytes());
+                    .issue(now, hash(key), &POLICY, &grant, group, request);
+                test.stored.insert(hash(key), entry.to_bytes());
                 let token = Token {
                     request,
-                    key: mark(key),
+                    key: hash(key),
                     attempt,
                     group,
                     first,
                     expires,
                 };
-                real.tokens.entry(key).or_default().push(token);
+                test.tokens.entry(key).or_default().push(token);
             }
-            Step::LetGo(key) => {
-                real.granted.remove(&key);
-                real.table.release(mark(key));
+            Step::Release(key) => {
+                test.granted.remove(&key);
+                test.table.release(hash(key));
             }
             Step::Ended(key, attempt, end) => {
-                let entry = real.table.record_end(mark(key), attempt, end);
-                real.stored
-                    .extend(entry.map(|entry| (mark(key), entry.to_bytes())));
+                let entry = test.table.record_end(hash(key), attempt, end);
+                test.stored
+                    .extend(entry.map(|entry| (hash(key), entry.to_bytes())));
             }
             Step::Restart => {
-                let read = |bytes: &[u8]| Entry::from_bytes(bytes).expect("as it was written");
-                let entries = real.stored.iter().map(|(key, bytes)| (*key, read(bytes)));
-                real.table = IdempotencyTable::restored(MOST, entries);
+                let read =
+                    |bytes: &[u8]| Entry::from_bytes(bytes).expect("the entry as it was stored");
+                let entries = test.stored.iter().map(|(key, bytes)| (*key, read(bytes)));
+                test.table = IdempotencyTable::restored(MAX_KEYS, entries);
                 model
-                    .fenced
+                    .unreadable
                     .iter()
-                    .for_each(|(key, until)| real.table.block_unreadable(mark(*key), *until));
-                real.granted.clear();
+                    .for_each(|(key, until)| test.table.block_unreadable(hash(*key), *until));
+                test.granted.clear();
             }
-            Step::Fence(key, time) => real.table.block_unreadable(mark(key), now + time),
+            Step::BlockUnreadable(key, time) => test.table.block_unreadable(hash(key), now + time),
         }
-        real
+        test
     }
 
-    fn check_invariants(real: &Real, model: &Model) {
-        let held = (0..KEYS).filter(|key| real.table.get(mark(*key)).is_some());
+    fn check_invariants(test: &TableTest, model: &Model) {
+        let held = (0..KEY_COUNT).filter(|key| test.table.get(hash(*key)).is_some());
         assert!(held.eq(model.keys.keys().copied()));
-        assert_eq!(real.table.pending(), model.asked.len());
-        assert_eq!(real.table.len(), model.keys.len() + model.fenced.len());
+        assert_eq!(test.table.pending(), model.granted.len());
+        assert_eq!(test.table.len(), model.keys.len() + model.unreadable.len());
     }
 }
 
@@ -135,5 +143,5 @@
     #![proptest_config(ProptestConfig { cases: 2_000, rng_seed: RngSeed::Fixed(18), ..ProptestConfig::default() })]
 
     #[test]
-    fn the_ledger_says_what_the_history_says(sequential 1..60 => Real);
+    fn the_table_decides_as_the_history_requires(sequential 1..60 => TableTest);
 }
--- a/pure/idempotency/tests/states/model.rs
+++ b/pure/idempotency/tests/states/model.rs
@@ -1,4 +1,4 @@
-//! The plain model: each key's whole history.
+//! The reference model: each key's whole history.
 
 use foldmux_idempotency::table::{AttemptEnd, Denied, Grant, RetryPolicy};
 use foldmux_idempotency::Millis;
@@ -6,19 +6,19 @@
 use proptest_state_machine::ReferenceStateMachine;
 use std::collections::BTreeMap;
 
-pub const RULE: RetryPolicy = RetryPolicy {
+pub const POLICY: RetryPolicy = RetryPolicy {
     idempotency_window: 2_000,
     max_attempts: 4,
     send_window: 200,
     max_run_time: 300,
     retention: 3_000,
 };
-pub const MOST: usize = 3;
-pub const KEYS: u8 = 5;
+pub const MAX_KEYS: usize = 3;
+pub const KEY_COUNT: u8 = 5;
 
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// As it was granted: what came before may be forgotten by the time it is handed out.
+    /// Its number as it was granted: the attempts before it may be evicted by the time it is issued.
     pub number: u8,
     pub issued_at: Millis,
     pub running_until: Millis,
@@ -26,9 +26,9 @@
     pub end: Option<AttemptEnd>,
 }
 
-/// What a caller shows: a token of its first or last attempt, of another key, or nothing.
+/// What a caller presents: a token of its first or last attempt, a token of another key, or nothing.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Shown {
+pub enum Presented {
     Nothing,
     Last,
     First,
@@ -38,53 +38,55 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     Wait(Millis),
-    Ask(u8, Shown),
-    /// What was granted is handed out, to this group where it may go anywhere; or let go.
-    Hand(u8, u32),
-    LetGo(u8),
+    Acquire(u8, Presented),
+    /// A granted attempt is issued, to this group if it may go to any.
+    Issue(u8, u32),
+    /// A granted attempt is released.
+    Release(u8),
     Ended(u8, u8, AttemptEnd),
-    /// With what a store kept.
+    /// The process restarts with what its store kept.
     Restart,
-    Fence(u8, Millis),
+    /// A stored entry of the key can't be read, and blocks it for this time.
+    BlockUnreadable(u8, Millis),
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Model {
     pub now: Millis,
     pub keys: BTreeMap<u8, Vec<Attempt>>,
-    pub fenced: BTreeMap<u8, Millis>,
-    pub asked: BTreeMap<u8, Grant>,
+    pub unreadable: BTreeMap<u8, Millis>,
+    pub granted: BTreeMap<u8, Grant>,
     pub last: Option<Result<Grant, Denied>>,
 }
 
 impl Model {
-    fn forget(&mut self) {
+    fn evict(&mut self) {
         let now = self.now;
         self.keys.retain(|_, all| {
             all.last()
-                .is_some_and(|last| last.running_until + RULE.retention > now)
+                .is_some_and(|last| last.running_until + POLICY.retention > now)
         });
-        self.fenced.retain(|_, until| *until > now);
+        self.unreadable.retain(|_, until| *until > now);
     }
 
-    fn decide(&self, key: u8, shown: Shown) -> Result<Grant, Denied> {
-        if self.asked.contains_key(&key) {
+    fn decide(&self, key: u8, presented: Presented) -> Result<Grant, Denied> {
+        if self.granted.contains_key(&key) {
             return Err(Denied::Pending);
         }
-        if shown == Shown::OtherKey {
+        if presented == Presented::OtherKey {
             return Err(Denied::KeyMismatch);
         }
-        if self.fenced.contains_key(&key) {
+        if self.unreadable.contains_key(&key) {
             return Err(Denied::Unreadable);
         }
-        let (now, expires) = (self.now, self.now + RULE.send_window);
+        let (now, expires) = (self.now, self.now + POLICY.send_window);
         let Some(history) = self.keys.get(&key) else {
             let new = self
-                .asked
+                .granted
                 .keys()
                 .filter(|key| !self.keys.contains_key(key))
                 .count();
-            let full = self.keys.len() + self.fenced.len() + new >= MOST;
+            let full = self.keys.len() + self.unreadable.len() + new >= MAX_KEYS;
             let first = Grant::Anywhere {
                 attempt: 0,
                 first: now,
@@ -96,9 +98,9 @@
                 Ok(first)
             };
         };
-        let last = history.last().expect("handed out");
+        let last = history.last().expect("an issued attempt");
         let attempt = last.number + 1;
-        if shown == Shown::First && history.len() > 1 {
+        if presented == Presented::First && history.len() > 1 {
             return Err(Denied::Superseded);
         }
         if last.end.is_none() && now < last.running_until {
@@ -106,10 +108,10 @@
                 until: last.running_until,
             });
         }
-        if attempt >= RULE.max_attempts {
+        if attempt >= POLICY.max_attempts {
             return Err(Denied::AttemptsExhausted);
         }
-        let Some(ran) = history
+        let Some(first_run) = history
             .iter()
             .find(|attempt| attempt.end != Some(AttemptEnd::NotExecuted))
         else {
@@ -119,18 +121,18 @@
                 expires,
             });
         };
-        let (first, group, closes) = (
-            ran.issued_at,
-            ran.group,
-            ran.issued_at + RULE.idempotency_window,
+        let (first, group, window_end) = (
+            first_run.issued_at,
+            first_run.group,
+            first_run.issued_at + POLICY.idempotency_window,
         );
         let within = Grant::Within {
             attempt,
             group,
             first,
-            expires: expires.min(closes),
+            expires: expires.min(window_end),
         };
-        (now < closes)
+        (now < window_end)
             .then_some(within)
             .ok_or(Denied::WindowExpired)
     }
@@ -149,8 +151,8 @@
     }
 
     fn transitions(_: &Model) -> BoxedStrategy<Step> {
-        use Shown::*;
-        let shown =
+        use Presented::*;
+        let presented =
             prop_oneof![4 => Just(Nothing), 4 => Just(Last), 1 => Just(First), 1 => Just(OtherKey)];
         let end = prop_oneof![
             Just(AttemptEnd::NotExecuted),
@@ -158,28 +160,28 @@
         ];
         prop_oneof![
             6 => prop_oneof![1..250u64, 1..4_000u64].prop_map(Step::Wait),
-            8 => (0..KEYS, shown).prop_map(|(key, shown)| Step::Ask(key, shown)),
-            8 => (0..KEYS, 0..3u32).prop_map(|(key, group)| Step::Hand(key, group)),
-            1 => (0..KEYS).prop_map(Step::LetGo),
-            5 => (0..KEYS, 0..4u8, end).prop_map(|(key, attempt, end)| Step::Ended(key, attempt, end)),
+            8 => (0..KEY_COUNT, presented).prop_map(|(key, presented)| Step::Acquire(key, presented)),
+            8 => (0..KEY_COUNT, 0..3u32).prop_map(|(key, group)| Step::Issue(key, group)),
+            1 => (0..KEY_COUNT).prop_map(Step::Release),
+            5 => (0..KEY_COUNT, 0..4u8, end).prop_map(|(key, attempt, end)| Step::Ended(key, attempt, end)),
             1 => Just(Step::Restart),
-            1 => (0..KEYS, 1..3_000u64).prop_map(|(key, time)| Step::Fence(key, time)),
+            1 => (0..KEY_COUNT, 1..3_000u64).prop_map(|(key, time)| Step::BlockUnreadable(key, time)),
         ]
         .boxed()
     }
 
     fn preconditions(model: &Model, step: &Step) -> bool {
-        let known = |key| model.keys.contains_key(key) || model.fenced.contains_key(key);
+        let is_known = |key| model.keys.contains_key(key) || model.unreadable.contains_key(key);
         match step {
-            Step::LetGo(key) => model.asked.contains_key(key),
-            // Whoever was granted one hands it out while it is good: what came before is remembered for longer than that.
-            Step::Hand(key, _) => model.asked.get(key).is_some_and(|grant| match *grant {
+            Step::Release(key) => model.granted.contains_key(key),
+            // A granted attempt is issued before it expires, which is sooner than the attempts before it are evicted.
+            Step::Issue(key, _) => model.granted.get(key).is_some_and(|grant| match *grant {
                 Grant::Anywhere { expires, .. } | Grant::Within { expires, .. } => {
                     model.now < expires
                 }
             }),
-            // A store holds of a key what can be read, or what can't.
-            Step::Fence(key, _) => !known(key) && !model.asked.contains_key(key),
+            // The store has one entry per key, readable or not.
+            Step::BlockUnreadable(key, _) => !is_known(key) && !model.granted.contains_key(key),
             _ => true,
         }
     }
@@ -187,17 +189,19 @@
     fn apply(mut model: Model, step: &Step) -> Model {
         match *step {
             Step::Wait(time) => model.now += time,
-            Step::Ask(key, shown) => {
-                model.forget();
-                let told = model.decide(key, shown);
-                model.asked.extend(told.iter().map(|grant| (key, *grant)));
-                model.last = Some(told);
+            Step::Acquire(key, presented) => {
+                model.evict();
+                let decision = model.decide(key, presented);
+                model
+                    .granted
+                    .extend(decision.iter().map(|grant| (key, *grant)));
+                model.last = Some(decision);
             }
-            Step::Hand(key, group) => {
-                // A repeat counts from the first that may have run when it was granted, also where the proof that none had
-                // comes before it is handed out.
+            Step::Issue(key, group) => {
+                // A retry counts from the first attempt that may have run when it was granted, even if that attempt is
+                // proved not to have run before the retry is issued.
                 let (number, issued_at, group, expires) =
-                    match model.asked.remove(&key).expect("granted") {
+                    match model.granted.remove(&key).expect("granted") {
                         Grant::Anywhere {
                             attempt, expires, ..
                         } => (attempt, model.now, group, expires),
@@ -208,7 +212,7 @@
                             expires,
                         } => (attempt, first, group, expires),
                     };
-                let running_until = expires + RULE.max_run_time;
+                let running_until = expires + POLICY.max_run_time;
                 model.keys.entry(key).or_default().push(Attempt {
                     number,
                     issued_at,
@@ -217,7 +221,7 @@
                     end: None,
                 });
             }
-            Step::LetGo(key) => model.asked.retain(|own, _| *own != key),
+            Step::Release(key) => model.granted.retain(|own, _| *own != key),
             Step::Ended(key, attempt, end) => {
                 let history = model
                     .keys
@@ -228,8 +232,8 @@
                     .filter(|last| last.end.is_none());
                 last.into_iter().for_each(|last| last.end = Some(end));
             }
-            Step::Restart => model.asked.clear(),
-            Step::Fence(key, time) => model.fenced.extend([(key, model.now + time)]),
+            Step::Restart => model.granted.clear(),
+            Step::BlockUnreadable(key, time) => model.unreadable.extend([(key, model.now + time)]),
         }
         model
     }
