--- a/pure/limits/src/account.rs
+++ b/pure/limits/src/account.rs
@@ -7,7 +7,7 @@
 /// The only listener at which callers authenticate.
 pub const AUTHENTICATED_FRONT: &str = "ext_proc";
 
-/// When an attempt of a class may be retried.
+/// The condition under which an attempt of a class may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
     /// Requests are idempotent: always.
@@ -35,7 +35,7 @@
 }
 
 impl IdempotencyScope {
-    /// Reads the word of the operator's file.
+    /// Parses the value of the operator's file.
     pub fn parse(text: &str) -> Option<IdempotencyScope> {
         match text {
             "cell" => Some(IdempotencyScope::Cell),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The word of the operator's file.
+    /// Returns the value of the operator's file.
     pub fn name(self) -> &'static str {
         match self {
             IdempotencyScope::Cell => "cell",
@@ -82,15 +82,15 @@
 pub struct Account {
     /// The classes, in the order of their numbers.
     pub classes: Vec<ClassRules>,
-    /// Attempts of one request at the most.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u64,
     /// Whether two attempts of one request may be in flight at once.
     pub may_duplicate: bool,
     /// The longest Retry-After that clients follow (ms). `None`: rejections may carry none.
     pub max_retry_after_ms: Option<u64>,
-    /// A final answer is due at the latest so long after the client's deadline (ms).
+    /// Time after the client's deadline within which the final response is due (ms).
     pub answer_slack_ms: u64,
-    /// So long after an invalidation an older copy may still be served (ms).
+    /// Time after a purge during which an older copy may still be served (ms).
     pub purge_slack_ms: u64,
     /// File descriptors that the process may open.
     pub max_sockets: u64,
@@ -100,9 +100,9 @@
 
 /// Buffer of one request (KiB).
 const REQUEST_BUFFER_KB: u64 = 256;
-/// Descriptors that one request may need: its client's connection and one to a server.
+/// File descriptors that one request may need: its client's connection and one to a server.
 const SOCKETS_PER_REQUEST: u64 = 2;
-/// Tenths of the memory that request buffers may take.
+/// Share of the memory that request buffers may take (tenths).
 const BUFFER_MEMORY_TENTHS: u64 = 7;
 
 impl Default for Account {
@@ -136,12 +136,12 @@
 }
 
 impl Account {
-    /// The rules of the class of that name.
+    /// Returns the rules of the class of that name.
     pub fn class(&self, name: &str) -> Option<&ClassRules> {
         self.classes.iter().find(|class| class.name == name)
     }
 
-    /// Requests that the process can hold at once, by its descriptors and by its memory; at least one.
+    /// Returns the number of requests that the process can hold at once, by its descriptors and its memory; at least one.
     pub fn request_capacity(&self) -> u64 {
         let by_sockets = self.max_sockets / SOCKETS_PER_REQUEST;
         let buffer_memory_kb = self.memory_mb * 1024 * BUFFER_MEMORY_TENTHS / 10;
--- a/pure/limits/src/admission.rs
+++ b/pure/limits/src/admission.rs
@@ -1,5 +1,5 @@
 //! The state that enforces the limits: requests in flight and queued by class and route, retry budgets, and fills by
-//! source. Its size is bounded by the limits; its owner reports what happens and is answered what may.
+//! source. Its size is bounded by the limits. Its owner reports requests and attempts, and asks which may start.
 //!
 //! Each set of limits has a pool of its own, so that a flood of one class takes no capacity of another.
 
@@ -17,9 +17,9 @@
 /// The set of limits that a request belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LimitKey {
-    /// The class's number.
+    /// Number of the class.
     pub class: usize,
-    /// The route's name. `None`: the class itself.
+    /// Name of the route; `None` for the class itself.
     pub route: Option<String>,
 }
 
@@ -32,27 +32,27 @@
     }
 }
 
-/// Whether a request is admitted.
+/// The decision on a request that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is in flight, until [`AdmissionControl::release`].
+    /// The request is in flight until [`AdmissionControl::release`].
     Admitted,
-    /// It waits, until [`AdmissionControl::release`] or [`AdmissionControl::expire`] returns its id.
+    /// The request is queued until [`AdmissionControl::release`] or [`AdmissionControl::expire`] returns its id.
     Queued,
     /// There is neither capacity nor room in the queue.
     Rejected,
 }
 
-/// What became of queued requests as the limits were replaced.
+/// The queued requests that a replacement of the limits ended or admitted.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Replaced {
-    /// Those that the new queue has no room for.
+    /// Ids of requests that the new queue has no room for.
     pub rejected: Vec<u64>,
-    /// Those that the new limits have capacity for.
+    /// Ids of requests that the new limits have capacity for.
     pub admitted: Vec<u64>,
 }
 
-/// How many requests there are in all pools.
+/// Numbers of requests in all pools.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Occupancy {
     /// Admitted and not released yet.
@@ -68,7 +68,7 @@
     bound: ConcurrencyBound,
     queue: AdmissionQueue,
     budget: Option<usize>,
-    /// Its limits were removed: it admits none, and goes with its last request.
+    /// Whether its limits were removed: it then admits no request, and is removed with the end of its last one.
     retired: bool,
 }
 
@@ -113,8 +113,8 @@
         Some(id)
     }
 
-    /// Takes over the requests of the pool that had this one's place before.
-    fn take_over(&mut self, now: TimestampUs, former: Pool, replaced: &mut Replaced) {
+    /// Moves the requests of the pool that this one replaces into this one.
+    fn adopt_requests(&mut self, now: TimestampUs, former: Pool, replaced: &mut Replaced) {
         self.in_flight = former.in_flight;
         let mut queue = former.queue;
         for request in queue.drain() {
@@ -137,7 +137,7 @@
     }
 }
 
-/// Fills of one class at one source.
+/// Identifies the fills of one class at one source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct FillKey {
     source: u64,
@@ -147,14 +147,14 @@
 /// Enforces all limits of a file.
 #[derive(Debug, Default)]
 pub struct AdmissionControl {
-    /// Ordered, so that requests are answered in the same order in each run.
+    /// Ordered by key, so that requests end in the same order in each run.
     pools: BTreeMap<LimitKey, Pool>,
     budgets: RetryBudgets,
     fills: HashMap<FillKey, u64>,
 }
 
 impl AdmissionControl {
-    /// Nothing in flight, and all budgets full.
+    /// Creates the state without any request, and with all budgets full.
     pub fn new(limits: &LimitSet) -> AdmissionControl {
         let budgets: Vec<RetryBudget> = limits
             .budgets
@@ -174,14 +174,14 @@
         }
     }
 
-    /// Puts other limits into force. Requests in flight stay so, in the pool of the same key; those of pools that are gone
-    /// end in them. Queued requests move to the new queue as far as it has room.
+    /// Replaces the limits. Requests in flight stay in the pool of their key; a pool whose limits are removed is kept until
+    /// its last request ends. Queued requests move to the new queue as far as it has room.
     pub fn replace_limits(&mut self, now: TimestampUs, limits: &LimitSet) -> Replaced {
         let mut next = AdmissionControl::new(limits);
         let mut replaced = Replaced::default();
         for (key, mut former) in std::mem::take(&mut self.pools) {
             if let Some(pool) = next.pools.get_mut(&key) {
-                pool.take_over(now, former, &mut replaced);
+                pool.adopt_requests(now, former, &mut replaced);
                 continue;
             }
             let queued = former.queue.drain();
@@ -197,7 +197,7 @@
         replaced
     }
 
-    /// A request arrives. Without limits of that key it is admitted.
+    /// Decides on a request that arrives. Without limits for its key it is admitted.
     pub fn admit(&mut self, now: TimestampUs, key: &LimitKey, id: u64) -> Admission {
         match self.pools.get_mut(key) {
             Some(pool) => pool.admit(now, id),
@@ -205,7 +205,7 @@
         }
     }
 
-    /// A request in flight ends; the queued one that is admitted in its place.
+    /// Ends a request in flight, and returns the id of the queued request that is admitted in its place.
     pub fn release(&mut self, now: TimestampUs, key: &LimitKey) -> Option<u64> {
         let pool = self.pools.get_mut(key)?;
         pool.in_flight = pool.in_flight.saturating_sub(1);
@@ -216,7 +216,7 @@
         pool.admit_next(now)
     }
 
-    /// Removes the requests that have waited too long from all queues, and returns their ids.
+    /// Removes the requests that have exceeded their queue timeout from all queues, and returns their ids.
     pub fn expire(&mut self, now: TimestampUs) -> Vec<u64> {
         self.pools
             .values_mut()
@@ -224,7 +224,7 @@
             .collect()
     }
 
-    /// A queued request waits no more: its client left, or its deadline passed.
+    /// Removes a queued request whose client left or whose deadline passed.
     pub fn cancel(&mut self, key: &LimitKey, id: u64) {
         if let Some(pool) = self.pools.get_mut(key) {
             pool.queue.remove(id);
@@ -235,14 +235,14 @@
         self.pools.get(key).and_then(|pool| pool.budget)
     }
 
-    /// A first attempt is sent: it fills the retry budget.
+    /// Records a first attempt, which adds to the retry budget.
     pub fn record_first_attempt(&mut self, key: &LimitKey) {
         if let Some(budget) = self.budget(key) {
             self.budgets.deposit(budget);
         }
     }
 
-    /// Withdraws a retry from the budget, where there is one; false where it is exhausted.
+    /// Withdraws a retry from the budget, if the key has one; returns false if it is exhausted.
     pub fn try_retry(&mut self, key: &LimitKey) -> bool {
         match self.budget(key) {
             Some(budget) => self.budgets.try_withdraw(budget),
@@ -250,8 +250,8 @@
         }
     }
 
-    /// The router wants an attempt, numbered from 0: the pause before it. `None`: no attempt is left, or the budget is
-    /// exhausted. `draw` is a random number from 0 to 1.
+    /// Starts an attempt, numbered from 0, that the router requests, and returns the pause before it; `None` if no attempt
+    /// is left or the budget is exhausted. `draw` is a random number from 0 to 1.
     pub fn start_attempt(
         &mut self,
         key: &LimitKey,
@@ -267,14 +267,14 @@
         Some(values.backoff().pause(attempt, draw))
     }
 
-    /// An attempt ended after `elapsed` microseconds: adaptive limits learn from it.
+    /// Records an attempt that ended after `elapsed` microseconds, from which adaptive limits learn.
     pub fn record_attempt(&mut self, key: &LimitKey, elapsed: TimestampUs, served: bool) {
         if let Some(pool) = self.pools.get_mut(key) {
             pool.bound.record_attempt(elapsed, served, pool.in_flight);
         }
     }
 
-    /// Starts a fill of a class at a source, unless `max` are in flight there; 0 is no bound.
+    /// Starts a fill of a class at a source and returns true, unless `max` are in flight there; 0 is no bound.
     pub fn try_start_fill(&mut self, source: u64, class: usize, max: u64) -> bool {
         let in_flight = self.fills.entry(FillKey { source, class }).or_default();
         if max > 0 && *in_flight >= max {
@@ -284,7 +284,7 @@
         true
     }
 
-    /// A fill that was started ends.
+    /// Ends a fill that was started.
     pub fn finish_fill(&mut self, source: u64, class: usize) {
         let key = FillKey { source, class };
         let Some(in_flight) = self.fills.get_mut(&key) else {
@@ -296,7 +296,7 @@
         }
     }
 
-    /// Requests in all pools.
+    /// Returns the number of requests in all pools.
     pub fn occupancy(&self) -> Occupancy {
         let pools = || self.pools.values();
         Occupancy {
--- a/pure/limits/src/concurrency.rs
+++ b/pure/limits/src/concurrency.rs
@@ -1,4 +1,4 @@
-//! How many requests of one set of limits may be in flight at once.
+//! Bounds the number of requests of one set of limits that may be in flight at once.
 //!
 //! More requests than a server can work on at once only make each of them slower; a bound rejects or queues the excess
 //! while there still is time for a retry elsewhere.
@@ -34,7 +34,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// The highest bound that the policy may come to.
+    /// Returns the highest bound that the policy allows.
     pub fn max(self) -> u64 {
         match self {
             ConcurrencyLimit::Fixed { max } | ConcurrencyLimit::Adaptive { max, .. } => max,
@@ -42,7 +42,7 @@
     }
 }
 
-/// The bound in force.
+/// The current bound, with its state.
 #[derive(Clone, Debug)]
 pub(crate) enum ConcurrencyBound {
     Unlimited,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Whether one more request may be in flight.
+    /// Returns whether one more request may be in flight.
     pub(crate) fn has_capacity(&self, in_flight: u64) -> bool {
         match self {
             ConcurrencyBound::Unlimited => true,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Learns from an attempt that ended after `elapsed` microseconds.
+    /// Adapts the bound to an attempt that ended after `elapsed` microseconds.
     pub(crate) fn record_attempt(&mut self, elapsed: TimestampUs, served: bool, in_flight: u64) {
         if let ConcurrencyBound::Adaptive(limit) = self {
             limit.record_attempt(elapsed, served, in_flight);
--- a/pure/limits/src/effective.rs
+++ b/pure/limits/src/effective.rs
@@ -7,7 +7,7 @@
 use schemars::JsonSchema;
 use serde::Serialize;
 
-/// The highest retention priority that caches know.
+/// The highest retention rank that caches know.
 pub const MAX_RETENTION_RANK: u64 = 3;
 /// Pauses double unless the file says otherwise.
 const DEFAULT_BACKOFF_FACTOR: f64 = 2.0;
@@ -62,7 +62,7 @@
         Field::IdempotencyScope,
     ];
 
-    /// The word of the operator's file and of the export.
+    /// Returns the name of the field in the operator's file and in the export.
     pub fn name(self) -> &'static str {
         match self {
             Field::Deadline => "deadline_ms",
@@ -145,7 +145,7 @@
 }
 
 impl EffectiveLimits {
-    /// What holds where a file sets nothing.
+    /// Returns the limits that apply where a file sets nothing.
     pub fn defaults(account: &Account, class: &ClassRules) -> EffectiveLimits {
         let (idempotency_window_ms, idempotency_scope) = match class.retry_safety {
             RetrySafety::Keyed(scope) => (class.idempotency_window_ms, scope),
@@ -173,7 +173,7 @@
         }
     }
 
-    /// How long to pause before a retry.
+    /// Returns the backoff policy of retries.
     pub fn backoff(&self) -> Backoff {
         Backoff {
             base_ms: self.backoff_base_ms,
@@ -183,12 +183,12 @@
         }
     }
 
-    /// How long one attempt may take.
+    /// Returns the timeout of one attempt.
     pub fn attempt_timeout(&self) -> AttemptTimeout {
         AttemptTimeout::from_millis(self.attempt_timeout_ms)
     }
 
-    /// The value of a field as it is printed and compared.
+    /// Formats the value of a field, as it is printed and compared.
     pub fn format_field(&self, field: Field) -> String {
         match field {
             Field::Deadline => self.deadline_ms.to_string(),
--- a/pure/limits/src/export.rs
+++ b/pure/limits/src/export.rs
@@ -1,4 +1,4 @@
-//! What is printed and exported: the limits with where each was set, as text and as JSON with a schema, and the
+//! Prints and exports the limits with the source of each value, as text and as JSON with a schema, and prints the
 //! differences between two files.
 
 use crate::effective::{EffectiveLimits, Field};
@@ -71,7 +71,7 @@
     }
 }
 
-/// The limits in the exported form.
+/// Returns the limits in the exported form.
 pub fn export(limits: &LimitSet) -> ExportedLimits {
     let entries = limits
         .iter()
@@ -87,17 +87,17 @@
     }
 }
 
-/// The limits as JSON.
+/// Returns the limits as JSON.
 pub fn to_json(limits: &LimitSet) -> String {
     serde_json::to_string_pretty(&export(limits)).unwrap_or_default()
 }
 
-/// The schema of [`to_json`], as it is committed.
+/// Returns the JSON schema of [`to_json`], as it is committed in `docs/limits.schema.json`.
 pub fn schema() -> String {
     serde_json::to_string_pretty(&schema_for!(ExportedLimits)).unwrap_or_default() + "\n"
 }
 
-/// The limits of one class or route as text, a line for each field.
+/// Returns the limits of one class or route as text, with one line per field.
 pub fn describe(limits: &LimitSet, resolved: &ResolvedLimits) -> String {
     let mut text = title(limits, resolved);
     text.push('\n');
@@ -119,8 +119,8 @@
     }
 }
 
-/// The differences between two files: a line for each value, for each route that was added or removed, and for each
-/// budget.
+/// Returns the differences between two files, with one line per changed value, per added or removed route, and per
+/// changed budget.
 pub fn diff(old: &LimitSet, new: &LimitSet) -> Vec<String> {
     let mut lines = Vec::new();
     diff_entries(old, new, &mut lines);
@@ -128,7 +128,7 @@
     lines
 }
 
-/// The limits of the same class and route in the other set.
+/// Returns the limits of the same class and route in the other set.
 fn counterpart<'a>(
     limits: &LimitSet,
     resolved: &ResolvedLimits,
--- a/pure/limits/src/gradient.rs
+++ b/pure/limits/src/gradient.rs
@@ -1,29 +1,29 @@
-//! An adaptive concurrency limit, by the gradient between the lowest latency seen and the present one.
+//! An adaptive concurrency limit, driven by the gradient between the lowest latency seen and the current one.
 //!
 //! While latency stays near its baseline, the limit grows by the square root of itself; as requests begin to queue at the
 //! server, latency rises and the limit shrinks in proportion.
 
 use crate::TimestampUs;
 
-/// Latency may be so many times the baseline before the limit shrinks.
+/// Ratio of latency to its baseline above which the limit shrinks.
 const LATENCY_TOLERANCE: f64 = 1.5;
-/// The limit shrinks to no less than this part in one step, before smoothing.
+/// Lowest factor by which the limit shrinks in one step, before smoothing.
 const MIN_GRADIENT: f64 = 0.5;
 /// Weight of one sample in the smoothed latency.
 const LATENCY_SMOOTHING: f64 = 0.1;
 /// Weight of one step in the smoothed limit.
 const LIMIT_SMOOTHING: f64 = 0.01;
-/// The limit grows only while at least this part of it is in flight.
+/// The limit grows only while at least this fraction of it is in flight.
 const MIN_UTILIZATION: f64 = 0.5;
-/// A decrease is judged when the limit is down to this part of where it began.
+/// A decrease is judged when the limit is down to this fraction of its initial value.
 const JUDGED_LIMIT_RATIO: f64 = 0.6;
-/// A decrease has helped where latency is at most this part of its peak since.
+/// A decrease has helped if latency is at most this fraction of its peak since.
 const HELPED_LATENCY_RATIO: f64 = 0.8;
 
-/// A decrease of the limit that is under way.
+/// A decrease of the limit that has not been judged yet.
 #[derive(Clone, Copy, Debug)]
 struct Decrease {
-    /// The limit where it began.
+    /// The limit at its start.
     initial_limit: f64,
     /// The highest smoothed latency since (us).
     peak_latency: f64,
@@ -43,7 +43,7 @@
 }
 
 impl GradientLimit {
-    /// A limit that stays from `min` (at least 1) to `max`.
+    /// Creates a limit that stays between `min`, which is raised to at least 1, and `max`.
     pub fn new(min: u64, max: u64) -> GradientLimit {
         let min = min.max(1);
         let max = max.max(min);
@@ -60,12 +60,12 @@
         }
     }
 
-    /// Requests that may be in flight now.
+    /// Returns the number of requests that may be in flight now.
     pub fn limit(&self) -> u64 {
         self.limit as u64
     }
 
-    /// Learns from an attempt that ended after `elapsed` microseconds, while so many requests were in flight.
+    /// Adapts the limit to an attempt that ended after `elapsed` microseconds while `in_flight` requests were in flight.
     pub fn record_attempt(&mut self, elapsed: TimestampUs, served: bool, in_flight: u64) {
         let sample = elapsed.max(1) as f64;
         let Some(smoothed) = self.latency else {
@@ -75,7 +75,7 @@
             }
             return;
         };
-        // Errors that come fast say nothing about how long work takes, and must not raise the limit.
+        // Fast errors say nothing about how long work takes, and must not raise the limit.
         if !served && sample < LATENCY_TOLERANCE * self.baseline {
             return;
         }
@@ -90,7 +90,7 @@
         self.limit = next.clamp(self.min, self.max);
     }
 
-    /// The limit that this latency calls for.
+    /// Returns the limit to approach at this latency.
     fn target(&self, latency: f64, in_flight: u64) -> f64 {
         let gradient = (LATENCY_TOLERANCE * self.baseline / latency).clamp(MIN_GRADIENT, 1.0);
         // A limit that is not reached is not tested by the load, so it must not grow.
@@ -99,8 +99,9 @@
         self.limit * gradient + growth
     }
 
-    /// Whether a decrease did not lower latency: then the load did not cause it, the limit is restored, and the present
-    /// latency is the baseline. Keeps a server that became slow by itself from being throttled down to the minimum.
+    /// Undoes a decrease that did not lower latency, and returns whether it did so: the load did not cause the latency, so
+    /// the limit is restored and the current latency becomes the baseline. Otherwise a server that became slow by itself
+    /// would be throttled down to the minimum.
     fn undo_useless_decrease(&mut self, target: f64, latency: f64) -> bool {
         if target >= self.limit {
             self.decrease = None;
--- a/pure/limits/src/lib.rs
+++ b/pure/limits/src/lib.rs
@@ -2,17 +2,17 @@
 //!
 //! Each limit is a policy in a module of its own, apart from the mechanism that enforces it:
 //!
-//! - what an operator may set, [`overrides`], and what results for a request, [`effective`];
+//! - the values that an operator may set, [`overrides`], and the resulting values of a request, [`effective`];
 //! - how defaults, classes and routes are combined, [`resolve`] and [`route_match`], and how a request finds its
 //!   limits, [`lookup`];
 //! - the policies: [`timeout`], [`backoff`], [`retry_budget`], [`concurrency`] (with [`gradient`]) and [`queue`];
 //! - the state that enforces all of them, [`admission`];
 //! - the rules of the account, [`account`], and every check against them, [`validation`], with a bounded search where
 //!   arithmetic does not settle a rule, [`duplicate_search`];
-//! - what is printed and exported, [`export`].
+//! - the printed and exported forms, [`export`].
 //!
-//! The crate does no I/O, reads no clock (times are passed in) and draws no random numbers (draws are passed in). It
-//! neither selects a server nor decides that an attempt is made: the router does, within these limits.
+//! The crate does no I/O, reads no clock and draws no random numbers; times and random numbers are passed in. It neither
+//! selects a server nor starts an attempt: the router decides on both, within these limits.
 //!
 //! # Examples
 //!
@@ -43,7 +43,7 @@
 pub mod timeout;
 pub mod validation;
 
-/// A time in microseconds of a clock that never goes back.
+/// A time on a monotonic clock, in microseconds.
 pub type TimestampUs = u64;
 
 pub use account::Account;
--- a/pure/limits/src/lookup.rs
+++ b/pure/limits/src/lookup.rs
@@ -1,15 +1,15 @@
-//! The limits as one proxy looks them up for each request.
+//! The table in which one proxy looks up the limits of each request.
 
 use crate::account::FRONTS;
 use crate::resolve::{LimitSet, ResolvedLimits};
 use crate::route_match::pattern_matches;
 use std::sync::Arc;
 
-/// Listeners that routes can tell apart: the named ones, and any other.
+/// Number of listeners that routes distinguish: the named ones, and any other.
 const LISTENERS: usize = FRONTS.len() + 1;
 
-/// A lookup table of one proxy. Its zone is fixed and the listeners are few, so routes that can't match by these are left
-/// out beforehand, and only the caller is compared for each request.
+/// The lookup table of one proxy. Its zone is fixed and the listeners are few, so the routes are filtered by these
+/// beforehand, and only the caller is compared for each request.
 #[derive(Clone, Debug, Default)]
 pub struct LimitTable {
     /// By class and listener: in the order of [`FRONTS`], any other last.
@@ -23,7 +23,7 @@
 }
 
 impl LimitTable {
-    /// The table of a proxy in that zone.
+    /// Creates the table of a proxy in that zone.
     pub fn new(limits: &LimitSet, zone: &str) -> LimitTable {
         let by_listener = |routes: &Vec<Arc<ResolvedLimits>>| {
             std::array::from_fn(|listener| {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The limits of a request: as [`LimitSet::find`] in this proxy's zone.
+    /// Returns the limits of a request, as [`LimitSet::find`] does in this proxy's zone.
     pub fn find(&self, class: usize, caller: &str, front: &str) -> Option<&Arc<ResolvedLimits>> {
         let listener = FRONTS.iter().position(|name| *name == front);
         let routes = &self.by_class.get(class)?[listener.unwrap_or(FRONTS.len())];
@@ -47,7 +47,7 @@
     }
 }
 
-/// The routes that requests at a listener may match, up to the first that matches every caller.
+/// Returns the routes that requests at a listener may match, up to the first that matches every caller.
 fn candidates(routes: &[Arc<ResolvedLimits>], zone: &str, front: &str) -> Vec<CallerRoute> {
     let mut candidates = Vec::new();
     for limits in routes {
--- a/pure/limits/src/overrides.rs
+++ b/pure/limits/src/overrides.rs
@@ -1,13 +1,13 @@
-//! What one call of the operator's file sets, laid over the limits that hold without it.
+//! The values that one call of the operator's file sets; they override the limits that apply without it.
 
 use crate::account::IdempotencyScope;
 use crate::concurrency::ConcurrencyLimit;
 use crate::effective::{EffectiveLimits, Field};
 
-/// The name by which the operator's file takes a class out of all retry budgets.
+/// The budget name with which the operator's file removes a class from all retry budgets.
 pub const NO_BUDGET: &str = "none";
 
-/// What a call sets; `None`: as the layer below has it. For the meaning of each see [`EffectiveLimits`].
+/// The values that a call sets; `None` keeps the value of the layer below. [`EffectiveLimits`] describes the fields.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[expect(missing_docs, reason = "the fields are those of `EffectiveLimits`")]
 pub struct LimitOverrides {
@@ -20,7 +20,7 @@
     pub jitter_percent: Option<f64>,
     /// The budget's name, or [`NO_BUDGET`].
     pub retry_budget: Option<String>,
-    /// A bound of 0 is none.
+    /// A bound of 0 removes the bound.
     pub concurrency: Option<ConcurrencyLimit>,
     pub queue_capacity: Option<u64>,
     pub queue_timeout_ms: Option<u64>,
@@ -34,7 +34,7 @@
 }
 
 impl LimitOverrides {
-    /// Lays what is set here over `values`, and returns the fields that were set.
+    /// Overrides `values` with the values set here, and returns the fields that were set.
     pub fn apply(&self, values: &mut EffectiveLimits) -> Vec<Field> {
         let mut set = Vec::new();
         macro_rules! apply {
--- a/pure/limits/src/queue.rs
+++ b/pure/limits/src/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for capacity: first in, first out, with a bound on their number and on their wait.
+//! A queue of requests that wait for capacity: first in, first out, with bounds on their number and on their wait.
 //!
 //! A queue that stays full adds latency to every request and serves none more. So when for a whole timeout each request
 //! has waited for more than half of it, the bound on the wait is halved, as CoDel does for packets.
@@ -9,7 +9,7 @@
 /// A request in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueuedRequest {
-    /// The request, as its owner numbers it.
+    /// Id of the request, chosen by its owner.
     pub id: u64,
     /// When it began to wait.
     pub since: TimestampUs,
@@ -21,12 +21,12 @@
     capacity: usize,
     timeout_us: u64,
     requests: VecDeque<QueuedRequest>,
-    /// Since when each request that left the queue had waited for more than half of the timeout.
+    /// Time since which each request that was popped had waited for more than half of the timeout.
     overloaded_since: Option<TimestampUs>,
 }
 
 impl AdmissionQueue {
-    /// A queue of so many requests, each of which may wait so long (us).
+    /// Creates an empty queue for `capacity` requests, each of which may wait for `timeout_us` microseconds.
     pub fn new(capacity: usize, timeout_us: u64) -> AdmissionQueue {
         AdmissionQueue {
             capacity,
@@ -36,17 +36,17 @@
         }
     }
 
-    /// Requests that wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether no request waits.
+    /// Returns whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Adds a request; false where the queue is full.
+    /// Adds a request; returns false if the queue is full.
     pub fn push(&mut self, request: QueuedRequest) -> bool {
         if self.requests.len() >= self.capacity {
             return false;
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Removes the request that has waited longest, as there is capacity for it, and returns its id.
+    /// Removes the request that has waited longest, because there is capacity for it, and returns its id.
     pub fn pop(&mut self, now: TimestampUs) -> Option<u64> {
         let request = self.requests.pop_front()?;
         let waited_us = now.saturating_sub(request.since);
@@ -92,12 +92,12 @@
         Some(request.id)
     }
 
-    /// Removes all requests, for a queue that takes this one's place.
+    /// Removes all requests, for a queue that replaces this one.
     pub fn drain(&mut self) -> Vec<QueuedRequest> {
         self.requests.drain(..).collect()
     }
 
-    /// Removes a request that waits no more.
+    /// Removes a request that was cancelled.
     pub fn remove(&mut self, id: u64) {
         self.requests.retain(|request| request.id != id);
     }
--- a/pure/limits/src/resolve.rs
+++ b/pure/limits/src/resolve.rs
@@ -1,4 +1,4 @@
-//! From an operator's file to the limits of each request: the defaults, then the class, then the first matching route.
+//! Resolves an operator's file to the limits of each request: the defaults, then the class, then the first matching route.
 
 use crate::account::{Account, ClassRules};
 use crate::effective::{EffectiveLimits, Field};
@@ -13,29 +13,29 @@
 pub struct Located<T> {
     /// `FILE:LINE` of the call.
     pub at: String,
-    /// What the call sets.
+    /// The value that the call sets.
     pub value: T,
 }
 
-/// What a file sets for one class.
+/// The overrides that a file sets for one class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassOverrides {
-    /// The class's name.
+    /// Name of the class.
     pub class: String,
-    /// What is set for it.
+    /// The overrides.
     pub overrides: LimitOverrides,
 }
 
-/// What a file sets for a part of a class's requests.
+/// The overrides that a file sets for some of a class's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteOverrides {
-    /// The route's name, unique within its class.
+    /// Name of the route, unique within its class.
     pub name: String,
-    /// The class's name.
+    /// Name of the class.
     pub class: String,
-    /// Which of the class's requests.
+    /// Selects the requests of the class.
     pub matching: RouteMatch,
-    /// What is set for them.
+    /// The overrides.
     pub overrides: LimitOverrides,
 }
 
@@ -46,7 +46,7 @@
     pub defaults: Option<Located<LimitOverrides>>,
     /// For single classes.
     pub classes: Vec<Located<ClassOverrides>>,
-    /// For parts of classes; the first that matches a request applies.
+    /// For some of a class's requests; the first route that matches a request applies.
     pub routes: Vec<Located<RouteOverrides>>,
     /// The retry budgets that limits name.
     pub budgets: Vec<Located<RetryBudget>>,
@@ -55,13 +55,13 @@
 /// The limits of a class or of one of its routes, and where each was set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResolvedLimits {
-    /// The class's number.
+    /// Number of the class.
     pub class: usize,
-    /// The route's name. `None`: the class itself.
+    /// Name of the route; `None` for the class itself.
     pub route: Option<String>,
-    /// The calls that apply, from the defaults to the route. Empty: the file sets nothing.
+    /// `FILE:LINE` of the calls that apply, from the defaults to the route; empty if the file sets nothing.
     pub at: Vec<String>,
-    /// Which of the class's requests.
+    /// Selects the requests of the class.
     pub matching: RouteMatch,
     /// The limits.
     pub values: EffectiveLimits,
@@ -98,12 +98,12 @@
         resolved
     }
 
-    /// Where the file sets a field, as `FILE:LINE`. `None`: it does not.
+    /// Returns where the file sets a field, as `FILE:LINE`; `None` if it does not.
     pub fn source(&self, field: Field) -> Option<&str> {
         self.sources.get(&field).map(String::as_str)
     }
 
-    /// Whether the file sets a field.
+    /// Returns whether the file sets a field.
     pub fn is_set(&self, field: Field) -> bool {
         self.sources.contains_key(&field)
     }
@@ -114,14 +114,14 @@
 pub struct LimitSet {
     /// The classes' names, by number.
     pub class_names: Vec<String>,
-    /// By class: its routes in the file's order, and last the class itself, which matches all its requests.
+    /// By class number: its routes in the file's order, and last the class itself, which matches all its requests.
     pub by_class: Vec<Vec<Arc<ResolvedLimits>>>,
     /// The retry budgets.
     pub budgets: Vec<Located<RetryBudget>>,
 }
 
 impl LimitSet {
-    /// Resolves a file. What names a class that the account does not have is left out: validation reports it.
+    /// Resolves a file. Overrides of a class that the account does not have are ignored; validation reports them.
     pub fn new(account: &Account, file: &LimitsFile) -> LimitSet {
         let mut by_class = Vec::new();
         for (number, class) in account.classes.iter().enumerate() {
@@ -136,7 +136,8 @@
         }
     }
 
-    /// The limits of a request. Looked up once for each: it keeps them to its end, whatever is loaded meanwhile.
+    /// Returns the limits of a request. They are looked up once per request, which keeps them to its end even if other
+    /// limits are loaded meanwhile.
     pub fn find(
         &self,
         class: usize,
@@ -150,12 +151,12 @@
             .find(|resolved| resolved.matching.matches(zone, caller, front))
     }
 
-    /// The limits of all classes and routes.
+    /// Iterates over the limits of all classes and routes.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<ResolvedLimits>> {
         self.by_class.iter().flatten()
     }
 
-    /// The limits of a class, or of one of its routes, by name.
+    /// Returns the limits of a class, or of one of its routes, by name.
     pub fn get(&self, class: &str, route: Option<&str>) -> Option<&Arc<ResolvedLimits>> {
         let number = self.class_names.iter().position(|name| name == class)?;
         self.by_class[number]
--- a/pure/limits/src/retry_budget.rs
+++ b/pure/limits/src/retry_budget.rs
@@ -7,7 +7,7 @@
 use schemars::JsonSchema;
 use serde::Serialize;
 
-/// A little under one token: deposits of fractions may not add up to it exactly.
+/// A little less than one token, because deposits of fractions may not add up to it exactly.
 const ONE_TOKEN: f64 = 1.0 - 1e-9;
 
 /// The policy of one budget.
@@ -46,7 +46,7 @@
 }
 
 impl RetryBudgets {
-    /// All buckets, full. A parent that does not exist counts as none: validation rejects such a file.
+    /// Creates all buckets full. A parent that does not exist counts as none; validation rejects such a file.
     pub fn new(budgets: &[RetryBudget]) -> RetryBudgets {
         let names: Vec<String> = budgets.iter().map(|budget| budget.name.clone()).collect();
         let index_of = |name: &String| names.iter().position(|own| own == name);
@@ -62,12 +62,12 @@
         }
     }
 
-    /// The index of the budget of that name.
+    /// Returns the index of the budget of that name.
     pub fn index_of(&self, name: &str) -> Option<usize> {
         self.names.iter().position(|own| own == name)
     }
 
-    /// A bucket and its ancestors. Each once, also in a cycle, which validation rejects.
+    /// Returns a bucket and its ancestors, each once even in a cycle, which validation rejects.
     fn with_ancestors(&self, index: usize) -> Vec<usize> {
         let mut chain = Vec::new();
         let mut next = Some(index);
@@ -81,7 +81,7 @@
         chain
     }
 
-    /// A first attempt is sent: deposits its part of a token.
+    /// Deposits the fraction of a token that a first attempt earns.
     pub fn deposit(&mut self, index: usize) {
         for index in self.with_ancestors(index) {
             let bucket = &mut self.buckets[index];
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Withdraws a token for a retry; false where the budget or an ancestor has none.
+    /// Withdraws a token for a retry; returns false if the budget or an ancestor has none.
     pub fn try_withdraw(&mut self, index: usize) -> bool {
         let chain = self.with_ancestors(index);
         let exhausted = |index: &usize| self.buckets[*index].tokens < ONE_TOKEN;
@@ -103,11 +103,11 @@
         true
     }
 
-    /// Tokens of a bucket.
+    /// Returns the number of tokens in a bucket.
     ///
     /// # Panics
     ///
-    /// Where there is no such bucket.
+    /// Panics if there is no such bucket.
     pub fn tokens(&self, index: usize) -> f64 {
         self.buckets[index].tokens
     }
--- a/pure/limits/src/route_match.rs
+++ b/pure/limits/src/route_match.rs
@@ -1,4 +1,4 @@
-//! Which requests of a class a route applies to.
+//! Patterns that select the requests of a class to which a route applies.
 
 /// A pattern of a zone, caller or listener: exact, or a prefix where it ends in `*`.
 #[derive(Clone, Copy)]
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Whether this matches whatever the other matches.
+    /// Returns whether this matches every value that the other matches.
     fn covers(self, other: Pattern) -> bool {
         match (self, other) {
             (Pattern::Any, _) => true,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Whether some value matches both.
+    /// Returns whether some value matches both.
     fn overlaps(self, other: Pattern) -> bool {
         match (self, other) {
             (Pattern::Any, _) | (_, Pattern::Any) => true,
@@ -54,24 +54,24 @@
     }
 }
 
-/// Whether a pattern, or none, matches a value.
+/// Returns whether a pattern matches a value; `None` matches any.
 pub(crate) fn pattern_matches(pattern: &Option<String>, value: &str) -> bool {
     Pattern::new(pattern).matches(value)
 }
 
-/// Which requests of a class a route applies to. `None`: any.
+/// Selects the requests of a class to which a route applies; a field of `None` matches any.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteMatch {
     /// The zone of the proxy.
     pub zone: Option<String>,
     /// The caller's identity, or a prefix of it where it ends in `*`.
     pub caller: Option<String>,
-    /// The protocol listener by which the request came.
+    /// The protocol listener at which the request arrived.
     pub front: Option<String>,
 }
 
 impl RouteMatch {
-    /// Whether a request matches.
+    /// Returns whether a request matches.
     pub fn matches(&self, zone: &str, caller: &str, front: &str) -> bool {
         pattern_matches(&self.zone, zone)
             && pattern_matches(&self.caller, caller)
@@ -87,12 +87,12 @@
         pairs.all(|(own, other)| holds(own, other))
     }
 
-    /// Whether every request that matches the other matches this as well.
+    /// Returns whether every request that matches the other matches this as well.
     pub fn covers(&self, other: &RouteMatch) -> bool {
         self.all_pairs(other, |own, other| own.covers(other))
     }
 
-    /// Whether some request matches both.
+    /// Returns whether some request matches both.
     pub fn overlaps(&self, other: &RouteMatch) -> bool {
         self.all_pairs(other, |own, other| own.overlaps(other))
     }
--- a/pure/limits/src/validation.rs
+++ b/pure/limits/src/validation.rs
@@ -1,6 +1,6 @@
-//! The account's rules, checked against a file: first the names that it uses, then each set of limits by itself, then
-//! limits in combination, and last what only a search shows. Each stage relies on the ones before it, so a file that
-//! fails one stage is not taken to the next.
+//! Validates a file against the account's rules: first the names that it uses, then each set of limits by itself, then
+//! limits in combination, and last the rules that only a search can check. Each stage relies on the ones before it, so a
+//! file that fails one stage is not checked by the next.
 
 mod attempts;
 mod backoff;
@@ -20,7 +20,7 @@
 use crate::effective::{EffectiveLimits, Field};
 use crate::resolve::{LimitSet, LimitsFile, ResolvedLimits};
 
-/// All violations of a file; a file with any is rejected as a whole.
+/// Returns all violations of a file; a file with any is rejected as a whole.
 pub fn validate(account: &Account, file: &LimitsFile) -> Vec<Violation> {
     let mut report = Report {
         account,
@@ -32,7 +32,7 @@
         return report.violations;
     }
     let limits = LimitSet::new(account, file);
-    // Limits that the file does not touch are the account's own, and valid.
+    // Limits that the file does not change are the account's own, and valid.
     let changed: Vec<&ResolvedLimits> = limits
         .iter()
         .map(|resolved| &**resolved)
@@ -56,7 +56,7 @@
     for resolved in changed {
         let mut scope = report.scope(resolved);
         if !timeout::check_deadline(&mut scope) {
-            // Nothing else fits into no time.
+            // Without any time every other check of time would fail as well.
             continue;
         }
         timeout::check_attempt(&mut scope);
@@ -94,7 +94,7 @@
 }
 
 impl<'a> Report<'a> {
-    /// Adds a violation; once for the same rule and lines, though several routes inherit it.
+    /// Adds a violation, once for the same rule and lines even if several routes inherit it.
     fn add(&mut self, rule: Rule, at: Vec<String>, subject: String) {
         self.add_traced(rule, at, subject, Vec::new());
     }
@@ -124,7 +124,7 @@
     }
 }
 
-/// One set of limits that is checked.
+/// The set of limits that is being checked.
 struct Scope<'b, 'a> {
     report: &'b mut Report<'a>,
     resolved: &'b ResolvedLimits,
@@ -162,7 +162,7 @@
     }
 }
 
-/// Where the file sets any of these fields, each line once; where it sets none, the last call that applies.
+/// Returns the lines that set any of these fields, each once; if none is set, the last call that applies.
 fn locations(resolved: &ResolvedLimits, fields: &[Field]) -> Vec<String> {
     let mut lines = Vec::new();
     for field in fields {
--- a/pure/limits/src/validation/attempts.rs
+++ b/pure/limits/src/validation/attempts.rs
@@ -1,4 +1,4 @@
-//! Rules of the number of attempts, of the time in which the last one is made, and of the advice to retry later.
+//! Rules of the number of attempts, of the time of the last attempt, and of Retry-After.
 
 use super::{Rule, Scope};
 use crate::account::RetrySafety;
@@ -37,7 +37,8 @@
     }
 }
 
-/// The last attempt must begin before the end, also where each attempt before it takes its whole timeout.
+/// The last attempt must begin before the deadline and the idempotency window, even if each attempt before it takes its
+/// whole timeout.
 pub(super) fn check_last_is_made(scope: &mut Scope) {
     let values = scope.values();
     let attempts = values.max_attempts;
@@ -45,7 +46,7 @@
     if values.attempt_timeout_ms == 0 || !valid_number {
         return;
     }
-    // The shortest pauses: an attempt that can be made at all is no violation.
+    // With the shortest pauses, because an attempt that can be made at all is no violation.
     let pauses_ms = values.backoff().total_ms(attempts, 1.0);
     let begins_ms = values.attempt_timeout_ms * (attempts - 1) + pauses_ms;
     let end_ms = if scope.class().is_keyed() {
@@ -66,7 +67,7 @@
     }
 }
 
-/// After the longest wait in the queue and the longest pauses, the last attempt must begin before the deadline.
+/// The last attempt must begin before the deadline even after the longest wait in the queue and the longest pauses.
 pub(super) fn check_time_for_last(scope: &mut Scope) {
     let values = scope.values();
     let attempts = values.max_attempts;
--- a/pure/limits/src/validation/idempotency.rs
+++ b/pure/limits/src/validation/idempotency.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// One key can come by several routes of its class, so these must agree on its window and scope.
+/// One key can arrive by several routes of its class, so these must agree on its window and scope.
 pub(super) fn check_windows_agree(report: &mut Report, limits: &LimitSet) {
     for routes in &limits.by_class {
         let routes: Vec<&ResolvedLimits> = routes
@@ -46,7 +46,7 @@
             .map(|resolved| &**resolved)
             .filter(|resolved| report.is_keyed(resolved))
             .collect();
-        // One violation a class: each further route would repeat it.
+        // One violation per class, since each further route would repeat it.
         if let Some((one, other)) = disagreeing(&routes) {
             report_disagreement(report, limits, one, other);
         }
--- a/pure/limits/src/validation/queue.rs
+++ b/pure/limits/src/validation/queue.rs
@@ -1,4 +1,4 @@
-//! Rules of the queue for capacity.
+//! Rules of the queue of requests that wait for capacity.
 
 use super::{Rule, Scope};
 use crate::effective::Field;
@@ -28,7 +28,7 @@
     }
 }
 
-/// After the longest wait there must be time for one attempt: of its timeout, or else of the latency objective.
+/// After the longest wait there must be time for one attempt: its timeout, or without one the latency objective.
 pub(super) fn check_time_left(scope: &mut Scope) {
     let values = scope.values();
     let attempt_ms = match values.attempt_timeout_ms {
--- a/pure/limits/src/validation/references.rs
+++ b/pure/limits/src/validation/references.rs
@@ -1,11 +1,11 @@
-//! Rules of names: the classes, routes and budgets that a file names exist, and each is set once.
+//! Rules of names: the classes, fronts and budgets that a file names must exist, and each may be set only once.
 
 use super::{routes, Report, Rule};
 use crate::effective::Field;
 use crate::overrides::{LimitOverrides, NO_BUDGET};
 use crate::resolve::{LimitsFile, Located, RouteOverrides};
 
-/// Routes that a file may have: each request compares those of its class.
+/// Maximum number of routes of a file, since each request is compared with those of its class.
 pub const MAX_ROUTES: usize = 1_000;
 
 pub(super) fn check(report: &mut Report, file: &LimitsFile) {
--- a/pure/limits/src/validation/rule.rs
+++ b/pure/limits/src/validation/rule.rs
@@ -1,10 +1,10 @@
-//! The rules by name, and their violations: where in the file, and why it is rejected.
+//! The rules with their names and reasons, and the violations that are reported.
 
 use std::fmt;
 
 macro_rules! rules {
     ($($name:ident = $text:literal: $why:literal,)*) => {
-        /// A rule that a file must keep.
+        /// A rule that a file must obey.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
         pub enum Rule { $(#[doc = $why] $name,)* }
 
@@ -12,12 +12,12 @@
             /// All rules.
             pub const ALL: &'static [Rule] = &[$(Rule::$name,)*];
 
-            /// The name by which violations are reported.
+            /// Returns the name by which violations are reported.
             pub fn name(self) -> &'static str {
                 match self { $(Rule::$name => $text,)* }
             }
 
-            /// Why a file that breaks the rule is rejected.
+            /// Returns why a file that breaks the rule is rejected.
             pub fn reason(self) -> &'static str {
                 match self { $(Rule::$name => $why,)* }
             }
@@ -72,16 +72,16 @@
     DuplicateRun = "runs-twice": "a sequence of lost responses and pauses leads to a second run of one key",
 }
 
-/// A rule that a file breaks.
+/// A violation of a rule by a file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     /// The rule.
     pub rule: Rule,
     /// The calls that conflict, as `FILE:LINE`.
     pub at: Vec<String>,
-    /// What breaks the rule, with its values.
+    /// The limits that break the rule, with their values.
     pub subject: String,
-    /// How it comes about, event by event, where that was searched for.
+    /// The sequence of events that leads to it, if the rule was checked by a search.
     pub trace: Vec<String>,
 }
 
--- a/pure/limits/src/validation/timeout.rs
+++ b/pure/limits/src/validation/timeout.rs
@@ -3,7 +3,7 @@
 use super::{Rule, Scope};
 use crate::effective::Field;
 
-/// False where the deadline leaves no time at all.
+/// Returns false if the deadline leaves no time at all.
 pub(super) fn check_deadline(scope: &mut Scope) -> bool {
     let deadline_ms = scope.values().deadline_ms;
     let account_ms = scope.class().deadline_ms;
