--- a/pure/limits/benches/limits.rs
+++ b/pure/limits/benches/limits.rs
@@ -1,4 +1,4 @@
-//! Costs: finding a request's limits among many routes, admitting and releasing it, validating a large file.
+//! Benchmarks of finding a request's limits among many routes, admitting and releasing it, and validating a large file.
 
 use foldmux_limits::admission::{AdmissionControl, LimitKey};
 use foldmux_limits::concurrency::ConcurrencyLimit;
@@ -53,7 +53,7 @@
 #[divan::bench(args = [1, 20, 200])]
 fn resolve(bencher: divan::Bencher, routes: usize) {
     let limits = LimitSet::new(&Account::default(), &file(routes));
-    // The last route of the class: all before it are looked at.
+    // The last route of the class, so that all before it are compared.
     let zone = format!("zone-{}", (routes - 1) / 3 * 3);
     let table = LimitTable::new(&limits, &zone);
     bencher.bench(|| {
@@ -63,13 +63,13 @@
     });
 }
 
-/// As [`resolve`], where the routes differ by their callers: these are looked at one by one.
+/// As [`resolve`], with routes that differ by their callers, which are compared one by one.
 #[divan::bench(args = [1, 20, 200])]
 fn resolve_by_caller(bencher: divan::Bencher, routes: usize) {
     let mut file = file(routes);
-    for (n, said) in file.routes.iter_mut().enumerate() {
+    for (n, route) in file.routes.iter_mut().enumerate() {
         let caller = Some(format!("spiffe://partner-{n}.example/*"));
-        said.value.matching = RouteMatch {
+        route.value.matching = RouteMatch {
             caller,
             ..RouteMatch::default()
         };
@@ -104,7 +104,7 @@
     });
 }
 
-/// The search for a second run of a key, with the default limits; states a second.
+/// The search for a second run of a key with the default limits, in states per second.
 #[divan::bench(sample_count = 50)]
 fn search(bencher: divan::Bencher) {
     let account = Account::default();
--- a/pure/limits/src/account.rs
+++ b/pure/limits/src/account.rs
@@ -10,15 +10,15 @@
 /// The condition under which an attempt of a class may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// Requests are idempotent: always.
+    /// Always, because requests are idempotent.
     Idempotent,
-    /// Requests carry an idempotency key: within the scope in which it is known, while it is remembered.
+    /// Within the scope in which the request's idempotency key is known, and while it is remembered.
     Keyed(IdempotencyScope),
     /// Only when no earlier attempt can have been processed.
     NotIdempotent,
 }
 
-/// Where an idempotency key is known, from narrow to wide.
+/// The scope in which an idempotency key is known, from narrow to wide.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, schemars::JsonSchema,
 )]
--- a/pure/limits/src/duplicate_search.rs
+++ b/pure/limits/src/duplicate_search.rs
@@ -119,7 +119,7 @@
     ticks.min(MAX_TICKS) as u8
 }
 
-/// What has happened to one key so far; times are in ticks since the request's arrival.
+/// What has happened to one key so far; times are in ticks since the first request's arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct KeyState {
     now: u8,
--- a/pure/limits/src/effective.rs
+++ b/pure/limits/src/effective.rs
@@ -1,4 +1,4 @@
-//! The limits that hold for a request, each resolved to a value.
+//! The limits that apply to a request, each resolved to a value.
 
 use crate::account::{Account, ClassRules, IdempotencyScope, RetrySafety};
 use crate::backoff::Backoff;
@@ -12,7 +12,7 @@
 /// Pauses double unless the file says otherwise.
 const DEFAULT_BACKOFF_FACTOR: f64 = 2.0;
 
-/// One limit, as the operator's file and the export name it; in the order in which limits are printed.
+/// Names one limit. The variants are in the order in which limits are printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[expect(
     missing_docs,
--- a/pure/limits/src/gradient/tests.rs
+++ b/pure/limits/src/gradient/tests.rs
@@ -3,11 +3,12 @@
 use super::*;
 use proptest::prelude::*;
 
-/// A server that works on `fast` requests at once in `base` us each, and on more of them in proportion slower.
-fn serve(limit: &mut GradientLimit, base: f64, fast: f64, turns: usize) {
-    for _ in 0..turns {
+/// Simulates a server that works on `capacity` requests at once in `base` microseconds each, and on more of them
+/// proportionally slower.
+fn serve(limit: &mut GradientLimit, base: f64, capacity: f64, attempts: usize) {
+    for _ in 0..attempts {
         let in_flight = limit.limit();
-        let elapsed = base * (in_flight as f64 / fast).max(1.0);
+        let elapsed = base * (in_flight as f64 / capacity).max(1.0);
         limit.record_attempt(elapsed as u64, true, in_flight);
     }
 }
@@ -52,13 +53,13 @@
 proptest! {
     #[test]
     fn it_stays_within_its_bounds(
-        least in 1u64..50, more in 0u64..500,
-        answers in proptest::collection::vec((0u64..10_000_000, any::<bool>(), 0u64..2_000), 0..500),
+        min in 1u64..50, more in 0u64..500,
+        outcomes in proptest::collection::vec((0u64..10_000_000, any::<bool>(), 0u64..2_000), 0..500),
     ) {
-        let mut limit = GradientLimit::new(least, least + more);
-        for (elapsed, served, in_flight) in answers {
+        let mut limit = GradientLimit::new(min, min + more);
+        for (elapsed, served, in_flight) in outcomes {
             limit.record_attempt(elapsed, served, in_flight);
-            prop_assert!((least..=least + more).contains(&limit.limit()));
+            prop_assert!((min..=min + more).contains(&limit.limit()));
         }
     }
 }
--- a/pure/limits/src/lookup/tests.rs
+++ b/pure/limits/src/lookup/tests.rs
@@ -7,8 +7,8 @@
 use crate::Account;
 use proptest::prelude::*;
 
-/// A route's zone, caller and front.
-type Drawn = (Option<String>, Option<String>, Option<usize>);
+/// A route's zone and caller patterns, and the index of its front.
+type RoutePatterns = (Option<String>, Option<String>, Option<usize>);
 
 proptest! {
     #[test]
@@ -18,7 +18,7 @@
         ), 0..12),
         zone in "a|b|ab|c", caller in "|s|st|sx", front in 0usize..4,
     ) {
-        let route = |(n, (zone, caller, front)): (usize, Drawn)| Located {
+        let route = |(n, (zone, caller, front)): (usize, RoutePatterns)| Located {
             at: format!("f:{n}"),
             value: RouteOverrides {
                 name: format!("r{n}"),
@@ -27,12 +27,12 @@
                 overrides: LimitOverrides::default(),
             },
         };
-        let draft = LimitsFile { routes: routes.into_iter().enumerate().map(route).collect(), ..LimitsFile::default() };
-        let table = LimitSet::new(&Account::default(), &draft);
+        let file = LimitsFile { routes: routes.into_iter().enumerate().map(route).collect(), ..LimitsFile::default() };
+        let limits = LimitSet::new(&Account::default(), &file);
         let front = FRONTS.get(front).copied().unwrap_or("other");
         for class in 0..4 {
-            let (found, all) = (LimitTable::new(&table, &zone), table.find(class, &zone, &caller, front));
-            prop_assert_eq!(found.find(class, &caller, front), all);
+            let (table, expected) = (LimitTable::new(&limits, &zone), limits.find(class, &zone, &caller, front));
+            prop_assert_eq!(table.find(class, &caller, front), expected);
         }
     }
 }
--- a/pure/limits/tests/export.rs
+++ b/pure/limits/tests/export.rs
@@ -1,4 +1,4 @@
-//! What is exported: of the schema that is committed, and what differs between two files.
+//! The export, which matches the committed schema, and the differences between two files.
 
 use foldmux_limits::export::{describe, diff, schema, to_json};
 use foldmux_limits::overrides::LimitOverrides;
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn the_committed_schema_is_that_of_the_export() {
+fn the_committed_schema_matches_the_export() {
     let committed = include_str!("../../../docs/limits.schema.json");
     assert_eq!(
         committed,
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn values_are_shown_with_where_they_come_from_and_compared() {
+fn values_are_described_with_their_sources_and_compared() {
     let limits = |file| LimitSet::new(&Account::default(), &file);
     let (old, new) = (limits(file(3, true, 5.0)), limits(file(2, false, 9.0)));
     let described = describe(&old, old.get("mix-video", Some("north")).unwrap());
--- a/pure/limits/tests/formats.rs
+++ b/pure/limits/tests/formats.rs
@@ -1,6 +1,6 @@
-//! The text of the exported limits, against a fixture. The schema is compared in `export.rs`.
+//! The text of the exported limits, compared with fixtures. The schema is compared in `export.rs`.
 //!
-//! `WRITE_FIXTURES=1 cargo test -p foldmux-limits --test formats` writes it anew.
+//! `WRITE_FIXTURES=1 cargo test -p foldmux-limits --test formats` rewrites them.
 
 use foldmux_limits::account::IdempotencyScope;
 use foldmux_limits::concurrency::ConcurrencyLimit;
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_text_of_exported_values_stays() {
+fn exported_values_keep_their_text() {
     let entry = |values| ExportedEntry {
         class: "mix-video".into(),
         route: Some("north".into()),
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn the_text_of_an_exported_table_stays() {
+fn an_exported_set_of_limits_keeps_its_text() {
     let at = |line: u32| format!("f.star:{line}");
     let overrides = |attempts| LimitOverrides {
         max_attempts: Some(attempts),
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn the_names_of_fields_are_those_of_the_export() {
+fn field_names_match_the_export() {
     let values = effective(ConcurrencyLimit::Fixed { max: 1 }, IdempotencyScope::All);
     let exported = serde_json::to_value(&values).unwrap();
     let exported: Vec<&String> = exported.as_object().unwrap().keys().collect();
--- a/pure/stats/src/lib.rs
+++ b/pure/stats/src/lib.rs
@@ -1,4 +1,4 @@
-//! Statistics that the deciding crates share: seeded random numbers, hashes and moving averages.
+//! Seeded random numbers, hashes and moving averages, shared by the crates that decide for the router.
 //!
 //! Everything here is deterministic: times are passed in, in microseconds, and random numbers come from a
 //! seed. It does no I/O, reads no clock, starts no thread and depends on no other crate of the workspace.
--- a/pure/stats/src/random.rs
+++ b/pure/stats/src/random.rs
@@ -1,20 +1,20 @@
 //! Seeded random numbers and the hash of rendezvous hashing.
 //!
-//! Both are SplitMix64, whose numbers are fixed for good: with a hash that differs between builds, instances would
-//! disagree on each object's home.
+//! Both use SplitMix64, whose output is fixed: with a hash that differed between builds, instances would disagree on the
+//! home server of each object.
 
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::SplitMix64;
 
-/// The step of SplitMix64's state.
+/// The increment of SplitMix64's state.
 const STATE_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Mixes the bits of a number: SplitMix64's output for the state `x`.
+/// Mixes the bits of a number, as SplitMix64's output for the state `x`.
 pub fn mix(x: u64) -> u64 {
     SplitMix64::seed_from_u64(x.wrapping_sub(STATE_STEP)).next_u64()
 }
 
-/// The rendezvous rank of a server for a key: every instance finds the same server highest.
+/// Returns the rendezvous rank of a server for a key. Every instance finds the same server highest.
 pub fn rendezvous_rank(key: u64, server: u64) -> u64 {
     mix(key ^ mix(server.wrapping_add(STATE_STEP)))
 }
@@ -23,12 +23,12 @@
 pub struct SeededRng(SplitMix64);
 
 impl SeededRng {
-    /// A generator that starts from `seed`.
+    /// Creates a generator that starts from `seed`.
     pub fn new(seed: u64) -> SeededRng {
         SeededRng(SplitMix64::seed_from_u64(seed))
     }
 
-    /// The next number, of all 64 bits.
+    /// Returns the next random number, uniform over all 64 bits.
     pub fn next_u64(&mut self) -> u64 {
         self.0.next_u64()
     }
--- a/pure/stats/src/rates.rs
+++ b/pure/stats/src/rates.rs
@@ -5,22 +5,22 @@
 /// Microseconds, on a monotonic clock whose origin is arbitrary, or a duration in microseconds.
 pub type Time = u64;
 
-/// Shortest time since the first amount over which a rate is taken (us).
+/// Shortest time since the first amount over which a rate is computed (us).
 const MIN_OBSERVED_US: Time = 1_000_000;
 
-/// The rate of what was added, averaged with exponential decay. Corrected for the time before the first amount, so that
-/// it is unbiased from then on.
+/// The rate at which amounts are added, averaged with exponential decay. It is corrected for the time before the first
+/// amount, so that it is unbiased from then on.
 #[derive(Clone, Copy, Default)]
 pub struct DecayingRate {
     time_constant: f64,
     sum: f64,
     first_added_at: Time,
-    /// 0 before the first amount.
+    /// Time of the last amount; 0 before the first one.
     last_added_at: Time,
 }
 
 impl DecayingRate {
-    /// A rate that forgets with this time constant (us).
+    /// Creates a rate that decays with this time constant (us).
     pub fn new(time_constant: f64) -> DecayingRate {
         DecayingRate {
             time_constant,
@@ -37,7 +37,7 @@
         self.last_added_at = now;
     }
 
-    /// The amount per microsecond.
+    /// Returns the average amount per microsecond.
     pub fn per_us(&self, now: Time) -> f64 {
         let observed = now.saturating_sub(self.first_added_at).max(MIN_OBSERVED_US);
         let time_constants = observed as f64 / self.time_constant;
@@ -50,7 +50,7 @@
     }
 }
 
-/// Amounts with a time each, over a window whose start only moves forward.
+/// Timestamped amounts, over a window whose start only moves forward.
 #[derive(Clone, Default)]
 pub struct SlidingWindow(VecDeque<(Time, f64)>);
 
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The sum of the amounts from `start` on.
+    /// Returns the sum of the amounts from `start` on.
     pub fn sum_since(&self, start: Time) -> f64 {
         self.0
             .iter()
@@ -78,7 +78,7 @@
     }
 }
 
-/// An exponentially weighted average of samples, which expires when no sample comes any more.
+/// An exponentially weighted average of samples, which expires if no further sample is recorded.
 #[derive(Clone, Copy, Default)]
 pub struct SmoothedSample {
     value: Option<f64>,
@@ -86,12 +86,12 @@
 }
 
 impl SmoothedSample {
-    /// The average, if the last sample is younger than `ttl`.
+    /// Returns the average, if the last sample is younger than `ttl`.
     pub fn get(&self, now: Time, ttl: Time) -> Option<f64> {
         self.value.filter(|_| now < self.recorded_at + ttl)
     }
 
-    /// Moves the average from `before` by this part (0 to 1) of the way to the sample.
+    /// Sets the average to `before`, moved towards the sample by the fraction `weight` (0 to 1).
     pub fn record(&mut self, now: Time, before: f64, sample: f64, weight: f64) {
         *self = SmoothedSample {
             value: Some(before + weight * (sample - before)),
@@ -100,7 +100,7 @@
     }
 }
 
-/// The mean of the samples, if there are any.
+/// Returns the mean of the samples, if there are any.
 pub fn mean(samples: impl Iterator<Item = f64>) -> Option<f64> {
     let (sum, count) = samples.fold((0.0, 0.0), |(sum, count), sample| {
         (sum + sample, count + 1.0)
--- a/pure/stats/src/rates/tests.rs
+++ b/pure/stats/src/rates/tests.rs
@@ -1,4 +1,4 @@
-//! Rates, windows and samples.
+//! Tests of rates, windows and samples.
 
 use super::*;
 
