--- a/pure/idempotency/src/table/policy.rs
+++ b/pure/idempotency/src/table/policy.rs
@@ -83,15 +83,15 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Denied::InFlight { until } => write!(f, "an attempt may be running until {until}"),
-            Denied::Pending => f.write_str("another request with this key is being admitted"),
+            Denied::Pending => f.write_str("another request under this key is being placed"),
             Denied::WindowExpired => {
-                f.write_str("an attempt may have run, and the idempotency window has expired")
+                f.write_str("an attempt may have run, and a repeat would run again")
             }
             Denied::AttemptsExhausted => f.write_str("all attempts are used"),
             Denied::ConflictingGroups => f.write_str("attempts may have run in two groups"),
-            Denied::Unreadable => f.write_str("the stored entry of this key can't be read"),
+            Denied::Unreadable => f.write_str("what was written of this key can't be read"),
             Denied::Superseded => f.write_str("the token's attempt has been followed by another"),
-            Denied::KeyMismatch => f.write_str("the token belongs to another key"),
+            Denied::KeyMismatch => f.write_str("the token is of another key"),
             Denied::TableFull => f.write_str("the ledger of keyed attempts is full"),
         }
     }
--- a/pure/idempotency/src/token.rs
+++ b/pure/idempotency/src/token.rs
@@ -63,10 +63,10 @@
 impl fmt::Display for TokenError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            TokenError::Malformed => "the token is malformed",
-            TokenError::UnknownKey => "the token's signing key is unknown",
-            TokenError::BadSignature => "the token's signature does not match",
-            TokenError::Expired => "the token has expired",
+            TokenError::Malformed => "the token can't be read",
+            TokenError::UnknownKey => "the token's key is not known here",
+            TokenError::BadSignature => "the token was not made here",
+            TokenError::Expired => "the token's time is over",
         })
     }
 }
