--- a/edge/core/src/delegated.rs
+++ b/edge/core/src/delegated.rs
@@ -1,7 +1,7 @@
 //! Delegated requests, whose caller makes the attempts itself at the servers it is given, and reports their outcomes.
 //!
-//! [`DelegatedRequest`] is a state machine that never blocks: the front waits for the directives and for the outcomes of the
-//! attempts, and passes both in.
+//! [`DelegatedRequest`] is a state machine that never blocks: the front waits for the directives and for the outcomes
+//! of the attempts, and passes both in.
 
 use crate::core::Core;
 use crate::in_flight::InFlightAttempt;
@@ -32,7 +32,8 @@
 pub enum Instruction {
     /// Make this attempt.
     Attempt(Box<Route>),
-    /// A server of the attempt no longer accepts work; wait for the next directive.
+    /// The attempt must not be made: it is too late to send it, or one of its servers no longer accepts work. Wait for
+    /// the next directive.
     AwaitNext,
     /// The request is rejected.
     Rejected(Rejected),
@@ -42,8 +43,8 @@
     ClientGone,
 }
 
-/// One delegated request. On drop, it reports the outcome of an attempt in flight and the end of the request, and no longer
-/// counts as delegated.
+/// One delegated request. Its drop reports the outcome of the attempt in flight, if there is one, and the end of the
+/// request, and takes the request off the number of delegated ones.
 pub struct DelegatedRequest {
     core: Arc<Core>,
     id: RequestId,
@@ -53,9 +54,9 @@
 }
 
 impl DelegatedRequest {
-    /// Passes the request to the router, whose directives go to `directives`. Returns `None`, without telling the router, if
-    /// `max` requests are delegated already. The caller may use the route for `placement_ttl` (µs); 0 stands for a single
-    /// attempt.
+    /// Passes the request to the router, whose directives go to `directives`. Returns `None` if `max` requests are
+    /// delegated already; the router then never learns of the request. The caller may send requests along the route for
+    /// `placement_ttl` (µs), or make a single attempt if that is 0.
     pub fn start(
         core: &Arc<Core>,
         request: &ClientRequest,
@@ -65,7 +66,7 @@
     ) -> Option<DelegatedRequest> {
         let is_full = core.count_delegated() >= max;
         let cancel = core.new_cancel_handle();
-        // From here on, dropping it undoes the count.
+        // `count_delegated` has counted this request; from here on, the drop of `delegated` takes it off again.
         let delegated = DelegatedRequest {
             core: core.clone(),
             id: cancel.id,
@@ -83,8 +84,8 @@
         Some(delegated)
     }
 
-    /// Processes a directive. Checks the servers of an attempt again, as the list may have changed since the router chose
-    /// them.
+    /// Processes a directive. Checks the servers of an attempt again, as the list may have changed since the router
+    /// chose them.
     pub fn take(&mut self, directive: Directive) -> Instruction {
         match directive {
             Directive::Attempt(fetch, target) => self.begin_attempt(fetch, target),
@@ -113,7 +114,8 @@
         }
     }
 
-    /// Returns the route of an attempt; `None` if it is too late to send it, or if one of its servers no longer accepts work.
+    /// Returns the route of an attempt; `None` if it is too late to send it, or if one of its servers no longer accepts
+    /// work.
     fn route(&self, fetch: Fetch, target: AttemptTarget) -> Option<Route> {
         let in_time = fetch.may_send(self.core.clock.now());
         let servers = &self.core.servers;
@@ -180,8 +182,8 @@
     Failed,
 }
 
-/// Routes a request whose outcome is never known: the router decides, `make_response` makes the client's response from the
-/// route, and the attempt is reported as cancelled at once. Blocks until the router has decided.
+/// Routes a request whose outcome is never known: the router decides, `make_response` makes the client's response from
+/// the route, and the attempt is reported as cancelled at once. Blocks until the router has decided.
 pub fn route_once<T>(
     core: &Arc<Core>,
     request: &ClientRequest,
--- a/edge/core/src/records.rs
+++ b/edge/core/src/records.rs
@@ -1,5 +1,5 @@
-//! The interface between the core and the replicated request records, which let another process take over a request when this
-//! process is lost.
+//! The interface between the core and the replicated request records, which let another process take over a request
+//! when this process is lost.
 
 use crate::request::ClientRequest;
 use crate::retry_after::Rejected;
@@ -9,8 +9,8 @@
 
 /// Stores the replicated records of requests.
 pub trait RequestRecords: Send + Sync {
-    /// Acquires the request's record; blocks until `deadline` at the latest. `ownership_lost` means that this process acquired
-    /// the record before and has been replaced by another owner.
+    /// Acquires the request's record; blocks until `deadline` at the latest. `ownership_lost` tells that an earlier
+    /// call acquired the record for this request, and that this process has lost its ownership since.
     fn acquire(&self, request: &ClientRequest, deadline: Instant, ownership_lost: bool)
         -> Acquired;
 }
@@ -40,7 +40,7 @@
     Failed,
 }
 
-/// The result of writing an attempt to the record: whether it may be made.
+/// The result of [`OwnedRecord::record_intent`]: whether the attempt may be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptIntent {
     /// The attempt is recorded and may be made.
@@ -51,8 +51,8 @@
     OwnershipLost,
 }
 
-/// The record of a request that this process owns. If it is dropped without a stored response, it is released, and the next
-/// replica in order takes the request over.
+/// The record of a request that this process owns. If it is dropped without a stored response and was not abandoned, it
+/// is released, and the next of the record's replicas, in their order, takes the request over.
 pub trait OwnedRecord: Send + Sync {
     /// Returns the only group of caches that attempts may go to, if an attempt may have executed.
     fn required_group(&self) -> Option<u32>;
@@ -60,7 +60,8 @@
     fn record_intent(&self, server: &Member) -> AttemptIntent;
     /// Whether the request may still be sent; called right before its first byte.
     fn may_send(&self) -> bool;
-    /// Returns the term to send with the attempt. A receiver that supports terms then rejects lower ones of the same key.
+    /// Returns the term to send with the attempt, or `None` if the attempts of this class carry none. A receiver that
+    /// supports terms rejects attempts with the same key and a lower term from then on.
     fn term(&self) -> Option<u64>;
     /// Records the outcome of the attempt.
     fn record_outcome(&self, outcome: Outcome);
@@ -68,6 +69,7 @@
     fn may_have_executed(&self) -> bool;
     /// Stores the response. Returns false if it is not known to be stored; then it must not be sent to any client.
     fn store_response(&self, response: StoredResponse) -> bool;
-    /// Ends the record without a response: nothing executed and the client is told to retry, so no replica need take over.
+    /// Ends the record without a response. Called when no attempt executed and the client is told to retry or that the
+    /// request failed: a retry may be served like a new request, and no replica needs to take the request over.
     fn abandon(&self);
 }
--- a/edge/core/src/request.rs
+++ b/edge/core/src/request.rs
@@ -11,8 +11,8 @@
 pub struct ClientRequest {
     /// Id that the client assigned to the request (`Via-Id`).
     pub via_id: u64,
-    /// Index of the class in the router's list. A reload reuses the index for another class only after all holders of this
-    /// `Arc` are gone.
+    /// Index of the class in the router's list. Holding this `Arc` reserves the index: a reload gives it to another
+    /// class only after all holders are gone.
     pub class: Arc<usize>,
     /// Name of the class.
     pub class_name: Arc<str>,
@@ -34,11 +34,12 @@
     pub arrived_at: Instant,
     /// Time from `arrived_at` until the client gives up.
     pub budget: Duration,
-    /// The front that received it, by the name that limits use.
+    /// Name of the front that received the request, by which its limits are looked up.
     pub front: &'static str,
-    /// The caller's authenticated identity, by the name that limits use.
+    /// Name of the authenticated caller, by which its limits are looked up.
     pub caller: Arc<str>,
-    /// The only group of caches that attempts may go to, if an attempt by an earlier owner may have executed.
+    /// The only group of caches that attempts may go to. Set if an attempt that this process's router did not make may
+    /// have executed.
     pub required_group: Option<u32>,
 }
 
@@ -91,7 +92,7 @@
     NotModified,
     /// Rejected for now.
     Rejected(Rejected),
-    /// Failed.
+    /// The request failed.
     Failed,
 }
 
@@ -102,9 +103,9 @@
     fn respond(self: Box<Self>, response: Response);
 }
 
-/// Subtracted from the time that a client waits: covers the transfer of the request and of the response, and the interval at
-/// which the router checks for overdue requests (25 ms). None of these depends on the client's wait, so the margin is fixed
-/// rather than a share of it.
+/// Subtracted from the time that a client waits. It covers the transfer of the request and of the response, and the
+/// interval at which the router checks for overdue requests (25 ms). None of these depends on how long the client
+/// waits, so the margin is a fixed time rather than a share of the wait.
 const TRANSFER_MARGIN: Duration = Duration::from_millis(30);
 
 /// Returns how long the proxy may take for a request whose client waits for `wait`; at least 1 µs.
--- a/pure/fair-queue/src/division.rs
+++ b/pure/fair-queue/src/division.rs
@@ -2,18 +2,21 @@
 //! more than it wants (max-min fairness); a process gets a part of each tenant's slots in proportion to the tenant's
 //! demand there.
 //!
-//! Every process computes this by itself from the digests it has. Where the results differ, the replicas' leases
-//! still bound the sum. Each process with demand keeps [`guaranteed_slots`], whatever demand others report.
+//! Every process computes this by itself from the digests it has, so two processes may get different results. The
+//! pool's limit still holds, because a process may only use slots that the pool's replicas lease to it
+//! ([`crate::slots`]). A process's number is at least [`guaranteed_slots`] or its demand rounded down, whichever is
+//! less, whatever demand others report.
 
 use crate::digest::ProcessDemand;
 use std::collections::BTreeMap;
 
-/// Half of an equal share: the slots that a process with demand keeps, whatever the others claim.
+/// Half of an equal share of the slots. A process that has demand for that many keeps them, whatever demand others
+/// report.
 pub fn guaranteed_slots(slots: usize, processes: usize) -> usize {
     slots / (2 * processes.max(1))
 }
 
-/// How much more, in slots, a slot that is already held counts when remainders are compared.
+/// Added to the remainder (in slots) of a process that already holds the slot that it would get by rounding up.
 const HOLD_BONUS: f64 = 0.5;
 
 fn from_thousandths(thousandths: u32) -> f64 {
@@ -32,7 +35,7 @@
 /// Max-min fair shares of `slots`, by pairs of weight and demand.
 fn max_min_fair(slots: f64, tenants: &[(f64, f64)]) -> Vec<f64> {
     let mut order: Vec<usize> = (0..tenants.len()).collect();
-    // In the order in which their demand is satisfied.
+    // By demand per weight: as shares grow in proportion to the weights, the tenant with the least is satisfied first.
     order.sort_by(|a, b| {
         let level = |index: &usize| tenants[*index].1 / tenants[*index].0;
         level(a).total_cmp(&level(b)).then(a.cmp(b))
@@ -101,9 +104,9 @@
     };
     let exact: Vec<f64> = fleet.iter().map(share_of).collect();
     let mut counts: Vec<usize> = exact.iter().map(|share| (*share + 1e-9) as usize).collect();
-    // Slots left over by rounding go to the largest remainders. A process that holds such a slot keeps it unless
-    // another's remainder is larger by more than `HOLD_BONUS`: otherwise slots would move with each small change of
-    // demand.
+    // Slots left over by rounding down go to the processes with the largest remainders. A process that holds more slots
+    // than its rounded-down share precedes one that doesn't, unless the other's remainder is larger by more than
+    // `HOLD_BONUS`: otherwise slots would move with each small change of demand.
     let mut order: Vec<usize> = (0..fleet.len()).collect();
     let priority = |index: usize| {
         exact[index].fract()
--- a/pure/fair-queue/src/queue.rs
+++ b/pure/fair-queue/src/queue.rs
@@ -3,9 +3,9 @@
 //! outruns the charge, the charge is doubled; when it ends, the charge is corrected to the time it took.
 //!
 //! A tenant that was idle resumes at the virtual time, so idle time earns no credit. A tenant that was held back by
-//! the bound on slow requests, or was charged too much, catches up by at most one longest request. Hence a request of
-//! a tenant without debt, with `n` other tenants waiting and no request longer than `longest`, starts within
-//! `(2 * n * longest) / slots + longest`.
+//! the bound on slow requests, or was charged too much, catches up by at most [`Setup::max_slot_time`] of slot time.
+//! Hence a request of a tenant without debt (its start tag is not ahead of the virtual time), with `n` other tenants
+//! waiting and no request longer than `longest`, starts within `(2 * n * longest) / slots + longest`.
 
 use crate::flow::{order_key, virtual_cost, Flow, OrderKey, VirtualTime, QUICK, SLOW};
 pub use crate::interface::{Admission, Dispatch, RunHandle, Setup, SlotRequest};
@@ -36,14 +36,16 @@
     pub(crate) tenants: Tenants,
     pub(crate) flows: Slab<Flow>,
     pub(crate) lanes: Lanes,
-    /// Tenants with requests waiting, in order of their start tags: the named ones and the buckets of unnamed ones.
-    /// `quick` holds those of them that have a weight above 0 and a quick request waiting.
+    /// Tenants with requests waiting, in order of their start tags: named tenants at index 0, buckets of unnamed ones
+    /// at index 1.
     pub(crate) ready: [BTreeSet<OrderKey>; 2],
+    /// The part of `ready` with a weight above 0 and a quick request waiting.
     pub(crate) quick: [BTreeSet<OrderKey>; 2],
-    /// Start tag of the next request of all unnamed tenants: together they compete as one tenant with each named one.
+    /// Start tag of the group of all unnamed tenants, which competes with the named tenants as if it were one tenant.
     pub(crate) group_tag: VirtualTime,
-    /// Virtual times of named tenants with a weight, of tenants of weight 0, and among the unnamed tenants' buckets.
-    /// [`Flow::virtual_clock`] says which one applies.
+    /// Three virtual times: of tenants with a weight above 0, of tenants of weight 0, and between the buckets. The
+    /// group of unnamed tenants counts as a tenant in the first or second. [`Flow::virtual_clock`] gives the index for
+    /// a flow, and [`Tenants::group_clock`] that for the group.
     pub(crate) virtual_now: [VirtualTime; 3],
     pub(crate) runs: Slab<Run>,
     /// Each run with the time (us) at which it outruns what it was charged.
@@ -148,7 +150,7 @@
     /// How long a rejected request should stay away (us), or `None` if it may wait.
     fn rejection(&self, index: u32, lane: usize, request: &SlotRequest) -> Option<Time> {
         let flow = &self.flows[index as usize];
-        // The weights as they are once this request waits.
+        // Waiting would make the request's tenant active, so the weights include the tenant even if it isn't yet.
         let added = if flow.active() { 0 } else { 1 };
         let (weight, active_weight) = self.weights_with(flow, added);
         let virtual_now = self.virtual_now[flow.virtual_clock()];
@@ -177,8 +179,8 @@
         late.or_else(|| (!has_room).then_some(wait.max(refuse::MIN_RETRY_AFTER)))
     }
 
-    /// The next request to start or to reject as late, while slots are free. Call it after each change until it
-    /// returns `None`.
+    /// Takes the next request from the queue, to start it or, if its start deadline has passed, to reject it. Returns
+    /// `None` if no slot is free or no request waits. Call it after each change until it returns `None`.
     pub fn next(&mut self, now: Time) -> Option<Dispatch> {
         self.advance_clock(now);
         if self.runs.len() >= self.setup.slots {
@@ -210,7 +212,8 @@
         }
     }
 
-    /// How many slots slow requests may use while quick ones wait: a third of them at least, and one at least.
+    /// How many slots slow requests may use while quick ones wait: [`Setup::slow_share`] of them, rounded up, but at
+    /// least a third of them and at least one.
     fn max_slow_runs(&self) -> usize {
         let share = self.setup.slow_share.clamp(1.0 / 3.0, 1.0);
         ((self.setup.slots as f64 * share).ceil() as usize).max(1)
@@ -225,7 +228,8 @@
         })
     }
 
-    /// Advances the virtual times to the tenant's start tag, charges the predicted cost and records the run.
+    /// Caps the tenant's credit by raising a start tag that is too far behind the virtual time, advances the virtual
+    /// time to that tag, charges the predicted cost and records the run. A bucket's group is treated the same way.
     fn start_run(&mut self, index: u32, lane: usize, cost: Time) -> RunHandle {
         let max_credit = if planted(Fault::UnboundedCredit) {
             Time::MAX
--- a/pure/hierarchy/src/health.rs
+++ b/pure/hierarchy/src/health.rs
@@ -1,5 +1,6 @@
-//! Outlier detection of sources: a source is ejected for a while after consecutive failures. Timeouts, resets and errors
-//! count as failures; rejections because of load, a loop or an identity do not, as they are no fault of the source.
+//! Outlier detection of sources: a source is ejected for a while after consecutive failures. Timeouts, resets and
+//! errors count as failures. Rejections ([`AttemptOutcome::Rejected`]), for example because of load or a loop, do not,
+//! as they are no fault of the source.
 
 use crate::TimestampUs;
 
@@ -7,10 +8,11 @@
 const BASE_EJECTION_US: u64 = 250_000;
 /// Maximum duration of an ejection (us).
 const MAX_EJECTION_US: u64 = 4_000_000;
-/// Bounds the shift by which the duration is doubled; [`MAX_EJECTION_US`] is reached with fewer doublings.
+/// Maximum number of doublings, which keeps the shift from overflowing. It never shortens an ejection, because
+/// [`MAX_EJECTION_US`] is reached after fewer.
 const MAX_DOUBLINGS: u32 = 8;
-/// Consecutive failures after a connection was established that do not eject the source: a single reset is no sign of a
-/// fault.
+/// A failure after a connection was established ([`AttemptOutcome::Failed`]) doesn't eject the source while its
+/// consecutive failures, of any kind, are at most this many: a single reset is no sign of a fault.
 const TOLERATED_FAILURES: u32 = 1;
 
 /// How an attempt at a source ended.
@@ -54,7 +56,8 @@
         self.ejected_until = self.ejected_until.max(now.saturating_add(ejection_us));
     }
 
-    /// Whether the source is not ejected. After an ejection it is asked again, and one more failure ejects it for longer.
+    /// Whether the source is not ejected. After an ejection it is asked again, and one more failure ejects it for
+    /// longer.
     pub fn is_healthy(&self, now: TimestampUs) -> bool {
         now >= self.ejected_until
     }
--- a/pure/limits/src/effective.rs
+++ b/pure/limits/src/effective.rs
@@ -9,7 +9,7 @@
 
 /// The highest retention rank that caches know.
 pub const MAX_RETENTION_RANK: u64 = 3;
-/// Pauses double unless the file says otherwise.
+/// Ratio of each pause between attempts to the one before, unless the operator's file sets another.
 const DEFAULT_BACKOFF_FACTOR: f64 = 2.0;
 
 /// Names one limit. The variants are in the order in which limits are printed.
@@ -88,7 +88,8 @@
 }
 
 /// The values that hold for a request, each resolved.
-// The doc comments of the fields are the descriptions of the exported schema.
+// The exported schema describes each field by its doc comment, so a change of one changes the schema. A field without a
+// doc comment is described by that of an earlier field.
 #[derive(Clone, Debug, PartialEq, Serialize, JsonSchema)]
 #[schemars(rename = "Effective")]
 #[expect(
--- a/pure/load-reports/src/host.rs
+++ b/pure/load-reports/src/host.rs
@@ -1,5 +1,5 @@
-//! Connects a [`LoadTracker`] to a router. The router's host passes every event and action of the router to it, and polls it
-//! for further events to pass to the router and for probes to send.
+//! Connects a [`LoadTracker`] to a router. The router's host passes every event and action of the router to it, and
+//! polls it for further events to pass to the router and for probes to send.
 
 use crate::fields::Load;
 use crate::tracker::{LoadTracker, Server, Setup, Update};
@@ -21,7 +21,8 @@
 }
 
 impl RouterLoadReports {
-    /// Creates the tracker; `None` if the settings have neither reports nor probes.
+    /// Creates the tracker; `None` if `setup` has neither reports nor probes. `settings` are the router's, which tell
+    /// the caches of its own zone from other members.
     pub fn new(setup: Setup, settings: &Settings) -> Option<RouterLoadReports> {
         let tracker = LoadTracker::new(setup)?;
         Some(RouterLoadReports {
@@ -82,7 +83,7 @@
         self.tracker.record_report(now, cache.0, load);
     }
 
-    /// Records a report that a response carried, with its values in the order of the settings' fields.
+    /// Records a report that a response carried, with its values in the order of [`Setup::fields`].
     pub fn record_report_values(&mut self, now: Time, cache: CacheId, values: &[f32]) {
         let load = self.tracker.fields().load(values);
         self.tracker.record_report(now, cache.0, load);
@@ -93,7 +94,7 @@
         self.tracker.record_probe(now, cache.0, healthy, load);
     }
 
-    /// Records the end of a probe, with its report's values in the order of the settings' fields.
+    /// Records the end of a probe, with its report's values in the order of [`Setup::fields`].
     pub fn record_probe_values(
         &mut self,
         now: Time,
@@ -105,8 +106,8 @@
         self.tracker.record_probe(now, cache.0, healthy, load);
     }
 
-    /// Adds the events to pass to the router, and the servers to probe. A relative load is passed as the only value of a
-    /// health check's report.
+    /// Adds the events to pass to the router, and the servers to probe. A relative load is passed in the form of a
+    /// successful health check that took no time, as the only value of its report.
     pub fn poll(&mut self, now: Time, events: &mut Vec<Event>, probes: &mut Vec<CacheId>) {
         self.tracker.poll(now, &mut self.updates);
         for update in self.updates.drain(..) {
--- a/pure/load-reports/src/probe_budget.rs
+++ b/pure/load-reports/src/probe_budget.rs
@@ -1,5 +1,6 @@
-//! Decides when a health check that asks for a load report (a probe) is worth its price: when its response may change a
-//! selection that is made often enough.
+//! Decides when to send a probe: a health check that asks for a load report. A probe is worth its price if its expected
+//! benefit is higher: the ratio of useful probes, times the attempts expected at the server within the lifetime of a
+//! report, times the ratio of attempts that are rejected or lost.
 
 use foldmux_stats::Time;
 use std::collections::BTreeMap;
@@ -10,7 +11,8 @@
 pub const MAX_PROBES_IN_FLIGHT: usize = 4;
 /// Maximum number of probes per request, however useful they are.
 const PROBES_PER_REQUEST: f64 = 0.05;
-/// Of the probes that are not worth their price one in this many is sent, so that the estimate of their use can recover.
+/// One in this many of the probes that are not worth their price is sent anyway: the ratio of useful probes is only
+/// measured by sending some, and could not recover otherwise.
 const EXPLORATION_INTERVAL: u32 = 64;
 /// Weight of a new probe in the moving average of the ratio of useful probes.
 const USEFUL_WEIGHT: f64 = 0.05;
@@ -35,22 +37,25 @@
 /// The probes in flight, the ratio of useful ones, and the bounds on sending more.
 pub struct ProbeBudget {
     allowed: bool,
-    /// Cost of one probe per request, in points of service (0 to 1).
+    /// Cost of one probe per request, in points of service (0 to 1). A probe is worth it if its expected benefit, in
+    /// the same unit, is higher.
     price: f64,
     /// Timeout of a probe (us).
     probe_timeout: Time,
-    /// Ratio of probes whose response changed a selection.
+    /// Moving average of the ratio of useful probes: those whose response may have changed a selection.
     useful_ratio: f64,
     /// Probes that may be sent now; each request adds [`PROBES_PER_REQUEST`].
     budget: f64,
-    /// Probes skipped since the last one that was sent although not worth its price.
+    /// Number of probes not sent because they were not worth their price, since the last such probe that was sent
+    /// anyway.
     skipped: u32,
     /// By server, when its probe times out.
     in_flight: BTreeMap<u32, Time>,
 }
 
 impl ProbeBudget {
-    /// Creates a budget without probes to send. `price` is the settings' cost of one probe per request, and
+    /// Creates a budget that allows no probe until requests have been recorded. `price` is the cost of one probe per
+    /// request, as set in [`crate::Setup`]: a negative one counts as 0, and one that is not finite as the highest.
     /// `probe_timeout` is in microseconds.
     pub fn new(allowed: bool, price: f64, probe_timeout: Time) -> ProbeBudget {
         let price = if price.is_finite() {
