--- a/pure/limits/src/validation/rule.rs
+++ b/pure/limits/src/validation/rule.rs
@@ -1,10 +1,10 @@
-//! The rules by name, and their violations: where in the file, and why it is rejected.
+//! The rules with their names and reasons, and the violations that are reported.
 
 use std::fmt;
 
 macro_rules! rules {
     ($($name:ident = $text:literal: $why:literal,)*) => {
-        /// A rule that a file must keep.
+        /// A rule that a file must obey.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
         pub enum Rule { $(#[doc = $why] $name,)* }
 
@@ -12,12 +12,12 @@
             /// All rules.
             pub const ALL: &'static [Rule] = &[$(Rule::$name,)*];
 
-            /// The name by which violations are reported.
+            /// Returns the name by which violations are reported.
             pub fn name(self) -> &'static str {
                 match self { $(Rule::$name => $text,)* }
             }
 
-            /// Why a file that breaks the rule is rejected.
+            /// Returns why a file that breaks the rule is rejected.
             pub fn reason(self) -> &'static str {
                 match self { $(Rule::$name => $why,)* }
             }
@@ -26,62 +26,62 @@
 }
 
 rules! {
-    UnknownClass = "unknown-class": "the account has no class of that name, so the limits would hold for nothing",
-    UnknownBudget = "unknown-budget": "no budget has that name, so repeats would be unbounded",
+    UnknownClass = "unknown-class": "the account has no class of that name, so the limits would apply to no request",
+    UnknownBudget = "unknown-budget": "no budget has that name, so retries would be unbounded",
     UnknownFront = "unknown-front": "no front has that name, so the route would match nothing",
-    InvalidPattern = "pattern-shape": "a * stands for what follows at the end alone: elsewhere nothing would ever match",
-    NeverMatches = "never-matches": "callers prove who they are at the external processor alone, so nothing would ever match",
-    SetTwice = "twice-set": "two calls set the same, and only one of them could hold",
-    TooManyRoutes = "too-many-routes": "each request looks through its class's routes",
-    DeadlineTooLong = "deadline-past-account": "clients leave at the account's deadline: what is done after it is lost",
-    DeadlineTooShort = "no-room-for-answer": "a final answer is due within the slack, so a deadline must be over it",
-    AttemptPastDeadline = "attempt-past-deadline": "an attempt that may take longer than the request ends after its answer is due",
+    InvalidPattern = "pattern-shape": "a * is a wildcard only at the end of a pattern: elsewhere nothing would ever match",
+    NeverMatches = "never-matches": "callers authenticate only at the external processor, so nothing would ever match",
+    SetTwice = "twice-set": "two calls set the same, and only one of them could apply",
+    TooManyRoutes = "too-many-routes": "each request is compared with the routes of its class, so their number is bounded",
+    DeadlineTooLong = "deadline-past-account": "clients stop waiting at the account's deadline, so work after it is lost",
+    DeadlineTooShort = "no-room-for-answer": "the final response is due within the slack, so the deadline must be longer",
+    AttemptPastDeadline = "attempt-past-deadline": "an attempt whose timeout exceeds the deadline ends after the response is due",
     NoAttempt = "no-attempt": "a request without an attempt is never served",
     TooManyAttempts = "too-many-attempts": "the account allows no more attempts of one request",
     ConcurrentAttempts = "copies-at-once": "the account allows no two attempts of one request at once (mayDuplicate is false)",
-    RetryAfterTooLong = "wait-past-account": "clients follow no longer advice to come back",
-    WindowTooLong = "window-past-archive": "the archive drops a key's repeats for its window only: a later one would run twice",
-    ScopeTooWide = "group-too-wide": "a repeat outside the group that drops repeats would run twice",
+    RetryAfterTooLong = "wait-past-account": "clients do not honor a longer Retry-After",
+    WindowTooLong = "window-past-archive": "the archive drops duplicates of a key only within its window, so a later retry would run twice",
+    ScopeTooWide = "group-too-wide": "a retry outside the group that drops duplicates would run twice",
     NotKeyed = "not-keyed": "only keyed classes have a window and a group",
-    NotIdempotent = "repeated-once": "an attempt of this class may have run, and none may follow",
-    StaleTooLong = "stale-past-purge": "an older copy may be served for the purge slack and no longer",
-    StaleOfKeyed = "stale-of-keyed": "nothing of a keyed class is kept, so there is never an old copy to serve",
+    NotIdempotent = "repeated-once": "an earlier attempt of this class may have run, so no retry may follow",
+    StaleTooLong = "stale-past-purge": "an older copy may be served only for the purge slack",
+    StaleOfKeyed = "stale-of-keyed": "responses of a keyed class are not cached, so there is never a stale copy to serve",
     UnknownRetentionRank = "rank-out-of-range": "caches know ranks 0 to 3",
-    InvalidBackoff = "backoff-shape": "pauses grow from the first to the most, less a part of 0 to 100 percent",
-    BackoffPastDeadline = "backoff-past-deadline": "after such a pause there is no time for an attempt",
-    QueueWithoutTimeout = "queue-without-age": "what waits without an age is answered after its client left",
-    TimeoutWithoutQueue = "age-without-queue": "an age of what never waits says nothing: the queue is 0",
-    QueueWithoutConcurrency = "queue-without-places": "without a bound on places nothing ever waits",
-    QueueTimeoutPastDeadline = "age-past-deadline": "what waits past its deadline is answered after its client left",
-    InvalidConcurrency = "places-shape": "places are at least one, and the least is under the most",
-    CapacityExceeded = "places-past-room": "the process has descriptors and memory for fewer requests",
-    InvalidBudget = "budget-shape": "a budget earns 0 to 500 percent and holds at least one token",
-    BudgetCycle = "budget-circle": "a budget above itself could never be taken from",
+    InvalidBackoff = "backoff-shape": "the factor is 1 to 100, a maximum needs a first pause and is not below it, and jitter is 0 to 100 percent",
+    BackoffPastDeadline = "backoff-past-deadline": "after such a pause there is no time left for an attempt",
+    QueueWithoutTimeout = "queue-without-age": "a request queued without a timeout is answered after its client left",
+    TimeoutWithoutQueue = "age-without-queue": "a queue timeout has no effect without a queue",
+    QueueWithoutConcurrency = "queue-without-places": "without a bound on places no request is ever queued",
+    QueueTimeoutPastDeadline = "age-past-deadline": "a request queued past its deadline is answered after its client left",
+    InvalidConcurrency = "places-shape": "the minimum is at least one and not above the maximum",
+    CapacityExceeded = "places-past-room": "the process has file descriptors and memory for fewer requests",
+    InvalidBudget = "budget-shape": "a budget earns 0 to 500 percent, holds at least one token and is not named none",
+    BudgetCycle = "budget-circle": "a budget that is its own ancestor could never be withdrawn from",
     AttemptNeverMade = "never-made": "an attempt that can only begin after the window or the deadline is never made",
-    ShadowedRoute = "shadowed-route": "a route before it takes all that it would match",
+    ShadowedRoute = "shadowed-route": "an earlier route matches every request that it would match",
     // Limits that are valid one by one, and not in combination.
-    RetryStorm = "storm": "with a fifth of the boxes failing, repeats would more than double the load",
-    TotalBurstTooLarge = "bursts-together": "all bursts spent at once would double the load of a full process in an instant",
-    BudgetStarved = "budget-starves": "another class can take all tokens of a keyed class, and leave its records unrepeated",
-    ParentStarved = "parent-starves": "the other budgets under one parent can take all that it earns from a keyed class",
-    TotalCapacityExceeded = "places-together": "all classes' places and queues together are over the process's descriptors and memory",
+    RetryStorm = "storm": "with a fifth of the servers failing, retries would more than double the load",
+    TotalBurstTooLarge = "bursts-together": "all bursts spent at once would instantly double the load of a full process",
+    BudgetStarved = "budget-starves": "another class can withdraw all tokens of a keyed class, whose requests would not be retried",
+    ParentStarved = "parent-starves": "the other budgets under one parent can withdraw all that it earns and leave none for a keyed class",
+    TotalCapacityExceeded = "places-together": "the places and queues of all classes together exceed the process's file descriptors and memory",
     NoTimeAfterQueue = "wait-starves": "after the longest wait there is no time left for one whole attempt",
-    WindowsDiffer = "windows-differ": "one key can come by both, and each would believe another window or group",
-    StaleAfterQueue = "stale-and-wait": "a copy that is old when it is judged is served after the wait: together past the purge slack",
-    AttemptsPastDeadline = "tries-past-answer": "the wait and the attempts' pauses together leave no time in which the last attempt could end",
-    DuplicateRun = "runs-twice": "a sequence of lost answers and pauses leads to a second run of one key",
+    WindowsDiffer = "windows-differ": "one key can arrive by both, and each would apply a different window or group",
+    StaleAfterQueue = "stale-and-wait": "a copy's age is judged before the wait in the queue, so it could be served past the purge slack",
+    AttemptsPastDeadline = "tries-past-answer": "the queue timeout, pauses and attempt timeouts together leave no time for the last attempt",
+    DuplicateRun = "runs-twice": "a sequence of lost responses and pauses leads to a second run of one key",
 }
 
-/// A rule that a file breaks.
+/// A violation of a rule by a file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     /// The rule.
     pub rule: Rule,
     /// The calls that conflict, as `FILE:LINE`.
     pub at: Vec<String>,
-    /// What breaks the rule, with its values.
+    /// The limits that break the rule, with their values.
     pub subject: String,
-    /// How it comes about, event by event, where that was searched for.
+    /// The sequence of events that leads to it, if the rule was checked by a search.
     pub trace: Vec<String>,
 }
 
